--- a/pomelohitchd/src/fleet.rs
+++ b/pomelohitchd/src/fleet.rs
@@ -1,25 +1,25 @@
-//! The daemon on the users' platform: entry instances that elect a leader among them, which
+//! The daemon on the users' platform: entry instances that elect one of them as leader, which
 //! schedules jobs on endpoints.
 //!
-//! Every entry instance takes callers and passes their requests to the leader. The leader keeps
-//! all jobs in memory and writes each change into the platform's store before it acts on it, so
-//! that any other entry instance can take over from the records. See
+//! Every entry instance accepts callers' requests and forwards them to the leader. The leader
+//! keeps all jobs in memory and writes each change to the platform's store before it acts on it,
+//! so that any other entry instance can take over from the stored records. See
 //! `docs/design/on-the-platform.md`.
 //!
-//! * [`clock`]: time that also counts while the machine is suspended.
+//! * [`clock`]: monotonic time that includes the time that the machine is suspended.
 //! * [`shared`]: state shared between the threads of one process.
 //! * [`wire`]: messages between entry instances.
 //! * [`peers`]: calls to other entry instances.
-//! * [`members`]: follows the members and their leader in the store.
-//! * [`election`]: notices that the leader is silent and takes over.
-//! * [`succession`]: which member should lead.
+//! * [`members`]: reads the members and their leader from the store.
+//! * [`election`]: detects a silent leader and takes over.
+//! * [`succession`]: decides which member should lead.
 //! * [`internal`]: serves other entry instances.
 //! * [`callers`]: serves callers.
-//! * [`forwarding`]: passes requests of callers on to the leader.
+//! * [`forwarding`]: forwards callers' requests to the leader.
 //! * [`calls`]: calls to endpoints.
-//! * [`relay`]: calls to endpoints that other members carry.
-//! * [`leader`]: the work of the leader.
-//! * [`logs`]: log lines, bounded and without blocking.
+//! * [`relay`]: calls to endpoints that other members make for the leader.
+//! * [`leader`]: the tasks of the leader.
+//! * [`logs`]: bounded, non-blocking log output.
 //! * [`lifecycle`]: start, graceful shutdown, exit codes.
 
 pub mod callers;
--- a/pomelohitchd/src/fleet/callers.rs
+++ b/pomelohitchd/src/fleet/callers.rs
@@ -1,4 +1,4 @@
-//! Serves callers: passes their requests to the leader, which may be this process.
+//! Serves callers: hands their requests to the leader, which may be this process.
 
 use std::sync::Arc;
 use std::sync::mpsc;
@@ -17,20 +17,20 @@
 use super::{forwarding, wire};
 use crate::front::{Incoming, Limits, Service};
 
-/// How long a request may wait for a leader, or for its answer, before the caller is told to come
-/// back: long enough for a change of leader, which takes about a second and a half.
+/// Upper limit of the time that a request waits for a leader and its answer. Long enough for a
+/// change of leader, which takes about 1.5 s.
 const PATIENCE: Duration = Duration::from_millis(2200);
-/// Never more than this part of the time that the caller gives, so that the answer still finds
-/// it.
+/// Fraction of the caller's own deadline that a request may wait, so that the answer arrives before
+/// the deadline.
 const PATIENCE_PART: f64 = 0.7;
-/// Time for one try at the leader.
+/// Timeout of one attempt at the leader.
 const TRY_WITHIN: Duration = Duration::from_millis(1200);
-/// Pause before another try.
+/// Pause between attempts.
 const AGAIN_AFTER: Duration = Duration::from_millis(60);
-/// When to come back if no leader is known.
+/// `Retry-After` if no leader has answered.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Limits for callers.
+/// Connection and request limits of the callers' port.
 #[must_use]
 pub fn limits() -> Limits {
     Limits {
@@ -45,7 +45,7 @@
     }
 }
 
-/// How requests of callers are answered.
+/// The handler of callers' requests.
 #[must_use]
 pub fn service(shared: &Arc<Shared>) -> Service {
     let leaving = shared.clone();
@@ -56,7 +56,7 @@
     }
 }
 
-/// How the balancer's questions are answered.
+/// The handler of the load balancer's readiness checks.
 #[must_use]
 pub fn readiness(shared: &Arc<Shared>) -> Service {
     let leaving = shared.clone();
@@ -71,8 +71,8 @@
     }
 }
 
-/// A leader that was heard this long ago is still taken for one: a change of leader is over by
-/// then, and readiness shouldn't flicker with each.
+/// A member is ready if it heard from a leader within this time. A change of leader takes less, so
+/// that readiness doesn't flap during one.
 const READY_WITHIN: Duration = Duration::from_secs(3);
 
 fn is_ready(shared: &Shared) -> bool {
@@ -81,35 +81,36 @@
     !shared.is_leaving() && (shared.leading().is_some() || knows_leader)
 }
 
-/// What became of a try at the leader.
+/// Result of one attempt at the leader.
 pub(super) enum Try {
     /// The leader answered.
     Answered(Reply),
-    /// Nothing was done.
+    /// The request was not executed.
     Undone,
-    /// Nothing was handed in, since the leader is full; when to come back.
+    /// The request was not executed, since the leader accepts no more requests, or no new jobs of
+    /// the queue. It may be retried after this time.
     Full(Duration),
-    /// The leader with this epoch may have done it.
+    /// The leader with this epoch may have executed the request.
     Unknown(Epoch),
 }
 
 /// An answer of a leader.
 pub(super) struct Reply {
-    /// Its epoch.
+    /// Epoch of the leader.
     pub(super) epoch: Epoch,
-    /// For the caller.
+    /// Response for the caller.
     pub(super) response: Response,
-    /// How long the other jobs of the queue are refused, too.
+    /// How long the leader refuses all new jobs of the queue, if it does.
     pub(super) queue_refused_for: Option<Duration>,
 }
 
-/// Answers a caller: the leader's answer, or after some patience that there is none.
+/// Answers a caller with the leader's answer, or with an error when the timeout has passed.
 ///
-/// Once a try may have handed a job in, no refusal of a later try is passed back that comes from the
-/// same leadership, whatever its reason: a key may be withdrawn between the two, and the caller would
-/// take the job for refused while it runs. A later leader has read all that earlier ones have written
-/// and nothing of theirs is written any more, so that its answers are true. Reads have no effect, so
-/// that every answer to them is.
+/// Once an attempt may have been executed, a later refusal by the same leadership isn't returned,
+/// whatever its reason: an API key may be withdrawn between the two attempts, and the caller would
+/// take a job for refused while it runs. A later leader has read all that earlier ones have
+/// written, and they can't write any more, so that its answers are conclusive. Reads have no
+/// effect: every answer to them is returned.
 pub fn answer(shared: &Shared, incoming: &Incoming) -> Response {
     let patience = patience(&incoming.head);
     let has_effect = has_effect(&incoming.head.method);
@@ -138,16 +139,16 @@
     }
 }
 
-/// The leader can't serve the request now; it may a moment later.
+/// Status if the leader can't serve the request now; a retry may succeed.
 const UNAVAILABLE: u16 = 503;
-/// The job isn't held, which is also what a repeated cancel is told.
+/// Status if the leader doesn't hold the job, also for a repeated cancel.
 pub(super) const GONE: u16 = 410;
 
 fn has_effect(method: &str) -> bool {
     !matches!(method, "GET" | "HEAD")
 }
 
-/// Whether an answer is true even if an earlier try was carried out.
+/// Whether an answer holds even if an earlier attempt was executed.
 fn confirms(status: u16) -> bool {
     (200..300).contains(&status) || status == GONE
 }
@@ -171,7 +172,7 @@
     unavailable(RETRY_AFTER)
 }
 
-/// Refuses a request that wasn't passed on.
+/// Refuses a request that was not forwarded.
 fn refuse(incoming: &Incoming, retry_after: Duration) -> Response {
     let waited_ms = incoming.arrived.elapsed().as_millis();
     warn!(path = %incoming.head.target, method = %incoming.head.method, ?retry_after, waited_ms,
@@ -205,7 +206,7 @@
     }
 }
 
-/// Answers a request that another entry instance passed on.
+/// Answers a request that another entry instance forwarded.
 pub fn answer_passed_on(shared: &Shared, incoming: &Incoming, path: &str) -> Response {
     let host = incoming.head.headers.get(wire::CALLER_HOST);
     let host = host.unwrap_or_default();
@@ -223,7 +224,7 @@
     }
 }
 
-/// The response to the member that passed a request on.
+/// The response to the member that forwarded a request.
 fn passed_back(reply: Reply) -> Response {
     let epoch = reply.epoch.to_string();
     let response = reply
@@ -238,7 +239,7 @@
     }
 }
 
-/// Hands a request to the leader in this process.
+/// Sends a request to the leader in this process and waits for its answer.
 fn ask_here(
     leading: &Leading,
     incoming: &Incoming,
@@ -285,7 +286,8 @@
     }
 }
 
-/// States are asked for often and change nothing, so that only refusals of them are told.
+/// Logs an answer, unless it is a job's state: reads are frequent and change nothing, so that only
+/// their refusals are logged.
 fn log_answer(incoming: &Incoming, answer: &Answer) {
     if matches!(
         answer,
--- a/pomelohitchd/src/fleet/calls.rs
+++ b/pomelohitchd/src/fleet/calls.rs
@@ -1,9 +1,9 @@
 //! Calls to endpoints over connections of this process.
 //!
-//! All calls are made on one thread, each as a task of its own. At most a few orders are under way
-//! to one endpoint, so that an order without an answer holds up neither its endpoint nor others.
-//! Orders may therefore overtake each other, which endpoints allow for: a stop that comes before its
-//! start rejects it.
+//! All calls are made on one thread, each in its own task. A few orders to one endpoint may be in
+//! flight at the same time, so that an unanswered order blocks neither its endpoint nor others.
+//! Orders may therefore overtake each other, which endpoints handle: after a stop, the start of the
+//! same run is rejected.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,37 +21,38 @@
 
 use super::clock;
 
-/// A connection that isn't made by then won't be.
+/// Connect timeout; a connection that takes longer isn't expected to succeed.
 const CONNECT: Duration = Duration::from_millis(250);
-/// A start that was decided longer ago isn't sent: the process may have been suspended since.
+/// Starts that were decided longer ago aren't sent: the process may have been suspended since.
 const STALE: Duration = Duration::from_millis(800);
-/// Most orders under way to one endpoint. One or two without an answer leave the others a way.
+/// Most orders in flight to one endpoint. With one or two unanswered, others can still be sent.
 const AT_ONCE: usize = 3;
-/// Connections to an endpoint that stay open: for its orders, and for a poll.
+/// Connections to an endpoint that are kept open: for its orders, and one for a poll.
 const KEPT: usize = AT_ONCE + 1;
-/// A poll may take this much longer than the endpoint was told to wait, where answers are prompt.
+/// Timeout of a poll beyond the time that the endpoint may wait, while answers are prompt. While
+/// they are slow, the timeout grows with that of orders.
 const LOOK_MARGIN: Duration = Duration::from_millis(250);
-/// Timeouts of orders. Endpoints answer within a few milliseconds; what came of an order without an
-/// answer is learned from a poll.
+/// Timeouts of orders. Endpoints answer within a few milliseconds; the result of an unanswered
+/// order shows in a later poll.
 const ORDER_WITHIN: Limits = Limits {
     shortest: Duration::from_millis(150),
     longest: Duration::from_millis(600),
 };
 
-/// An order that is to go out.
+/// An order to be sent.
 #[derive(Debug, Clone)]
 pub struct Sending {
-    /// Where.
+    /// The endpoint that it is for.
     pub target: Target,
-    /// What.
+    /// The order itself.
     pub order: Order,
-    /// Whose.
+    /// Epoch of the leader that decided it.
     pub epoch: Epoch,
     /// When it was decided.
     pub at: Steady,
 }
 
-/// What there is for one endpoint.
+/// Connections to one endpoint, and the limit of concurrent orders to it.
 #[derive(Debug)]
 struct Lane {
     connections: Connections,
@@ -67,11 +68,11 @@
     }
 }
 
-/// Makes calls. Used on one thread, whose runtime has to run local tasks.
+/// Makes calls to endpoints, on a single thread whose runtime must support local tasks.
 #[derive(Debug)]
 pub struct Calls {
     lanes: RefCell<HashMap<EndpointId, Rc<Lane>>>,
-    /// Of all endpoints: what delays answers is mostly this member's own link.
+    /// Shared by all endpoints, since answers are mostly delayed by this member's own link.
     rto: RefCell<Rto>,
 }
 
@@ -85,7 +86,7 @@
 }
 
 impl Calls {
-    /// Sends an order.
+    /// Sends an order and waits for its outcome.
     pub async fn order(&self, sending: &Sending) -> Outcome {
         let Sending {
             target,
@@ -111,7 +112,7 @@
     /// Polls an endpoint.
     ///
     /// # Errors
-    /// If there is no answer of that endpoint, or none that can be read.
+    /// If that endpoint doesn't answer in time, or its answer can't be read.
     pub async fn look(&self, order: &LookOrder) -> Result<Look, LookFailure> {
         let lane = self.lane(&order.target);
         let timeout = self.rto.borrow().timeout();
@@ -123,7 +124,7 @@
         Ok(look)
     }
 
-    /// Closes connections to an endpoint.
+    /// Closes the connections to an endpoint.
     pub fn forget(&self, id: &EndpointId) {
         self.lanes.borrow_mut().remove(id);
     }
--- a/pomelohitchd/src/fleet/forwarding.rs
+++ b/pomelohitchd/src/fleet/forwarding.rs
@@ -1,4 +1,4 @@
-//! Passes requests of callers on to a leader in another process.
+//! Forwards callers' requests to a leader in another process.
 
 use std::collections::HashMap;
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
@@ -15,45 +15,45 @@
 use super::wire::{self, Leader};
 use crate::front::Incoming;
 
-/// A request waits this long for a place in the window.
+/// How long a request waits for a slot of the window.
 const PLACE_WITHIN: Duration = Duration::from_millis(400);
 
-/// The requests that this process has passed on to the leader and that aren't answered.
+/// The requests that this process has forwarded to the leader and that await an answer.
 #[derive(Debug, Default)]
 pub struct Forwarding {
     state: Mutex<State>,
     freed: Condvar,
 }
 
-/// What is known of one leadership.
+/// State for one leadership.
 #[derive(Debug, Default)]
 struct State {
     epoch: Epoch,
     window: Window,
-    /// Until when it refuses new jobs of a queue, by the host and the path's beginning.
+    /// Queues of which the leader refuses new jobs, with the end of the refusal; by [`queue`].
     refusing: HashMap<Box<str>, Steady>,
 }
 
-/// One request's place in the window.
+/// One request's slot of the window.
 #[derive(Debug)]
 struct Place<'a> {
     forwarding: &'a Forwarding,
-    /// Whose window it is in.
+    /// Leadership to whose window the slot belongs.
     epoch: Epoch,
     taken_at: Steady,
 }
 
 impl Forwarding {
-    /// How many requests wait for an answer of the newest leader.
+    /// Number of requests that await an answer of the newest leader.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.lock().window.in_flight()
     }
 
-    /// Takes a place for a request to the leader with `epoch`.
+    /// Acquires a slot for a request to the leader with `epoch`.
     ///
     /// # Errors
-    /// If none gets free within `within`: when to come back.
+    /// If none becomes free in time: how long the caller should wait before a retry.
     fn take(&self, epoch: Epoch, within: Duration) -> Result<Place<'_>, Duration> {
         let mut state = self.lock();
         if state.epoch < epoch {
@@ -68,7 +68,7 @@
         if waited.timed_out() {
             return Err(state.window.retry_after());
         }
-        // While this waited the window of a later leader may have taken the place of the former one's.
+        // During the wait, the window may have been replaced by that of a later leader.
         Ok(Place {
             forwarding: self,
             epoch: state.epoch,
@@ -76,7 +76,7 @@
         })
     }
 
-    /// Takes in that the leader with `epoch` refuses new jobs of a queue for some time.
+    /// Records that the leader with `epoch` refuses new jobs of a queue for the given time.
     fn refuses(&self, epoch: Epoch, queue: Box<str>, time: Duration) {
         let now = clock::steady();
         let mut state = self.lock();
@@ -86,7 +86,7 @@
         }
     }
 
-    /// How long the leader with `epoch` goes on refusing new jobs of a queue, if it does.
+    /// How much longer the leader with `epoch` refuses new jobs of a queue, if it does.
     fn refused_for(&self, epoch: Epoch, queue: &str) -> Option<Duration> {
         let state = self.lock();
         let until = state.refusing.get(queue).filter(|_| state.epoch == epoch)?;
@@ -100,7 +100,7 @@
 }
 
 impl Place<'_> {
-    /// Gives the place back; `change` tells the window how the request ended.
+    /// Releases the slot; `change` reports to the window how the request ended.
     fn free(self, change: impl FnOnce(&mut Window, Steady, Duration)) {
         let now = clock::steady();
         let mut state = self.forwarding.lock();
@@ -112,7 +112,7 @@
     }
 }
 
-/// Passes a request on and waits for the answer.
+/// Forwards a request and waits for the answer.
 pub(super) fn pass_on(
     shared: &Shared,
     leader: &Leader,
@@ -152,17 +152,17 @@
     }
 }
 
-/// What is sent of a request.
+/// Which part of a request is forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Sent {
-    /// All of it.
+    /// Head and body.
     Whole,
-    /// Whether its job was accepted before, while the leader refuses new jobs of the queue: a fraction
-    /// of the job's size.
+    /// Only the question whether the job was accepted before, which takes a fraction of the job's
+    /// size. Sent while the leader refuses new jobs of the queue.
     Question,
 }
 
-/// Whose jobs a request is about: the host, and the path without the last part.
+/// The queue of a request's job: the host, and the path without its last segment.
 fn queue(incoming: &Incoming) -> Box<str> {
     let head = &incoming.head;
     let host = head.headers.get("Host").unwrap_or_default();
@@ -214,7 +214,7 @@
     }
 }
 
-/// What the answer of a process says that was taken for the leader with `epoch`.
+/// Interprets the answer of a process that was expected to be the leader with `epoch`.
 fn understand(answer: call::Answer, epoch: Epoch) -> Try {
     let Some(answered_by) = answer.header(wire::LEADER_EPOCH) else {
         return if answer.status == 504 {
@@ -223,7 +223,7 @@
             Try::Undone
         };
     };
-    // Without a number the answer settles no doubt about an earlier try.
+    // Epoch 0, if the header isn't a number, never counts as later than that of an earlier attempt.
     let epoch = answered_by.parse().unwrap_or(0);
     let retry_after = answer.header("Retry-After").map(str::to_owned);
     let refused_ms = answer.header(wire::QUEUE_REFUSED_MS);
--- a/pomelohitchd/src/fleet/internal.rs
+++ b/pomelohitchd/src/fleet/internal.rs
@@ -16,8 +16,9 @@
 use super::{callers, clock};
 use crate::front::{Incoming, Limits, Service};
 
-/// Most connections of other entry instances. Each keeps a few for its callers' requests and opens
-/// more while those wait, for up to a second while the store is away: 100 requests a second then.
+/// Most connections from other entry instances. Each instance keeps a few open for forwarded
+/// requests and opens more while requests wait: up to a second during an outage of the store, at
+/// 100 requests a second.
 const CONNECTIONS: usize = 1_024;
 
 /// Limits for the connections of other entry instances.
@@ -33,7 +34,7 @@
     }
 }
 
-/// How requests of other entry instances are answered.
+/// The handler of other entry instances' requests.
 #[must_use]
 pub fn service(shared: &Arc<Shared>) -> Service {
     let leaving = shared.clone();
@@ -57,8 +58,8 @@
     }
 }
 
-/// Takes a leader's heartbeat that came as a datagram. It is answered only if a later leader is
-/// known.
+/// Handles a leader's heartbeat that arrived as a datagram. Returns a reply only if a later leader
+/// is known.
 #[must_use]
 pub fn datagram(shared: &Shared, datagram: &[u8]) -> Option<Vec<u8>> {
     let beat: Beat = match postcard::from_bytes(datagram) {
@@ -113,7 +114,8 @@
     shared.view().leader.map_or(0, |l| l.epoch)
 }
 
-/// Whether the store answers this process, in a time that leaves whoever asked time for the reply.
+/// Whether the store answers this process, within a timeout that is shorter than that of a probe,
+/// so that the reply to the probe arrives in time.
 pub(super) fn reaches_store(shared: &Shared, from: u64) -> bool {
     shared
         .store()
--- a/pomelohitchd/src/fleet/peers.rs
+++ b/pomelohitchd/src/fleet/peers.rs
@@ -8,9 +8,9 @@
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu};
 
-/// An entry instance answers heartbeats and probes within a few milliseconds.
+/// Default timeout. Entry instances answer heartbeats and probes within a few milliseconds.
 const WITHIN: Duration = Duration::from_millis(350);
-/// A connection that isn't made by then won't be.
+/// Connect timeout; a connection that takes longer isn't expected to succeed.
 const CONNECT: Duration = Duration::from_millis(200);
 
 /// Stack of a thread that makes one call, bytes.
@@ -19,25 +19,25 @@
 /// A call to another entry instance that failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No answer, or a refusal.
+    /// The peer didn't answer, or refused the call.
     #[snafu(display("{source}"))]
     Call {
-        /// What went wrong.
+        /// Error of the call.
         source: call::Error,
     },
-    /// A message that can't be read or written.
+    /// A message that can't be encoded or decoded.
     #[snafu(display("{path} at {peer}: {source}"))]
     Message {
-        /// What was asked.
+        /// Path of the call.
         path: &'static str,
-        /// Whom.
+        /// Entry instance that was called.
         peer: SocketAddr,
-        /// What is wrong with it.
+        /// Error of the codec.
         source: postcard::Error,
     },
 }
 
-/// The result of this module.
+/// Result type of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// A client of one entry instance, for one thread.
@@ -49,7 +49,7 @@
 /// Sends a message and reads the answer.
 ///
 /// # Errors
-/// If the peer can't be reached in time, refuses or answers unreadably.
+/// If the peer doesn't answer in time or refuses, or a message can't be encoded or decoded.
 pub fn ask<T: DeserializeOwned>(
     client: &Client,
     path: &'static str,
@@ -70,7 +70,7 @@
     postcard::from_bytes(&body).context(MessageSnafu { path, peer })
 }
 
-/// Asks all of `peers` at once, and returns the answers that came soon.
+/// Asks all of `peers` concurrently; returns the answers that arrive within a default timeout.
 pub fn ask_all<T: DeserializeOwned + Send + 'static>(
     peers: &[SocketAddr],
     path: &'static str,
@@ -79,7 +79,7 @@
     ask_all_within(peers, path, message, WITHIN)
 }
 
-/// Asks all of `peers` at once, and returns the answers that came within that time.
+/// Asks all of `peers` concurrently; returns the answers that arrive in time.
 pub fn ask_all_within<T: DeserializeOwned + Send + 'static>(
     peers: &[SocketAddr],
     path: &'static str,
@@ -90,7 +90,7 @@
     ask_clients(&clients, path, message, within)
 }
 
-/// The same over connections that are kept.
+/// Like [`ask_all_within`], but over the clients' open connections.
 pub fn ask_clients<T: DeserializeOwned + Send + 'static>(
     clients: &[Client],
     path: &'static str,
--- a/pomelohitchd/src/fleet/relay.rs
+++ b/pomelohitchd/src/fleet/relay.rs
@@ -1,14 +1,14 @@
-//! Calls to endpoints that another member carries for the leader.
+//! Relayed calls: calls to endpoints that another member makes for the leader.
 //!
-//! The leader decides each call and is told how it ended, as if it had made it; a member that
-//! carries calls decides nothing and keeps nothing. To the scheduler a relayed call is one over a
-//! longer way: its answer may be lost, and an order may be carried out late.
+//! The leader decides on each call and receives its result, as if it had made the call itself; the
+//! relay makes no decisions and stores nothing. To the scheduler, a relayed call only takes a
+//! longer path: its answer may be lost, and an order may be executed late.
 //!
-//! * [`message`]: what the two tell each other.
-//! * [`listing`]: what an endpoint runs, as changes from poll to poll.
-//! * [`jobs`]: descriptions of jobs, sent once.
-//! * [`server`]: carries calls.
-//! * [`client`]: hands calls in.
+//! * [`message`]: messages between the leader and a relay.
+//! * [`listing`]: delta encoding of the runs that an endpoint lists in each poll.
+//! * [`jobs`]: cache of job specifications, each of which is sent once.
+//! * [`server`]: the relay's side.
+//! * [`client`]: the leader's side.
 
 pub mod client;
 pub mod jobs;
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -1,4 +1,4 @@
-//! Hands calls in at a member that carries them.
+//! The leader's side of relayed calls: sends them to a member that makes them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,28 +27,30 @@
 use crate::fleet::clock;
 use crate::fleet::leader::core::Event;
 
-/// A connection that isn't made by then won't be.
+/// Connect timeout; a connection that takes longer isn't expected to succeed.
 const CONNECT: Duration = Duration::from_millis(250);
-/// A member that is silent for this long carries no more calls; it sends a frame each 100 ms.
+/// The connection to a relay that sends nothing for this long is given up; relays send a frame at
+/// least every 100 ms.
 const SILENCE: Duration = Duration::from_millis(450);
-/// How often calls without an answer are looked for.
+/// Interval of the check for calls that have timed out.
 const TICK: Duration = Duration::from_millis(50);
-/// Timeouts of orders, longer than those between the member and the endpoint.
+/// Timeouts of orders, longer than those between the relay and the endpoint.
 const ORDER_WITHIN: Limits = Limits {
     shortest: Duration::from_millis(220),
     longest: Duration::from_millis(800),
 };
-/// A poll may take this much longer than the endpoint was told to wait, beside the timeout of an
+/// Timeout of a poll beyond the time that the endpoint may wait, in addition to the timeout of an
 /// order.
 const LOOK_MARGIN: Duration = Duration::from_millis(200);
 
-/// A call that isn't over.
+/// A call to be relayed.
 #[derive(Debug)]
 enum Pending {
     Order(Sending),
     Look(LookOrder),
 }
 
+/// A call that awaits its reply.
 #[derive(Debug)]
 struct Waiting {
     call: Pending,
@@ -56,14 +58,14 @@
     expires_at: Steady,
 }
 
-/// What is handed in.
+/// A command to the task that runs the connection.
 #[derive(Debug)]
 enum Command {
     Call(Pending),
     Forget(EndpointId),
 }
 
-/// A connection to a member.
+/// A connection to a relay.
 #[derive(Debug)]
 pub struct Link {
     peer: SocketAddr,
@@ -71,16 +73,16 @@
     state: Rc<State>,
 }
 
-/// How a connection is.
+/// State of a connection.
 #[derive(Debug, Default)]
 struct State {
     is_open: Cell<bool>,
-    /// When it ended, or wasn't made.
+    /// When it ended, or the attempt to connect failed.
     ended_at: Cell<Option<Steady>>,
 }
 
 impl Link {
-    /// Begins to connect to the member at `peer`.
+    /// Begins to connect to the relay at `peer`.
     #[must_use]
     pub fn start(peer: SocketAddr, epoch: Epoch, events: Sender<Event>) -> Link {
         let (commands, rx) = mpsc::unbounded_channel();
@@ -99,13 +101,13 @@
         }
     }
 
-    /// Whose it is.
+    /// Address of the relay.
     #[must_use]
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Whether calls can be handed in.
+    /// Whether the connection accepts calls.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.state.is_open.get()
@@ -117,7 +119,7 @@
         self.state.ended_at.get()
     }
 
-    /// Hands an order in; gives it back if the connection has ended.
+    /// Queues an order for sending; returns it if the connection has ended.
     #[must_use]
     pub fn order(&self, sending: Sending) -> Option<Sending> {
         match self.commands.send(Command::Call(Pending::Order(sending))) {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Hands a poll in; gives it back if the connection has ended.
+    /// Queues a poll for sending; returns it if the connection has ended.
     #[must_use]
     pub fn look(&self, look: LookOrder) -> Option<LookOrder> {
         match self.commands.send(Command::Call(Pending::Look(look))) {
@@ -135,19 +137,19 @@
         }
     }
 
-    /// Tells that an endpoint isn't known any more.
+    /// Has the relay drop its state of an endpoint that no longer exists.
     pub fn forget(&self, id: &EndpointId) {
-        // A connection that has ended knows no endpoints.
+        // A connection that has ended keeps no state of endpoints.
         let _ = self.commands.send(Command::Forget(id.clone()));
     }
 }
 
-/// The calls over one connection.
+/// State of the calls over one connection.
 struct Session {
     events: Sender<Event>,
     waiting: RefCell<HashMap<CallNumber, Waiting>>,
-    /// Polls that were given up. Later answers differ from theirs, so that these are read all the
-    /// same when they come.
+    /// Polls that timed out. Their late answers are decoded all the same, since later answers are
+    /// encoded as differences from them.
     given_up: RefCell<HashMap<CallNumber, EndpointId>>,
     listings: RefCell<HashMap<EndpointId, Listing>>,
     rto: RefCell<Rto>,
@@ -193,7 +195,7 @@
         self.fail_all(&mut rx.borrow_mut());
     }
 
-    /// Sends what is handed in, as much in a frame as there is.
+    /// Sends commands as they come, all that are queued in one frame.
     async fn send(
         &self,
         writer: &mut Writer<OwnedWriteHalf>,
@@ -313,14 +315,14 @@
         listings.entry(id.clone()).or_default().decode(delta)
     }
 
-    /// Takes in the answer to a poll that was given up.
+    /// Decodes the late answer to a poll that timed out, to keep the listing current.
     fn read_late(&self, number: CallNumber, delta: Delta) {
         if let Some(id) = self.given_up.borrow_mut().remove(&number) {
             self.decode(&id, delta);
         }
     }
 
-    /// Gives up calls without an answer, until the member is silent.
+    /// Fails calls that have timed out; returns once the relay has been silent for too long.
     async fn expire(&self) {
         loop {
             time::sleep(TICK).await;
@@ -371,12 +373,12 @@
     }
 
     fn tell(&self, event: Event) {
-        // The receiver is gone only when the leadership is over.
+        // The receiver is closed only when the leadership has ended.
         let _ = self.events.send(event);
     }
 }
 
-/// What goes into the next frame, and what the member was told before.
+/// Requests for the next frame, job specifications that the relay has, and the last call number.
 #[derive(Debug, Default)]
 struct Outgoing {
     requests: Vec<Request>,
@@ -384,7 +386,7 @@
     number: CallNumber,
 }
 
-/// The next command. The receiver is used by one task at a time.
+/// Receives the next command. The receiver is borrowed by one task at a time.
 async fn recv(rx: &RefCell<UnboundedReceiver<Command>>) -> Option<Command> {
     std::future::poll_fn(|cx| rx.borrow_mut().poll_recv(cx)).await
 }
--- a/pomelohitchd/src/fleet/relay/jobs.rs
+++ b/pomelohitchd/src/fleet/relay/jobs.rs
@@ -1,7 +1,7 @@
-//! Descriptions of jobs, sent once over a connection.
+//! Cache of job specifications, each of which is sent once over a connection.
 //!
-//! Both ends keep the same number and drop the oldest first, so that the sender knows which ones
-//! the receiver holds.
+//! Both ends keep the same number and evict the oldest first, so that the sender knows which ones
+//! the receiver has.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,10 +9,10 @@
 use pomelohitch_sched::JobId;
 use pomelohitch_sched::job::JobSpec;
 
-/// Most descriptions that are kept.
+/// Capacity of the cache.
 const KEPT: usize = 2_000;
 
-/// The newest descriptions.
+/// The most recently sent job specifications.
 #[derive(Debug, Default)]
 pub struct Jobs {
     by_id: HashMap<JobId, Arc<JobSpec>>,
@@ -20,7 +20,7 @@
 }
 
 impl Jobs {
-    /// Takes in a description; whether it is new.
+    /// Adds a specification; returns whether it is new.
     pub fn insert(&mut self, spec: &Arc<JobSpec>) -> bool {
         if self.by_id.contains_key(&spec.id) {
             return false;
@@ -35,7 +35,7 @@
         true
     }
 
-    /// A description.
+    /// The specification of a job, if it is cached.
     #[must_use]
     pub fn get(&self, id: JobId) -> Option<Arc<JobSpec>> {
         self.by_id.get(&id).cloned()
--- a/pomelohitchd/src/fleet/relay/listing.rs
+++ b/pomelohitchd/src/fleet/relay/listing.rs
@@ -1,6 +1,6 @@
-//! What an endpoint runs, as changes from one poll to the next.
+//! Delta encoding of the runs that an endpoint lists, from one poll to the next.
 //!
-//! An endpoint lists all its runs at each poll, and most of them are as before.
+//! An endpoint lists all its runs in each poll, and most of them are unchanged.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,31 @@
 use pomelohitch_sched::{Steady, TaskId};
 use serde::{Deserialize, Serialize};
 
-/// Counts the polls of one endpoint over one connection, from 1.
+/// Number of a poll of one endpoint over one connection, from 1.
 type Version = u32;
-/// A run's place in the order of tasks and run numbers.
+/// A run's index in the listing, which is sorted by task and run number.
 type Place = u16;
 
-/// A load that differs by less than this share is passed on as it was.
+/// A change of a run's load by at most this fraction isn't sent.
 const SAME_LOAD: f64 = 0.1;
 
-/// A poll's answer beside the one before.
+/// The difference of a poll's answer from the previous one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The answer that it is a change of; 0 for one that stands alone.
+    /// Version of the previous answer; 0 if the listing is complete.
     base: Version,
     born: u64,
     clock: Steady,
     renewed: bool,
     ended: Vec<Ended>,
     gone: Vec<(TaskId, RunNumber)>,
-    /// Runs that are new or of which more than the percentage has changed.
+    /// Runs that are new or have changed in more than the percentage.
     changed: Vec<Running>,
-    /// New percentages by place, once the other changes are made.
+    /// New percentages by index, to be applied after the other changes.
     percents: Vec<(Place, u32)>,
 }
 
-/// The runs of an endpoint as the other end knows them.
+/// The runs of an endpoint in its last answer, as the receiver decodes it.
 #[derive(Debug, Default)]
 pub struct Listing {
     version: Version,
@@ -41,7 +41,7 @@
 }
 
 impl Listing {
-    /// Takes in an answer, and returns how it differs from the one before.
+    /// Stores an answer and returns its difference from the previous one.
     pub fn encode(&mut self, look: Look) -> Delta {
         let base = self.version;
         self.version += 1;
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Takes in a difference, and returns the answer; `None` if it is one from another answer than
-    /// the last.
+    /// Applies a difference and returns the whole answer; `None` if the difference is based on
+    /// another answer than the last one.
     pub fn decode(&mut self, delta: Delta) -> Option<Look> {
         if delta.base == 0 {
             self.runs.clear();
@@ -109,7 +109,7 @@
     }
 }
 
-/// Whether two listings of a run differ in the percentage at most.
+/// Whether a run has changed in nothing but its percentage, within the tolerance of its load.
 fn is_alike(before: &Running, now: &Running) -> bool {
     let difference = f64::from(before.load.abs_diff(now.load));
     before.checkpoint == now.checkpoint && difference <= f64::from(before.load) * SAME_LOAD
--- a/pomelohitchd/src/fleet/relay/message.rs
+++ b/pomelohitchd/src/fleet/relay/message.rs
@@ -1,7 +1,7 @@
-//! Messages between the leader and a member that carries its calls.
+//! Messages between the leader and a relay.
 //!
-//! Frames of a length and a message in `postcard`. What there is to tell at a time goes into one
-//! frame.
+//! A frame is a length and a message encoded with `postcard`. Requests or replies that are ready at
+//! the same time share a frame.
 
 use std::io;
 use std::sync::Arc;
@@ -21,82 +21,82 @@
 use super::jobs::Jobs;
 use super::listing::Delta;
 
-/// Tells which call an answer belongs to.
+/// Identifies a call on a connection, to match its reply.
 pub type CallNumber = u32;
 
-/// A message that can't be sent or received.
+/// Failure to send or receive a message.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The connection failed.
     #[snafu(display("{source}"))]
     Connection {
-        /// Why.
+        /// The I/O error.
         source: io::Error,
     },
-    /// A frame that can't be read or written.
+    /// A message can't be encoded or decoded.
     #[snafu(display("frame: {source}"))]
     Frame {
-        /// What is wrong with it.
+        /// Error of the codec.
         source: postcard::Error,
     },
 }
 
-/// The result of this module.
+/// Result type of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// The first frame of the leader.
+/// The first frame from the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hello {
-    /// Which leadership.
+    /// Epoch of its leadership.
     pub epoch: Epoch,
 }
 
-/// A frame of the leader.
+/// A frame from the leader.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Requests {
     /// When it was sent, on the leader's steady clock.
     pub sent_at: Steady,
-    /// What is asked, in order.
+    /// Requests, handled in this order.
     pub requests: Vec<Request>,
 }
 
-/// What the leader asks.
+/// A request of the leader to a relay.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// Describes a job whose starts follow.
+    /// Specification of a job, sent before the first start of its runs.
     Job(Arc<JobSpec>),
-    /// Sends an order.
+    /// Send an order to an endpoint.
     Order(CallNumber, Target, Instruction),
-    /// Polls an endpoint.
+    /// Poll an endpoint.
     Look(CallNumber, LookOrder),
-    /// An endpoint isn't known any more.
+    /// Drop the state of an endpoint that no longer exists.
     Forget(EndpointId),
 }
 
-/// An order without the description of its job.
+/// An order without the specification of its job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Instruction {
     /// Starts a run.
     Start {
-        /// Which task.
+        /// Task to run.
         task: TaskId,
-        /// Which run.
+        /// Number of the run.
         run: RunNumber,
-        /// The order is void after this point of the endpoint's clock.
+        /// Time on the endpoint's clock after which the order is void.
         deadline: Steady,
-        /// Where to go on; empty for the start.
+        /// Checkpoint to resume from; empty to start from the beginning.
         checkpoint: Box<str>,
-        /// What the policy gave out for it.
+        /// Ticket that the policy issued for the run.
         ticket: Option<Box<str>>,
     },
     /// Stops a run.
     Stop(TaskId, RunNumber),
-    /// Lets a run work at a share of its speed, percent.
+    /// Throttles a run to a percentage of its full speed.
     Pace(TaskId, RunNumber, u32),
 }
 
 impl Instruction {
-    /// The order without its job.
+    /// Strips the job's specification from an order.
     #[must_use]
     pub fn of(order: &Order) -> Instruction {
         match order {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The whole order, if its job was described.
+    /// Restores the order; `None` if it is a start and its job's specification isn't cached.
     #[must_use]
     pub fn order(self, jobs: &Jobs) -> Option<Order> {
         Some(match self {
@@ -143,15 +143,15 @@
     }
 }
 
-/// A frame of the member: how calls ended. An empty one says that it lives.
+/// A frame from the relay: results of calls. An empty one is a keep-alive.
 pub type Replies = Vec<Reply>;
 
-/// How a call ended.
+/// Result of a call.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// An order.
+    /// Outcome of an order.
     Ordered(CallNumber, Outcome),
-    /// A poll.
+    /// Answer to a poll, or why there is none.
     Looked(CallNumber, std::result::Result<Delta, LookFailure>),
 }
 
@@ -160,10 +160,10 @@
 /// Receives frames.
 pub type Reader<R> = FramedRead<R, LengthDelimitedCodec>;
 
-/// Frames of at most this many bytes: a poll lists at most 500 ends with their checkpoints.
+/// Largest frame. A poll lists at most 500 completions with their checkpoints.
 const FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-/// How frames are told apart.
+/// The codec of frames: a length, then the message.
 #[must_use]
 pub fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
@@ -187,7 +187,7 @@
 /// Receives a message; `None` when the connection has ended.
 ///
 /// # Errors
-/// If it can't be read, or the connection fails.
+/// If it can't be decoded, or the connection fails.
 pub async fn receive<R: AsyncRead + Unpin, T: DeserializeOwned>(
     reader: &mut Reader<R>,
 ) -> Result<Option<T>> {
--- a/pomelohitchd/src/fleet/relay/server.rs
+++ b/pomelohitchd/src/fleet/relay/server.rs
@@ -1,4 +1,4 @@
-//! Carries calls for the leader.
+//! The relay's side of relayed calls: makes them for the leader.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -22,33 +22,34 @@
 use crate::fleet::calls::{Calls, Sending};
 use crate::fleet::clock;
 
-/// Without any reply to send, a frame says this often that the member lives.
+/// Interval of keep-alive frames while there are no replies, and pause after a failed receive or
+/// accept.
 const ALIVE_EVERY: Duration = Duration::from_millis(100);
-/// Longer datagrams are cut: a heartbeat has some 60 bytes.
+/// Longer datagrams are truncated; a heartbeat takes about 60 bytes.
 const DATAGRAM_BYTES: usize = 1_500;
-/// Replies that come within this time share a frame.
+/// Replies that arrive within this time share a frame.
 const GATHER: Duration = Duration::from_millis(5);
-/// A poll that is later than this acknowledges no ends: the endpoint may have restarted since, and
-/// its numbers of ends begin anew then.
+/// A poll that is delayed by more than this acknowledges no completions: the endpoint may have
+/// restarted since it was sent, and then numbers its completions anew.
 const SURE_FOR: Duration = Duration::from_millis(60);
-/// How much slower the leader's clock may run than the one here.
+/// Largest fraction by which the leader's clock may run slower than the local one.
 const CLOCK_DRIFT: f64 = 0.001;
 
-/// What all connections share.
+/// State shared by all connections.
 #[derive(Debug, Default)]
 struct Common {
     calls: Calls,
-    /// The highest epoch that any leader came with.
+    /// The highest epoch of any leader that has connected.
     epoch: Cell<Epoch>,
 }
 
-/// Answers a datagram, or doesn't.
+/// Handler of datagrams; returns the reply, if any.
 pub type Answer = Box<dyn Fn(&[u8]) -> Option<Vec<u8>>>;
 
-/// Serves leaders until the process ends: carries calls, and passes datagrams on to `answer`.
+/// Serves leaders until the process ends: makes their calls, and has `answer` handle datagrams.
 ///
 /// # Errors
-/// If the address can't be listened on, or the system has no room for a poll.
+/// If the address can't be bound, or the async runtime can't be created.
 pub fn run(addr: SocketAddr, answer: Answer) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
@@ -60,14 +61,14 @@
     })
 }
 
-/// Takes datagrams until the process ends.
+/// Serves datagrams until the process ends.
 async fn hear(socket: UdpSocket, answer: Answer) {
     let mut buf = [0; DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((len, peer)) => {
                 if let Some(reply) = answer(&buf[..len]) {
-                    // Datagrams may be lost on any way; the next heartbeat is answered again.
+                    // Datagrams may be lost anyway; the next heartbeat is answered again.
                     let _ = socket.send_to(&reply, peer).await;
                 }
             }
@@ -101,7 +102,7 @@
 }
 
 async fn serve_leader(common: Rc<Common>, stream: TcpStream) -> message::Result<()> {
-    // Only delays small frames where it fails.
+    // A failure only delays small frames.
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     let mut reader = FramedRead::new(read, message::codec());
@@ -126,7 +127,7 @@
     session.run(&mut reader).await
 }
 
-/// Sends replies, as many in a frame as there are, until all senders are gone.
+/// Sends replies, all that are queued in one frame, until all senders are dropped.
 async fn reply(mut writer: Writer<OwnedWriteHalf>, mut rx: UnboundedReceiver<Reply>) {
     let mut replies = Vec::new();
     loop {
@@ -141,7 +142,7 @@
         while let Ok(reply) = rx.try_recv() {
             replies.push(reply);
         }
-        // A connection that has failed shows at the reader, too.
+        // The reader detects a failed connection as well.
         if message::send(&mut writer, &replies).await.is_err() {
             return;
         }
@@ -149,16 +150,17 @@
     }
 }
 
-/// How late frames of the leader arrive, beside the usual way.
+/// Estimates how much longer than usual the leader's frames were in transit.
 #[derive(Debug, Default)]
 pub struct Lateness {
-    /// The least that the clock here was ahead of the leader's when a frame came, in seconds.
+    /// Smallest difference so far between the local clock and a frame's send time, in seconds,
+    /// raised over time by the allowed drift.
     least: Option<f64>,
     taken_at: Steady,
 }
 
 impl Lateness {
-    /// Takes in a frame, and returns how late it is.
+    /// Records a frame and returns its delay.
     pub fn of(&mut self, sent_at: Steady, now: Steady) -> Duration {
         let ahead = now.as_secs_f64() - sent_at.as_secs_f64();
         let passed = now.saturating_sub(self.taken_at).as_secs_f64();
@@ -220,7 +222,7 @@
     }
 
     fn reply(&self, reply: Reply) {
-        // The connection may have ended meanwhile; the leader takes the call for lost then.
+        // If the connection has ended meanwhile, the leader has failed the call.
         let _ = self.tx.send(reply);
     }
 
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -19,58 +19,58 @@
 use super::leader::core::Event;
 use super::wire::{Claim, Leader, Member};
 
-/// A connection to the store that isn't made by then won't be.
+/// Connect timeout for the store; a connection that takes longer isn't expected to succeed.
 const STORE_CONNECT: Duration = Duration::from_millis(500);
 
-/// A connection to the leader that isn't made by then won't be.
+/// Connect timeout for the leader; a connection that takes longer isn't expected to succeed.
 const LEADER_CONNECT: Duration = Duration::from_millis(250);
-/// Connections to the leader that stay open.
+/// Connections to the leader that are kept open.
 const LEADER_CONNECTIONS: usize = 4;
 
-/// At its start a process takes the leader for silent since so long: enough to ask the others at
-/// once whether they hear one.
+/// How long a starting process assumes that the leader has been silent: long enough for it to ask
+/// the other members at once whether they hear a leader.
 const START_SILENCE: Duration = Duration::from_secs(1);
 
-/// What is known of members, leader and store.
+/// What this process knows of the members, the leader and the store.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// Every member.
+    /// Every member, by name.
     pub members: BTreeMap<Box<str>, Member>,
-    /// The leader of the highest epoch known.
+    /// The leader with the highest known epoch.
     pub leader: Option<Leader>,
-    /// When the leader was last heard.
+    /// When this process last heard from the leader.
     pub heard_at: Steady,
-    /// When the leader's sign of life in the store last changed.
+    /// When the leader's liveness record in the store last changed, or the leader was heard.
     pub alive_at: Steady,
     /// When the store last answered.
     pub store_at: Steady,
-    /// Where the topic of members ended when it was last read.
+    /// End offset of the members' topic when it was last read.
     pub members_end: u64,
-    /// Whether the members were read at all.
+    /// Whether the members have been read at least once.
     pub is_read: bool,
-    /// The fleet's time, if a leader has told it.
+    /// The fleet's time, if a leader has sent it.
     pub fleet_time: Option<FleetTime>,
-    /// The fleet's time at the least, by a sign of life of unknown age.
+    /// Lower bound of the fleet's time, from a liveness record of unknown age.
     pub fleet_time_at_least: Option<FleetTime>,
 }
 
 /// The leadership that this process holds.
 #[derive(Debug, Clone)]
 pub struct Leading {
-    /// Which.
+    /// Epoch of the leadership.
     pub epoch: Epoch,
-    /// Takes events; closed when the leadership ends.
+    /// Sends events to the leader's thread; closed when the leadership ends.
     pub events: Sender<Event>,
 }
 
-/// Shared by all threads of one process.
+/// State shared by all threads of one process.
 #[derive(Debug)]
 pub struct Shared {
     /// When the process started.
     pub began: Steady,
-    /// The same, milliseconds since 1970: tells this process from others of its member.
+    /// Start time in milliseconds since 1970; tells this process from earlier ones of its member.
     pub began_ms: u64,
-    /// The newest settings.
+    /// The current settings.
     pub site: ArcSwap<Site>,
     view: Mutex<View>,
     changed: Condvar,
@@ -78,16 +78,16 @@
     is_leaving: AtomicBool,
     claim_asked: Mutex<Option<Claim>>,
     to_leader: Mutex<Option<Client>>,
-    /// Requests of callers that wait for the leader's answer.
+    /// Callers' requests that await the leader's answer.
     pub forwarding: Forwarding,
 }
 
 impl Shared {
-    /// A process that knows nothing yet.
+    /// The state of a process that has just started.
     #[must_use]
     pub fn new(site: Site) -> Shared {
-        // A process that just started hasn't missed a heartbeat, but needn't wait for all of the
-        // usual silence: if there is a leader, others have heard it.
+        // A process that just started has missed no heartbeat. It needn't wait until the leader
+        // counts as silent, though: if there is a leader, other members hear it.
         let now = clock::steady();
         let view = View {
             heard_at: now.saturating_sub(START_SILENCE),
@@ -121,8 +121,8 @@
 
     /// A client of the leader at `addr`, whose connections all callers of this process share.
     ///
-    /// With one for each caller's connection, some thousand callers of a fleet would use up the
-    /// connections that the leader takes.
+    /// With a client for each caller's connection, some thousand callers of the whole fleet would
+    /// exceed the number of connections that the leader accepts.
     #[must_use]
     pub fn leader_client(&self, addr: SocketAddr) -> Client {
         let kept = self.to_leader.lock();
@@ -137,19 +137,19 @@
         }
     }
 
-    /// What is known now.
+    /// A copy of the current view.
     #[must_use]
     pub fn view(&self) -> View {
         self.lock().clone()
     }
 
-    /// Changes what is known, and wakes who waits for a change.
+    /// Changes the view, and wakes the threads in [`Shared::wait`].
     pub fn update(&self, change: impl FnOnce(&mut View)) {
         change(&mut self.lock());
         self.changed.notify_all();
     }
 
-    /// The member of that name.
+    /// The member with that name, if it is known.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<Member> {
         self.lock().members.get(name).copied()
@@ -163,16 +163,16 @@
         members.filter(|m| m.addr != own).collect()
     }
 
-    /// Where the other members take calls.
+    /// Addresses of the other members.
     #[must_use]
     pub fn peers(&self) -> Vec<SocketAddr> {
         self.others().into_iter().map(|m| m.addr).collect()
     }
 
-    /// Takes in who leads; an older epoch than the one known changes nothing.
+    /// Updates the known leader, unless a later one is known; returns whether none is.
     ///
-    /// `is_news` says that it has just begun to lead, which counts as a sign of life. A record that
-    /// is read at the start may be that of a leader that is long gone.
+    /// `is_news` says that the leader has just sent a message or begun to lead, which counts as a
+    /// heartbeat. A record that is read at start may be that of a leader that ended long ago.
     pub fn follow(&self, leader: &Leader, is_news: bool) -> bool {
         let mut view = self.lock();
         let known = view.leader.as_ref().map_or(0, |l| l.epoch);
@@ -191,7 +191,7 @@
         true
     }
 
-    /// Takes in the fleet's time as the leader with `epoch` tells it now.
+    /// Updates the fleet's time with the one that the leader with `epoch` has just sent.
     pub fn note_fleet_ms(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
         let Some(ms) = fleet_ms else {
             return;
@@ -207,7 +207,8 @@
         }
     }
 
-    /// Takes in the fleet's time of a sign of life that the leader with `epoch` wrote some time ago.
+    /// Updates the lower bound of the fleet's time with that of a liveness record, which the leader
+    /// with `epoch` wrote at an unknown time.
     pub fn note_fleet_ms_at_least(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
         let Some(ms) = fleet_ms else {
             return;
@@ -220,21 +221,21 @@
         }
     }
 
-    /// The fleet's time at the least, if a sign of life was read.
+    /// Lower bound of the fleet's time, if a liveness record was read.
     #[must_use]
     pub fn fleet_ms_at_least(&self) -> Option<UnixMs> {
         let read = self.lock().fleet_time_at_least;
         read.map(|read| read.at(clock::steady()))
     }
 
-    /// The fleet's time, if a leader has told it.
+    /// The fleet's time, if a leader has sent it.
     #[must_use]
     pub fn fleet_ms(&self) -> Option<UnixMs> {
         let told = self.lock().fleet_time;
         told.map(|told| told.at(clock::steady()))
     }
 
-    /// Waits for a change of what is known, at most `time`.
+    /// Waits for a change of the view or the leadership, or a shutdown, for at most `time`.
     pub fn wait(&self, time: Duration) {
         let view = self.lock();
         let waited = self.changed.wait_timeout(view, time);
@@ -256,7 +257,7 @@
         self.changed.notify_all();
     }
 
-    /// Whether the process shuts down.
+    /// Whether the process is shutting down.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
@@ -268,13 +269,13 @@
         self.changed.notify_all();
     }
 
-    /// Asks this process to take the leadership over.
+    /// Requests that this process take over the leadership.
     pub fn ask_claim(&self, claim: Claim) {
         *self.claim_asked() = Some(claim);
         self.changed.notify_all();
     }
 
-    /// With what this process was asked to take over, if it was; once.
+    /// Takes the pending request to take over the leadership, if there is one.
     #[must_use]
     pub fn take_claim(&self) -> Option<Claim> {
         self.claim_asked().take()
@@ -293,13 +294,13 @@
 /// Starts a named thread.
 ///
 /// # Errors
-/// If the system has no room for another thread.
+/// If the system can't create another thread.
 pub fn spawn(
     name: &str,
     run: impl FnOnce() + Send + 'static,
 ) -> std::io::Result<std::thread::JoinHandle<()>> {
-    /// Enough for a call over HTTP with its parsing; the system's default of 8 MiB is reserved
-    /// for each of some hundred threads otherwise.
+    /// Enough for an HTTP call with its parsing. The system's default of 8 MiB would be reserved
+    /// for each of some hundred threads.
     const STACK: usize = 512 * 1024;
     std::thread::Builder::new()
         .name(name.into())
@@ -307,10 +308,10 @@
         .spawn(run)
 }
 
-/// Starts a named thread that works on what is shared.
+/// Starts a named thread that has access to the shared state.
 ///
 /// # Errors
-/// If the system has no room for another thread.
+/// If the system can't create another thread.
 pub fn spawn_with(
     name: &str,
     shared: &Arc<Shared>,
--- a/pomelohitchd/src/fleet/wire.rs
+++ b/pomelohitchd/src/fleet/wire.rs
@@ -1,4 +1,4 @@
-//! Messages between entry instances, and the records by which they know each other.
+//! Messages between entry instances, and their records in the store.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,33 +10,35 @@
 pub const BEAT: &str = "/beat";
 /// Path of [`Probe`].
 pub const PROBE: &str = "/probe";
-/// Path of a request to take the leadership over now; no body.
+/// Path of [`Claim`], which has an empty reply.
 pub const CLAIM: &str = "/claim";
-/// Before the path of a caller's request that is passed on.
+/// Prefix of the path of a forwarded request.
 pub const CALL: &str = "/call";
-/// The host that a caller named, on a request that is passed on.
+/// Header of a forwarded request: the `Host` header of the caller's request.
 pub const CALLER_HOST: &str = "X-Caller-Host";
-/// On a request that is passed on: the epoch of the leader that it is for. No other leadership takes
-/// it, so that one that arrives late has no effect once a later leader has answered.
+/// Header of a forwarded request: epoch of the leader that it is for. Other leaderships reject it,
+/// so that a request that arrives late has no effect once a later leader has answered.
 pub const FOR_EPOCH: &str = "X-For-Epoch";
-/// On a POST that is passed on without its body: only whether the job was accepted before is asked.
+/// Header of a POST that is forwarded without its body, to ask only whether the job was accepted
+/// before.
 pub const CONFIRM: &str = "X-Confirm";
-/// On an answer to a request that was passed on: the epoch of the leader that gave it. An answer
-/// without it comes from a process that doesn't lead, or not any more, and didn't touch it.
+/// Header of an answer to a forwarded request: epoch of the leader that gave it. An answer without
+/// it comes from a process that doesn't lead, or no longer does, and didn't execute the request,
+/// except for status 504, which leaves that open.
 pub const LEADER_EPOCH: &str = "X-Leader-Epoch";
 
-/// On a refusal of a request that was passed on: for how many milliseconds the other jobs of its queue
-/// are refused, too.
+/// Header of a refusal of a forwarded request: for how many milliseconds all new jobs of its queue
+/// are refused.
 pub const QUEUE_REFUSED_MS: &str = "X-Queue-Refused-Ms";
 
-/// Who leads.
+/// The leader, as announced in messages and in its record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leader {
-    /// Which leadership.
+    /// Epoch of its leadership.
     pub epoch: Epoch,
-    /// Whose.
+    /// Name of the member.
     pub member: Box<str>,
-    /// Where it takes calls of other entry instances.
+    /// Address for calls of other entry instances.
     pub addr: SocketAddr,
     /// When its process started, milliseconds since 1970.
     pub began_ms: u64,
@@ -45,7 +47,7 @@
 /// The leader's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Beat {
-    /// Who sends it.
+    /// The sender.
     pub leader: Leader,
     /// The fleet's time, milliseconds since 1970, if it is known yet.
     pub fleet_ms: Option<UnixMs>,
@@ -58,23 +60,23 @@
     pub epoch: Epoch,
 }
 
-/// Asks a member what it knows of leader and store.
+/// Asks a member for its view of the leader and the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Probe {
     /// Whether to try the store.
     pub with_store: bool,
 }
 
-/// A probed member tries the store for so long: a store that is only slow has answered by then.
+/// Timeout of a probed member's call to the store; a store that is merely slow answers in time.
 pub const STORE_TRY_WITHIN: Duration = Duration::from_millis(500);
-/// A probe that has the store tried is answered within this time, also while the store is silent.
+/// Timeout of a probe that includes a call to the store, also if the store doesn't answer.
 pub const STORE_PROBE_WITHIN: Duration = Duration::from_millis(850);
 
 /// Asks a member to take over the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// Whether the former leader has ended and sends nothing more. If not, whoever asks only leaves
-    /// the leadership to the member that it asks, and the former leader may still be at work.
+    /// Whether the former leader has stopped and sends nothing more. If not, the sender only cedes
+    /// the leadership to the receiver, and the former leader may still be active.
     pub has_ended: bool,
 }
 
@@ -83,45 +85,45 @@
 pub struct ProbeReply {
     /// The highest epoch that the member knows.
     pub epoch: Epoch,
-    /// How long ago it heard the leader of that epoch, milliseconds.
+    /// Time since the member last heard from that leader, milliseconds; 0 if it leads.
     pub heard_ms: u64,
-    /// Whether it reaches the store, if it was to try.
+    /// Whether it reaches the store; false if it wasn't asked to try.
     pub has_store: bool,
     /// Whether it is shutting down.
     pub is_leaving: bool,
     /// How long its process has been running, milliseconds.
     pub up_ms: u64,
-    /// Its processors, thousandths of a core.
+    /// Its CPU capacity, thousandths of a core.
     pub power: u32,
 }
 
-/// A member's record; its key is [`member_key`].
+/// A member's record, stored under [`member_key`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where it takes calls of other entry instances.
+    /// Address for calls of other entry instances.
     pub addr: SocketAddr,
-    /// Its processors, thousandths of a core.
+    /// Its CPU capacity, thousandths of a core.
     pub power: u32,
     /// When its process started, milliseconds since 1970.
     pub began_ms: u64,
 }
 
-/// The leader's sign of life in the store, for members that its heartbeats don't reach.
+/// The leader's liveness record in the store, for members that its heartbeats don't reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Alive {
-    /// Which leadership.
+    /// Epoch of the leadership.
     pub epoch: Epoch,
-    /// Counts the signs.
+    /// Counts the updates of the record.
     pub count: u64,
     /// The fleet's time, milliseconds since 1970, if it is known yet.
     pub fleet_ms: Option<UnixMs>,
 }
 
-/// Key of the record of who leads.
+/// Key of the record of the current leader, a [`Leader`].
 pub const LEADER_KEY: &str = "leader";
-/// Key of the leader's sign of life.
+/// Key of the leader's liveness record.
 pub const ALIVE_KEY: &str = "alive";
-/// What the key of a member's record begins with.
+/// Prefix of the keys of members' records.
 const MEMBER_PREFIX: &str = "member.";
 
 /// Key of a member's record.
@@ -130,7 +132,7 @@
     format!("{MEMBER_PREFIX}{member}").into()
 }
 
-/// The member that a key names.
+/// The name of the member whose record has this key; `None` for other records.
 #[must_use]
 pub fn member_of(key: &str) -> Option<&str> {
     key.strip_prefix(MEMBER_PREFIX)
--- a/pomelohitchd/src/lib.rs
+++ b/pomelohitchd/src/lib.rs
@@ -1,25 +1,26 @@
 //! The daemon of an entry instance.
 //!
-//! A thin layer of threads around the decisions of the other crates:
+//! Threads and I/O around the decision logic of the other crates:
 //!
-//! * [`settings`]: what the process is told by flags and environment variables.
-//! * [`node`]: what the threads share: the state in force, proposing records, peers seen.
-//! * [`freshness`]: whether what the process knows is recent enough to send work by it.
-//! * [`reader`]: follows the log and puts each new state in force.
-//! * [`peers`]: links to the other entry instances.
+//! * [`settings`]: command-line flags and environment variables.
+//! * [`node`]: state shared by the threads: the current state, proposing records, peers seen.
+//! * [`freshness`]: whether the process's state is recent enough to dispatch work.
+//! * [`reader`]: reads the log and publishes each new state to the other threads.
+//! * [`peers`]: connections to the other entry instances.
 //! * [`front`]: the callers' port.
 //! * [`permits`]: limits, queues and runners, and the exchange of permits with peers.
 //! * [`admin`]: the operators' port.
 //! * [`metrics_list`]: every metric with unit and labels.
-//! * [`burn`]: counts answers for service-level burn.
-//! * [`leaving`]: instances that the platform takes away while no record can say so.
-//! * [`liveness`]: removes dead members, and takes the term when nobody plans.
+//! * [`burn`]: counts answers for the burn rate of service-level objectives.
+//! * [`leaving`]: instances that the platform removes while the log can't record it.
+//! * [`liveness`]: removes dead members, and takes the term when no member plans.
 //! * [`planner`]: decides about instances while this member holds the term.
-//! * [`jobs_api`]: `/v1/jobs`, [`group_commit`]: many callers' proposals in one append.
-//! * [`batch`]: places batch jobs and carries it out, while this member plans.
+//! * [`jobs_api`]: `/v1/jobs`.
+//! * [`group_commit`]: combines the proposals of many callers in one append.
+//! * [`batch`]: places and starts batch jobs while this member plans.
 //! * [`readiness`]: whether a member that joined has caught up far enough to serve.
-//! * [`withdraw`]: withdraws a key at once, also while the log is down.
-//! * [`fleet`]: the daemon on the users' platform, which takes the place of all of these there.
+//! * [`withdraw`]: withdraws a key at once, even while the log is unavailable.
+//! * [`fleet`]: the daemon on the users' platform, which runs there in place of these modules.
 //! * [`snapshots`]: writes snapshots while this member plans.
 //! * [`lifecycle`]: start, graceful shutdown, exit codes.
 
--- a/pomelohitchd/tests/fleet/callers.rs
+++ b/pomelohitchd/tests/fleet/callers.rs
@@ -1,4 +1,4 @@
-//! What callers are told while the leader is in trouble.
+//! Answers to callers while the leader is overloaded, unreachable or being replaced.
 
 use std::collections::VecDeque;
 use std::io::{Read, Write};
@@ -30,12 +30,13 @@
     "HTTP/1.1 503 Busy\r\nX-Leader-Epoch: 2\r\nRetry-After: 2\r\nContent-Length: 2\r\n\r\n{}";
 const NO_KEY_LATER: &str = "HTTP/1.1 401 No\r\nX-Leader-Epoch: 2\r\nContent-Length: 2\r\n\r\n{}";
 
-/// A leader that gives these answers one after another, and the last one from then on.
+/// A leader that gives these answers in turn and then repeats the last one.
 fn leader(answers: &[&'static str]) -> SocketAddr {
     noting_leader(answers).0
 }
 
-/// The same, with the methods of the requests that it was sent, and which of them only ask.
+/// Like [`leader`], with a record of the method of each request, and of whether it only asks about
+/// a job.
 fn noting_leader(answers: &[&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let methods = Arc::new(Mutex::new(Vec::new()));
     let noted = methods.clone();
@@ -101,7 +102,7 @@
     }
 }
 
-/// Lets a member know of this leader.
+/// Makes this leader known to a member.
 fn follow(shared: &Shared, epoch: u64, addr: SocketAddr) {
     let leader = Leader {
         epoch,
@@ -138,8 +139,8 @@
     assert_eq!(told(nowhere()), (503, true));
 }
 
-/// The first try reaches a leader that may have written the job, and its answer is lost. The next
-/// try is refused. Passed on, the refusal would say that the job doesn't run, though it may.
+/// Guards against reporting a job as refused though it may run: the first attempt may have stored
+/// the job, its answer is lost, and the next attempt is refused.
 #[test]
 fn a_refusal_after_a_try_that_may_have_worked_is_not_passed_back() {
     assert_eq!(told(leader(&[UNKNOWN, REFUSED])), (504, false));
@@ -147,9 +148,9 @@
     assert_eq!(told(leader(&[UNKNOWN, ACCEPTED])), (200, false));
 }
 
-/// The first try hands the job in and its answer is lost; then the caller's key is withdrawn, or
-/// its queue removed. Passed on, the next try's refusal would say that the job was never taken,
-/// while its tasks run and are charged.
+/// Guards against reporting a job as never accepted while its tasks run and are charged: the first
+/// attempt submits it and the answer is lost, then the caller's key is withdrawn or its queue
+/// removed, and the next attempt is refused for that.
 #[test]
 fn no_refusal_is_passed_back_after_a_try_that_may_have_worked() {
     for refusal in [NO_KEY, NO_QUEUE, MALFORMED] {
@@ -163,7 +164,7 @@
     );
 }
 
-/// Guards against jobs that are sent whole, over a full link, to be refused.
+/// Guards against filling the link with whole jobs that the leader is going to refuse.
 #[test]
 fn jobs_of_a_queue_that_the_leader_refuses_are_only_asked_about() {
     const QUEUE_REFUSED: &str = "HTTP/1.1 503 Busy\r\nX-Leader-Epoch: 1\r\nRetry-After: 9\r\n\
@@ -177,7 +178,7 @@
     assert_eq!(*methods, ["POST", "POST question", "POST question"]);
 }
 
-/// Guards against a 504 for a request of which a later leader knows that it hasn't run.
+/// Guards against a 504 for a request although a later leader knows that it wasn't executed.
 #[test]
 fn a_later_leader_settles_what_became_of_an_unanswered_try() {
     for (later, answer) in [
@@ -189,7 +190,8 @@
     }
 }
 
-/// Guards against a try that arrives late, after a later leadership of the same process has answered.
+/// Guards against executing an attempt that arrives late, after a later leadership of the same
+/// process has answered.
 #[test]
 fn a_request_for_another_leadership_is_not_taken() {
     let shared = Shared::new(site());
@@ -201,7 +203,7 @@
     assert!(taken.try_recv().is_err());
 }
 
-/// A leader that takes connections and answers nothing, and how many it took.
+/// A leader that accepts connections and answers nothing, with the number of connections.
 fn silent_leader() -> (SocketAddr, Arc<AtomicUsize>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let addr = listener.local_addr().expect("it is bound");
@@ -217,7 +219,8 @@
     (addr, accepted)
 }
 
-/// Callers at the same time, each of whose requests has one try. They are told these statuses.
+/// Starts `count` concurrent callers, each with a deadline that allows for one attempt. The threads
+/// return the statuses of the answers.
 fn call_at_once(shared: &Arc<Shared>, count: usize) -> Vec<JoinHandle<u16>> {
     let one = |_| {
         let shared = shared.clone();
@@ -229,7 +232,7 @@
     (0..count).map(one).collect()
 }
 
-/// Guards against a member that goes on passing requests on to a leader whose answers don't come.
+/// Guards against a member that keeps forwarding requests to a leader that doesn't answer.
 #[test]
 fn requests_beyond_the_window_are_refused_unsent() {
     let (addr, accepted) = silent_leader();
@@ -245,7 +248,7 @@
     assert_eq!(accepted.load(Ordering::SeqCst), 16);
 }
 
-/// Guards against places that are lost for good when the leader changes while requests wait for one.
+/// Guards against leaking slots when the leader changes while requests wait for one.
 #[test]
 fn every_place_in_the_window_is_given_back_when_the_leader_changes() {
     let (addr, _) = silent_leader();
@@ -261,7 +264,7 @@
     assert_eq!(shared.forwarding.in_flight(), 0);
 }
 
-/// A read has no effect, so that it can always be repeated: callers are told when.
+/// Reads have no effect and can always be repeated: the answer says when.
 #[test]
 fn a_read_without_an_answer_was_not_done() {
     assert_eq!(told_of(leader(&[UNKNOWN]), &call("GET")), (503, true));
@@ -275,16 +278,16 @@
     );
 }
 
-/// A leader that shuts down turns connections away before it reads a request. That isn't the
-/// leader's word on the request, which may still be taken by the next leader.
+/// Guards against taking the refusal of a connection for the leader's answer: a leader that shuts
+/// down refuses connections before it reads a request, which the next leader may still accept.
 #[test]
 fn a_process_that_turns_connections_away_did_not_answer() {
     assert_eq!(told(leader(&[NO_ROOM, ACCEPTED])), (200, false));
 }
 
-/// Each connection of a caller had a connection to the leader of its own, kept for as long. With
-/// some thousand callers of many entry instances the leader had no room for another connection,
-/// and refused new jobs and reads of states with processors to spare.
+/// Guards against a leader that runs out of connections and refuses jobs and reads while its CPU is
+/// idle: with a connection to the leader for each caller's connection, some thousand callers at
+/// many entry instances use up those that it accepts.
 #[test]
 fn callers_share_the_connections_to_the_leader() {
     const CALLERS: usize = 24;
@@ -298,7 +301,8 @@
             count.fetch_add(1, Ordering::SeqCst);
             std::thread::spawn(move || {
                 let mut buf = [0; 4096];
-                // The body may come after the head: answered twice, the connection isn't used again.
+                // The body may arrive after the head. With two answers to one request, the client
+                // would not reuse the connection.
                 while let Ok(count) = stream.read(&mut buf)
                     && count > 0
                 {
--- a/pomelohitchd/tests/fleet/relays.rs
+++ b/pomelohitchd/tests/fleet/relays.rs
@@ -1,4 +1,4 @@
-//! Calls to endpoints that another member carries.
+//! Calls to endpoints that another member relays.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
@@ -22,10 +22,10 @@
 
 use super::site;
 
-/// Bytes a second of a link that doesn't carry the calls of a single endpoint.
+/// Bandwidth of a link that is too slow for the calls to even one endpoint, bytes per second.
 const SLOW: f64 = 1_000.0;
 
-/// A member that carries calls.
+/// Starts a member that relays calls.
 fn member() -> SocketAddr {
     let addr = site::nowhere();
     std::thread::spawn(move || server::run(addr, Box::new(|_| Some(b"heard".to_vec()))));
@@ -116,7 +116,8 @@
     }
 }
 
-/// Polls until the poll comes by way of the member: from another connection than the leader's own.
+/// Polls until a poll is relayed, i.e. reaches the endpoint from another connection than the
+/// leader's own.
 fn until_relayed(lanes: &mut Lanes, rx: &Receiver<Event>, endpoint: &Recorder) {
     for _ in 0..100 {
         let _ = look(lanes, rx, endpoint.addr);
@@ -162,7 +163,8 @@
     }
 }
 
-/// Guards against endpoints that nobody calls once the member that carries their calls is gone.
+/// Guards against endpoints that are no longer called once the member that relays their calls is
+/// gone.
 #[test]
 fn calls_go_directly_where_no_member_carries_them() {
     let endpoint = Recorder::start();
@@ -180,7 +182,7 @@
     [&length.to_be_bytes(), &body[..]].concat()
 }
 
-/// A connection of a leader to a member.
+/// Connects to a member as the leader with `epoch`.
 fn connect(member: SocketAddr, epoch: u64) -> TcpStream {
     for _ in 0..100 {
         if let Ok(mut stream) = TcpStream::connect(member) {
@@ -195,13 +197,13 @@
     panic!("the member doesn't listen");
 }
 
-/// Whether the member sends anything more over a connection.
+/// Whether the member sends anything more over the connection.
 fn is_served(stream: &mut TcpStream) -> bool {
     let mut buf = [0; 256];
     matches!(stream.read(&mut buf), Ok(count) if count > 0)
 }
 
-/// Guards against orders of a former leader that a member goes on carrying.
+/// Guards against a member that continues to relay orders of a former leader.
 #[test]
 fn a_member_carries_nothing_for_a_former_leader() {
     let endpoint = Recorder::start();
@@ -233,7 +235,7 @@
     Instruction::Stop(task(0), 1)
 }
 
-/// A member that answers each poll by itself, the first one only after a second.
+/// A fake relay that answers polls itself, the first one only after a second.
 fn late_member() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let addr = listener.local_addr().expect("it is bound");
@@ -275,7 +277,7 @@
     postcard::from_bytes(&body).expect("it can be read")
 }
 
-/// Guards against an endpoint whose polls all fail after one whose answer was late.
+/// Guards against an endpoint whose polls all fail after one with a late answer.
 #[test]
 fn polls_go_on_after_one_that_was_answered_late() {
     let endpoint = Recorder::start();
@@ -307,7 +309,7 @@
     panic!("no answer");
 }
 
-/// Guards against polls that say other than what the endpoint listed.
+/// Guards against decoded listings that differ from what the endpoint listed.
 #[test]
 fn listings_are_read_as_they_were_written() {
     pomelohitch_property::check(|polls: &Vec<Vec<(u8, u8, u8, u8)>>| {
@@ -357,7 +359,7 @@
     });
 }
 
-/// Guards against a change that is applied to another answer than the one it was made from.
+/// Guards against applying a difference to another answer than the one it is based on.
 #[test]
 fn a_listing_that_misses_one_before_is_refused() {
     let (mut sender, mut receiver) = (Listing::default(), Listing::default());
@@ -371,7 +373,7 @@
     );
 }
 
-/// Guards against a sender that takes a description for held which the receiver has dropped.
+/// Guards against a sender that doesn't send a specification again after the receiver evicted it.
 #[test]
 fn both_ends_hold_the_same_descriptions() {
     let (mut sender, mut receiver) = (Jobs::default(), Jobs::default());
@@ -388,7 +390,7 @@
     }
 }
 
-/// Guards against acknowledging ends by a poll that was held up on its way.
+/// Guards against polls that were delayed in transit and still acknowledge completions.
 #[test]
 fn a_frame_that_was_held_up_is_late() {
     let mut lateness = Lateness::default();
