--- a/pomelohitchd/src/fleet/callers.rs
+++ b/pomelohitchd/src/fleet/callers.rs
@@ -164,7 +164,7 @@
 fn give_up(incoming: &Incoming, may_be_done: bool) -> Response {
     let waited_ms = incoming.arrived.elapsed().as_millis();
     warn!(path = %incoming.head.target, method = %incoming.head.method, may_be_done, waited_ms,
-        "request given up: no answer of a leader");
+        "request timed out without an answer from a leader");
     metrics::counter!("requests_given_up").increment(1);
     if may_be_done {
         return Response::text("{}").with_status_code(504);
@@ -176,7 +176,7 @@
 fn refuse(incoming: &Incoming, retry_after: Duration) -> Response {
     let waited_ms = incoming.arrived.elapsed().as_millis();
     warn!(path = %incoming.head.target, method = %incoming.head.method, ?retry_after, waited_ms,
-        "request refused: too many wait for the leader");
+        "request not forwarded: leader or queue is overloaded");
     metrics::counter!("requests_not_passed_on").increment(1);
     unavailable(retry_after)
 }
--- a/pomelohitchd/src/fleet/forwarding.rs
+++ b/pomelohitchd/src/fleet/forwarding.rs
@@ -195,7 +195,7 @@
     let answer = shared.leader_client(leader.addr).pass_on(
         &head.method,
         &Request {
-            step: "pass on",
+            step: "forward request",
             path: &path,
             body,
             headers: &headers,
@@ -205,7 +205,7 @@
     match answer {
         Ok(answer) => understand(answer, epoch),
         Err(error) => {
-            info!(%error, "leader didn't answer");
+            info!(%error, "call to leader failed");
             match error.effect() {
                 Effect::None => Try::Undone,
                 Effect::Unknown => Try::Unknown(epoch),
--- a/pomelohitchd/src/fleet/internal.rs
+++ b/pomelohitchd/src/fleet/internal.rs
@@ -65,7 +65,7 @@
     let beat: Beat = match postcard::from_bytes(datagram) {
         Ok(beat) => beat,
         Err(error) => {
-            warn!(%error, "datagram can't be read");
+            warn!(%error, "heartbeat datagram can't be decoded");
             return None;
         }
     };
@@ -74,7 +74,7 @@
         return None;
     }
     postcard::to_allocvec(&reply)
-        .map_err(|error| warn!(%error, "message can't be written"))
+        .map_err(|error| warn!(%error, "reply can't be encoded"))
         .ok()
 }
 
@@ -126,7 +126,7 @@
     match postcard::from_bytes(body) {
         Ok(question) => message(&answer(question)),
         Err(error) => {
-            warn!(%error, "message of an entry instance can't be read");
+            warn!(%error, "message from an entry instance can't be decoded");
             Response::text("unreadable").with_status_code(400)
         }
     }
@@ -136,7 +136,7 @@
     match postcard::to_allocvec(message) {
         Ok(body) => Response::from_data("application/octet-stream", body),
         Err(error) => {
-            warn!(%error, "message can't be written");
+            warn!(%error, "reply can't be encoded");
             Response::text("unwritable").with_status_code(500)
         }
     }
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -176,7 +176,7 @@
         state: &State,
     ) {
         let Some((mut reader, mut writer)) = connect(peer).await else {
-            info!(%peer, "member carries no calls: no connection");
+            info!(%peer, "connection to relay failed");
             return;
         };
         let rx = RefCell::new(rx);
@@ -191,7 +191,7 @@
             state.is_open.set(false);
         }
         let lost = self.waiting.borrow().len();
-        warn!(%peer, lost, "member carries no more calls");
+        warn!(%peer, lost, "connection to relay ended");
         self.fail_all(&mut rx.borrow_mut());
     }
 
@@ -262,7 +262,7 @@
                 Ok(Some(replies)) => replies,
                 Ok(None) => return,
                 Err(error) => {
-                    info!(%error, "replies of a member end");
+                    info!(%error, "replies of relay can't be received");
                     return;
                 }
             };
--- a/pomelohitchd/src/fleet/relay/server.rs
+++ b/pomelohitchd/src/fleet/relay/server.rs
@@ -73,7 +73,7 @@
                 }
             }
             Err(error) => {
-                warn!(%error, "datagram not taken");
+                warn!(%error, "datagram can't be received");
                 time::sleep(ALIVE_EVERY).await;
             }
         }
@@ -89,12 +89,12 @@
                 let common = common.clone();
                 task::spawn_local(async move {
                     if let Err(error) = serve_leader(common, stream).await {
-                        info!(%peer, %error, "relaying ended");
+                        info!(%peer, %error, "relay session failed");
                     }
                 });
             }
             Err(error) => {
-                warn!(%error, "connection for relaying not taken");
+                warn!(%error, "relay connection can't be accepted");
                 time::sleep(ALIVE_EVERY).await;
             }
         }
@@ -110,7 +110,7 @@
         return Ok(());
     };
     if epoch < common.epoch.get() {
-        info!(epoch, known = common.epoch.get(), "former leader refused");
+        info!(epoch, known = common.epoch.get(), "relay session refused: later leader known");
         return Ok(());
     }
     common.epoch.set(epoch);
@@ -186,7 +186,7 @@
     async fn run(&mut self, reader: &mut message::Reader<OwnedReadHalf>) -> message::Result<()> {
         while let Some(Requests { sent_at, requests }) = message::receive(reader).await? {
             if self.epoch < self.common.epoch.get() {
-                info!(epoch = self.epoch, "relaying ended by a later leader");
+                info!(epoch = self.epoch, "relay session ended: later leader known");
                 return Ok(());
             }
             let now = clock::steady();
@@ -208,7 +208,7 @@
                 if let Some(order) = instruction.order(&self.jobs) {
                     self.order(number, target, order, sent_at);
                 } else {
-                    warn!(endpoint = %target.id, "start of a job that was not described");
+                    warn!(endpoint = %target.id, "start refused: job specification missing");
                     let unsent = Outcome::Refused(Refusal::Unsent);
                     self.reply(Reply::Ordered(number, unsent));
                 }
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -180,7 +180,7 @@
             return false;
         }
         if leader.epoch > known {
-            info!(epoch = leader.epoch, leader = %leader.member, addr = %leader.addr, "leader known");
+            info!(epoch = leader.epoch, leader = %leader.member, addr = %leader.addr, "new leader");
             view.leader = Some(leader.clone());
             if is_news {
                 view.heard_at = clock::steady();
