--- a/pomelohitchd/src/lib.rs
+++ b/pomelohitchd/src/lib.rs
@@ -15,7 +15,7 @@
 //! * [`leaving`]: instances that the platform removes while the log can't record it.
 //! * [`liveness`]: removes dead members, and takes the term when no member plans.
 //! * [`planner`]: decides about instances while this member holds the term.
-//! * [`jobs_api`]: `/v1/jobs`.
+//! * [`jobs_api`]: serves `/v1/jobs`.
 //! * [`group_commit`]: combines the proposals of many callers in one append.
 //! * [`batch`]: places and starts batch jobs while this member plans.
 //! * [`readiness`]: whether a member that joined has caught up far enough to serve.
