--- a/pomelohitchd/src/fleet/calls.rs
+++ b/pomelohitchd/src/fleet/calls.rs
@@ -22,19 +22,19 @@
 use super::clock;
 
 /// Connect timeout; a connection that takes longer isn't expected to succeed.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Starts that were decided longer ago aren't sent: the process may have been suspended since.
-const STALE: Duration = Duration::from_millis(800);
+const MAX_START_AGE: Duration = Duration::from_millis(800);
 /// Most orders in flight to one endpoint. With one or two unanswered, others can still be sent.
-const AT_ONCE: usize = 3;
+const MAX_CONCURRENT_ORDERS: usize = 3;
 /// Connections to an endpoint that are kept open: for its orders, and one for a poll.
-const KEPT: usize = AT_ONCE + 1;
+const KEPT_CONNECTIONS: usize = MAX_CONCURRENT_ORDERS + 1;
 /// Timeout of a poll beyond the time that the endpoint may wait, while answers are prompt. While
 /// they are slow, the timeout grows with that of orders.
-const LOOK_MARGIN: Duration = Duration::from_millis(250);
+const POLL_MARGIN: Duration = Duration::from_millis(250);
 /// Timeouts of orders. Endpoints answer within a few milliseconds; the result of an unanswered
 /// order shows in a later poll.
-const ORDER_WITHIN: Limits = Limits {
+const ORDER_TIMEOUT: Limits = Limits {
     shortest: Duration::from_millis(150),
     longest: Duration::from_millis(600),
 };
@@ -54,16 +54,16 @@
 
 /// Connections to one endpoint, and the limit of concurrent orders to it.
 #[derive(Debug)]
-struct Lane {
+struct EndpointClient {
     connections: Connections,
-    orders: Semaphore,
+    order_permits: Semaphore,
 }
 
-impl Lane {
-    fn new(addr: SocketAddr) -> Lane {
-        Lane {
-            connections: Connections::new(addr, CONNECT, KEPT),
-            orders: Semaphore::new(AT_ONCE),
+impl EndpointClient {
+    fn new(addr: SocketAddr) -> EndpointClient {
+        EndpointClient {
+            connections: Connections::new(addr, CONNECT_TIMEOUT, KEPT_CONNECTIONS),
+            order_permits: Semaphore::new(MAX_CONCURRENT_ORDERS),
         }
     }
 }
@@ -71,7 +71,7 @@
 /// Makes calls to endpoints, on a single thread whose runtime must support local tasks.
 #[derive(Debug)]
 pub struct Calls {
-    lanes: RefCell<HashMap<EndpointId, Rc<Lane>>>,
+    clients: RefCell<HashMap<EndpointId, Rc<EndpointClient>>>,
     /// Shared by all endpoints, since answers are mostly delayed by this member's own link.
     rto: RefCell<Rto>,
 }
@@ -79,8 +79,8 @@
 impl Default for Calls {
     fn default() -> Calls {
         Calls {
-            lanes: RefCell::default(),
-            rto: RefCell::new(Rto::new(ORDER_WITHIN)),
+            clients: RefCell::default(),
+            rto: RefCell::new(Rto::new(ORDER_TIMEOUT)),
         }
     }
 }
@@ -94,16 +94,16 @@
             epoch,
             at,
         } = sending;
-        let lane = self.lane(target);
+        let client = self.client(target);
         // The semaphore is never closed.
-        let _turn = lane.orders.acquire().await;
+        let _permit = client.order_permits.acquire().await;
         let sent_at = clock::steady();
         let is_start = matches!(order, Order::Start { .. });
-        if is_start && sent_at.saturating_sub(*at) > STALE {
+        if is_start && sent_at.saturating_sub(*at) > MAX_START_AGE {
             return Outcome::Refused(Refusal::Unsent);
         }
-        let within = self.rto.borrow().timeout();
-        let outcome = endpoints::order(&lane.connections, target, order, *epoch, within).await;
+        let timeout = self.rto.borrow().timeout();
+        let outcome = endpoints::order(&client.connections, target, order, *epoch, timeout).await;
         let took = clock::steady().saturating_sub(sent_at);
         self.rto.borrow_mut().took(took);
         outcome
@@ -114,29 +114,29 @@
     /// # Errors
     /// If that endpoint doesn't answer in time, or its answer can't be read.
     pub async fn look(&self, order: &LookOrder) -> Result<Look, LookFailure> {
-        let lane = self.lane(&order.target);
+        let client = self.client(&order.target);
         let timeout = self.rto.borrow().timeout();
-        let late = timeout.saturating_sub(ORDER_WITHIN.shortest);
+        let extra = timeout.saturating_sub(ORDER_TIMEOUT.shortest);
         let sent_at = clock::steady();
-        let mut look = endpoints::look(&lane.connections, order, LOOK_MARGIN + late).await?;
-        look.sent_at = sent_at;
-        look.answered_at = clock::steady();
-        Ok(look)
+        let mut reply = endpoints::look(&client.connections, order, POLL_MARGIN + extra).await?;
+        reply.sent_at = sent_at;
+        reply.answered_at = clock::steady();
+        Ok(reply)
     }
 
     /// Closes the connections to an endpoint.
     pub fn forget(&self, id: &EndpointId) {
-        self.lanes.borrow_mut().remove(id);
+        self.clients.borrow_mut().remove(id);
     }
 
-    fn lane(&self, target: &Target) -> Rc<Lane> {
-        let mut lanes = self.lanes.borrow_mut();
-        let lane = lanes
+    fn client(&self, target: &Target) -> Rc<EndpointClient> {
+        let mut clients = self.clients.borrow_mut();
+        let client = clients
             .entry(target.id.clone())
-            .or_insert_with(|| Rc::new(Lane::new(target.addr)));
-        if lane.connections.peer() != target.addr {
-            *lane = Rc::new(Lane::new(target.addr));
+            .or_insert_with(|| Rc::new(EndpointClient::new(target.addr)));
+        if client.connections.peer() != target.addr {
+            *client = Rc::new(EndpointClient::new(target.addr));
         }
-        lane.clone()
+        client.clone()
     }
 }
