--- a/pomelohitchd/src/fleet/relay.rs
+++ b/pomelohitchd/src/fleet/relay.rs
@@ -6,12 +6,12 @@
 //!
 //! * [`message`]: messages between the leader and a relay.
 //! * [`listing`]: delta encoding of the runs that an endpoint lists in each poll.
-//! * [`jobs`]: cache of job specifications, each of which is sent once.
+//! * [`spec_cache`]: cache of job specifications, each of which is sent once.
 //! * [`server`]: the relay's side.
 //! * [`client`]: the leader's side.
 
 pub mod client;
-pub mod jobs;
 pub mod listing;
 pub mod message;
 pub mod server;
+pub mod spec_cache;
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -18,42 +18,42 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 use tracing::{info, warn};
 
-use super::jobs::Jobs;
 use super::listing::{Delta, Listing};
 use super::message::{
     self, CallNumber, Hello, Instruction, Reader, Replies, Reply, Request, Requests, Writer,
 };
+use super::spec_cache::SpecCache;
 use crate::fleet::calls::Sending;
 use crate::fleet::clock;
 use crate::fleet::leader::core::Event;
 
 /// Connect timeout; a connection that takes longer isn't expected to succeed.
-const CONNECT: Duration = Duration::from_millis(250);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The connection to a relay that sends nothing for this long is given up; relays send a frame at
 /// least every 100 ms.
-const SILENCE: Duration = Duration::from_millis(450);
+const MAX_SILENCE: Duration = Duration::from_millis(450);
 /// Interval of the check for calls that have timed out.
-const TICK: Duration = Duration::from_millis(50);
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeouts of orders, longer than those between the relay and the endpoint.
-const ORDER_WITHIN: Limits = Limits {
+const ORDER_TIMEOUT: Limits = Limits {
     shortest: Duration::from_millis(220),
     longest: Duration::from_millis(800),
 };
 /// Timeout of a poll beyond the time that the endpoint may wait, in addition to the timeout of an
 /// order.
-const LOOK_MARGIN: Duration = Duration::from_millis(200);
+const POLL_MARGIN: Duration = Duration::from_millis(200);
 
 /// A call to be relayed.
 #[derive(Debug)]
-enum Pending {
+enum Call {
     Order(Sending),
-    Look(LookOrder),
+    Poll(LookOrder),
 }
 
 /// A call that awaits its reply.
 #[derive(Debug)]
-struct Waiting {
-    call: Pending,
+struct InFlight {
+    call: Call,
     sent_at: Steady,
     expires_at: Steady,
 }
@@ -61,7 +61,7 @@
 /// A command to the task that runs the connection.
 #[derive(Debug)]
 enum Command {
-    Call(Pending),
+    Call(Call),
     Forget(EndpointId),
 }
 
@@ -70,12 +70,12 @@
 pub struct Link {
     peer: SocketAddr,
     commands: UnboundedSender<Command>,
-    state: Rc<State>,
+    state: Rc<ConnectionState>,
 }
 
 /// State of a connection.
 #[derive(Debug, Default)]
-struct State {
+struct ConnectionState {
     is_open: Cell<bool>,
     /// When it ended, or the attempt to connect failed.
     ended_at: Cell<Option<Steady>>,
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn start(peer: SocketAddr, epoch: Epoch, events: Sender<Event>) -> Link {
         let (commands, rx) = mpsc::unbounded_channel();
-        let state = Rc::<State>::default();
+        let state = Rc::<ConnectionState>::default();
         let running = state.clone();
         task::spawn_local(async move {
             let session = Session::new(events);
@@ -122,17 +122,17 @@
     /// Queues an order for sending; returns it if the connection has ended.
     #[must_use]
     pub fn order(&self, sending: Sending) -> Option<Sending> {
-        match self.commands.send(Command::Call(Pending::Order(sending))) {
-            Err(mpsc::error::SendError(Command::Call(Pending::Order(sending)))) => Some(sending),
+        match self.commands.send(Command::Call(Call::Order(sending))) {
+            Err(mpsc::error::SendError(Command::Call(Call::Order(sending)))) => Some(sending),
             _ => None,
         }
     }
 
     /// Queues a poll for sending; returns it if the connection has ended.
     #[must_use]
-    pub fn look(&self, look: LookOrder) -> Option<LookOrder> {
-        match self.commands.send(Command::Call(Pending::Look(look))) {
-            Err(mpsc::error::SendError(Command::Call(Pending::Look(look)))) => Some(look),
+    pub fn look(&self, poll: LookOrder) -> Option<LookOrder> {
+        match self.commands.send(Command::Call(Call::Poll(poll))) {
+            Err(mpsc::error::SendError(Command::Call(Call::Poll(poll)))) => Some(poll),
             _ => None,
         }
     }
@@ -147,24 +147,24 @@
 /// State of the calls over one connection.
 struct Session {
     events: Sender<Event>,
-    waiting: RefCell<HashMap<CallNumber, Waiting>>,
+    in_flight: RefCell<HashMap<CallNumber, InFlight>>,
     /// Polls that timed out. Their late answers are decoded all the same, since later answers are
     /// encoded as differences from them.
-    given_up: RefCell<HashMap<CallNumber, EndpointId>>,
+    expired_polls: RefCell<HashMap<CallNumber, EndpointId>>,
     listings: RefCell<HashMap<EndpointId, Listing>>,
     rto: RefCell<Rto>,
-    heard_at: Cell<Steady>,
+    last_frame_at: Cell<Steady>,
 }
 
 impl Session {
     fn new(events: Sender<Event>) -> Session {
         Session {
             events,
-            waiting: RefCell::default(),
-            given_up: RefCell::default(),
+            in_flight: RefCell::default(),
+            expired_polls: RefCell::default(),
             listings: RefCell::default(),
-            rto: RefCell::new(Rto::new(ORDER_WITHIN)),
-            heard_at: Cell::new(clock::steady()),
+            rto: RefCell::new(Rto::new(ORDER_TIMEOUT)),
+            last_frame_at: Cell::new(clock::steady()),
         }
     }
 
@@ -173,7 +173,7 @@
         peer: SocketAddr,
         epoch: Epoch,
         rx: UnboundedReceiver<Command>,
-        state: &State,
+        state: &ConnectionState,
     ) {
         let Some((mut reader, mut writer)) = connect(peer).await else {
             info!(%peer, "connection to relay failed");
@@ -181,7 +181,7 @@
         };
         let rx = RefCell::new(rx);
         if message::send(&mut writer, &Hello { epoch }).await.is_ok() {
-            self.heard_at.set(clock::steady());
+            self.last_frame_at.set(clock::steady());
             state.is_open.set(true);
             select! {
                 () = self.send(&mut writer, &rx) => {}
@@ -190,7 +190,7 @@
             }
             state.is_open.set(false);
         }
-        let lost = self.waiting.borrow().len();
+        let lost = self.in_flight.borrow().len();
         warn!(%peer, lost, "connection to relay ended");
         self.fail_all(&mut rx.borrow_mut());
     }
@@ -201,15 +201,15 @@
         writer: &mut Writer<OwnedWriteHalf>,
         rx: &RefCell<UnboundedReceiver<Command>>,
     ) {
-        let mut outgoing = Outgoing::default();
+        let mut outbox = Outbox::default();
         while let Some(command) = recv(rx).await {
-            self.prepare(command, &mut outgoing);
+            self.prepare(command, &mut outbox);
             while let Ok(command) = rx.borrow_mut().try_recv() {
-                self.prepare(command, &mut outgoing);
+                self.prepare(command, &mut outbox);
             }
             let requests = Requests {
                 sent_at: clock::steady(),
-                requests: std::mem::take(&mut outgoing.requests),
+                requests: std::mem::take(&mut outbox.requests),
             };
             if message::send(writer, &requests).await.is_err() {
                 return;
@@ -217,43 +217,43 @@
         }
     }
 
-    fn prepare(&self, command: Command, outgoing: &mut Outgoing) {
+    fn prepare(&self, command: Command, outbox: &mut Outbox) {
         let call = match command {
             Command::Call(call) => call,
             Command::Forget(id) => {
                 self.listings.borrow_mut().remove(&id);
-                return outgoing.requests.push(Request::Forget(id));
+                return outbox.requests.push(Request::Forget(id));
             }
         };
-        outgoing.number = outgoing.number.wrapping_add(1);
-        let number = outgoing.number;
-        let within = self.rto.borrow().timeout();
-        let within = match &call {
-            Pending::Order(sending) => {
+        outbox.number = outbox.number.wrapping_add(1);
+        let number = outbox.number;
+        let timeout = self.rto.borrow().timeout();
+        let timeout = match &call {
+            Call::Order(sending) => {
                 if let Order::Start { spec, .. } = &sending.order
-                    && outgoing.jobs.insert(spec)
+                    && outbox.specs.insert(spec)
                 {
-                    outgoing.requests.push(Request::Job(spec.clone()));
+                    outbox.requests.push(Request::Job(spec.clone()));
                 }
-                let instruction = Instruction::of(&sending.order);
+                let instruction = Instruction::from_order(&sending.order);
                 let target = sending.target.clone();
-                outgoing
+                outbox
                     .requests
                     .push(Request::Order(number, target, instruction));
-                within
+                timeout
             }
-            Pending::Look(look) => {
-                outgoing.requests.push(Request::Look(number, look.clone()));
-                look.wait + LOOK_MARGIN + within
+            Call::Poll(poll) => {
+                outbox.requests.push(Request::Poll(number, poll.clone()));
+                poll.wait + POLL_MARGIN + timeout
             }
         };
         let sent_at = clock::steady();
-        let waiting = Waiting {
+        let in_flight = InFlight {
             call,
             sent_at,
-            expires_at: sent_at + within,
+            expires_at: sent_at + timeout,
         };
-        self.waiting.borrow_mut().insert(number, waiting);
+        self.in_flight.borrow_mut().insert(number, in_flight);
     }
 
     async fn receive(&self, reader: &mut Reader<OwnedReadHalf>) {
@@ -266,45 +266,45 @@
                     return;
                 }
             };
-            self.heard_at.set(clock::steady());
+            self.last_frame_at.set(clock::steady());
             for reply in replies {
-                self.take(reply);
+                self.handle(reply);
             }
         }
     }
 
-    fn take(&self, reply: Reply) {
-        let (Reply::Ordered(number, _) | Reply::Looked(number, _)) = reply;
-        let waiting = self.waiting.borrow_mut().remove(&number);
+    fn handle(&self, reply: Reply) {
+        let (Reply::Ordered(number, _) | Reply::Polled(number, _)) = reply;
+        let in_flight = self.in_flight.borrow_mut().remove(&number);
         let now = clock::steady();
         match reply {
             Reply::Ordered(_, outcome) => {
-                if let Some((Pending::Order(sending), sent_at)) =
-                    waiting.map(|w| (w.call, w.sent_at))
+                if let Some((Call::Order(sending), sent_at)) =
+                    in_flight.map(|c| (c.call, c.sent_at))
                 {
                     self.rto.borrow_mut().took(now.saturating_sub(sent_at));
-                    self.tell(Event::Ordered(sending.target, sending.order, outcome));
+                    self.emit(Event::Ordered(sending.target, sending.order, outcome));
                 }
             }
-            Reply::Looked(_, Ok(delta)) => {
-                let Some((Pending::Look(order), sent_at)) = waiting.map(|w| (w.call, w.sent_at))
+            Reply::Polled(_, Ok(delta)) => {
+                let Some((Call::Poll(order), sent_at)) = in_flight.map(|c| (c.call, c.sent_at))
                 else {
-                    self.read_late(number, delta);
+                    self.decode_late(number, delta);
                     return;
                 };
-                let look = self.decode(&order.target.id, delta);
-                let look = look.ok_or(LookFailure::Failed);
-                let look = look.map(|look| Look {
+                let answer = self.decode(&order.target.id, delta);
+                let answer = answer.ok_or(LookFailure::Failed);
+                let answer = answer.map(|answer| Look {
                     sent_at,
                     answered_at: now,
-                    ..look
+                    ..answer
                 });
-                self.tell(Event::Looked(order.target, look));
+                self.emit(Event::Looked(order.target, answer));
             }
-            Reply::Looked(_, Err(failure)) => {
-                self.given_up.borrow_mut().remove(&number);
-                if let Some(Pending::Look(order)) = waiting.map(|w| w.call) {
-                    self.tell(Event::Looked(order.target, Err(failure)));
+            Reply::Polled(_, Err(failure)) => {
+                self.expired_polls.borrow_mut().remove(&number);
+                if let Some(Call::Poll(order)) = in_flight.map(|c| c.call) {
+                    self.emit(Event::Looked(order.target, Err(failure)));
                 }
             }
         }
@@ -316,8 +316,8 @@
     }
 
     /// Decodes the late answer to a poll that timed out, to keep the listing current.
-    fn read_late(&self, number: CallNumber, delta: Delta) {
-        if let Some(id) = self.given_up.borrow_mut().remove(&number) {
+    fn decode_late(&self, number: CallNumber, delta: Delta) {
+        if let Some(id) = self.expired_polls.borrow_mut().remove(&number) {
             self.decode(&id, delta);
         }
     }
@@ -325,21 +325,21 @@
     /// Fails calls that have timed out; returns once the relay has been silent for too long.
     async fn expire(&self) {
         loop {
-            time::sleep(TICK).await;
+            time::sleep(EXPIRY_INTERVAL).await;
             let now = clock::steady();
-            let mut waiting = self.waiting.borrow_mut();
-            let expired = waiting.extract_if(|_, w| w.expires_at <= now);
+            let mut in_flight = self.in_flight.borrow_mut();
+            let expired = in_flight.extract_if(|_, c| c.expires_at <= now);
             let expired: Vec<_> = expired.collect();
-            drop(waiting);
-            for (number, Waiting { call, sent_at, .. }) in expired {
-                if let Pending::Look(look) = &call {
-                    let id = look.target.id.clone();
-                    self.given_up.borrow_mut().insert(number, id);
+            drop(in_flight);
+            for (number, InFlight { call, sent_at, .. }) in expired {
+                if let Call::Poll(poll) = &call {
+                    let id = poll.target.id.clone();
+                    self.expired_polls.borrow_mut().insert(number, id);
                 }
                 self.rto.borrow_mut().took(now.saturating_sub(sent_at));
                 self.fail(call);
             }
-            if now.saturating_sub(self.heard_at.get()) > SILENCE {
+            if now.saturating_sub(self.last_frame_at.get()) > MAX_SILENCE {
                 return;
             }
         }
@@ -347,32 +347,32 @@
 
     fn fail_all(&self, rx: &mut UnboundedReceiver<Command>) {
         rx.close();
-        let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        for waiting in waiting.into_values() {
-            self.fail(waiting.call);
+        let in_flight = std::mem::take(&mut *self.in_flight.borrow_mut());
+        for in_flight in in_flight.into_values() {
+            self.fail(in_flight.call);
         }
         while let Ok(command) = rx.try_recv() {
             match command {
-                Command::Call(Pending::Order(Sending { target, order, .. })) => {
+                Command::Call(Call::Order(Sending { target, order, .. })) => {
                     let unsent = Outcome::Refused(Refusal::Unsent);
-                    self.tell(Event::Ordered(target, order, unsent));
+                    self.emit(Event::Ordered(target, order, unsent));
                 }
-                Command::Call(look) => self.fail(look),
+                Command::Call(poll) => self.fail(poll),
                 Command::Forget(_) => {}
             }
         }
     }
 
-    fn fail(&self, call: Pending) {
-        self.tell(match call {
-            Pending::Order(Sending { target, order, .. }) => {
+    fn fail(&self, call: Call) {
+        self.emit(match call {
+            Call::Order(Sending { target, order, .. }) => {
                 Event::Ordered(target, order, Outcome::Unanswered)
             }
-            Pending::Look(look) => Event::Looked(look.target, Err(LookFailure::Failed)),
+            Call::Poll(poll) => Event::Looked(poll.target, Err(LookFailure::Failed)),
         });
     }
 
-    fn tell(&self, event: Event) {
+    fn emit(&self, event: Event) {
         // The receiver is closed only when the leadership has ended.
         let _ = self.events.send(event);
     }
@@ -380,9 +380,9 @@
 
 /// Requests for the next frame, job specifications that the relay has, and the last call number.
 #[derive(Debug, Default)]
-struct Outgoing {
+struct Outbox {
     requests: Vec<Request>,
-    jobs: Jobs,
+    specs: SpecCache,
     number: CallNumber,
 }
 
@@ -392,7 +392,7 @@
 }
 
 async fn connect(peer: SocketAddr) -> Option<(Reader<OwnedReadHalf>, Writer<OwnedWriteHalf>)> {
-    let stream = time::timeout(CONNECT, TcpStream::connect(peer)).await;
+    let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer)).await;
     let stream = stream.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     let (read, write) = stream.into_split();
--- a/pomelohitchd/src/fleet/relay/listing.rs
+++ b/pomelohitchd/src/fleet/relay/listing.rs
@@ -12,10 +12,10 @@
 /// Number of a poll of one endpoint over one connection, from 1.
 type Version = u32;
 /// A run's index in the listing, which is sorted by task and run number.
-type Place = u16;
+type Index = u16;
 
 /// A change of a run's load by at most this fraction isn't sent.
-const SAME_LOAD: f64 = 0.1;
+const LOAD_TOLERANCE: f64 = 0.1;
 
 /// The difference of a poll's answer from the previous one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     /// Runs that are new or have changed in more than the percentage.
     changed: Vec<Running>,
     /// New percentages by index, to be applied after the other changes.
-    percents: Vec<(Place, u32)>,
+    percents: Vec<(Index, u32)>,
 }
 
 /// The runs of an endpoint in its last answer, as the receiver decodes it.
@@ -42,10 +42,10 @@
 
 impl Listing {
     /// Stores an answer and returns its difference from the previous one.
-    pub fn encode(&mut self, look: Look) -> Delta {
+    pub fn encode(&mut self, reply: Look) -> Delta {
         let base = self.version;
         self.version += 1;
-        let mut listed: BTreeMap<_, _> = look
+        let mut listed: BTreeMap<_, _> = reply
             .running
             .into_iter()
             .map(|r| ((r.task, r.number), r))
@@ -53,24 +53,24 @@
         let gone = self.runs.keys().filter(|key| !listed.contains_key(key));
         let gone = gone.copied().collect();
         let (mut changed, mut percents) = (Vec::new(), Vec::new());
-        for (place, (key, now)) in (0..).zip(&mut listed) {
+        for (index, (key, current)) in (0..).zip(&mut listed) {
             match self.runs.get(key) {
-                Some(before) if is_alike(before, now) => {
-                    now.load = before.load;
-                    if now.percent != before.percent {
-                        percents.push((place, now.percent));
+                Some(previous) if is_similar(previous, current) => {
+                    current.load = previous.load;
+                    if current.percent != previous.percent {
+                        percents.push((index, current.percent));
                     }
                 }
-                _ => changed.push(now.clone()),
+                _ => changed.push(current.clone()),
             }
         }
         self.runs = listed;
         Delta {
             base,
-            born: look.born,
-            clock: look.clock,
-            renewed: look.renewed,
-            ended: look.ended,
+            born: reply.born,
+            clock: reply.clock,
+            renewed: reply.renewed,
+            ended: reply.ended,
             gone,
             changed,
             percents,
@@ -93,8 +93,8 @@
             self.runs.insert((run.task, run.number), run);
         }
         let mut percents = delta.percents.into_iter().peekable();
-        for (place, run) in (0..).zip(self.runs.values_mut()) {
-            if let Some((_, percent)) = percents.next_if(|(at, _)| *at == place) {
+        for (index, run) in (0..).zip(self.runs.values_mut()) {
+            if let Some((_, percent)) = percents.next_if(|(at, _)| *at == index) {
                 run.percent = percent;
             }
         }
@@ -110,7 +110,8 @@
 }
 
 /// Whether a run has changed in nothing but its percentage, within the tolerance of its load.
-fn is_alike(before: &Running, now: &Running) -> bool {
-    let difference = f64::from(before.load.abs_diff(now.load));
-    before.checkpoint == now.checkpoint && difference <= f64::from(before.load) * SAME_LOAD
+fn is_similar(previous: &Running, current: &Running) -> bool {
+    let difference = f64::from(previous.load.abs_diff(current.load));
+    previous.checkpoint == current.checkpoint
+        && difference <= f64::from(previous.load) * LOAD_TOLERANCE
 }
--- a/pomelohitchd/src/fleet/relay/message.rs
+++ b/pomelohitchd/src/fleet/relay/message.rs
@@ -18,8 +18,8 @@
 use tokio_util::bytes::Bytes;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-use super::jobs::Jobs;
 use super::listing::Delta;
+use super::spec_cache::SpecCache;
 
 /// Identifies a call on a connection, to match its reply.
 pub type CallNumber = u32;
@@ -68,7 +68,8 @@
     /// Send an order to an endpoint.
     Order(CallNumber, Target, Instruction),
     /// Poll an endpoint.
-    Look(CallNumber, LookOrder),
+    #[serde(rename = "Look")]
+    Poll(CallNumber, LookOrder),
     /// Drop the state of an endpoint that no longer exists.
     Forget(EndpointId),
 }
@@ -98,7 +99,7 @@
 impl Instruction {
     /// Strips the job's specification from an order.
     #[must_use]
-    pub fn of(order: &Order) -> Instruction {
+    pub fn from_order(order: &Order) -> Instruction {
         match order {
             Order::Start {
                 task,
@@ -121,7 +122,7 @@
 
     /// Restores the order; `None` if it is a start and its job's specification isn't cached.
     #[must_use]
-    pub fn order(self, jobs: &Jobs) -> Option<Order> {
+    pub fn into_order(self, specs: &SpecCache) -> Option<Order> {
         Some(match self {
             Instruction::Start {
                 task,
@@ -132,7 +133,7 @@
             } => Order::Start {
                 task,
                 run,
-                spec: jobs.get(task.job)?,
+                spec: specs.get(task.job)?,
                 deadline,
                 checkpoint,
                 ticket,
@@ -152,7 +153,8 @@
     /// Outcome of an order.
     Ordered(CallNumber, Outcome),
     /// Answer to a poll, or why there is none.
-    Looked(CallNumber, std::result::Result<Delta, LookFailure>),
+    #[serde(rename = "Looked")]
+    Polled(CallNumber, std::result::Result<Delta, LookFailure>),
 }
 
 /// Sends frames.
@@ -161,13 +163,13 @@
 pub type Reader<R> = FramedRead<R, LengthDelimitedCodec>;
 
 /// Largest frame. A poll lists at most 500 completions with their checkpoints.
-const FRAME_BYTES: usize = 4 * 1024 * 1024;
+const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 /// The codec of frames: a length, then the message.
 #[must_use]
 pub fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(FRAME_BYTES)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
--- a/pomelohitchd/src/fleet/relay/spec_cache.rs
+++ b/pomelohitchd/src/fleet/relay/spec_cache.rs
@@ -9,29 +9,29 @@
 use pomelohitch_sched::JobId;
 use pomelohitch_sched::job::JobSpec;
 
-/// Capacity of the cache.
-const KEPT: usize = 2_000;
+/// Number of specifications kept at each end.
+const CAPACITY: usize = 2_000;
 
 /// The most recently sent job specifications.
 #[derive(Debug, Default)]
-pub struct Jobs {
+pub struct SpecCache {
     by_id: HashMap<JobId, Arc<JobSpec>>,
-    order: VecDeque<JobId>,
+    insertion_order: VecDeque<JobId>,
 }
 
-impl Jobs {
+impl SpecCache {
     /// Adds a specification; returns whether it is new.
     pub fn insert(&mut self, spec: &Arc<JobSpec>) -> bool {
         if self.by_id.contains_key(&spec.id) {
             return false;
         }
-        if self.order.len() >= KEPT
-            && let Some(oldest) = self.order.pop_front()
+        if self.insertion_order.len() >= CAPACITY
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.by_id.remove(&oldest);
         }
         self.by_id.insert(spec.id, spec.clone());
-        self.order.push_back(spec.id);
+        self.insertion_order.push_back(spec.id);
         true
     }
 
--- a/pomelohitchd/tests/fleet/relays.rs
+++ b/pomelohitchd/tests/fleet/relays.rs
@@ -15,18 +15,18 @@
 use pomelohitchd::fleet::clock;
 use pomelohitchd::fleet::leader::core::Event;
 use pomelohitchd::fleet::leader::lanes::{Lanes, Options};
-use pomelohitchd::fleet::relay::jobs::Jobs;
 use pomelohitchd::fleet::relay::listing::Listing;
 use pomelohitchd::fleet::relay::message::{Hello, Instruction, Replies, Reply, Request, Requests};
-use pomelohitchd::fleet::relay::server::{self, Lateness};
+use pomelohitchd::fleet::relay::server::{self, DelayEstimator};
+use pomelohitchd::fleet::relay::spec_cache::SpecCache;
 
 use super::site;
 
 /// Bandwidth of a link that is too slow for the calls to even one endpoint, bytes per second.
-const SLOW: f64 = 1_000.0;
+const SLOW_LINK_BYTES_PER_S: f64 = 1_000.0;
 
 /// Starts a member that relays calls.
-fn member() -> SocketAddr {
+fn start_relay() -> SocketAddr {
     let addr = site::nowhere();
     std::thread::spawn(move || server::run(addr, Box::new(|_| Some(b"heard".to_vec()))));
     addr
@@ -37,9 +37,9 @@
     let options = Options {
         epoch: 1,
         members: Some(Box::new(move || members.clone())),
-        link_bytes_per_s: Some(SLOW),
+        link_bytes_per_s: Some(SLOW_LINK_BYTES_PER_S),
     };
-    let mut lanes = Lanes::start(tx, options).expect("there is room for a thread");
+    let mut lanes = Lanes::start(tx, options).expect("a thread can be started");
     lanes.sync(&[("e1".into(), endpoint())].into());
     (lanes, rx)
 }
@@ -102,7 +102,7 @@
     }
 }
 
-fn look(lanes: &mut Lanes, rx: &Receiver<Event>, addr: SocketAddr) -> Result<Look, LookFailure> {
+fn poll(lanes: &mut Lanes, rx: &Receiver<Event>, addr: SocketAddr) -> Result<Look, LookFailure> {
     lanes.look(LookOrder {
         target: target(addr),
         epoch: 1,
@@ -118,29 +118,29 @@
 
 /// Polls until a poll is relayed, i.e. reaches the endpoint from another connection than the
 /// leader's own.
-fn until_relayed(lanes: &mut Lanes, rx: &Receiver<Event>, endpoint: &Recorder) {
+fn poll_until_relayed(lanes: &mut Lanes, rx: &Receiver<Event>, endpoint: &Recorder) {
     for _ in 0..100 {
-        let _ = look(lanes, rx, endpoint.addr);
+        let _ = poll(lanes, rx, endpoint.addr);
         if endpoint.peers() > 1 {
             return;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    panic!("no call was carried");
+    panic!("no call was relayed");
 }
 
 #[test]
-fn a_start_arrives_whole_by_way_of_a_member() {
+fn a_relayed_start_arrives_complete() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![member()]);
-    until_relayed(&mut lanes, &rx, &endpoint);
+    let (mut lanes, rx) = lanes(vec![start_relay()]);
+    poll_until_relayed(&mut lanes, &rx, &endpoint);
     for index in 0..3 {
         lanes.order(target(endpoint.addr), start(index), 1, clock::steady());
         assert_eq!(outcome(&rx), Outcome::Taken);
     }
     let starts = endpoint.starts();
     assert_eq!(starts.len(), 3);
-    let whole = Start {
+    let expected = Start {
         task: "0000000000000001.0.0.1".into(),
         run: 1,
         text: "what the task is given".into(),
@@ -148,16 +148,16 @@
         epoch: 1,
         checkpoint: "c".into(),
     };
-    assert_eq!(starts[1], whole);
+    assert_eq!(starts[1], expected);
 }
 
 #[test]
-fn polls_by_way_of_a_member_show_what_runs() {
+fn relayed_polls_list_running_tasks() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![member()]);
-    until_relayed(&mut lanes, &rx, &endpoint);
+    let (mut lanes, rx) = lanes(vec![start_relay()]);
+    poll_until_relayed(&mut lanes, &rx, &endpoint);
     for _ in 0..3 {
-        let look = look(&mut lanes, &rx, endpoint.addr).expect("it is answered");
+        let look = poll(&mut lanes, &rx, endpoint.addr).expect("the endpoint answers");
         assert_eq!(look.running.len(), 1);
         assert!(look.sent_at <= look.answered_at);
     }
@@ -166,7 +166,7 @@
 /// Guards against endpoints that are no longer called once the member that relays their calls is
 /// gone.
 #[test]
-fn calls_go_directly_where_no_member_carries_them() {
+fn calls_are_direct_if_no_member_relays_them() {
     let endpoint = Recorder::start();
     let (mut lanes, rx) = lanes(vec![site::nowhere()]);
     for index in 0..4 {
@@ -177,8 +177,8 @@
 }
 
 fn frame(message: &impl serde::Serialize) -> Vec<u8> {
-    let body = postcard::to_allocvec(message).expect("it can be encoded");
-    let length = u32::try_from(body.len()).expect("it is short");
+    let body = postcard::to_allocvec(message).expect("the message can be encoded");
+    let length = u32::try_from(body.len()).expect("the frame is short");
     [&length.to_be_bytes(), &body[..]].concat()
 }
 
@@ -187,7 +187,9 @@
     for _ in 0..100 {
         if let Ok(mut stream) = TcpStream::connect(member) {
             let timeout = Some(Duration::from_secs(5));
-            stream.set_read_timeout(timeout).expect("it can be set");
+            stream
+                .set_read_timeout(timeout)
+                .expect("the timeout isn't zero");
             let hello = frame(&Hello { epoch });
             stream.write_all(&hello).expect("the member listens");
             return stream;
@@ -205,9 +207,9 @@
 
 /// Guards against a member that continues to relay orders of a former leader.
 #[test]
-fn a_member_carries_nothing_for_a_former_leader() {
+fn a_member_relays_nothing_for_a_former_leader() {
     let endpoint = Recorder::start();
-    let member = member();
+    let member = start_relay();
     let mut first = connect(member, 4);
     assert!(is_served(&mut first));
     let mut second = connect(member, 5);
@@ -218,17 +220,21 @@
         sent_at: clock::steady(),
         requests: vec![Request::Order(1, target(endpoint.addr), stop())],
     };
-    first.write_all(&frame(&request)).expect("it is open");
+    first
+        .write_all(&frame(&request))
+        .expect("the connection is open");
     while is_served(&mut first) {}
     assert_eq!(endpoint.stops(), 0);
-    second.write_all(&frame(&request)).expect("it is open");
+    second
+        .write_all(&frame(&request))
+        .expect("the connection is open");
     for _ in 0..100 {
         if endpoint.stops() > 0 {
             return;
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    panic!("the order of the leader isn't carried");
+    panic!("the order of the current leader isn't relayed");
 }
 
 fn stop() -> Instruction {
@@ -236,15 +242,15 @@
 }
 
 /// A fake relay that answers polls itself, the first one only after a second.
-fn late_member() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+fn late_relay() -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let addr = listener.local_addr().expect("the socket is bound");
     std::thread::spawn(move || {
         let (stream, _) = listener.accept().expect("the leader connects");
         let _hello: Hello = read_frame(&stream);
-        let alive = stream.try_clone().expect("there is room for a descriptor");
+        let keepalive = stream.try_clone().expect("the socket can be duplicated");
         std::thread::spawn(move || {
-            while (&alive).write_all(&frame(&Replies::new())).is_ok() {
+            while (&keepalive).write_all(&frame(&Replies::new())).is_ok() {
                 std::thread::sleep(Duration::from_millis(50));
             }
         });
@@ -253,9 +259,9 @@
             let Requests { requests, .. } = read_frame(&stream);
             std::thread::sleep(Duration::from_millis(pause));
             let answers = requests.into_iter().filter_map(|request| match request {
-                Request::Look(number, _) => {
+                Request::Poll(number, _) => {
                     let delta = listing.encode(Look::default());
-                    Some(Reply::Looked(number, Ok(delta)))
+                    Some(Reply::Polled(number, Ok(delta)))
                 }
                 _ => None,
             });
@@ -270,33 +276,37 @@
 
 fn read_frame<T: serde::de::DeserializeOwned>(mut stream: &TcpStream) -> T {
     let mut length = [0; 4];
-    stream.read_exact(&mut length).expect("a frame comes");
-    let length = usize::try_from(u32::from_be_bytes(length)).expect("it is short");
+    stream.read_exact(&mut length).expect("a frame arrives");
+    let length = usize::try_from(u32::from_be_bytes(length)).expect("the frame is short");
     let mut body = vec![0; length];
-    stream.read_exact(&mut body).expect("it comes whole");
-    postcard::from_bytes(&body).expect("it can be read")
+    stream
+        .read_exact(&mut body)
+        .expect("the frame arrives complete");
+    postcard::from_bytes(&body).expect("the message can be decoded")
 }
 
 /// Guards against an endpoint whose polls all fail after one with a late answer.
 #[test]
-fn polls_go_on_after_one_that_was_answered_late() {
+fn polls_succeed_after_one_that_was_answered_late() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![late_member()]);
-    while look(&mut lanes, &rx, endpoint.addr).is_ok() {}
+    let (mut lanes, rx) = lanes(vec![late_relay()]);
+    while poll(&mut lanes, &rx, endpoint.addr).is_ok() {}
     let mut answered = 0;
     for _ in 0..3 {
         std::thread::sleep(Duration::from_millis(300));
-        answered += usize::from(look(&mut lanes, &rx, endpoint.addr).is_ok());
+        answered += usize::from(poll(&mut lanes, &rx, endpoint.addr).is_ok());
     }
     assert!(answered >= 2, "{answered}");
 }
 
 #[test]
 fn a_datagram_is_answered() {
-    let addr = member();
-    let socket = UdpSocket::bind("127.0.0.1:0").expect("a port is free");
+    let addr = start_relay();
+    let socket = UdpSocket::bind("127.0.0.1:0").expect("a loopback port is free");
     let timeout = Some(Duration::from_millis(100));
-    socket.set_read_timeout(timeout).expect("it can be set");
+    socket
+        .set_read_timeout(timeout)
+        .expect("the timeout isn't zero");
     let mut buf = [0; 16];
     for _ in 0..50 {
         let sent = socket.send_to(b"beat", addr);
@@ -311,7 +321,7 @@
 
 /// Guards against decoded listings that differ from what the endpoint listed.
 #[test]
-fn listings_are_read_as_they_were_written() {
+fn listings_decode_as_encoded() {
     pomelohitch_property::check(|polls: &Vec<Vec<(u8, u8, u8, u8)>>| {
         let (mut sender, mut receiver) = (Listing::default(), Listing::default());
         for poll in polls {
@@ -346,11 +356,11 @@
             };
             let mut read = receiver
                 .decode(sender.encode(look.clone()))
-                .expect("it follows");
+                .expect("the delta is based on the previous answer");
             for (read, written) in read.running.iter_mut().zip(&running) {
                 assert!(
                     read.load.abs_diff(written.load) <= written.load / 8,
-                    "about the load"
+                    "load differs by more than the tolerance"
                 );
                 read.load = written.load;
             }
@@ -361,7 +371,7 @@
 
 /// Guards against applying a difference to another answer than the one it is based on.
 #[test]
-fn a_listing_that_misses_one_before_is_refused() {
+fn a_delta_without_its_base_is_rejected() {
     let (mut sender, mut receiver) = (Listing::default(), Listing::default());
     assert!(receiver.decode(sender.encode(Look::default())).is_some());
     let _lost = sender.encode(Look::default());
@@ -375,8 +385,8 @@
 
 /// Guards against a sender that doesn't send a specification again after the receiver evicted it.
 #[test]
-fn both_ends_hold_the_same_descriptions() {
-    let (mut sender, mut receiver) = (Jobs::default(), Jobs::default());
+fn both_ends_cache_the_same_specifications() {
+    let (mut sender, mut receiver) = (SpecCache::default(), SpecCache::default());
     for n in 0..5_000_u64 {
         let id = n * 7 % 3_001;
         let spec = Arc::new(JobSpec {
@@ -392,12 +402,12 @@
 
 /// Guards against polls that were delayed in transit and still acknowledge completions.
 #[test]
-fn a_frame_that_was_held_up_is_late() {
-    let mut lateness = Lateness::default();
+fn a_held_up_frame_counts_as_delayed() {
+    let mut estimator = DelayEstimator::default();
     let at = |millis| Duration::from_millis(millis);
-    assert_eq!(lateness.of(at(10_000), at(500)), Duration::ZERO);
-    assert_eq!(lateness.of(at(10_100), at(601)).as_millis(), 0);
-    let held_up = lateness.of(at(10_200), at(1_700));
+    assert_eq!(estimator.record(at(10_000), at(500)), Duration::ZERO);
+    assert_eq!(estimator.record(at(10_100), at(601)).as_millis(), 0);
+    let held_up = estimator.record(at(10_200), at(1_700));
     assert!(held_up > at(990), "{held_up:?}");
-    assert!(lateness.of(at(11_300), at(1_801)) < at(5));
+    assert!(estimator.record(at(11_300), at(1_801)) < at(5));
 }
