--- a/pomelohitchd/src/fleet/callers.rs
+++ b/pomelohitchd/src/fleet/callers.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-use pomelohitch_adapter::callers as format;
+use pomelohitch_adapter::callers as caller_api;
 use pomelohitch_route::Head;
 use pomelohitch_sched::Epoch;
 use pomelohitch_sched::cell::calls::Verb;
@@ -19,16 +19,16 @@
 
 /// Upper limit of the time that a request waits for a leader and its answer. Long enough for a
 /// change of leader, which takes about 1.5 s.
-const PATIENCE: Duration = Duration::from_millis(2200);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2200);
 /// Fraction of the caller's own deadline that a request may wait, so that the answer arrives before
 /// the deadline.
-const PATIENCE_PART: f64 = 0.7;
+const DEADLINE_FRACTION: f64 = 0.7;
 /// Timeout of one attempt at the leader.
-const TRY_WITHIN: Duration = Duration::from_millis(1200);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Pause between attempts.
-const AGAIN_AFTER: Duration = Duration::from_millis(60);
+const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 /// `Retry-After` if no leader has answered.
-const RETRY_AFTER: Duration = Duration::from_secs(1);
+const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Connection and request limits of the callers' port.
 #[must_use]
@@ -64,7 +64,7 @@
     Service {
         is_leaving: Box::new(move || leaving.is_leaving()),
         answer: Box::new(move |incoming| {
-            let is_ready = &*incoming.head.target == format::READY_PATH && is_ready(&shared);
+            let is_ready = &*incoming.head.target == caller_api::READY_PATH && is_ready(&shared);
             let status = if is_ready { 200 } else { 503 };
             Response::text("").with_status_code(status)
         }),
@@ -73,23 +73,23 @@
 
 /// A member is ready if it heard from a leader within this time. A change of leader takes less, so
 /// that readiness doesn't flap during one.
-const READY_WITHIN: Duration = Duration::from_secs(3);
+const MAX_LEADER_SILENCE: Duration = Duration::from_secs(3);
 
 fn is_ready(shared: &Shared) -> bool {
     let silent_for = super::clock::steady().saturating_sub(shared.view().heard_at);
-    let knows_leader = shared.view().leader.is_some() && silent_for < READY_WITHIN;
+    let knows_leader = shared.view().leader.is_some() && silent_for < MAX_LEADER_SILENCE;
     !shared.is_leaving() && (shared.leading().is_some() || knows_leader)
 }
 
 /// Result of one attempt at the leader.
-pub(super) enum Try {
+pub(super) enum Attempt {
     /// The leader answered.
     Answered(Reply),
     /// The request was not executed.
-    Undone,
+    NotExecuted,
     /// The request was not executed, since the leader accepts no more requests, or no new jobs of
     /// the queue. It may be retried after this time.
-    Full(Duration),
+    Overloaded(Duration),
     /// The leader with this epoch may have executed the request.
     Unknown(Epoch),
 }
@@ -112,30 +112,35 @@
 /// written, and they can't write any more, so that its answers are conclusive. Reads have no
 /// effect: every answer to them is returned.
 pub fn answer(shared: &Shared, incoming: &Incoming) -> Response {
-    let patience = patience(&incoming.head);
+    let timeout = request_timeout(&incoming.head);
     let has_effect = has_effect(&incoming.head.method);
-    let mut done_by: Option<Epoch> = None;
+    let mut maybe_executed_by: Option<Epoch> = None;
     loop {
-        match try_once(shared, incoming, patience) {
-            Try::Answered(Reply {
+        match attempt(shared, incoming, timeout) {
+            Attempt::Answered(Reply {
                 epoch, response, ..
             }) => {
                 let status = response.status_code;
-                if confirms(status) || done_by.is_none_or(|former| former < epoch) {
+                if is_conclusive(status) || maybe_executed_by.is_none_or(|earlier| earlier < epoch)
+                {
                     return response;
                 }
                 if status != UNAVAILABLE {
                     return give_up(incoming, true);
                 }
             }
-            Try::Full(retry_after) if done_by.is_none() => return refuse(incoming, retry_after),
-            Try::Unknown(epoch) if has_effect => done_by = done_by.max(Some(epoch)),
-            Try::Undone | Try::Full(_) | Try::Unknown(_) => {}
+            Attempt::Overloaded(retry_after) if maybe_executed_by.is_none() => {
+                return refuse(incoming, retry_after);
+            }
+            Attempt::Unknown(epoch) if has_effect => {
+                maybe_executed_by = maybe_executed_by.max(Some(epoch));
+            }
+            Attempt::NotExecuted | Attempt::Overloaded(_) | Attempt::Unknown(_) => {}
         }
-        if incoming.arrived.elapsed() + AGAIN_AFTER >= patience {
-            return give_up(incoming, done_by.is_some());
+        if incoming.arrived.elapsed() + RETRY_INTERVAL >= timeout {
+            return give_up(incoming, maybe_executed_by.is_some());
         }
-        shared.wait(AGAIN_AFTER);
+        shared.wait(RETRY_INTERVAL);
     }
 }
 
@@ -149,15 +154,15 @@
 }
 
 /// Whether an answer holds even if an earlier attempt was executed.
-fn confirms(status: u16) -> bool {
+fn is_conclusive(status: u16) -> bool {
     (200..300).contains(&status) || status == GONE
 }
 
-fn patience(head: &Head) -> Duration {
-    let deadline = head.headers.get(format::DEADLINE_HEADER);
+fn request_timeout(head: &Head) -> Duration {
+    let deadline = head.headers.get(caller_api::DEADLINE_HEADER);
     let deadline = deadline.and_then(|d| d.trim().parse().ok());
-    deadline.map_or(PATIENCE, |ms| {
-        PATIENCE.min(Duration::from_millis(ms).mul_f64(PATIENCE_PART))
+    deadline.map_or(REQUEST_TIMEOUT, |ms| {
+        REQUEST_TIMEOUT.min(Duration::from_millis(ms).mul_f64(DEADLINE_FRACTION))
     })
 }
 
@@ -169,7 +174,7 @@
     if may_be_done {
         return Response::text("{}").with_status_code(504);
     }
-    unavailable(RETRY_AFTER)
+    unavailable(NO_LEADER_RETRY_AFTER)
 }
 
 /// Refuses a request that was not forwarded.
@@ -188,72 +193,72 @@
         .with_additional_header("Retry-After", seconds)
 }
 
-fn try_once(shared: &Shared, incoming: &Incoming, patience: Duration) -> Try {
-    let left = patience.saturating_sub(incoming.arrived.elapsed());
-    if left.is_zero() {
-        return Try::Undone;
+fn attempt(shared: &Shared, incoming: &Incoming, timeout: Duration) -> Attempt {
+    let remaining = timeout.saturating_sub(incoming.arrived.elapsed());
+    if remaining.is_zero() {
+        return Attempt::NotExecuted;
     }
     if let Some(leading) = shared.leading() {
         let host = incoming.head.headers.get("Host").unwrap_or_default();
-        return ask_here(&leading, incoming, host, &incoming.head.target, left);
+        return ask_local_leader(&leading, incoming, host, &incoming.head.target, remaining);
     }
     let own = shared.site.load().internal;
     match shared.view().leader {
         Some(leader) if leader.addr != own => {
-            forwarding::pass_on(shared, &leader, incoming, left.min(TRY_WITHIN))
+            forwarding::forward(shared, &leader, incoming, remaining.min(ATTEMPT_TIMEOUT))
         }
-        _ => Try::Undone,
+        _ => Attempt::NotExecuted,
     }
 }
 
 /// Answers a request that another entry instance forwarded.
-pub fn answer_passed_on(shared: &Shared, incoming: &Incoming, path: &str) -> Response {
-    let host = incoming.head.headers.get(wire::CALLER_HOST);
+pub fn answer_forwarded(shared: &Shared, incoming: &Incoming, path: &str) -> Response {
+    let host = incoming.head.headers.get(wire::CALLER_HOST_HEADER);
     let host = host.unwrap_or_default();
-    let for_epoch = incoming.head.headers.get(wire::FOR_EPOCH);
+    let for_epoch = incoming.head.headers.get(wire::FOR_EPOCH_HEADER);
     let for_epoch: Option<Epoch> = for_epoch.and_then(|epoch| epoch.parse().ok());
     let leading = shared.leading();
     let leading = leading.filter(|l| for_epoch.is_none_or(|epoch| epoch == l.epoch));
     let Some(leading) = leading else {
         return Response::text("").with_status_code(421);
     };
-    match ask_here(&leading, incoming, host, path, TRY_WITHIN) {
-        Try::Answered(reply) => passed_back(reply),
-        Try::Undone | Try::Full(_) => Response::text("").with_status_code(421),
-        Try::Unknown(_) => Response::text("").with_status_code(504),
+    match ask_local_leader(&leading, incoming, host, path, ATTEMPT_TIMEOUT) {
+        Attempt::Answered(reply) => forwarded_response(reply),
+        Attempt::NotExecuted | Attempt::Overloaded(_) => Response::text("").with_status_code(421),
+        Attempt::Unknown(_) => Response::text("").with_status_code(504),
     }
 }
 
 /// The response to the member that forwarded a request.
-fn passed_back(reply: Reply) -> Response {
+fn forwarded_response(reply: Reply) -> Response {
     let epoch = reply.epoch.to_string();
     let response = reply
         .response
-        .with_additional_header(wire::LEADER_EPOCH, epoch);
+        .with_additional_header(wire::LEADER_EPOCH_HEADER, epoch);
     match reply.queue_refused_for {
         Some(time) => {
             let millis = time.as_millis().to_string();
-            response.with_additional_header(wire::QUEUE_REFUSED_MS, millis)
+            response.with_additional_header(wire::QUEUE_REFUSED_MS_HEADER, millis)
         }
         None => response,
     }
 }
 
 /// Sends a request to the leader in this process and waits for its answer.
-fn ask_here(
+fn ask_local_leader(
     leading: &Leading,
     incoming: &Incoming,
     host: &str,
     path: &str,
-    within: Duration,
-) -> Try {
+    timeout: Duration,
+) -> Attempt {
     let verb = match &*incoming.head.method {
-        "POST" if incoming.head.headers.get(wire::CONFIRM).is_some() => Verb::Confirm,
-        "POST" => Verb::Submit(format::draft(&incoming.body)),
+        "POST" if incoming.head.headers.get(wire::CONFIRM_HEADER).is_some() => Verb::Confirm,
+        "POST" => Verb::Submit(caller_api::draft(&incoming.body)),
         "GET" | "HEAD" => Verb::Read,
         "DELETE" => Verb::Cancel,
         _ => {
-            return Try::Answered(Reply {
+            return Attempt::Answered(Reply {
                 epoch: leading.epoch,
                 response: Response::text("{}").with_status_code(405),
                 queue_refused_for: None,
@@ -270,19 +275,19 @@
         reply: tx,
     };
     if leading.events.send(Event::Call(call)).is_err() {
-        return Try::Undone;
+        return Attempt::NotExecuted;
     }
-    let answer: Result<Answer, _> = rx.recv_timeout(within);
+    let answer: Result<Answer, _> = rx.recv_timeout(timeout);
     match answer {
         Ok(answer) => {
             log_answer(incoming, &answer);
-            Try::Answered(Reply {
+            Attempt::Answered(Reply {
                 epoch: leading.epoch,
                 response: respond(&answer),
                 queue_refused_for: queue_refused_for(&answer),
             })
         }
-        Err(_) => Try::Unknown(leading.epoch),
+        Err(_) => Attempt::Unknown(leading.epoch),
     }
 }
 
@@ -317,7 +322,7 @@
 }
 
 fn respond(answer: &Answer) -> Response {
-    let reply = format::reply(answer);
+    let reply = caller_api::reply(answer);
     json(
         reply.status,
         reply.body,
--- a/pomelohitchd/src/fleet/internal.rs
+++ b/pomelohitchd/src/fleet/internal.rs
@@ -19,13 +19,13 @@
 /// Most connections from other entry instances. Each instance keeps a few open for forwarded
 /// requests and opens more while requests wait: up to a second during an outage of the store, at
 /// 100 requests a second.
-const CONNECTIONS: usize = 1_024;
+const MAX_CONNECTIONS: usize = 1_024;
 
 /// Limits for the connections of other entry instances.
 #[must_use]
 pub fn limits() -> Limits {
     Limits {
-        connections: CONNECTIONS,
+        connections: MAX_CONNECTIONS,
         idle: Duration::from_mins(1),
         idle_tick: Duration::from_secs(1),
         leaving_tick: Duration::from_millis(100),
@@ -48,11 +48,13 @@
 fn answer(shared: &Shared, incoming: &Incoming) -> Response {
     let target = &*incoming.head.target;
     match target {
-        wire::BEAT => reply(&incoming.body, |beat: Beat| take_beat(shared, &beat)),
-        wire::PROBE => reply(&incoming.body, |probe: Probe| take_probe(shared, &probe)),
+        wire::BEAT => reply(&incoming.body, |heartbeat: Beat| {
+            handle_heartbeat(shared, &heartbeat)
+        }),
+        wire::PROBE => reply(&incoming.body, |probe: Probe| handle_probe(shared, &probe)),
         wire::CLAIM => reply(&incoming.body, |claim: Claim| shared.ask_claim(claim)),
-        _ => match target.strip_prefix(wire::CALL) {
-            Some(path) => callers::answer_passed_on(shared, incoming, path),
+        _ => match target.strip_prefix(wire::FORWARD_PREFIX) {
+            Some(path) => callers::answer_forwarded(shared, incoming, path),
             None => Response::empty_404(),
         },
     }
@@ -62,15 +64,15 @@
 /// is known.
 #[must_use]
 pub fn datagram(shared: &Shared, datagram: &[u8]) -> Option<Vec<u8>> {
-    let beat: Beat = match postcard::from_bytes(datagram) {
-        Ok(beat) => beat,
+    let heartbeat: Beat = match postcard::from_bytes(datagram) {
+        Ok(heartbeat) => heartbeat,
         Err(error) => {
             warn!(%error, "heartbeat datagram can't be decoded");
             return None;
         }
     };
-    let reply = take_beat(shared, &beat);
-    if reply.epoch <= beat.leader.epoch {
+    let reply = handle_heartbeat(shared, &heartbeat);
+    if reply.epoch <= heartbeat.leader.epoch {
         return None;
     }
     postcard::to_allocvec(&reply)
@@ -78,10 +80,10 @@
         .ok()
 }
 
-fn take_beat(shared: &Shared, beat: &Beat) -> BeatReply {
-    let is_current = shared.follow(&beat.leader, true);
+fn handle_heartbeat(shared: &Shared, heartbeat: &Beat) -> BeatReply {
+    let is_current = shared.follow(&heartbeat.leader, true);
     if is_current {
-        shared.note_fleet_ms(beat.leader.epoch, beat.fleet_ms);
+        shared.note_fleet_ms(heartbeat.leader.epoch, heartbeat.fleet_ms);
         let now = clock::steady();
         shared.update(|view| {
             view.heard_at = now;
@@ -93,7 +95,7 @@
     }
 }
 
-fn take_probe(shared: &Shared, probe: &Probe) -> ProbeReply {
+fn handle_probe(shared: &Shared, probe: &Probe) -> ProbeReply {
     let view = shared.view();
     let silent_for: Steady = clock::steady().saturating_sub(view.heard_at);
     let heard_ms = match shared.leading() {
@@ -119,12 +121,12 @@
 pub(super) fn reaches_store(shared: &Shared, from: u64) -> bool {
     shared
         .store()
-        .answers(Topic::Members, from, wire::STORE_TRY_WITHIN)
+        .answers(Topic::Members, from, wire::STORE_TRY_TIMEOUT)
 }
 
 fn reply<Q: DeserializeOwned, A: Serialize>(body: &[u8], answer: impl FnOnce(Q) -> A) -> Response {
     match postcard::from_bytes(body) {
-        Ok(question) => message(&answer(question)),
+        Ok(request) => message(&answer(request)),
         Err(error) => {
             warn!(%error, "message from an entry instance can't be decoded");
             Response::text("unreadable").with_status_code(400)
--- a/pomelohitchd/src/fleet/peers.rs
+++ b/pomelohitchd/src/fleet/peers.rs
@@ -9,12 +9,12 @@
 use snafu::{ResultExt, Snafu};
 
 /// Default timeout. Entry instances answer heartbeats and probes within a few milliseconds.
-const WITHIN: Duration = Duration::from_millis(350);
+const DEFAULT_TIMEOUT: Duration = Duration::from_millis(350);
 /// Connect timeout; a connection that takes longer isn't expected to succeed.
-const CONNECT: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Stack of a thread that makes one call, bytes.
-const STACK: usize = 256 * 1024;
+const STACK_SIZE: usize = 256 * 1024;
 
 /// A call to another entry instance that failed.
 #[derive(Debug, Snafu)]
@@ -43,7 +43,7 @@
 /// A client of one entry instance, for one thread.
 #[must_use]
 pub fn client(peer: SocketAddr) -> Client {
-    Client::new(peer, CONNECT)
+    Client::new(peer, CONNECT_TIMEOUT)
 }
 
 /// Sends a message and reads the answer.
@@ -54,7 +54,7 @@
     client: &Client,
     path: &'static str,
     message: &impl Serialize,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<T> {
     let peer = client.peer();
     let body = postcard::to_allocvec(message).context(MessageSnafu { path, peer })?;
@@ -63,7 +63,7 @@
             step: path,
             path,
             body: Some(&body),
-            within,
+            within: timeout,
             ..Request::default()
         })
         .context(CallSnafu)?;
@@ -76,7 +76,7 @@
     path: &'static str,
     message: &(impl Serialize + Clone + Send + 'static),
 ) -> Vec<(SocketAddr, T)> {
-    ask_all_within(peers, path, message, WITHIN)
+    ask_all_within(peers, path, message, DEFAULT_TIMEOUT)
 }
 
 /// Asks all of `peers` concurrently; returns the answers that arrive in time.
@@ -84,10 +84,10 @@
     peers: &[SocketAddr],
     path: &'static str,
     message: &(impl Serialize + Clone + Send + 'static),
-    within: Duration,
+    timeout: Duration,
 ) -> Vec<(SocketAddr, T)> {
     let clients: Vec<_> = peers.iter().map(|&peer| client(peer)).collect();
-    ask_clients(&clients, path, message, within)
+    ask_clients(&clients, path, message, timeout)
 }
 
 /// Like [`ask_all_within`], but over the clients' open connections.
@@ -95,21 +95,21 @@
     clients: &[Client],
     path: &'static str,
     message: &(impl Serialize + Clone + Send + 'static),
-    within: Duration,
+    timeout: Duration,
 ) -> Vec<(SocketAddr, T)> {
-    let asked: Vec<_> = clients
+    let threads: Vec<_> = clients
         .iter()
         .map(|client| {
             let (client, message) = (client.clone(), message.clone());
             let peer = client.peer();
             std::thread::Builder::new()
                 .name("ask".into())
-                .stack_size(STACK)
-                .spawn(move || ask::<T>(&client, path, &message, within))
+                .stack_size(STACK_SIZE)
+                .spawn(move || ask::<T>(&client, path, &message, timeout))
                 .map(|thread| (peer, thread))
         })
         .collect();
-    let answers = asked.into_iter().flatten().filter_map(|(peer, thread)| {
+    let answers = threads.into_iter().flatten().filter_map(|(peer, thread)| {
         let answer = thread.join().ok()?.ok()?;
         Some((peer, answer))
     });
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -20,16 +20,16 @@
 use super::wire::{Claim, Leader, Member};
 
 /// Connect timeout for the store; a connection that takes longer isn't expected to succeed.
-const STORE_CONNECT: Duration = Duration::from_millis(500);
+const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Connect timeout for the leader; a connection that takes longer isn't expected to succeed.
-const LEADER_CONNECT: Duration = Duration::from_millis(250);
+const LEADER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Connections to the leader that are kept open.
 const LEADER_CONNECTIONS: usize = 4;
 
 /// How long a starting process assumes that the leader has been silent: long enough for it to ask
 /// the other members at once whether they hear a leader.
-const START_SILENCE: Duration = Duration::from_secs(1);
+const INITIAL_SILENCE: Duration = Duration::from_secs(1);
 
 /// What this process knows of the members, the leader and the store.
 #[derive(Debug, Clone, Default)]
@@ -76,8 +76,8 @@
     changed: Condvar,
     leading: Mutex<Option<Leading>>,
     is_leaving: AtomicBool,
-    claim_asked: Mutex<Option<Claim>>,
-    to_leader: Mutex<Option<Client>>,
+    pending_claim: Mutex<Option<Claim>>,
+    leader_client: Mutex<Option<Client>>,
     /// Callers' requests that await the leader's answer.
     pub forwarding: Forwarding,
 }
@@ -90,7 +90,7 @@
         // counts as silent, though: if there is a leader, other members hear it.
         let now = clock::steady();
         let view = View {
-            heard_at: now.saturating_sub(START_SILENCE),
+            heard_at: now.saturating_sub(INITIAL_SILENCE),
             alive_at: now,
             ..View::default()
         };
@@ -102,8 +102,8 @@
             changed: Condvar::new(),
             leading: Mutex::new(None),
             is_leaving: AtomicBool::new(false),
-            claim_asked: Mutex::new(None),
-            to_leader: Mutex::new(None),
+            pending_claim: Mutex::new(None),
+            leader_client: Mutex::new(None),
             forwarding: Forwarding::default(),
         }
     }
@@ -112,7 +112,7 @@
     #[must_use]
     pub fn store(&self) -> Store {
         let site = self.site.load();
-        let store = Store::new(Client::new(site.store, STORE_CONNECT));
+        let store = Store::new(Client::new(site.store, STORE_CONNECT_TIMEOUT));
         match site.link_bytes_per_s {
             Some(rate) => store.over_link(rate),
             None => store,
@@ -125,12 +125,12 @@
     /// exceed the number of connections that the leader accepts.
     #[must_use]
     pub fn leader_client(&self, addr: SocketAddr) -> Client {
-        let kept = self.to_leader.lock();
+        let kept = self.leader_client.lock();
         let mut kept = kept.unwrap_or_else(PoisonError::into_inner);
         match &*kept {
             Some(client) if client.peer() == addr => client.clone(),
             _ => {
-                let client = Client::keeping(addr, LEADER_CONNECT, LEADER_CONNECTIONS);
+                let client = Client::keeping(addr, LEADER_CONNECT_TIMEOUT, LEADER_CONNECTIONS);
                 *kept = Some(client.clone());
                 client
             }
@@ -197,13 +197,13 @@
             return;
         };
         let at = clock::steady();
-        let told = FleetTime { epoch, ms, at };
+        let received = FleetTime { epoch, ms, at };
         let mut view = self.lock();
         if view
             .fleet_time
-            .is_none_or(|known| told.is_better_than(&known))
+            .is_none_or(|known| received.is_better_than(&known))
         {
-            view.fleet_time = Some(told);
+            view.fleet_time = Some(received);
         }
     }
 
@@ -214,25 +214,25 @@
             return;
         };
         let at = clock::steady();
-        let read = FleetTime { epoch, ms, at };
+        let reading = FleetTime { epoch, ms, at };
         let known = &mut self.lock().fleet_time_at_least;
-        if known.is_none_or(|known| read.is_better_than(&known)) {
-            *known = Some(read);
+        if known.is_none_or(|known| reading.is_better_than(&known)) {
+            *known = Some(reading);
         }
     }
 
     /// Lower bound of the fleet's time, if a liveness record was read.
     #[must_use]
     pub fn fleet_ms_at_least(&self) -> Option<UnixMs> {
-        let read = self.lock().fleet_time_at_least;
-        read.map(|read| read.at(clock::steady()))
+        let reading = self.lock().fleet_time_at_least;
+        reading.map(|reading| reading.at(clock::steady()))
     }
 
     /// The fleet's time, if a leader has sent it.
     #[must_use]
     pub fn fleet_ms(&self) -> Option<UnixMs> {
-        let told = self.lock().fleet_time;
-        told.map(|told| told.at(clock::steady()))
+        let received = self.lock().fleet_time;
+        received.map(|received| received.at(clock::steady()))
     }
 
     /// Waits for a change of the view or the leadership, or a shutdown, for at most `time`.
@@ -271,19 +271,19 @@
 
     /// Requests that this process take over the leadership.
     pub fn ask_claim(&self, claim: Claim) {
-        *self.claim_asked() = Some(claim);
+        *self.pending_claim() = Some(claim);
         self.changed.notify_all();
     }
 
     /// Takes the pending request to take over the leadership, if there is one.
     #[must_use]
     pub fn take_claim(&self) -> Option<Claim> {
-        self.claim_asked().take()
+        self.pending_claim().take()
     }
 
-    fn claim_asked(&self) -> MutexGuard<'_, Option<Claim>> {
-        let asked = self.claim_asked.lock();
-        asked.unwrap_or_else(PoisonError::into_inner)
+    fn pending_claim(&self) -> MutexGuard<'_, Option<Claim>> {
+        let claim = self.pending_claim.lock();
+        claim.unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lock(&self) -> MutexGuard<'_, View> {
@@ -301,10 +301,10 @@
 ) -> std::io::Result<std::thread::JoinHandle<()>> {
     /// Enough for an HTTP call with its parsing. The system's default of 8 MiB would be reserved
     /// for each of some hundred threads.
-    const STACK: usize = 512 * 1024;
+    const STACK_SIZE: usize = 512 * 1024;
     std::thread::Builder::new()
         .name(name.into())
-        .stack_size(STACK)
+        .stack_size(STACK_SIZE)
         .spawn(run)
 }
 
--- a/pomelohitchd/src/fleet/wire.rs
+++ b/pomelohitchd/src/fleet/wire.rs
@@ -13,23 +13,23 @@
 /// Path of [`Claim`], which has an empty reply.
 pub const CLAIM: &str = "/claim";
 /// Prefix of the path of a forwarded request.
-pub const CALL: &str = "/call";
+pub const FORWARD_PREFIX: &str = "/call";
 /// Header of a forwarded request: the `Host` header of the caller's request.
-pub const CALLER_HOST: &str = "X-Caller-Host";
+pub const CALLER_HOST_HEADER: &str = "X-Caller-Host";
 /// Header of a forwarded request: epoch of the leader that it is for. Other leaderships reject it,
 /// so that a request that arrives late has no effect once a later leader has answered.
-pub const FOR_EPOCH: &str = "X-For-Epoch";
+pub const FOR_EPOCH_HEADER: &str = "X-For-Epoch";
 /// Header of a POST that is forwarded without its body, to ask only whether the job was accepted
 /// before.
-pub const CONFIRM: &str = "X-Confirm";
+pub const CONFIRM_HEADER: &str = "X-Confirm";
 /// Header of an answer to a forwarded request: epoch of the leader that gave it. An answer without
 /// it comes from a process that doesn't lead, or no longer does, and didn't execute the request,
 /// except for status 504, which leaves that open.
-pub const LEADER_EPOCH: &str = "X-Leader-Epoch";
+pub const LEADER_EPOCH_HEADER: &str = "X-Leader-Epoch";
 
 /// Header of a refusal of a forwarded request: for how many milliseconds all new jobs of its queue
 /// are refused.
-pub const QUEUE_REFUSED_MS: &str = "X-Queue-Refused-Ms";
+pub const QUEUE_REFUSED_MS_HEADER: &str = "X-Queue-Refused-Ms";
 
 /// The leader, as announced in messages and in its record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
 }
 
 /// Timeout of a probed member's call to the store; a store that is merely slow answers in time.
-pub const STORE_TRY_WITHIN: Duration = Duration::from_millis(500);
+pub const STORE_TRY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of a probe that includes a call to the store, also if the store doesn't answer.
 pub const STORE_PROBE_WITHIN: Duration = Duration::from_millis(850);
 
--- a/pomelohitchd/tests/fleet/callers.rs
+++ b/pomelohitchd/tests/fleet/callers.rs
@@ -19,29 +19,30 @@
 const ACCEPTED: &str = "HTTP/1.1 200 OK\r\nX-Leader-Epoch: 1\r\nContent-Length: 2\r\n\r\n{}";
 const REFUSED: &str =
     "HTTP/1.1 503 Busy\r\nX-Leader-Epoch: 1\r\nRetry-After: 2\r\nContent-Length: 2\r\n\r\n{}";
-const NO_ROOM: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}";
+const UNAVAILABLE: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 2\r\n\r\n{}";
 const NO_KEY: &str = "HTTP/1.1 401 No\r\nX-Leader-Epoch: 1\r\nContent-Length: 2\r\n\r\n{}";
 const NO_QUEUE: &str = "HTTP/1.1 404 No\r\nX-Leader-Epoch: 1\r\nContent-Length: 2\r\n\r\n{}";
 const MALFORMED: &str = "HTTP/1.1 400 No\r\nX-Leader-Epoch: 1\r\nContent-Length: 2\r\n\r\n{}";
 const GONE: &str = "HTTP/1.1 410 Gone\r\nX-Leader-Epoch: 1\r\nContent-Length: 2\r\n\r\n{}";
 const UNKNOWN: &str = "HTTP/1.1 504 Unknown\r\nContent-Length: 0\r\n\r\n";
 
-const REFUSED_LATER: &str =
+const REFUSED_BY_LATER_LEADER: &str =
     "HTTP/1.1 503 Busy\r\nX-Leader-Epoch: 2\r\nRetry-After: 2\r\nContent-Length: 2\r\n\r\n{}";
-const NO_KEY_LATER: &str = "HTTP/1.1 401 No\r\nX-Leader-Epoch: 2\r\nContent-Length: 2\r\n\r\n{}";
+const NO_KEY_BY_LATER_LEADER: &str =
+    "HTTP/1.1 401 No\r\nX-Leader-Epoch: 2\r\nContent-Length: 2\r\n\r\n{}";
 
 /// A leader that gives these answers in turn and then repeats the last one.
 fn leader(answers: &[&'static str]) -> SocketAddr {
-    noting_leader(answers).0
+    recording_leader(answers).0
 }
 
 /// Like [`leader`], with a record of the method of each request, and of whether it only asks about
 /// a job.
-fn noting_leader(answers: &[&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
+fn recording_leader(answers: &[&'static str]) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let methods = Arc::new(Mutex::new(Vec::new()));
-    let noted = methods.clone();
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let recorded = methods.clone();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let addr = listener.local_addr().expect("the socket is bound");
     let answers: Mutex<VecDeque<&str>> = Mutex::new(answers.iter().copied().collect());
     std::thread::spawn(move || {
         for stream in listener.incoming() {
@@ -51,20 +52,22 @@
                 let text = String::from_utf8_lossy(&buf);
                 let (method, _) = text.split_once(' ').unwrap_or_default();
                 if text.starts_with('{') {
-                    // The body may come after the head.
+                    // The body may arrive after the head.
                     continue;
                 }
-                let mut noted = noted.lock().expect("no test panics here");
-                let asks = text.to_lowercase().contains("x-confirm: 1");
+                let mut recorded = recorded
+                    .lock()
+                    .expect("no thread panics with the lock held");
+                let is_confirmation = text.to_lowercase().contains("x-confirm: 1");
                 let has_body = !text.to_lowercase().contains("content-length: 0");
-                noted.push(match (asks, has_body) {
-                    (true, false) => format!("{method} question"),
-                    (true, true) => format!("{method} question with a body"),
+                recorded.push(match (is_confirmation, has_body) {
+                    (true, false) => format!("{method} confirmation"),
+                    (true, true) => format!("{method} confirmation with a body"),
                     _ => method.to_owned(),
                 });
                 buf.fill(0);
-                drop(noted);
-                let mut answers = answers.lock().expect("no test panics here");
+                drop(recorded);
+                let mut answers = answers.lock().expect("no thread panics with the lock held");
                 let answer = answers[0];
                 if answers.len() > 1 {
                     answers.pop_front();
@@ -78,24 +81,25 @@
     (addr, methods)
 }
 
-fn post() -> Incoming {
-    call("POST")
+fn post_request() -> Incoming {
+    request("POST")
 }
 
-fn call(method: &str) -> Incoming {
-    call_with(method, "Deadline-Ms: 900\r\n")
+fn request(method: &str) -> Incoming {
+    request_with(method, "Deadline-Ms: 900\r\n")
 }
 
-/// A call with these further header lines.
-fn call_with(method: &str, headers: &str) -> Incoming {
+/// A request with additional header lines.
+fn request_with(method: &str, headers: &str) -> Incoming {
     let request = format!(
         "{method} /q/00000000000000a1 HTTP/1.1\r\nHost: h\r\n{headers}\
         Content-Length: 2\r\n\r\n"
     );
     let limits = head::Limits::default();
-    let head: Option<Head> = head::parse(request.as_bytes(), &limits).expect("it is HTTP");
+    let head: Option<Head> =
+        head::parse(request.as_bytes(), &limits).expect("the head is valid HTTP");
     Incoming {
-        head: head.expect("it is whole"),
+        head: head.expect("the head is complete"),
         body: b"{}".to_vec(),
         peer: nowhere(),
         arrived: Instant::now(),
@@ -103,7 +107,7 @@
 }
 
 /// Makes this leader known to a member.
-fn follow(shared: &Shared, epoch: u64, addr: SocketAddr) {
+fn set_leader(shared: &Shared, epoch: u64, addr: SocketAddr) {
     let leader = Leader {
         epoch,
         member: "front-a-2".into(),
@@ -113,123 +117,131 @@
     assert!(shared.follow(&leader, true));
 }
 
-fn told(addr: SocketAddr) -> (u16, bool) {
-    told_of(addr, &post())
+/// Status of the answer to a POST while `addr` is known as the leader, and whether the answer has a
+/// `Retry-After`.
+fn response_to_post(addr: SocketAddr) -> (u16, bool) {
+    response_to(addr, &post_request())
 }
 
-fn told_of(addr: SocketAddr, incoming: &Incoming) -> (u16, bool) {
+fn response_to(addr: SocketAddr, incoming: &Incoming) -> (u16, bool) {
     let shared = Shared::new(site());
-    follow(&shared, 1, addr);
+    set_leader(&shared, 1, addr);
     let response = callers::answer(&shared, incoming);
-    let has_retry = response
+    let has_retry_after = response
         .headers
         .iter()
         .any(|(name, _)| name == "Retry-After");
-    (response.status_code, has_retry)
+    (response.status_code, has_retry_after)
 }
 
 #[test]
-fn the_answer_of_the_leader_is_passed_back() {
-    assert_eq!(told(leader(&[ACCEPTED])), (200, false));
-    assert_eq!(told(leader(&[REFUSED])), (503, true));
+fn the_leaders_answer_is_returned() {
+    assert_eq!(response_to_post(leader(&[ACCEPTED])), (200, false));
+    assert_eq!(response_to_post(leader(&[REFUSED])), (503, true));
 }
 
 #[test]
-fn without_a_leader_callers_are_told_when_to_come_back() {
-    assert_eq!(told(nowhere()), (503, true));
+fn without_a_leader_the_answer_has_a_retry_after() {
+    assert_eq!(response_to_post(nowhere()), (503, true));
 }
 
 /// Guards against reporting a job as refused though it may run: the first attempt may have stored
 /// the job, its answer is lost, and the next attempt is refused.
 #[test]
-fn a_refusal_after_a_try_that_may_have_worked_is_not_passed_back() {
-    assert_eq!(told(leader(&[UNKNOWN, REFUSED])), (504, false));
-    assert_eq!(told(leader(&[UNKNOWN, NO_ROOM])), (504, false));
-    assert_eq!(told(leader(&[UNKNOWN, ACCEPTED])), (200, false));
+fn a_refusal_after_a_possibly_executed_attempt_is_not_returned() {
+    assert_eq!(response_to_post(leader(&[UNKNOWN, REFUSED])), (504, false));
+    assert_eq!(
+        response_to_post(leader(&[UNKNOWN, UNAVAILABLE])),
+        (504, false)
+    );
+    assert_eq!(response_to_post(leader(&[UNKNOWN, ACCEPTED])), (200, false));
 }
 
 /// Guards against reporting a job as never accepted while its tasks run and are charged: the first
 /// attempt submits it and the answer is lost, then the caller's key is withdrawn or its queue
 /// removed, and the next attempt is refused for that.
 #[test]
-fn no_refusal_is_passed_back_after_a_try_that_may_have_worked() {
+fn no_kind_of_refusal_is_returned_after_a_possibly_executed_attempt() {
     for refusal in [NO_KEY, NO_QUEUE, MALFORMED] {
-        assert_eq!(told(leader(&[UNKNOWN, refusal])), (504, false));
-        let cancel = call("DELETE");
-        assert_eq!(told_of(leader(&[UNKNOWN, refusal]), &cancel), (504, false));
+        assert_eq!(response_to_post(leader(&[UNKNOWN, refusal])), (504, false));
+        let cancel = request("DELETE");
+        assert_eq!(
+            response_to(leader(&[UNKNOWN, refusal]), &cancel),
+            (504, false)
+        );
     }
     assert_eq!(
-        told_of(leader(&[UNKNOWN, GONE]), &call("DELETE")),
+        response_to(leader(&[UNKNOWN, GONE]), &request("DELETE")),
         (410, false)
     );
 }
 
 /// Guards against filling the link with whole jobs that the leader is going to refuse.
 #[test]
-fn jobs_of_a_queue_that_the_leader_refuses_are_only_asked_about() {
+fn jobs_of_a_refused_queue_are_forwarded_as_confirmations() {
     const QUEUE_REFUSED: &str = "HTTP/1.1 503 Busy\r\nX-Leader-Epoch: 1\r\nRetry-After: 9\r\n\
         X-Queue-Refused-Ms: 9000\r\nContent-Length: 2\r\n\r\n{}";
-    let (addr, methods) = noting_leader(&[QUEUE_REFUSED, GONE, ACCEPTED]);
+    let (addr, methods) = recording_leader(&[QUEUE_REFUSED, GONE, ACCEPTED]);
     let shared = Shared::new(site());
-    follow(&shared, 1, addr);
-    let told = [(); 3].map(|()| callers::answer(&shared, &post()).status_code);
-    assert_eq!(told, [503, 503, 200]);
-    let methods = methods.lock().expect("no test panics here");
-    assert_eq!(*methods, ["POST", "POST question", "POST question"]);
+    set_leader(&shared, 1, addr);
+    let statuses = [(); 3].map(|()| callers::answer(&shared, &post_request()).status_code);
+    assert_eq!(statuses, [503, 503, 200]);
+    let methods = methods.lock().expect("no thread panics with the lock held");
+    assert_eq!(*methods, ["POST", "POST confirmation", "POST confirmation"]);
 }
 
 /// Guards against a 504 for a request although a later leader knows that it wasn't executed.
 #[test]
-fn a_later_leader_settles_what_became_of_an_unanswered_try() {
+fn a_later_leaders_answer_is_conclusive_after_an_unanswered_attempt() {
     for (later, answer) in [
-        (REFUSED_LATER, (503, true)),
-        (NO_KEY_LATER, (401, false)),
+        (REFUSED_BY_LATER_LEADER, (503, true)),
+        (NO_KEY_BY_LATER_LEADER, (401, false)),
         (ACCEPTED, (200, false)),
     ] {
-        assert_eq!(told(leader(&[UNKNOWN, later])), answer);
+        assert_eq!(response_to_post(leader(&[UNKNOWN, later])), answer);
     }
 }
 
 /// Guards against executing an attempt that arrives late, after a later leadership of the same
 /// process has answered.
 #[test]
-fn a_request_for_another_leadership_is_not_taken() {
+fn a_request_for_another_leadership_is_rejected() {
     let shared = Shared::new(site());
-    let (events, taken) = std::sync::mpsc::channel();
+    let (events, received) = std::sync::mpsc::channel();
     shared.set_leading(Some(Leading { epoch: 7, events }));
-    let incoming = call_with("POST", &format!("{}: 6\r\n", wire::FOR_EPOCH));
-    let response = callers::answer_passed_on(&shared, &incoming, "/q/00000000000000a1");
+    let incoming = request_with("POST", &format!("{}: 6\r\n", wire::FOR_EPOCH_HEADER));
+    let response = callers::answer_forwarded(&shared, &incoming, "/q/00000000000000a1");
     assert_eq!(response.status_code, 421);
-    assert!(taken.try_recv().is_err());
+    assert!(received.try_recv().is_err());
 }
 
 /// A leader that accepts connections and answers nothing, with the number of connections.
 fn silent_leader() -> (SocketAddr, Arc<AtomicUsize>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let addr = listener.local_addr().expect("the socket is bound");
     let accepted = Arc::new(AtomicUsize::new(0));
     let count = accepted.clone();
     std::thread::spawn(move || {
         let streams = listener.incoming().inspect(|_| {
             count.fetch_add(1, Ordering::SeqCst);
         });
-        let kept: Vec<_> = streams.collect();
-        drop(kept);
+        let open: Vec<_> = streams.collect();
+        drop(open);
     });
     (addr, accepted)
 }
 
 /// Starts `count` concurrent callers, each with a deadline that allows for one attempt. The threads
 /// return the statuses of the answers.
-fn call_at_once(shared: &Arc<Shared>, count: usize) -> Vec<JoinHandle<u16>> {
-    let one = |_| {
+fn call_concurrently(shared: &Arc<Shared>, count: usize) -> Vec<JoinHandle<u16>> {
+    let start_caller = |_| {
         let shared = shared.clone();
         std::thread::spawn(move || {
-            let incoming = call_with("POST", "Deadline-Ms: 1600\r\n");
+            let incoming = request_with("POST", "Deadline-Ms: 1600\r\n");
             callers::answer(&shared, &incoming).status_code
         })
     };
-    (0..count).map(one).collect()
+    (0..count).map(start_caller).collect()
 }
 
 /// Guards against a member that keeps forwarding requests to a leader that doesn't answer.
@@ -237,43 +249,46 @@
 fn requests_beyond_the_window_are_refused_unsent() {
     let (addr, accepted) = silent_leader();
     let shared = Arc::new(Shared::new(site()));
-    follow(&shared, 1, addr);
-    let callers = call_at_once(&shared, 24);
-    let told: Vec<_> = callers
+    set_leader(&shared, 1, addr);
+    let callers = call_concurrently(&shared, 24);
+    let statuses: Vec<_> = callers
         .into_iter()
-        .map(|caller| caller.join().expect("it is answered"))
+        .map(|caller| caller.join().expect("the caller doesn't panic"))
         .collect();
-    let refused = told.iter().filter(|status| **status == 503).count();
-    assert_eq!(refused, 8, "{told:?}");
+    let refused = statuses.iter().filter(|status| **status == 503).count();
+    assert_eq!(refused, 8, "{statuses:?}");
     assert_eq!(accepted.load(Ordering::SeqCst), 16);
 }
 
 /// Guards against leaking slots when the leader changes while requests wait for one.
 #[test]
-fn every_place_in_the_window_is_given_back_when_the_leader_changes() {
+fn all_slots_are_released_when_the_leader_changes() {
     let (addr, _) = silent_leader();
     let shared = Arc::new(Shared::new(site()));
-    follow(&shared, 1, addr);
-    let callers = call_at_once(&shared, 24);
+    set_leader(&shared, 1, addr);
+    let callers = call_concurrently(&shared, 24);
     std::thread::sleep(Duration::from_millis(100));
-    follow(&shared, 2, leader(&[REFUSED_LATER]));
-    assert_eq!(callers::answer(&shared, &post()).status_code, 503);
+    set_leader(&shared, 2, leader(&[REFUSED_BY_LATER_LEADER]));
+    assert_eq!(callers::answer(&shared, &post_request()).status_code, 503);
     for caller in callers {
-        caller.join().expect("it is answered");
+        caller.join().expect("the caller doesn't panic");
     }
     assert_eq!(shared.forwarding.in_flight(), 0);
 }
 
 /// Reads have no effect and can always be repeated: the answer says when.
 #[test]
-fn a_read_without_an_answer_was_not_done() {
-    assert_eq!(told_of(leader(&[UNKNOWN]), &call("GET")), (503, true));
+fn an_unanswered_read_counts_as_not_executed() {
+    assert_eq!(
+        response_to(leader(&[UNKNOWN]), &request("GET")),
+        (503, true)
+    );
     assert_eq!(
-        told_of(leader(&[UNKNOWN, NO_KEY]), &call("GET")),
+        response_to(leader(&[UNKNOWN, NO_KEY]), &request("GET")),
         (401, false)
     );
     assert_eq!(
-        told_of(leader(&[UNKNOWN, GONE]), &call("GET")),
+        response_to(leader(&[UNKNOWN, GONE]), &request("GET")),
         (410, false)
     );
 }
@@ -281,8 +296,11 @@
 /// Guards against taking the refusal of a connection for the leader's answer: a leader that shuts
 /// down refuses connections before it reads a request, which the next leader may still accept.
 #[test]
-fn a_process_that_turns_connections_away_did_not_answer() {
-    assert_eq!(told(leader(&[NO_ROOM, ACCEPTED])), (200, false));
+fn a_refused_connection_does_not_count_as_an_answer() {
+    assert_eq!(
+        response_to_post(leader(&[UNAVAILABLE, ACCEPTED])),
+        (200, false)
+    );
 }
 
 /// Guards against a leader that runs out of connections and refuses jobs and reads while its CPU is
@@ -291,8 +309,8 @@
 #[test]
 fn callers_share_the_connections_to_the_leader() {
     const CALLERS: usize = 24;
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port is free");
+    let addr = listener.local_addr().expect("the socket is bound");
     let accepted = Arc::new(AtomicUsize::new(0));
     let count = accepted.clone();
     std::thread::spawn(move || {
@@ -314,11 +332,12 @@
         }
     });
     let shared = Arc::new(Shared::new(site()));
-    follow(&shared, 1, addr);
+    set_leader(&shared, 1, addr);
     for _ in 0..CALLERS {
         let shared = shared.clone();
-        let caller = std::thread::spawn(move || callers::answer(&shared, &post()).status_code);
-        assert_eq!(caller.join().expect("it is answered"), 200);
+        let caller =
+            std::thread::spawn(move || callers::answer(&shared, &post_request()).status_code);
+        assert_eq!(caller.join().expect("the caller doesn't panic"), 200);
     }
     let accepted = accepted.load(Ordering::SeqCst);
     assert!(
