--- a/pomelohitchd/src/fleet/calls.rs
+++ b/pomelohitchd/src/fleet/calls.rs
@@ -29,8 +29,8 @@
 const MAX_CONCURRENT_ORDERS: usize = 3;
 /// Connections to an endpoint that are kept open: for its orders, and one for a poll.
 const KEPT_CONNECTIONS: usize = MAX_CONCURRENT_ORDERS + 1;
-/// Timeout of a poll beyond the time that the endpoint may wait, while answers are prompt. While
-/// they are slow, the timeout grows with that of orders.
+/// A poll times out this long after the wait that the endpoint is asked for, while answers are
+/// prompt. While they are slow, the margin grows with the timeout of orders.
 const POLL_MARGIN: Duration = Duration::from_millis(250);
 /// Timeouts of orders. Endpoints answer within a few milliseconds; the result of an unanswered
 /// order shows in a later poll.
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -39,8 +39,8 @@
     shortest: Duration::from_millis(220),
     longest: Duration::from_millis(800),
 };
-/// Timeout of a poll beyond the time that the endpoint may wait, in addition to the timeout of an
-/// order.
+/// A poll times out this long, plus the timeout of an order, after the wait that the endpoint is
+/// asked for.
 const POLL_MARGIN: Duration = Duration::from_millis(200);
 
 /// A call to be relayed.
@@ -195,7 +195,7 @@
         self.fail_all(&mut rx.borrow_mut());
     }
 
-    /// Sends commands as they come, all that are queued in one frame.
+    /// Sends requests; all commands that are queued at a time share a frame.
     async fn send(
         &self,
         writer: &mut Writer<OwnedWriteHalf>,
--- a/pomelohitchd/src/fleet/relay/server.rs
+++ b/pomelohitchd/src/fleet/relay/server.rs
@@ -46,7 +46,7 @@
 /// Handler of datagrams; returns the reply, if any.
 pub type DatagramHandler = Box<dyn Fn(&[u8]) -> Option<Vec<u8>>>;
 
-/// Serves leaders until the process ends: makes their calls, and has `answer` handle datagrams.
+/// Serves leaders until the process ends: makes their calls, and passes datagrams to `handler`.
 ///
 /// # Errors
 /// If the address can't be bound, or the async runtime can't be created.
@@ -131,7 +131,7 @@
     session.run(&mut reader).await
 }
 
-/// Sends replies, all that are queued in one frame, until all senders are dropped.
+/// Sends replies until all senders are dropped; those that are queued at a time share a frame.
 async fn send_replies(mut writer: Writer<OwnedWriteHalf>, mut rx: UnboundedReceiver<Reply>) {
     let mut replies = Vec::new();
     loop {
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -68,7 +68,8 @@
 pub struct Shared {
     /// When the process started.
     pub began: Steady,
-    /// Start time in milliseconds since 1970; tells this process from earlier ones of its member.
+    /// Start time in milliseconds since 1970; distinguishes the process from its member's earlier
+    /// ones.
     pub began_ms: u64,
     /// The current settings.
     pub site: ArcSwap<Site>,
