--- a/crates/pomelohitch-core/src/config.rs
+++ b/crates/pomelohitch-core/src/config.rs
@@ -1,8 +1,8 @@
-//! Teams, pools and services as the fleet files state them.
+//! Teams, pools and services as declared in the fleet files.
 //!
-//! Parsing lives in `pomelohitch-config`; here are the checked values, the merged view over all
-//! files, and the rules that hold across files. The fold applies the same rules to a publish at
-//! its own offset that `pomelohitch check` applies beforehand.
+//! Parsing is in `pomelohitch-config`. This module has the validated values, the merged view of all
+//! files, and the rules across files. `pomelohitch check` applies the same rules as the fold does
+//! on a publish.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,41 +11,41 @@
 
 use crate::id::{FilePath, KeyHash, Offset, PoolId, ServiceId, TeamId};
 
-/// A team: whose work it is, what it is owed, and how much it may have running.
+/// A team, with its share, its limit and its API keys.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
-    /// Its id.
+    /// Id of the team.
     pub id: TeamId,
-    /// Its weight when everything is full, relative to the other teams.
+    /// Weight relative to other teams, for dividing the capacity when it is exhausted.
     pub share: u32,
-    /// The most that may run at once over the whole fleet, requests and jobs together.
+    /// Maximum number of concurrent requests and jobs together, over the whole fleet.
     pub limit: u32,
-    /// Hashes of the keys that it may show.
+    /// Hashes of the team's API keys.
     pub keys: Vec<KeyHash>,
 }
 
-/// A pool of instances. Which instances are in it is state, not configuration.
+/// A pool of instances. Its instances are part of the state, not of the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Its id.
+    /// Id of the pool.
     pub id: PoolId,
-    /// Whether its instances are the first to be lent to other pools.
+    /// Whether instances are moved to other pools from this one first.
     #[serde(default)]
     pub spare: bool,
-    /// How many of its instances stay in it whatever other pools ask for.
+    /// Minimum number of instances that moves to other pools leave in this one.
     #[serde(default)]
     pub floor: u32,
 }
 
-/// The share of requests that a service means to answer in time.
+/// Service-level objective: the target share of requests that are answered in time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Objective {
-    /// An answer later than this counts as bad.
+    /// Latency above which an answer counts as bad.
     #[serde(with = "crate::millis")]
     pub within: Duration,
-    /// Good answers in a million that the service means to reach, below 1,000,000.
+    /// Target for good answers, in parts per million; below 1,000,000.
     pub good_ppm: u32,
-    /// Over how long the objective is counted.
+    /// Period over which the objective is evaluated.
     #[serde(with = "crate::millis")]
     pub window: Duration,
 }
@@ -53,30 +53,30 @@
 /// A service: endpoints in one pool that answer requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its id, also the name in `/s/SERVICE/PATH`.
+    /// Id of the service, also the name in `/s/SERVICE/PATH`.
     pub id: ServiceId,
-    /// The pool whose instances are its runners.
+    /// Pool whose instances are the service's runners.
     pub pool: PoolId,
-    /// Availability budget: at least this many of the pool's instances stay active.
+    /// Availability budget: minimum number of active instances in the pool.
     pub min_available: u32,
-    /// How many requests one runner runs at once.
+    /// Maximum number of concurrent requests per runner.
     pub slots: u32,
-    /// How many connections one runner accepts.
+    /// Maximum number of connections per runner.
     pub connections: u32,
-    /// How long a request may wait and run when the caller states no timeout.
+    /// Default timeout of a request, for waiting and running together.
     #[serde(with = "crate::millis")]
     pub timeout: Duration,
-    /// After this a request that was sent is certainly not running any more.
+    /// Maximum run time of a request: this long after it was sent, it is certainly not running.
     #[serde(with = "crate::millis")]
     pub longest_run: Duration,
-    /// How many requests wait at one entry instance at the most.
+    /// Maximum number of requests queued at one entry instance.
     pub queue: u32,
-    /// The service-level objective, if the service has one.
+    /// Service-level objective, if any.
     #[serde(default)]
     pub objective: Option<Objective>,
 }
 
-/// What one fleet file declares.
+/// Declarations in one fleet file.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetFile {
     /// Teams declared in the file.
@@ -90,55 +90,55 @@
     pub services: Vec<Service>,
 }
 
-/// A file in force, with the offset of the record that last changed it.
+/// A fleet file in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileInForce {
-    /// The offset of the publish that put this content in force.
+    /// Offset of the publish that last changed the file.
     pub version: Offset,
-    /// The content.
+    /// Content of the file.
     pub file: FleetFile,
 }
 
-/// A rule across files that a set of files breaks.
+/// Violation of a rule across fleet files.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fault {
-    /// The same kind of thing is declared twice under one id.
+    /// Two declarations of the same kind have the same id.
     Duplicate {
         /// `team`, `pool`, `service` or `key`.
         kind: Box<str>,
-        /// The id that stands twice.
+        /// Id that is declared twice.
         id: Box<str>,
     },
     /// A service names a pool that no file declares.
     UnknownPool {
-        /// The service.
+        /// Id of the service.
         service: ServiceId,
-        /// The pool that it names.
+        /// Id of the undeclared pool.
         pool: PoolId,
     },
 }
 
-/// The configuration in force: every file, and the views that look-ups need.
+/// Configuration in force: all fleet files, and indexes over their declarations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
-    /// Every file in force by its path.
+    /// Fleet files by path.
     pub files: BTreeMap<FilePath, FileInForce>,
-    /// Every team by its id.
+    /// Teams by id.
     pub teams: BTreeMap<TeamId, Team>,
-    /// Every pool by its id.
+    /// Pools by id.
     pub pools: BTreeMap<PoolId, Pool>,
-    /// Every service by its id.
+    /// Services by id.
     pub services: BTreeMap<ServiceId, Service>,
-    /// Which team shows a key, by the key's hash.
+    /// Teams by the hashes of their keys.
     pub keys: BTreeMap<KeyHash, TeamId>,
 }
 
 impl Config {
-    /// Builds the views over `files`, or tells every rule across files that they break.
+    /// Builds the configuration from `files`, and checks the rules across files.
     ///
     /// # Errors
-    /// All faults at once, sorted, so that an operator mends them in one go.
+    /// All violations, sorted, so that an operator can fix them together.
     pub fn from_files(files: BTreeMap<FilePath, FileInForce>) -> Result<Config, Vec<Fault>> {
         let mut config = Config::default();
         let mut faults = Vec::new();
@@ -162,6 +162,7 @@
         }
     }
 
+    /// Adds the declarations of `file`, and a fault for each duplicate id or key.
     fn add(&mut self, file: &FleetFile, faults: &mut Vec<Fault>) {
         let mut duplicate = |kind: &str, id: &str| {
             faults.push(Fault::Duplicate {
@@ -195,7 +196,7 @@
         }
     }
 
-    /// The services whose runners are the instances of `pool`.
+    /// Services whose runners are the instances of `pool`.
     pub fn services_of<'a>(&'a self, pool: &'a str) -> impl Iterator<Item = &'a Service> {
         self.services
             .values()
--- a/crates/pomelohitch-core/src/id.rs
+++ b/crates/pomelohitch-core/src/id.rs
@@ -1,38 +1,39 @@
-//! Ids and other short aliases.
+//! Type aliases for ids, offsets and times.
 
 use std::time::Duration;
 
-/// The id of a team: work is accepted, shared out and limited by team.
+/// Id of a team, the unit by which work is authenticated, shared and limited.
 pub type TeamId = Box<str>;
-/// The id of a service.
+/// Id of a service.
 pub type ServiceId = Box<str>;
-/// The id of a pool of instances.
+/// Id of a pool of instances.
 pub type PoolId = Box<str>;
-/// The id of an owned instance, whichever pool it is in.
+/// Id of an instance; it stays the same when the instance moves to another pool.
 pub type InstanceId = Box<str>;
-/// The name of an availability zone.
+/// Name of an availability zone.
 pub type ZoneId = Box<str>;
-/// The name of a rack inside an availability zone.
+/// Name of a rack, unique within its availability zone.
 pub type RackId = Box<str>;
-/// The id of an entry instance as a member of the system.
+/// Id of an entry instance as a member.
 pub type MemberId = Box<str>;
-/// The id of a batch job.
+/// Id of a batch job.
 pub type JobId = Box<str>;
-/// Jobs of one class are taken to behave alike: same program, same kind of input.
+/// Class of a job. Jobs of a class run the same program on the same kind of input, so they are
+/// assumed to behave alike.
 pub type JobClass = Box<str>;
-/// The path of a fleet file inside the published tree.
+/// Path of a fleet file, relative to the root of the published tree.
 pub type FilePath = Box<str>;
-/// The hash of a key, in hexadecimal.
+/// Hash of a key, in lower-case hexadecimal.
 pub type KeyHash = Box<str>;
 
-/// The place of a record in the log's stream; the first record has offset 0.
+/// Position of a record in a stream of the log; the first record has offset 0.
 pub type Offset = u64;
-/// One run of an entry instance's process: the offset of the join record that began it.
+/// Identifies one run of an entry instance's process by the offset of its join record.
 pub type Incarnation = Offset;
-/// Counts the planners that followed one another; a decision is accepted only in its own term.
+/// Number of the planner's term. A decision is accepted only in the term in which it was made.
 pub type Term = u64;
-/// Tells a record from every other, so that the same record appended twice counts once.
+/// Unique id of a record, by which a record that is appended twice is applied once.
 pub type RecordId = uuid::Uuid;
-/// Wall-clock time since the Unix epoch, as the writer of a record saw it. For people and
-/// reports; the fold never compares it with a clock.
+/// Wall-clock time since the Unix epoch, by the clock of the record's proposer. Only for display
+/// and reports: the fold never compares it with a clock.
 pub type Timestamp = Duration;
--- a/crates/pomelohitch-core/src/key.rs
+++ b/crates/pomelohitch-core/src/key.rs
@@ -1,19 +1,19 @@
-//! Hashing and comparing the keys of teams.
+//! Hashing and comparison of team API keys.
 //!
-//! Keys are random and long, so a plain fast hash keeps them secret; only hashes are published,
-//! stored and compared.
+//! Only hashes of keys are published, stored and compared. Keys are long and random, so a fast
+//! unsalted hash is enough to protect them.
 
 use subtle::ConstantTimeEq;
 
 use crate::id::KeyHash;
 
-/// The hash under which `key` is published and looked up.
+/// Returns the hash of `key`, in lower-case hexadecimal, as fleet files list it.
 #[must_use]
 pub fn hash(key: &str) -> KeyHash {
     blake3::hash(key.as_bytes()).to_hex().as_str().into()
 }
 
-/// Whether `key` hashes to `expected`, in time that doesn't depend on where they differ.
+/// Whether the hash of `key` is `expected`. The comparison runs in constant time.
 #[must_use]
 pub fn matches(key: &str, expected: &str) -> bool {
     hash(key).as_bytes().ct_eq(expected.as_bytes()).into()
--- a/crates/pomelohitch-core/src/lib.rs
+++ b/crates/pomelohitch-core/src/lib.rs
@@ -1,18 +1,20 @@
 //! Ids, records and the fold that every process of pomelohitch shares.
 //!
-//! The platform's append-only log is the only thing that lasts. Whatever has to be agreed is a
-//! [`Record`] in one stream of that log, and every process computes the same [`State`] from it
-//! with [`State::apply`]: a pure, deterministic function with no I/O and no clock. A record is a
-//! *proposal*; the fold accepts or rejects it by the state at its own offset, so that two
-//! proposers that race, or an append that took effect twice, can waste work but not break a rule.
+//! The platform's append-only log is the only durable storage. Everything on which processes have
+//! to agree is a [`Record`] in one stream of that log. Every process computes the same [`State`]
+//! from the stream with [`State::apply`], a deterministic function without I/O or clock. A record
+//! is a *proposal*: the fold accepts or rejects it according to the state at its own offset. So
+//! proposals that race, or an append that took effect twice, can waste work but can't violate a
+//! rule.
 //!
-//! * [`id`]: ids and other short aliases.
-//! * [`key`]: hashing and comparing the keys of teams.
-//! * [`config`]: teams, pools and services as the fleet files state them.
-//! * [`record`]: what may stand in the log.
-//! * [`state`]: the fold, and the state that it gives.
-//! * [`status`]: what operators see of the state.
-//! * [`snapshot`]: the state in chunks, for readers that can't read the log from its beginning.
+//! * [`id`]: type aliases for ids, offsets and times.
+//! * [`key`]: hashing and comparison of team API keys.
+//! * [`config`]: teams, pools and services as declared in the fleet files.
+//! * [`record`]: the records of the log.
+//! * [`state`]: the fold, and the state that it produces.
+//! * [`status`]: the status that operators see.
+//! * [`snapshot`]: snapshots, for readers that can't read the log from its beginning.
+//! * [`millis`]: serialisation of durations in milliseconds.
 
 pub mod config;
 pub mod id;
--- a/crates/pomelohitch-core/src/millis.rs
+++ b/crates/pomelohitch-core/src/millis.rs
@@ -4,15 +4,15 @@
 
 use serde::{Deserialize, Deserializer, Serializer};
 
-/// Writes `duration` as milliseconds; longer than `u64` milliseconds is cut to the largest value.
+/// Writes `duration` in milliseconds, saturating at `u64::MAX`.
 ///
 /// # Errors
-/// Those of the serializer.
+/// If the serializer fails.
 pub fn serialize<S: Serializer>(duration: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_u64(u64::try_from(duration.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// Reads milliseconds.
+/// Reads a duration in milliseconds.
 ///
 /// # Errors
 /// If the input isn't an unsigned integer.
--- a/crates/pomelohitch-core/src/record.rs
+++ b/crates/pomelohitch-core/src/record.rs
@@ -1,7 +1,8 @@
-//! What may stand in the log's `fleet` stream.
+//! Records of the log's `fleet` stream.
 //!
-//! Configuration and decisions share one stream: a rule such as "a drain breaks no budget" reads
-//! both, and two streams have no common order, so that two readers could judge it differently.
+//! Configuration and decisions share one stream. Some rules depend on both, for example that a
+//! drain must not violate an availability budget. Two streams have no common order, so two readers
+//! could come to different verdicts.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,41 +18,42 @@
 
 pub mod job;
 
-/// The stream that the fold reads.
+/// Name of the stream that the fold reads.
 pub const FLEET_STREAM: &str = "fleet";
 
-/// A record couldn't be read from its bytes.
+/// A record could not be decoded.
 #[derive(Debug, Snafu)]
 #[snafu(display("could not decode a record: {source}"))]
 pub struct DecodeError {
     source: serde_json::Error,
 }
 
-/// The result of this module.
+/// Result type of this module.
 pub type Result<T, E = DecodeError> = std::result::Result<T, E>;
 
-/// One proposal, as it stands in the log.
+/// A proposal, as stored in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// The same for every append of this proposal.
+    /// Id of the proposal, the same in every attempt to append it.
     pub id: RecordId,
-    /// The proposer's next offset to read when it wrote the record. A record that lands too far
-    /// behind it is rejected, which bounds how long ids of earlier records have to be remembered.
+    /// Next offset that the proposer had to read when it created the record. The record is rejected
+    /// if its own offset is more than [`REPEAT_WINDOW`](crate::state::REPEAT_WINDOW) past this one,
+    /// so record ids need to be kept only for that window.
     pub after: Offset,
-    /// When it was proposed.
+    /// Time of the proposal.
     #[serde(with = "crate::millis")]
     pub at: Timestamp,
-    /// Who proposed it: a member or an operator.
+    /// Proposer: a member or an operator.
     pub by: Box<str>,
-    /// The proposal itself.
+    /// Content of the proposal.
     pub body: Body,
 }
 
 impl Record {
-    /// The bytes that are appended.
+    /// Encodes the record as JSON for the log.
     ///
     /// # Panics
-    /// Never: no type of a record has a serialisation that can fail.
+    /// Never: serialisation can't fail for the types in a record.
     #[must_use]
     pub fn encode(&self) -> Box<str> {
         serde_json::to_string(self)
@@ -59,231 +61,235 @@
             .into()
     }
 
-    /// Reads a record from what the log returned.
+    /// Decodes a record from the log.
     ///
     /// # Errors
-    /// If `data` isn't a record that this version knows.
+    /// If `data` isn't a record of a kind that this version knows.
     pub fn decode(data: &str) -> Result<Record> {
         serde_json::from_str(data).context(DecodeSnafu)
     }
 }
 
-/// Every kind of proposal.
+/// Content of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
     /// An operator changes fleet files.
     Publish(Publish),
-    /// An operator withdraws a key at once, whatever the files say.
+    /// An operator withdraws a key, even if a fleet file still lists it.
     WithdrawKey(WithdrawKey),
     /// An entry instance starts.
     Join(Join),
-    /// An entry instance has stopped, or its peers hold it for dead.
+    /// An entry instance has stopped, or its peers consider it dead.
     Leave(Leave),
     /// A member becomes the planner.
     TakeTerm(TakeTerm),
-    /// The planner decides about instances.
+    /// The planner decides about an instance or a wave.
     Fleet(FleetDecision),
-    /// Maintenance waves are started, paused or resumed.
+    /// Maintenance is started, paused or resumed.
     Maintain(MaintainOrder),
-    /// Batch work: submitted, cancelled, placed, ended.
+    /// Batch jobs are submitted, cancelled, decided on or reported on.
     Job(job::JobRecord),
-    /// The home of a team's permits moves the border between its requests and its jobs.
+    /// The home of a team's permits changes the split of the team's limit.
     DivideLimit(DivideLimit),
 }
 
-/// All changes of one publish; they come into force together or not at all.
+/// Changes to fleet files, which take effect together or not at all.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Publish {
-    /// Each file to change. A file that isn't named stays as it is.
+    /// Changes by path. Files that are not listed stay unchanged.
     pub changes: BTreeMap<FilePath, FileChange>,
 }
 
-/// A change of one file.
+/// Change of one fleet file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileChange {
-    /// The version that the operator started from; `None` if the file was not there.
+    /// Version on which the change is based; `None` if the file didn't exist.
     pub base: Option<Offset>,
-    /// The new content; `None` removes the file.
+    /// New content; `None` removes the file.
     pub file: Option<FleetFile>,
 }
 
-/// Withdraws a key for good.
+/// Withdraws a key permanently.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WithdrawKey {
-    /// The hash of the key.
+    /// Hash of the key.
     pub key: KeyHash,
 }
 
-/// A new incarnation of a member.
+/// Starts a new incarnation of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Join {
-    /// Its id; the same id joining again ends the earlier incarnation.
+    /// Id of the member. A join under the same id ends the earlier incarnation.
     pub member: MemberId,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Where its peers reach it.
+    /// Address for connections from peers.
     pub peer_addr: SocketAddr,
 }
 
-/// The end of an incarnation.
+/// Ends an incarnation of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Leave {
-    /// The member.
+    /// Id of the member.
     pub member: MemberId,
-    /// The incarnation that ends; a later one isn't touched.
+    /// Incarnation to end; a later one isn't affected.
     pub incarnation: Incarnation,
 }
 
-/// A member becomes the planner.
+/// Makes a member the planner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TakeTerm {
-    /// The member.
+    /// Id of the member.
     pub member: MemberId,
-    /// Its incarnation.
+    /// Current incarnation of the member.
     pub incarnation: Incarnation,
-    /// The term it begins: one more than the one before, or it lost the race.
+    /// Term to begin. Rejected unless it is one more than the current term, so only one of several
+    /// competing members succeeds.
     pub term: Term,
 }
 
-/// Moves the border between a team's requests and its jobs; see
+/// Changes the split of a team's limit between requests and jobs; see
 /// [`limits`](crate::state::limits).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DivideLimit {
-    /// The team.
+    /// Id of the team.
     pub team: TeamId,
-    /// The part of jobs; the rest is for requests.
+    /// Part of the limit for jobs; the rest is for requests.
     pub jobs: u32,
-    /// The set of members by which the proposer is the home of the team's permits.
+    /// Offset of the last membership change that the proposer knows. By that set of members, it is
+    /// the home of the team's permits.
     pub epoch: Offset,
-    /// The offset of the record that put the border where the proposer saw it.
+    /// Offset of the record that set the split on which this change is based; `None` if none did.
     pub base: Option<Offset>,
 }
 
-/// Decisions of the planner about instances, judged one by one in their order.
+/// Decision of the planner about an instance or a wave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetDecision {
-    /// The term in which it was decided.
+    /// Term in which the decision was made.
     pub term: Term,
-    /// What was decided.
+    /// The decision.
     pub step: FleetStep,
 }
 
-/// One decision about one instance.
+/// One step of the planner for an instance or a wave.
 ///
-/// `since` names the phase that the planner judged by the offset that began it. An append can
-/// land long after it was sent; without `since`, a late "it is back" would put an instance to work
-/// that was drained anew in the meantime.
+/// `since` is the offset that began the phase (or wave) on which the decision is based. An append
+/// can land long after it was sent: without `since`, a late `Return` would put an instance back to
+/// work that has been drained again in the meantime.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FleetStep {
-    /// An instance that the platform lists is taken into the pool that the platform has it in.
+    /// Adds an instance from the platform's list, in the pool in which the platform has it.
     Adopt {
-        /// Its id.
+        /// Id of the instance.
         instance: InstanceId,
-        /// The pool.
+        /// Pool of the instance.
         pool: PoolId,
-        /// Its availability zone.
+        /// Availability zone.
         zone: ZoneId,
-        /// Its rack.
+        /// Rack, named within the availability zone.
         rack: RackId,
-        /// Where it accepts requests.
+        /// Address at which the instance accepts requests.
         addr: SocketAddr,
     },
-    /// The instance gets no new work and finishes what it has.
+    /// Drains an instance: it gets no new work and finishes what it is running.
     Drain {
-        /// The instance.
+        /// Id of the instance.
         instance: InstanceId,
-        /// The phase that was judged.
+        /// Offset that began the phase on which the decision is based.
         since: Offset,
-        /// What the drain is for.
+        /// Purpose of the drain.
         purpose: DrainPurpose,
     },
-    /// The platform confirmed that nothing runs on the instance any more.
+    /// Records that the platform confirmed that nothing runs on a draining instance.
     Drained {
-        /// The instance.
+        /// Id of the instance.
         instance: InstanceId,
-        /// The phase that was judged.
+        /// Offset that began the phase on which the decision is based.
         since: Offset,
     },
-    /// The instance is back and takes work: after a reboot, a move, or a drain taken back.
+    /// Returns an instance to work after maintenance, a move or a cancelled drain.
     Return {
-        /// The instance.
+        /// Id of the instance.
         instance: InstanceId,
-        /// The phase that was judged.
+        /// Offset that began the phase on which the decision is based.
         since: Offset,
     },
-    /// The instance is lost: it failed, never came back, or isn't where it should be.
+    /// Records that an instance is lost: it failed, didn't come back, or isn't in the pool where it
+    /// should be.
     Fail {
-        /// The instance.
+        /// Id of the instance.
         instance: InstanceId,
-        /// The phase that was judged.
+        /// Offset that began the phase on which the decision is based.
         since: Offset,
     },
-    /// The platform no longer has the instance, or it will be adopted afresh. Only for an
-    /// instance that failed or left.
+    /// Removes an instance that failed or is leaving, because the platform no longer has it or it
+    /// is to be adopted again.
     Forget {
-        /// The instance.
+        /// Id of the instance.
         instance: InstanceId,
-        /// The phase that was judged.
+        /// Offset that began the phase on which the decision is based.
         since: Offset,
     },
-    /// Every instance that a wave covers was maintained or lost.
+    /// Ends a wave; all instances that it covers have been maintained or lost.
     EndWave {
-        /// The wave's pool.
+        /// Pool of the wave.
         pool: PoolId,
-        /// The offset that began the wave.
+        /// Offset that started the wave.
         since: Offset,
     },
 }
 
-/// What a drain is for.
+/// Purpose of a drain.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainPurpose {
-    /// The instance is maintained: it reboots and comes back to its pool.
+    /// Maintenance: the instance reboots and returns to its pool.
     Maintain,
-    /// The instance moves to another pool.
+    /// Move to this other pool.
     MoveTo(PoolId),
-    /// The platform said that the instance is leaving.
+    /// The platform announced that it takes the instance away.
     Leaving,
 }
 
-/// Starts, pauses or resumes maintenance; by an operator, or by the planner when it is due.
+/// Starts, pauses or resumes maintenance. Proposed by an operator, or by the planner when
+/// maintenance is due.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MaintainOrder {
-    /// Maintains every instance that is now in the pool, once.
+    /// Starts a wave that maintains every instance currently in the pool once.
     Start {
-        /// The pool.
+        /// Pool to maintain.
         pool: PoolId,
-        /// How widely the wave may spread at any time.
+        /// Limits on the failure domains affected at once.
         limits: WaveLimits,
     },
-    /// No further drain for maintenance, and no further move away.
+    /// Pauses drains for maintenance and moves out of the pool.
     Pause {
-        /// The pool; `None` for all pools.
+        /// Pool to pause; `None` for all pools.
         pool: Option<PoolId>,
     },
-    /// Takes a pause back.
+    /// Ends a pause.
     Resume {
-        /// The pool; `None` takes back the pause of all pools, not those of single ones.
+        /// Pool to resume; `None` ends the pause of all pools, but not pauses of single pools.
         pool: Option<PoolId>,
     },
 }
 
-/// Over how many failure domains the instances of a wave that are out of work may spread.
+/// Maximum number of failure domains in which a wave has instances in maintenance at once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveLimits {
-    /// Racks at once; `None` for any number.
+    /// Maximum number of racks; `None` for no limit.
     pub racks: Option<u32>,
-    /// Availability zones at once; `None` for any number.
+    /// Maximum number of availability zones; `None` for no limit.
     pub zones: Option<u32>,
 }
 
 impl Default for WaveLimits {
-    /// Two availability zones, so that the next one begins while the last instances of the one
-    /// before still reboot.
+    /// Two availability zones, so that the wave can continue in the next zone while the last
+    /// instances of the previous one still reboot.
     fn default() -> Self {
         WaveLimits {
             racks: None,
--- a/crates/pomelohitch-core/src/record/job.rs
+++ b/crates/pomelohitch-core/src/record/job.rs
@@ -1,4 +1,4 @@
-//! Records about batch work.
+//! Records about batch jobs.
 
 use std::time::Duration;
 
@@ -6,113 +6,116 @@
 
 use crate::id::{InstanceId, JobClass, JobId, Offset, TeamId, Term};
 
-/// The most placements that one record carries.
+/// Maximum number of placements in one record.
 pub const MAX_PLACEMENTS: usize = 1024;
 
-/// Tells one attempt to run a job from every other: the offset of the placement's record times
-/// [`MAX_PLACEMENTS`], plus the placement's index in it. Effects on the platform are keyed by it.
+/// Unique id of an attempt to run a job: the offset of the placement's record times
+/// [`MAX_PLACEMENTS`], plus the placement's index in the record. Requests to the platform use it as
+/// idempotency key.
 pub type AttemptId = u64;
 
-/// The id of the attempt that the placement at `index` of the record at `offset` begins.
+/// Id of the attempt that the placement at `index` of the record at `offset` begins.
 #[must_use]
 pub fn attempt_id(offset: Offset, index: usize) -> AttemptId {
     offset * MAX_PLACEMENTS as u64 + index as u64
 }
 
-/// A proposal about jobs. One record carries many jobs, so that appends stay few.
+/// A proposal about jobs. One record can carry many jobs, which keeps the number of appends low.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobRecord {
-    /// Jobs that callers handed in.
+    /// Submits jobs from callers.
     Submit(Vec<Job>),
-    /// Jobs that their team cancels.
+    /// Cancels jobs on behalf of their team.
     Cancel(Vec<JobId>),
-    /// The planner decides about jobs and workers.
+    /// Decisions of the planner about jobs and workers.
     Decide(JobDecision),
-    /// What the platform said of attempts.
+    /// Reports of the platform on attempts.
     Report {
-        /// The platform's reports before this position are dealt with.
+        /// Position in the platform's report stream after the last of these reports.
         next: u64,
-        /// What it said.
+        /// Reports to apply, in this order.
         reports: Vec<Report>,
     },
 }
 
-/// Decisions of the planner about batch work; they are judged one by one in their order.
+/// Decisions of the planner about batch jobs. An entry that doesn't fit the state of its job is
+/// ignored; the others still apply.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobDecision {
-    /// The term in which it was decided.
+    /// Term in which the decision was made.
     pub term: Term,
-    /// The offset of the last decision about jobs that the planner knew, 0 if none.
+    /// Offset of the last decision about jobs that the planner knew; 0 if none.
     pub after: Offset,
-    /// Attempts that are checkpointed or stopped, to make room or because their worker leaves.
+    /// Attempts to checkpoint or stop, to free capacity or because their worker is leaving.
     #[serde(default)]
     pub preempt: Vec<Preemption>,
-    /// Which job goes where, [`MAX_PLACEMENTS`] at the most.
+    /// Jobs to place on workers, at most [`MAX_PLACEMENTS`]; any beyond that are ignored.
     #[serde(default)]
     pub place: Vec<Placement>,
-    /// Waiting jobs that can never run.
+    /// Waiting jobs that fit no worker.
     #[serde(default)]
     pub refuse: Vec<JobId>,
-    /// Workers that fail what others don't; they get no work but probes.
+    /// Workers to quarantine, because jobs fail there that succeed elsewhere. They get only probe
+    /// jobs.
     #[serde(default)]
     pub quarantine: Vec<InstanceId>,
-    /// Workers whose probe went well.
+    /// Workers to release from quarantine, because their probe job succeeded.
     #[serde(default)]
     pub release: Vec<InstanceId>,
 }
 
-/// An attempt makes room.
+/// Preempts an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Preemption {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Its attempt.
+    /// Attempt to preempt; ignored if it is no longer the current one.
     pub attempt: AttemptId,
 }
 
-/// When a job wants to run.
+/// How urgently a job should start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Urgency {
-    /// Starts within seconds.
+    /// Should start within seconds.
     Urgent,
-    /// Waits for its turn.
+    /// Can wait until its team's share allows it to run.
     Patient,
 }
 
-/// An amount of each resource of a worker.
+/// Amounts of a worker's resources.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Resources {
-    /// Thousandths of a processor.
+    /// CPU in thousandths of a core.
     pub cpu_milli: u64,
     /// Memory in mebibytes.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators.
     pub accelerators: u64,
 }
 
-/// A job as its team declared it.
+/// A job as submitted by its team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Job {
-    /// Its id, derived from the team and the idempotency key where the caller gave one.
+    /// Id of the job, derived from the team and the idempotency key if the caller gave one.
     pub id: JobId,
-    /// Whose job it is.
+    /// Team that submitted the job.
     pub team: TeamId,
-    /// Jobs of one class behave alike.
+    /// Class of the job. Jobs of a class are assumed to have similar resource use and run time.
     pub class: JobClass,
-    /// When it wants to run.
+    /// Urgency of the job.
     pub urgency: Urgency,
-    /// What it needs, as declared; often far off.
+    /// Declared resource needs; often inaccurate.
     pub need: Resources,
-    /// How long it runs, as declared; often far off.
+    /// Declared run time; often inaccurate.
     #[serde(with = "crate::millis")]
     pub run_time: Duration,
-    /// Whether running it twice does no harm.
+    /// Whether it is safe to run the job more than once.
     pub idempotent: bool,
-    /// What the worker is to run.
+    /// Command that the worker runs.
     pub command: Box<str>,
     /// Jobs of a team with the same group are spread over availability zones and racks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -120,7 +123,7 @@
 }
 
 impl Resources {
-    /// Whether `self` is at least `need` in each resource.
+    /// Whether `self` is at least `need` in every resource.
     #[must_use]
     pub fn covers(&self, need: &Resources) -> bool {
         self.cpu_milli >= need.cpu_milli
@@ -128,7 +131,7 @@
             && self.accelerators >= need.accelerators
     }
 
-    /// The larger of both in each resource.
+    /// Maximum of both for each resource.
     #[must_use]
     pub fn larger(&self, other: &Resources) -> Resources {
         Resources {
@@ -138,7 +141,7 @@
         }
     }
 
-    /// The sum in each resource.
+    /// Sum for each resource, saturating.
     #[must_use]
     pub fn plus(&self, other: &Resources) -> Resources {
         Resources {
@@ -148,7 +151,7 @@
         }
     }
 
-    /// What is left in each resource after `other` is taken away; nothing goes below 0.
+    /// Difference for each resource, saturating at 0.
     #[must_use]
     pub fn minus(&self, other: &Resources) -> Resources {
         Resources {
@@ -159,51 +162,51 @@
     }
 }
 
-/// A job goes to a worker.
+/// Assigns a job to a worker.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// The worker.
+    /// Id of the worker.
     pub worker: InstanceId,
-    /// What is set aside for it there.
+    /// Resources to reserve on the worker.
     pub reserve: Resources,
 }
 
-/// What the platform said of an attempt.
+/// Report of the platform on an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// The attempt; reports of an earlier attempt don't touch a later one.
+    /// Id of the attempt; the report is ignored if it is no longer the current one.
     pub attempt: AttemptId,
-    /// What happened.
+    /// Event to apply.
     pub event: Event,
 }
 
-/// What happened to an attempt.
+/// Event in the life of an attempt, as reported by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// It runs.
+    /// The attempt started.
     Started,
-    /// It ended well.
+    /// The program finished successfully.
     Succeeded,
-    /// It ended badly.
+    /// The program failed.
     Failed,
-    /// It was ended for using more memory than was set aside.
+    /// The attempt was killed because it used more memory than was reserved.
     MemoryKilled {
-        /// How much it had used, in mebibytes.
+        /// Memory use at that time, in mebibytes.
         memory_mib: u64,
     },
-    /// Its state is saved, and it no longer runs.
+    /// A checkpoint was saved and the attempt has stopped.
     Checkpointed,
-    /// It was stopped without its state being saved.
+    /// The attempt was stopped without a checkpoint.
     Stopped,
-    /// The worker stopped it, because its lease wasn't renewed.
+    /// The worker stopped the attempt because its lease expired.
     LeaseExpired,
-    /// It certainly never began, and never will.
+    /// The attempt has not started and never will.
     NotStarted,
-    /// Whether it ran, or how it ended, can't be found out any more.
+    /// It can't be determined whether the attempt ran or how it ended.
     Unknown,
 }
--- a/crates/pomelohitch-core/src/snapshot.rs
+++ b/crates/pomelohitch-core/src/snapshot.rs
@@ -1,9 +1,9 @@
-//! Snapshots of the state, in chunks small enough for one record each.
+//! Snapshots of the state, split into chunks that fit into one log record each.
 //!
-//! The log keeps records for a limited time. A snapshot in a stream of its own stands in for
-//! the records below its offset, so that a reader can start without them. Anything may be wrong
-//! with a snapshot: its writer died half-way, two writers wrote at once, a chunk was appended
-//! twice. Only one that is whole, by count and by hash, is ever used.
+//! The log retains records for a limited time. A snapshot, in a stream of its own, replaces the
+//! records below its offset, so that a reader can start without them. A snapshot can be damaged:
+//! its writer may have died half-way, two writers may have written at the same time, or a chunk may
+//! have been appended twice. Only snapshots whose chunk count and hash are correct are used.
 
 use std::collections::BTreeMap;
 
@@ -12,32 +12,33 @@
 use crate::State;
 use crate::id::{Offset, RecordId};
 
-/// The stream that holds snapshots.
+/// Name of the stream that holds snapshots.
 pub const SNAPSHOT_STREAM: &str = "snapshots";
-/// How many bytes of the state one chunk holds at the most, if no other size is wanted.
+/// Default for the maximum number of bytes of the state in one chunk.
 pub const CHUNK_BYTES: usize = 64 * 1024;
 
-/// A part of a snapshot, as it stands in the log.
+/// A chunk of a snapshot, as stored in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Chunk {
-    /// The same for all chunks of a snapshot.
+    /// Id of the snapshot, the same for all its chunks.
     snapshot: RecordId,
-    /// The offset of the first record that the snapshot doesn't hold.
+    /// Offset of the first record that is not part of the snapshot.
     next: Offset,
-    /// Which part this is, from 0.
+    /// Index of this chunk, from 0.
     index: usize,
-    /// How many parts there are.
+    /// Number of chunks in the snapshot.
     count: usize,
-    /// The hash of all parts together.
+    /// Hash of the data of all chunks together.
     hash: Box<str>,
-    /// The part.
+    /// Part of the serialised state.
     data: Box<str>,
 }
 
-/// Cuts `state` into records for [`SNAPSHOT_STREAM`] of at most about `bytes` each.
+/// Splits `state` into records for [`SNAPSHOT_STREAM`], each with at most `bytes` bytes of the
+/// serialised state.
 ///
 /// # Panics
-/// Never: the state has string keys and no types whose serialisation can fail.
+/// Never: serialisation can't fail for the types in the state.
 #[must_use]
 pub fn split(state: &State, snapshot: RecordId, bytes: usize) -> Vec<Box<str>> {
     let text = serde_json::to_string(state).expect("the state has string keys");
@@ -60,7 +61,8 @@
         .collect()
 }
 
-/// Cuts at character boundaries, into parts of at most `bytes`, or of one character.
+/// Splits `text` at character boundaries into parts of at most `bytes` bytes, or of one character
+/// if that is longer.
 fn cut(text: &str, bytes: usize) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut rest = text;
@@ -74,7 +76,8 @@
     parts
 }
 
-/// The newest whole snapshot among `records` of [`SNAPSHOT_STREAM`], in any order.
+/// Returns the newest complete snapshot among `records` of [`SNAPSHOT_STREAM`], which may be in any
+/// order.
 #[must_use]
 pub fn newest_whole<'a>(records: impl IntoIterator<Item = &'a str>) -> Option<State> {
     let mut snapshots: BTreeMap<(Offset, RecordId), BTreeMap<usize, Chunk>> = BTreeMap::new();
@@ -90,9 +93,11 @@
     newest_first.find_map(|chunks| join(&chunks))
 }
 
+/// Restores the state from the chunks of a snapshot; `None` if they are incomplete or damaged.
 fn join(chunks: &BTreeMap<usize, Chunk>) -> Option<State> {
     let first = chunks.get(&0)?;
-    // Indices differ and are below the count, so as many chunks as the count are all of them.
+    // Indices are distinct and below the count, so the snapshot is complete if the number of chunks
+    // equals the count.
     let fits = |chunk: &Chunk| {
         chunk.count == first.count && chunk.hash == first.hash && chunk.index < first.count
     };
--- a/crates/pomelohitch-core/src/state.rs
+++ b/crates/pomelohitch-core/src/state.rs
@@ -1,7 +1,7 @@
-//! The fold, and the state that it gives.
+//! The fold over the records of the log, and the [`State`] that it produces.
 //!
-//! [`State::apply`] is the only way in which the state changes. Each part of the state keeps its
-//! own rules in a module of its own: [`config`](crate::config) for publishes, [`members`],
+//! The state changes only in [`State::apply`] and [`State::skip`]. The rules for each part of the
+//! state are in a module of their own: [`config`](crate::config) for publishes, [`members`],
 //! [`fleet`], [`waves`], [`jobs`] and [`limits`].
 
 use std::collections::BTreeSet;
@@ -28,141 +28,146 @@
 use seen::Seen;
 pub use waves::{Wave, Waves};
 
-/// How many offsets a record may land behind its proposer's view. Ids of records are remembered
-/// for as long, so a repeat is always noticed: either its id is still known or it is too late.
+/// Maximum number of offsets between [`Record::after`] and the offset of the record itself. Record
+/// ids are kept for the same number of offsets, so every repeat is detected: either its id is still
+/// known, or the record is rejected as [`Rejection::TooLate`].
 pub const REPEAT_WINDOW: Offset = 16_384;
 
-/// What the fold made of a record.
+/// Result of applying a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
-    /// It is in force.
+    /// The record took effect.
     Accepted,
-    /// The same record stood at an earlier offset; this one changes nothing.
+    /// The same record was already applied at this earlier offset; this copy has no effect.
     Repeat(Offset),
-    /// The state at its offset doesn't allow it; it changes nothing.
+    /// The state at the record's offset doesn't allow it; the record has no effect.
     Rejected(Rejection),
 }
 
-/// Why a record changes nothing.
+/// Reason for which a record was rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Rejection {
-    /// It landed more than [`REPEAT_WINDOW`] offsets after its proposer's view.
+    /// The record's offset is more than [`REPEAT_WINDOW`] past its [`Record::after`].
     TooLate,
-    /// Its proposer says that it had read further than the log reaches: the log went back.
+    /// [`Record::after`] is past the record's own offset: the log has lost records that the
+    /// proposer had read.
     AheadOfLog,
-    /// A file was changed by the record at this offset since the operator read it.
+    /// A file in the publish was changed or removed after the operator read it.
     BaseChanged {
         /// The file.
         path: FilePath,
-        /// The version in force; `None` if the file is gone.
+        /// The version in force, as the offset of its publish; `None` if the file doesn't exist.
         version: Option<Offset>,
     },
-    /// The files would break rules across files.
+    /// The resulting set of files would violate these rules.
     Invalid(Vec<Fault>),
-    /// A pool that holds instances, or to which some are moving, would be removed.
+    /// The publish removes a pool that has instances, or to which instances are moving.
     PoolInUse(PoolId),
-    /// The member or incarnation is not the current one.
+    /// The member is unknown, or the incarnation is not its current one.
     NotMember,
-    /// The term is not the current one.
+    /// The decision's term is not in force, or the term to take is not the next one.
     StaleTerm {
         /// The term in force.
         current: Term,
     },
-    /// The instance isn't known.
+    /// The fleet has no instance with this id.
     UnknownInstance(InstanceId),
-    /// The instance is already known, in this pool.
+    /// The instance is already in this pool.
     AlreadyIn(PoolId),
-    /// The pool isn't configured.
+    /// No fleet file declares this pool.
     UnknownPool(PoolId),
-    /// The instance isn't in a phase that allows the step.
+    /// The step isn't allowed in the instance's current phase, which is this one.
     WrongPhase(Phase),
-    /// Since the planner looked, the instance entered another phase at this offset.
+    /// The instance entered its current phase at this offset, after the state on which the planner
+    /// based its decision.
     PhaseChanged(Offset),
-    /// The instance was forgotten at this offset, which its adopter hadn't read.
+    /// The instance was forgotten at this offset, which the proposer of the adoption hadn't read.
     Forgotten(Offset),
-    /// The service's availability budget would break.
+    /// The drain would violate the availability budget of a service.
     BudgetBroken {
         /// The service.
         service: ServiceId,
-        /// How many instances would stay active.
+        /// Number of instances that would remain active.
         left: u32,
-        /// How many have to.
+        /// Number of instances that must remain active.
         min_available: u32,
     },
-    /// The pool would keep fewer instances than its floor.
+    /// The move would leave the pool with fewer instances than its floor.
     FloorBroken {
         /// The pool.
         pool: PoolId,
-        /// How many instances would stay.
+        /// Number of instances that would remain in the pool.
         left: u32,
-        /// How many have to.
+        /// Number of instances that must remain in the pool.
         floor: u32,
     },
-    /// An operator paused the pool.
+    /// An operator paused maintenance in the pool or in all pools.
     Paused,
-    /// The pool has a wave, begun at this offset.
+    /// The pool already has a wave, started at this offset.
     WaveRunning(Offset),
     /// The pool has no such wave, or the wave doesn't cover the instance.
     NotInWave,
-    /// The wave would spread over more racks or availability zones than its limits allow.
+    /// The wave would affect more racks or availability zones at once than its limits allow.
     TooWide,
-    /// Some instances of the wave are still to be maintained.
+    /// The wave still covers instances that have not been maintained.
     WaveUnfinished,
-    /// A decision about jobs that its planner didn't know was accepted at this offset.
+    /// Another decision about jobs, unknown to the proposer, was accepted at this offset.
     DecisionOvertaken(Offset),
-    /// The set of members changed at this offset since the proposer looked.
+    /// The set of members changed at this offset, after the proposer's view.
     StaleEpoch(Offset),
-    /// The border between the team's requests and jobs was moved at this offset.
+    /// The split of the team's limit was last changed at this offset (`None` for never), which is
+    /// not the version that the proposal is based on.
     BorderMoved(Option<Offset>),
-    /// The part of jobs would be less than what runs, or more than the limit.
+    /// The jobs' part would be smaller than the number of active jobs, or larger than the limit.
     LimitBroken {
-        /// How many jobs run.
+        /// Number of active jobs of the team.
         active: u32,
-        /// The team's upper limit.
+        /// Limit of the team.
         limit: u32,
     },
-    /// The team isn't configured.
+    /// No fleet file declares the team.
     UnknownTeam,
 }
 
-/// The result of this module: what a step of the fold allows or rejects.
+/// Result type of this module; the error says why a record is rejected.
 pub type Result<T, E = Rejection> = std::result::Result<T, E>;
 
-/// Everything that the records up to an offset say.
+/// State of the system after all records below [`next`](State::next).
 ///
-/// The parts are shared: a reader's copy costs a few pointers, and a record copies only the part
-/// that it changes.
+/// The parts are behind `Arc`: cloning the state for a reader copies a few pointers, and applying a
+/// record copies only the parts that it changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct State {
-    /// The offset of the next record to apply.
+    /// Offset of the next record to apply.
     pub next: Offset,
     /// The configuration in force.
     pub config: Arc<Config>,
-    /// Keys that were withdrawn for good, whatever the files say.
+    /// Hashes of the keys that are withdrawn permanently, even if a fleet file lists them.
     pub withdrawn: Arc<BTreeSet<KeyHash>>,
-    /// The entry instances and the planner's term.
+    /// Entry instances and the planner's term.
     pub members: Arc<Members>,
-    /// The instances of the pools.
+    /// Instances of all pools.
     pub fleet: Arc<Fleet>,
     /// Maintenance waves and pauses.
     pub waves: Arc<Waves>,
-    /// Batch work.
+    /// Batch jobs.
     pub jobs: Arc<Jobs>,
-    /// How the teams' limits are divided between requests and jobs.
+    /// Split of each team's limit between requests and jobs.
     pub limits: Arc<Limits>,
-    /// Ids of the records within [`REPEAT_WINDOW`].
+    /// Ids of the records in the last [`REPEAT_WINDOW`] offsets.
     seen: Seen,
 }
 
 impl State {
-    /// Applies the record at `offset` and tells what became of it.
+    /// Applies the record at `offset` and returns whether it took effect.
     ///
-    /// The same records at the same offsets give the same state and verdicts in every process.
+    /// Deterministic: the same records at the same offsets produce the same state and verdicts in
+    /// every process.
     ///
     /// # Panics
-    /// If `offset` is below the next one: a reader that goes back would apply records twice.
+    /// If `offset` is below [`next`](State::next): records would be applied twice.
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Verdict {
         assert!(
             offset >= self.next,
@@ -186,7 +191,7 @@
         }
     }
 
-    /// Skips the record at `offset`, which this version can't read.
+    /// Skips the record at `offset`, which this version can't decode.
     pub fn skip(&mut self, offset: Offset) {
         self.next = self.next.max(offset + 1);
     }
@@ -214,13 +219,13 @@
         }
     }
 
-    /// Where the record with this id stands, if it was read within [`REPEAT_WINDOW`].
+    /// Offset of the record with this id, if it is within the last [`REPEAT_WINDOW`] offsets.
     #[must_use]
     pub fn offset_of(&self, id: &RecordId) -> Option<Offset> {
         self.seen.offset_of(id)
     }
 
-    /// The team that may show the key with this hash, if the key is in force.
+    /// Team that owns the key with this hash; `None` if the key is unknown or withdrawn.
     #[must_use]
     pub fn team_of_key(&self, key: &str) -> Option<&crate::config::Team> {
         if self.withdrawn.contains(key) {
--- a/crates/pomelohitch-core/src/state/fleet.rs
+++ b/crates/pomelohitch-core/src/state/fleet.rs
@@ -1,4 +1,7 @@
-//! The instances of the pools: one pool each, and no budget broken.
+//! Instances and their phases.
+//!
+//! Every instance belongs to exactly one pool. A drain for a move or for maintenance never violates
+//! the availability budget of a service.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,22 +13,22 @@
 use crate::id::{InstanceId, Offset, PoolId, RackId, Timestamp, ZoneId};
 use crate::record::{DrainPurpose, FleetStep, Record};
 
-/// What an instance is doing.
+/// Lifecycle phase of an instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
-    /// It takes work.
+    /// Accepts work.
     Active,
-    /// It gets no new work and finishes what it has.
+    /// Gets no new work and finishes what it is running.
     Draining(DrainPurpose),
-    /// Nothing runs on it; the platform reboots or moves it.
+    /// Runs nothing; the platform reboots it, moves it or takes it away, as the purpose says.
     Drained(DrainPurpose),
-    /// It is lost.
+    /// Lost: it failed, didn't come back, or isn't in the pool where it should be.
     Failed,
 }
 
 impl Phase {
-    /// Whether the instance will take work in its pool again.
+    /// Whether the instance accepts work in its current pool, or will do so after maintenance.
     fn is_staying(&self) -> bool {
         match self {
             Phase::Active => true,
@@ -36,7 +39,7 @@
         }
     }
 
-    /// The pool to which the instance moves.
+    /// Pool to which the instance is moving, if any.
     #[must_use]
     pub fn moving_to(&self) -> Option<&PoolId> {
         match self {
@@ -47,40 +50,42 @@
     }
 }
 
-/// An instance that the system knows.
+/// An adopted instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// The one pool that it belongs to.
+    /// Pool that the instance belongs to. A move changes it when the instance returns.
     pub pool: PoolId,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Its rack.
+    /// Rack, named within the availability zone.
     pub rack: RackId,
-    /// Where it accepts requests.
+    /// Address at which the instance accepts requests.
     pub addr: SocketAddr,
-    /// What it is doing.
+    /// Current phase.
     pub phase: Phase,
-    /// The offset of the record that began the phase; effects on the platform are keyed by it.
+    /// Offset of the record that began the phase. Requests to the platform use it as idempotency
+    /// key.
     pub since: Offset,
-    /// The offset at which its last maintenance ended, or at which it was adopted.
+    /// Offset at which the last maintenance ended, or at which the instance was adopted.
     pub maintained: Offset,
-    /// When that was proposed.
+    /// Time at which the record at `maintained` was proposed.
     #[serde(with = "crate::millis")]
     pub maintained_at: Timestamp,
 }
 
-/// Every instance by its id.
+/// All instances, and those recently forgotten.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fleet {
     /// Instances by id.
     pub instances: BTreeMap<InstanceId, Instance>,
-    /// Where instances were forgotten, within [`REPEAT_WINDOW`]. An adoption that was on its way
-    /// for long would otherwise bring back an instance that is gone.
+    /// Offsets at which instances were forgotten, kept for [`REPEAT_WINDOW`] offsets. An adoption
+    /// that was proposed before the instance was forgotten but lands later is rejected; otherwise
+    /// it would bring back an instance that no longer exists.
     pub forgotten: BTreeMap<InstanceId, Offset>,
 }
 
 impl Fleet {
-    /// How many instances of `pool` take work.
+    /// Number of instances of `pool` that accept work.
     #[must_use]
     pub fn active_in(&self, pool: &str) -> u32 {
         let active = self
@@ -90,7 +95,7 @@
         u32::try_from(active).unwrap_or(u32::MAX)
     }
 
-    /// The instances of `pool`, in whatever phase.
+    /// Instances of `pool` in any phase.
     pub fn in_pool<'a>(
         &'a self,
         pool: &'a str,
@@ -100,7 +105,8 @@
             .filter(move |(_, instance)| &*instance.pool == pool)
     }
 
-    /// How many instances of `pool` neither failed nor are about to be in another one.
+    /// Number of instances of `pool` that are active or in maintenance; failed, moving and leaving
+    /// ones are not counted.
     #[must_use]
     pub fn staying_in(&self, pool: &str) -> u32 {
         let staying = self
@@ -172,7 +178,8 @@
         }
     }
 
-    /// The instance, if it is still in the phase that the planner judged.
+    /// Returns the instance if it is still in the phase that began at `since`, on which the planner
+    /// based its decision.
     fn judged(&self, id: &InstanceId, since: Offset) -> Result<&Instance> {
         let instance = self.fleet.instances.get(id);
         let instance = instance.ok_or_else(|| Rejection::UnknownInstance(id.clone()))?;
@@ -199,8 +206,9 @@
         Err(Rejection::UnknownPool(pool.clone()))
     }
 
-    /// A drain takes an active instance away. What the platform takes away by itself isn't ours
-    /// to refuse; everything else has to leave each service of the pool its budget.
+    /// Checks a drain of an active instance. A drain for [`DrainPurpose::Leaving`] records that the
+    /// platform takes the instance away, which can't be refused. Any other drain must respect
+    /// pauses and the availability budget of each service on the pool.
     fn check_drain(&self, id: &InstanceId, since: Offset, purpose: &DrainPurpose) -> Result<()> {
         let instance = self.judged(id, since)?;
         if instance.phase != Phase::Active {
@@ -229,7 +237,7 @@
         Ok(())
     }
 
-    /// Whether `pool` can do without one of its active instances.
+    /// Checks that `pool` can lose one active instance without violating an availability budget.
     fn check_budgets(&self, pool: &PoolId) -> Result<()> {
         let left = self.fleet.active_in(pool).saturating_sub(1);
         match self
@@ -246,9 +254,10 @@
         }
     }
 
-    /// A drain is taken back, or its purpose is done. An instance that failed or left isn't
-    /// returned but forgotten and adopted afresh: in the meantime the platform may have put it in
-    /// another pool, and only an adoption reads the pool from the platform.
+    /// Returns an instance to work because its drain was cancelled, or its maintenance or move is
+    /// complete. An instance that failed or left has to be forgotten and adopted again instead: the
+    /// platform may have put it in another pool in the meantime, and only an adoption reads the
+    /// pool from the platform.
     fn return_instance(
         &mut self,
         offset: Offset,
@@ -288,7 +297,8 @@
         self.enter(offset, id, Phase::Failed)
     }
 
-    /// Forgetting an instance that works would take it away without regard to any budget.
+    /// Removes an instance that failed or is leaving. Any other instance must not be removed here,
+    /// since this doesn't check the availability budgets.
     fn forget(&mut self, offset: Offset, id: &InstanceId, since: Offset) -> Result<()> {
         let phase = self.judged(id, since)?.phase.clone();
         let is_gone = matches!(
--- a/crates/pomelohitch-core/src/state/jobs.rs
+++ b/crates/pomelohitch-core/src/state/jobs.rs
@@ -1,4 +1,4 @@
-//! Batch work: what every job is doing, and its one outcome.
+//! Batch jobs: the state of each job and its final outcome.
 //!
 //! ```text
 //!             place                started
@@ -8,8 +8,10 @@
 //!      └────────────────────────────┴───────────────────────┘
 //! ```
 //!
-//! * [`outcome`]: the transitions, and how a job ends.
-//! * [`table`]: all jobs, in chunks that copies of the state share.
+//! A report on the attempt ends the job or sends it back to `Waiting`.
+//!
+//! * [`outcome`]: state transitions and final outcomes.
+//! * [`table`]: the job table, in chunks shared between copies of the state.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -29,31 +31,31 @@
 pub use outcome::{End, Outcome, Ran, Reason};
 pub use table::Table;
 
-/// How many ended jobs are kept with all that is known of them, at least.
+/// Minimum number of ended jobs that are kept with their full entry.
 pub const ENDED_KEPT: u64 = 8_192;
-/// How many ended jobs are remembered by their ids at least, so that a repeated submit isn't a
+/// Minimum number of ended jobs whose ids are kept, so that a repeated submit doesn't create a
 /// second job.
 pub const ENDED_REMEMBERED: u64 = 131_072;
-/// An idempotent job that failed on so many distinct workers, none of them quarantined, has
-/// failed by itself.
+/// An idempotent job ends as failed once it has failed on this many distinct workers that are not
+/// quarantined: the cause is then the job and not a worker.
 pub const FAILURES_TO_END: usize = 3;
-/// An idempotent job whose attempts vanish or are killed so often is ended all the same, so that
-/// a job that takes its workers down with it doesn't go round for ever.
+/// Maximum number of attempts of an idempotent job. Bounds the retries of a job that makes its
+/// workers crash.
 pub const ATTEMPTS_TO_END: u32 = 16;
 
-/// What a job is doing.
+/// State of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum JobState {
-    /// It waits for a worker.
+    /// Waits for a worker.
     Waiting,
-    /// The planner gave it a worker; the platform hasn't said yet that it runs.
+    /// The planner assigned a worker; the platform hasn't reported the start yet.
     Placed(Attempt),
-    /// It runs.
+    /// The platform reported that the attempt started.
     Running(Attempt),
-    /// It is being stopped; it may still run, and counts as running.
+    /// The attempt is being stopped. It may still run, so it counts towards the team's limit.
     Stopping(Attempt, StopCause),
-    /// It is over; this never changes again.
+    /// Final state.
     Ended(End),
 }
 
@@ -63,42 +65,43 @@
 pub enum StopCause {
     /// Its team cancelled the job.
     Cancel,
-    /// It makes room, or its worker leaves; the job waits again afterwards.
+    /// The planner preempted it to free capacity, or because its worker is leaving.
     Preempt,
 }
 
-/// One try to run a job.
+/// One attempt to run a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Its id; the platform's effects are keyed by it.
+    /// Id of the attempt. Requests to the platform use it as idempotency key.
     pub attempt: AttemptId,
-    /// The worker.
+    /// Worker that runs the attempt.
     pub worker: InstanceId,
-    /// What is set aside there.
+    /// Resources reserved on the worker.
     pub reserve: Resources,
 }
 
 /// A job and its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// As declared.
+    /// The job as submitted.
     pub job: Arc<Job>,
-    /// The offset at which it was submitted.
+    /// Offset of the record that submitted it.
     pub submitted: Offset,
-    /// What it is doing.
+    /// Current state.
     pub state: JobState,
-    /// How often it was placed, but for attempts that never began or were checkpointed.
+    /// Number of placements, not counting attempts that never started or were checkpointed.
     pub attempts: u32,
-    /// Whether the platform holds a saved state from which it goes on.
+    /// Whether the platform holds a checkpoint from which the job resumes.
     pub checkpointed: bool,
-    /// The workers on which it failed.
+    /// Distinct workers on which the job failed.
     pub failed_on: Vec<InstanceId>,
-    /// It is known to need this much memory, from attempts that were killed; in mebibytes.
+    /// Minimum memory to reserve, in mebibytes, derived from attempts that were killed for their
+    /// memory use; 0 if none was.
     pub memory_floor_mib: u64,
 }
 
 impl Entry {
-    /// The attempt that runs or may run.
+    /// Attempt that is running or may be running, if any.
     #[must_use]
     pub fn attempt(&self) -> Option<&Attempt> {
         match &self.state {
@@ -110,20 +113,20 @@
     }
 }
 
-/// Batch work.
+/// All batch jobs and the data derived from them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Jobs {
-    /// Every job that waits, runs or ended not long ago.
+    /// Jobs that wait, run or ended recently.
     pub table: Table,
-    /// How many attempts of each team run or may run.
+    /// Number of attempts per team that are running or may be running. Teams with none are absent.
     pub active: BTreeMap<TeamId, u32>,
-    /// Workers in quarantine, with the offset at which it began.
+    /// Quarantined workers, with the offset at which the quarantine began.
     pub quarantined: BTreeMap<InstanceId, Offset>,
-    /// The most memory at which a job of a class was killed, in mebibytes.
+    /// Highest memory use, in mebibytes, at which a job of each class was killed.
     pub killed_at: BTreeMap<JobClass, u64>,
-    /// The offset of the last accepted decision.
+    /// Offset of the last accepted decision about jobs; 0 if there was none.
     pub decided: Offset,
-    /// The platform's reports before this position are dealt with.
+    /// Position in the platform's report stream below which all reports have been recorded.
     pub reports_next: u64,
 }
 
@@ -153,8 +156,8 @@
         }
     }
 
-    /// Jobs of one record come from several callers, so each is judged by itself: one that is
-    /// already known, or whose team is gone, is passed over.
+    /// Adds jobs. The jobs of one record come from several callers, so each is handled on its own:
+    /// a job that is already known, or whose team no longer exists, is skipped.
     fn submit(&mut self, offset: Offset, new: &[Job]) {
         let jobs = Arc::make_mut(&mut self.jobs);
         for job in new {
@@ -164,9 +167,9 @@
         }
     }
 
-    /// A decision whose append seemed lost can land seconds later, when its planner has already
-    /// decided otherwise; workers would then get more than they have. It names the decision that
-    /// it follows, and is rejected if another one came between.
+    /// Applies a decision of the planner. An append that seemed lost can land seconds later, when
+    /// the planner has already made another decision, and applying both would overcommit workers.
+    /// So each decision names its predecessor, and is rejected if another one was accepted since.
     fn decide(&mut self, offset: Offset, decision: &JobDecision) -> Result<()> {
         self.members.check_term(decision.term)?;
         if decision.after != self.jobs.decided {
@@ -204,21 +207,21 @@
 }
 
 impl Jobs {
-    /// The job with this id, unless it ended so long ago that only its id is remembered.
+    /// Job with this id. `None` if it is unknown, or its entry has been dropped since it ended.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Entry> {
         self.table.get(id)
     }
 
-    /// How many attempts of `team` run or may run.
+    /// Number of attempts of `team` that are running or may be running.
     #[must_use]
     pub fn active_of(&self, team: &str) -> u32 {
         self.active.get(team).copied().unwrap_or(0)
     }
 
-    /// Only a waiting job is placed: a placement that raced a cancel is passed over, so that a
-    /// job never has two attempts at once. Nor is one beyond its team's part for jobs, whatever a planner
-    /// thought was free when it decided.
+    /// Places a job if it is waiting and its team is below its limit for jobs. Other placements are
+    /// ignored: one that raced a cancel or another placement, which keeps a job from having two
+    /// attempts at once, and one that the planner based on an outdated count of active jobs.
     fn place(&mut self, attempt: AttemptId, placement: &Placement, limit_of: &dyn Fn(&str) -> u32) {
         let Some(entry) = self.table.get(&placement.job) else {
             return;
@@ -258,7 +261,7 @@
         self.quarantined = quarantined;
     }
 
-    /// Takes a job to the state that `next` gives, if any, and keeps the counts in step.
+    /// Sets a job to the state that `next` returns, if any, and updates the team's active count.
     fn step(&mut self, id: &JobId, next: impl FnOnce(&mut Entry) -> Option<JobState>) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
--- a/crates/pomelohitch-core/src/state/jobs/outcome.rs
+++ b/crates/pomelohitch-core/src/state/jobs/outcome.rs
@@ -1,4 +1,4 @@
-//! The transitions of a job, and how it ends.
+//! State transitions and final outcomes of jobs.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,78 +6,79 @@
 use crate::id::InstanceId;
 use crate::record::job::{AttemptId, Event};
 
-/// How a job ended, why, and what ran; it never changes again.
+/// Final result of a job; it never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// How it ended.
+    /// Outcome.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason for the outcome.
     pub reason: Reason,
-    /// What ran of the last attempt.
+    /// How much of the program ran.
     pub ran: Ran,
-    /// The worker of the last attempt, if there was one.
+    /// Worker of the attempt that ended the job; `None` if the job ended while waiting.
     pub worker: Option<InstanceId>,
 }
 
-/// How a job ended.
+/// Outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It ran to its end and succeeded.
+    /// The program finished successfully.
     Succeeded,
-    /// It failed.
+    /// The program failed or was killed for its memory use, or the attempts are used up.
     Failed,
-    /// Its team cancelled it.
+    /// The team cancelled the job.
     Cancelled,
-    /// It can never run.
+    /// The planner refused the job because no worker can ever run it.
     Refused,
-    /// It may have run, and isn't idempotent, so that it must not run again.
+    /// The job may have run, and isn't idempotent, so it must not be retried.
     Unknown,
 }
 
-/// Why a job ended as it did.
+/// Reason for the outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The program ended by itself.
+    /// The program exited on its own.
     Ended,
-    /// The program failed on as many distinct healthy workers as it is tried on.
+    /// The program failed on [`FAILURES_TO_END`] distinct workers that are not quarantined.
     FailedOnSeveralWorkers,
-    /// It was killed for its use of memory and isn't idempotent.
+    /// The attempt was killed for its memory use, and the job isn't idempotent.
     MemoryKilled,
-    /// Its lease lapsed, which stopped it, and it isn't idempotent.
+    /// The worker stopped the attempt because its lease expired, and the job isn't idempotent.
     LeaseExpired,
-    /// It was stopped without its state being saved, and isn't idempotent.
+    /// The attempt was stopped without a checkpoint, and the job isn't idempotent.
     Stopped,
-    /// No trace of its last attempt is left.
+    /// The result of the last attempt can't be determined, and the job isn't idempotent.
     NoTrace,
-    /// It was placed too often without coming to an end.
+    /// [`ATTEMPTS_TO_END`] attempts ended without a final result.
     TooManyAttempts,
-    /// Its team asked for it.
+    /// The team cancelled the job.
     CancelledByTeam,
-    /// No worker is large enough.
+    /// No worker has enough resources.
     FitsNoWorker,
 }
 
-/// What ran of the last attempt.
+/// How much of a job's program ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
-    /// Nothing.
+    /// Nothing ran.
     No,
-    /// It began and didn't come to its end.
+    /// The program started but didn't finish.
     InPart,
-    /// It ran to its end.
+    /// The program finished.
     ToItsEnd,
-    /// It isn't known.
+    /// Not known.
     Unknown,
 }
 
+/// New state of the job; `None` if it doesn't change.
 type Next = Option<JobState>;
 
-/// A waiting job is over at once. One that was placed may run: it is stopped first, and what the
-/// platform then says decides, so that the cancel has one outcome for every reader and the team's
-/// limit counts it until it certainly doesn't run.
+/// Cancels a job. A waiting job ends at once. A placed one may be running, so it is stopped first
+/// and ends with what the platform then reports. This gives all readers the same outcome, and the
+/// job counts towards the team's limit until it has certainly stopped.
 pub(super) fn cancel(entry: &mut Entry) -> Next {
     match &entry.state {
         JobState::Waiting => {
@@ -96,7 +97,7 @@
     }
 }
 
-/// What `attempts` earlier attempts of a job that waits again left behind.
+/// How much of a job ran in its `attempts` earlier attempts.
 fn ran_before(entry: &Entry, attempts: u32) -> Ran {
     if entry.checkpointed || !entry.failed_on.is_empty() {
         Ran::InPart
@@ -107,6 +108,7 @@
     }
 }
 
+/// Refuses a waiting job that fits no worker.
 pub(super) fn refuse(entry: &mut Entry) -> Next {
     (entry.state == JobState::Waiting).then(|| {
         JobState::Ended(End {
@@ -118,6 +120,7 @@
     })
 }
 
+/// Starts to stop `attempt`, if it is the current one of a placed or running job.
 pub(super) fn preempt(entry: &mut Entry, attempt: AttemptId) -> Next {
     match &entry.state {
         JobState::Placed(current) | JobState::Running(current) if current.attempt == attempt => {
@@ -127,8 +130,8 @@
     }
 }
 
-/// What the platform said of the current attempt. Workers in quarantine, told by `is_bad`, don't
-/// count against a job that failed on them.
+/// Applies the platform's report on the current attempt. Failures on workers for which `is_bad`
+/// returns true (those in quarantine) don't count towards [`FAILURES_TO_END`].
 pub(super) fn report(
     entry: &mut Entry,
     event: Event,
@@ -149,13 +152,13 @@
         }
         Event::Failed => Some(failed(entry, &attempt, is_bad)),
         Event::NotStarted if is_cancelled => cancelled(ran_before(entry, entry.attempts - 1)),
-        // It never began, so that it isn't an attempt that counts.
+        // An attempt that never started doesn't count.
         Event::NotStarted => {
             entry.attempts -= 1;
             Some(JobState::Waiting)
         }
         Event::Checkpointed if is_cancelled => cancelled(Ran::InPart),
-        // A saved state goes on from where it was, which runs nothing twice.
+        // The job resumes from the checkpoint and repeats nothing, so the attempt doesn't count.
         Event::Checkpointed => {
             entry.checkpointed = true;
             entry.attempts -= 1;
@@ -176,7 +179,8 @@
     }
 }
 
-/// How much memory to set aside after an attempt was killed at `killed_at`: half as much again.
+/// Memory to reserve, in mebibytes, after an attempt was killed at a use of `killed_at`: half as
+/// much again plus 1 MiB, so that it always grows.
 #[must_use]
 pub fn raised(killed_at: u64) -> u64 {
     killed_at.saturating_add(killed_at / 2).saturating_add(1)
@@ -191,8 +195,8 @@
     })
 }
 
-/// An idempotent job that failed is tried elsewhere: the worker may be to blame. After enough
-/// distinct healthy workers the job is.
+/// Retries a failed idempotent job on another worker, since the cause may be the worker. After
+/// [`FAILURES_TO_END`] distinct workers that are not quarantined, the job ends as failed.
 fn failed(entry: &mut Entry, attempt: &Attempt, is_bad: &dyn Fn(&InstanceId) -> bool) -> JobState {
     if !entry.failed_on.contains(&attempt.worker) {
         entry.failed_on.push(attempt.worker.clone());
@@ -205,7 +209,8 @@
     again(entry, attempt, Reason::Ended, Ran::ToItsEnd)
 }
 
-/// An idempotent job waits again; any other must not run twice and is over.
+/// Retries an idempotent job, up to [`ATTEMPTS_TO_END`] attempts. A job that isn't idempotent must
+/// not run twice, and ends.
 fn again(entry: &mut Entry, attempt: &Attempt, reason: Reason, ran: Ran) -> JobState {
     if !entry.job.idempotent {
         let outcome = match reason {
--- a/crates/pomelohitch-core/src/state/jobs/table.rs
+++ b/crates/pomelohitch-core/src/state/jobs/table.rs
@@ -1,8 +1,8 @@
-//! All jobs, in chunks that copies of the state share.
+//! Job table, split into chunks that copies of the state share.
 //!
-//! A reader's copy of the state shares every chunk; a record copies only the chunks of the jobs
-//! that it touches. Chunks that two states share hold the same jobs, so that what changed between
-//! them is found without looking at every job.
+//! A copy of the state shares all chunks; applying a record copies only the chunks of the jobs that
+//! it changes. Two states that share a chunk have the same jobs in it, so a comparison of two
+//! states can skip shared chunks.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 use crate::id::{JobId, Offset};
 use crate::record::job::Job;
 
-/// How many chunks there are.
+/// Number of chunks.
 const CHUNKS: usize = 512;
 
-/// Counts the jobs that ended before.
+/// Sequence number of an ended job: the number of jobs that ended before it.
 type EndNumber = u64;
 
-/// Every job that waits, runs or ended not long ago, by id.
+/// Jobs that wait, run or ended recently, by id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
     chunks: Vec<Arc<Chunk>>,
@@ -27,13 +27,13 @@
     len: usize,
 }
 
-/// The jobs whose ids hash alike.
+/// Jobs whose id hashes fall into the same chunk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Chunk {
     jobs: BTreeMap<JobId, Entry>,
-    /// The kept jobs that ended, in the order in which they did.
+    /// Ended jobs that still have an entry in `jobs`, in the order in which they ended.
     ended: BTreeMap<EndNumber, JobId>,
-    /// Hashes of the ids of jobs that ended earlier and are kept no longer.
+    /// Id hashes of ended jobs whose entry has been dropped.
     remembered: Arc<BTreeMap<u64, EndNumber>>,
 }
 
@@ -48,38 +48,38 @@
 }
 
 impl Table {
-    /// The job with this id.
+    /// Job with this id, if it has an entry.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Entry> {
         self.chunks[chunk_of(hash(id))].jobs.get(id)
     }
 
-    /// Whether a job with this id ended so long ago that only the id is remembered.
+    /// Whether a job with this id ended and only the hash of its id is kept.
     #[must_use]
     pub fn is_remembered(&self, id: &str) -> bool {
         let hash = hash(id);
         self.chunks[chunk_of(hash)].remembered.contains_key(&hash)
     }
 
-    /// How many jobs are kept, ended ones among them.
+    /// Number of jobs with an entry, including ended ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether there are none.
+    /// Whether no job has an entry.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Every kept job.
+    /// All jobs with an entry, ordered by chunk and then by id.
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &Entry)> {
         self.chunks.iter().flat_map(|chunk| &chunk.jobs)
     }
 
-    /// The ids of the jobs that differ between `earlier` and `self`, gone ones among them. Costs
-    /// a comparison of the chunks that were touched in between, whatever the number of jobs.
+    /// Ids of the jobs that differ between `earlier` and `self`, including dropped ones. Compares
+    /// only the chunks that are not shared, so the cost doesn't depend on the total number of jobs.
     #[must_use]
     pub fn changed_since(&self, earlier: &Table) -> Vec<JobId> {
         let mut changed = Vec::new();
@@ -98,7 +98,7 @@
         changed
     }
 
-    /// Takes in a job, unless it is known or remembered.
+    /// Adds a job, unless it has an entry or its id is kept from an earlier run.
     pub(super) fn submit(&mut self, offset: Offset, job: &Job) {
         let hash = hash(&job.id);
         let chunk = &self.chunks[chunk_of(hash)];
@@ -128,7 +128,7 @@
         Arc::make_mut(chunk).jobs.get_mut(id)
     }
 
-    /// Notes that a job ended, so that it is forgotten in time.
+    /// Records that a job ended, so that [`Chunk::forget`] can drop it later.
     pub(super) fn note_end(&mut self, id: &JobId) {
         let chunk = Arc::make_mut(&mut self.chunks[chunk_of(hash(id))]);
         chunk.ended.insert(self.ended, id.clone());
@@ -137,8 +137,10 @@
 }
 
 impl Chunk {
-    /// Forgets jobs that ended long ago; each new job does it for its own chunk, so that the
-    /// state stays small without a pass over all jobs. Returns how many were dropped.
+    /// Drops the entries of jobs that are not among the last [`ENDED_KEPT`] to end, and keeps their
+    /// ids. When it drops any, it also drops the ids of jobs that are not among the last
+    /// [`ENDED_REMEMBERED`] to end. Each submit calls this for its own chunk, which bounds the size
+    /// of the state without a pass over all jobs. Returns the number of entries dropped.
     fn forget(&mut self, ended: EndNumber) -> usize {
         let kept = self.ended.split_off(&ended.saturating_sub(ENDED_KEPT));
         let dropped = std::mem::replace(&mut self.ended, kept);
@@ -156,7 +158,8 @@
     }
 }
 
-/// FNV-1a, fixed here because the chunks are part of the state that every process shares.
+/// FNV-1a. Implemented here so that it never changes: the distribution over chunks is part of the
+/// state, which must be the same in all processes.
 fn hash(id: &str) -> u64 {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -164,6 +167,7 @@
 }
 
 fn chunk_of(hash: u64) -> usize {
-    // FNV mixes its low bits best; the index is below `CHUNKS`.
+    // The low bits of FNV are the best mixed ones. The conversion can't fail: the remainder is
+    // below `CHUNKS`.
     usize::try_from(hash % CHUNKS as u64).unwrap_or(0)
 }
--- a/crates/pomelohitch-core/src/state/limits.rs
+++ b/crates/pomelohitch-core/src/state/limits.rs
@@ -1,10 +1,10 @@
-//! How a team's upper limit is divided between its requests and its jobs.
+//! Split of a team's limit between its requests and its jobs.
 //!
-//! Requests are counted by permits that members pass to one another, jobs by the fold. Neither
-//! can see the other's count in time, so each has a part of the limit of its own: together they
-//! never exceed it. The home of the team's permits moves the border. To give jobs more, it first
-//! takes as many permits back and then proposes; to give requests more, it proposes, and hands
-//! permits out only once the record is in force.
+//! Requests are counted by permits that members pass to one another, jobs by the fold. Neither can
+//! read the other's count without delay, so each has a fixed part of the limit, and the two parts
+//! never exceed it together. The member that is home of the team's permits changes the split. To
+//! give jobs more, it first takes back as many permits and then proposes the change. To give
+//! requests more, it proposes the change first, and issues the permits once the record is accepted.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,28 +16,28 @@
 use crate::id::{Offset, TeamId};
 use crate::record::DivideLimit;
 
-/// Where the border of a team was put.
+/// Split of a team's limit that was set by a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Border {
-    /// The part of jobs.
+    /// Part of the limit that is for jobs; the rest is for requests.
     pub jobs: u32,
-    /// The offset of the record that put it there.
+    /// Offset of the record that set it.
     pub version: Offset,
 }
 
-/// The borders of all teams; those that were never moved are left out.
+/// Splits that were set by a record. The limit of any other team is split in half.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Borders by team.
+    /// Splits by team.
     pub borders: BTreeMap<TeamId, Border>,
 }
 
 impl Limits {
-    /// How many jobs of `team` may run at once.
+    /// Maximum number of concurrent jobs of `team`.
     ///
-    /// This and [`requests_of`](Limits::requests_of) both grow and shrink with the team's limit.
-    /// So when a publish changes it, one reader's old part and another's new one still don't
-    /// exceed the larger limit.
+    /// Neither this nor [`requests_of`](Limits::requests_of) decreases when the team's limit is
+    /// raised, or increases when it is lowered. So while a publish that changes the limit spreads,
+    /// the old part of one reader and the new part of another don't exceed the larger limit.
     #[must_use]
     pub fn jobs_of(&self, team: &Team) -> u32 {
         match self.borders.get(&team.id) {
@@ -46,13 +46,13 @@
         }
     }
 
-    /// How many requests of `team` may run at once.
+    /// Maximum number of concurrent requests of `team`.
     #[must_use]
     pub fn requests_of(&self, team: &Team) -> u32 {
         team.limit - self.jobs_of(team)
     }
 
-    /// The offset of the record that last moved the team's border; `None` if none did.
+    /// Offset of the record that last set the team's split; `None` if none did.
     #[must_use]
     pub fn version_of(&self, team: &str) -> Option<Offset> {
         self.borders.get(team).map(|border| border.version)
@@ -60,11 +60,11 @@
 }
 
 impl State {
-    /// Moves a team's border.
+    /// Changes the split of a team's limit.
     ///
-    /// The epoch has to be the one by which the proposer was the home: a later home wouldn't know
-    /// what an earlier one promised to leave free. The base version makes a proposal that lands
-    /// late, after its proposer settled on another one, change nothing.
+    /// The proposal must carry the current epoch, in which the proposer is home of the team's
+    /// permits: a new home doesn't know which permits an earlier one has taken back for its
+    /// proposal. The base version rejects a proposal that lands late, after another one.
     pub(super) fn divide_limit(&mut self, offset: Offset, divide: &DivideLimit) -> Result<()> {
         if divide.epoch != self.members.epoch {
             return Err(Rejection::StaleEpoch(self.members.epoch));
--- a/crates/pomelohitch-core/src/state/members.rs
+++ b/crates/pomelohitch-core/src/state/members.rs
@@ -1,4 +1,4 @@
-//! Entry instances as members, and the planner's term.
+//! Membership of entry instances, and the planner's term.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,26 +12,26 @@
 /// An entry instance that joined and hasn't left.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its current incarnation.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Where its peers reach it.
+    /// Address for connections from peers.
     pub peer_addr: SocketAddr,
 }
 
-/// All members, and who plans.
+/// All members, and which of them is the planner.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Members {
     /// Members by id.
     pub by_id: BTreeMap<MemberId, Member>,
-    /// The term in force; 0 before the first.
+    /// Term in force; 0 before the first.
     pub term: Term,
-    /// The planner of the term, while its incarnation is a member.
+    /// Planner of the term; `None` once its incarnation has left or was replaced.
     pub planner: Option<MemberId>,
-    /// The offset at which the set of members last changed.
+    /// Offset at which the set of members last changed.
     pub epoch: Offset,
-    /// Whether an incarnation ever ended: it may still be running what it had.
+    /// Whether any incarnation has ever ended. Work that it started may still be running.
     #[serde(default)]
     pub has_ended: bool,
 }
@@ -82,8 +82,8 @@
         }
     }
 
-    /// A process that ended can't plan; without this a term would stay in force until its
-    /// planner's lease ran out, although the log already says that it is gone.
+    /// Clears the planner if it is `member`, whose process has ended. Otherwise the term would stay
+    /// in force until the planner's lease expires, although the log already shows that it left.
     fn forget_planner(&mut self, member: &MemberId) {
         if self.planner.as_ref() == Some(member) {
             self.planner = None;
--- a/crates/pomelohitch-core/src/state/publish.rs
+++ b/crates/pomelohitch-core/src/state/publish.rs
@@ -1,4 +1,4 @@
-//! The rules of a publish.
+//! Rules for publishing fleet files.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::record::{FileChange, Publish};
 
 impl State {
-    /// Puts all changes in force together, or none.
+    /// Applies all changes of a publish, or none.
     pub(super) fn publish(&mut self, offset: Offset, publish: &Publish) -> Result<()> {
         for (path, change) in &publish.changes {
             self.check_base(path, change)?;
@@ -39,9 +39,9 @@
         Ok(())
     }
 
-    /// Two operators that start from the same version race; the second would silently undo the
-    /// first one's change. Its base version is no longer the one in force, so it is rejected and
-    /// told which offset beat it.
+    /// Checks that the version in force is the one on which the change is based. Otherwise, if two
+    /// operators edit the same version, the later publish would silently undo the earlier one. The
+    /// rejection names the offset of the publish that came first.
     fn check_base(&self, path: &FilePath, change: &FileChange) -> Result<()> {
         let version = self.config.files.get(path).map(|file| file.version);
         if version == change.base {
@@ -53,8 +53,8 @@
         })
     }
 
-    /// An instance whose pool is gone would be in none, and one on its way to such a pool could
-    /// never arrive.
+    /// Checks that no pool is removed that has instances or to which instances are moving: the
+    /// instances would be left in no pool, and the moves could never complete.
     fn check_pools_in_use(&self, config: &Config) -> Result<()> {
         let used = self.fleet.instances.values().flat_map(|instance| {
             let to = instance.phase.moving_to();
--- a/crates/pomelohitch-core/src/state/seen.rs
+++ b/crates/pomelohitch-core/src/state/seen.rs
@@ -1,4 +1,4 @@
-//! Ids of recent records, by which a repeat is noticed.
+//! Ids of recent records, for detecting repeats.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,13 +8,14 @@
 use super::REPEAT_WINDOW;
 use crate::id::{Offset, RecordId};
 
-/// How many offsets one chunk covers.
+/// Number of offsets that one chunk covers.
 const CHUNK: Offset = 512;
 
-/// Ids of records within [`REPEAT_WINDOW`], in chunks by offset.
+/// Ids of the records in the last [`REPEAT_WINDOW`] offsets, in chunks by offset.
 ///
-/// Every reader publishes its state after each read, so the next record copies whatever it
-/// changes. One map over the whole window would be copied each time; of the chunks only the newest is.
+/// Readers share a copy of the state after each read, so the next record has to copy the parts that
+/// it changes. With a single map over the whole window, each record would copy all of it; with
+/// chunks, only the newest chunk is copied.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Seen {
     chunks: Vec<Arc<Chunk>>,
@@ -22,7 +23,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Chunk {
-    /// The offset divided by [`CHUNK`].
+    /// Offsets in the chunk divided by [`CHUNK`], rounded down.
     number: Offset,
     ids: BTreeMap<RecordId, Offset>,
 }
--- a/crates/pomelohitch-core/src/state/waves.rs
+++ b/crates/pomelohitch-core/src/state/waves.rs
@@ -1,4 +1,4 @@
-//! Maintenance waves and pauses.
+//! Maintenance waves, and pauses of maintenance.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,41 +13,41 @@
 /// A wave that maintains every instance of a pool once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Wave {
-    /// The offset that began it. It covers the instances of its pool whose last maintenance ended
-    /// before.
+    /// Offset of the record that started the wave. The wave covers the instances of its pool whose
+    /// last maintenance ended before this offset.
     pub since: Offset,
-    /// When it was proposed.
+    /// Time at which the wave was proposed.
     #[serde(with = "crate::millis")]
     pub at: Timestamp,
-    /// How widely it may spread.
+    /// Limits on the failure domains that it affects at once.
     pub limits: WaveLimits,
-    /// How many of its instances were lost while they were maintained, since it began or was last
-    /// resumed.
+    /// Number of instances that failed during maintenance since the wave started, or since an
+    /// operator last resumed the pool.
     pub lost: u32,
 }
 
-/// The waves that go on, and what is paused.
+/// Waves in progress, and pauses.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Waves {
-    /// The wave of each pool.
+    /// Waves by pool.
     pub by_pool: BTreeMap<PoolId, Wave>,
-    /// Pools that are paused.
+    /// Pools that are paused on their own.
     pub paused: BTreeSet<PoolId>,
-    /// Whether all pools are paused.
+    /// Whether all pools are paused, in addition to `paused`.
     pub all_paused: bool,
 }
 
-/// A rack, which is named within its availability zone.
+/// A rack with its availability zone; rack names are unique only within a zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RackIn {
-    /// The availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// The rack.
+    /// Rack.
     pub rack: RackId,
 }
 
 impl Waves {
-    /// Whether drains for maintenance in `pool`, and moves away from it, are paused.
+    /// Whether drains for maintenance in `pool` and moves out of it are paused.
     #[must_use]
     pub fn is_paused(&self, pool: &str) -> bool {
         self.all_paused || self.paused.contains(pool)
@@ -61,13 +61,14 @@
 }
 
 impl Wave {
-    /// Whether the wave still has to maintain `instance`, which is in its pool.
+    /// Whether the wave still has to maintain `instance`, which must be in the wave's pool.
     #[must_use]
     pub fn covers(&self, instance: &Instance) -> bool {
         instance.maintained < self.since && instance.phase != Phase::Failed
     }
 
-    /// Whether an instance of `zone` and `rack` may be taken out of work as well.
+    /// Whether an instance in `zone` and `rack` may be drained within the wave's limits, given the
+    /// failure domains already affected.
     #[must_use]
     pub fn allows(&self, out: &Spread, zone: &ZoneId, rack: &RackId) -> bool {
         let rack = RackIn {
@@ -89,17 +90,17 @@
     }
 }
 
-/// The failure domains over which the instances spread that are out of work for maintenance.
+/// Failure domains that have instances in maintenance.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Spread {
-    /// Availability zones.
+    /// Affected availability zones.
     pub zones: BTreeSet<ZoneId>,
-    /// Racks.
+    /// Affected racks.
     pub racks: BTreeSet<RackIn>,
 }
 
 impl Spread {
-    /// The spread of the instances of `pool` that are out of work for maintenance.
+    /// Failure domains of the instances of `pool` that are draining or drained for maintenance.
     #[must_use]
     pub fn of(fleet: &Fleet, pool: &str) -> Spread {
         let mut spread = Spread::default();
@@ -115,7 +116,7 @@
         spread
     }
 
-    /// Adds a failure domain.
+    /// Adds the zone and rack of an instance.
     pub fn add(&mut self, zone: &ZoneId, rack: &RackId) {
         self.zones.insert(zone.clone());
         self.racks.insert(RackIn {
@@ -182,7 +183,7 @@
         Ok(())
     }
 
-    /// A drain for maintenance is part of a wave and keeps to its limits.
+    /// Checks that a drain of `instance` for maintenance is part of a wave and within its limits.
     pub(super) fn check_wave(&self, instance: &Instance) -> Result<()> {
         let wave = self.waves.by_pool.get(&instance.pool);
         let wave = wave.ok_or(Rejection::NotInWave)?;
--- a/crates/pomelohitch-core/src/status.rs
+++ b/crates/pomelohitch-core/src/status.rs
@@ -1,6 +1,7 @@
-//! What operators see: of one entry instance, and of the state; what waits there, and why.
+//! Status for operators: of one entry instance and of the fleet, including what is waiting and why.
 //!
-//! A pure view of [`State`], so that the administration API and the command line show the same.
+//! [`Status`] is a pure function of [`State`], so the administration API and the command line show
+//! the same.
 
 use std::net::SocketAddr;
 
@@ -14,166 +15,168 @@
 use crate::state::waves::Spread;
 use crate::state::{Instance, JobState, Phase, Wave};
 
-/// One entry instance, and the fleet as it sees it.
+/// Status of an entry instance, and of the fleet according to its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The entry instance that answers.
+    /// Entry instance that answers the query.
     pub entry: EntryStatus,
-    /// The state in force there.
+    /// Status of the fleet according to this entry instance.
     pub fleet: Status,
 }
 
-/// The entry instance that answers.
+/// Status of the entry instance that answers the query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// Its id.
+    /// Id of the entry instance.
     pub member: MemberId,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Its run.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// Whether it serves callers.
+    /// Whether the instance serves callers.
     pub ready: bool,
-    /// Whether it shuts down.
+    /// Whether the instance is shutting down.
     pub leaving: bool,
-    /// The offset of the next record that it applies.
+    /// Offset of the next record that the instance applies.
     pub next: Offset,
-    /// The log's head when it was last read.
+    /// Head of the log when it was last read.
     pub head: Offset,
-    /// Records that it has still to read.
+    /// Number of records between `next` and `head`.
     pub lag: Offset,
-    /// What it last heard of its peers.
+    /// Peers, as of their last messages.
     pub peers: Vec<PeerStatus>,
 }
 
-/// What was last heard of a peer.
+/// Status of a peer, as of its last message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Its id.
+    /// Id of the entry instance.
     pub member: MemberId,
-    /// The offset of the next record that it applies.
+    /// Offset of the next record that the instance applies.
     pub next: Offset,
-    /// Whether it shuts down.
+    /// Whether the instance is shutting down.
     pub leaving: bool,
-    /// How long ago it was heard, in milliseconds.
+    /// Time since the last message from the peer, in milliseconds.
     pub heard_ms_ago: u64,
 }
 
-/// The view.
+/// Status of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The offset of the next record to apply.
+    /// Offset of the next record to apply.
     pub next: Offset,
-    /// The planners' term.
+    /// Planner's term.
     pub term: Term,
-    /// Who plans; `None` if nobody does.
+    /// Id of the planner; `None` if there is none.
     pub planner: Option<MemberId>,
-    /// Every entry instance.
+    /// Entry instances.
     pub members: Vec<MemberStatus>,
-    /// Every pool.
+    /// Pools.
     pub pools: Vec<PoolStatus>,
-    /// Every wave that goes on.
+    /// Maintenance waves in progress.
     pub waves: Vec<WaveStatus>,
-    /// Every team.
+    /// Teams.
     pub teams: Vec<TeamStatus>,
-    /// Workers that get no jobs because everything fails on them.
+    /// Quarantined workers, on which jobs fail that succeed elsewhere.
     pub quarantined: Vec<InstanceId>,
-    /// What waits, and why.
+    /// Work that is waiting, with reasons.
     pub waiting: Vec<Waiting>,
 }
 
-/// An entry instance.
+/// Status of an entry instance as a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its id.
+    /// Id of the entry instance.
     pub member: MemberId,
-    /// Its run.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Where its peers reach it.
+    /// Address for connections from peers.
     pub peer_addr: SocketAddr,
 }
 
-/// A pool.
+/// Status of a pool.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// Its id.
+    /// Id of the pool.
     pub pool: PoolId,
-    /// Whether it lends its instances first.
+    /// Whether instances are moved to other pools from this one first.
     pub spare: bool,
-    /// Instances that take work.
+    /// Number of instances that accept work.
     pub active: u32,
-    /// Instances that finish what they have.
+    /// Number of draining instances.
     pub draining: u32,
-    /// Instances on which nothing runs.
+    /// Number of drained instances.
     pub drained: u32,
-    /// Instances that are lost.
+    /// Number of failed instances.
     pub failed: u32,
-    /// Instances that are on their way to another pool; they are counted above as well.
+    /// Number of instances moving to another pool; they also count as draining or drained.
     pub moving: u32,
-    /// The services on it.
+    /// Services whose runners are the instances of this pool.
     pub services: Vec<ServiceStatus>,
 }
 
-/// A service.
+/// Status of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// Its id.
+    /// Id of the service.
     pub service: ServiceId,
-    /// Its availability budget.
+    /// Availability budget: minimum number of active instances.
     pub min_available: u32,
-    /// How many instances may still leave; below 0 by failures that aren't ours to refuse.
+    /// Number of active instances above the budget. Negative if failures, or instances that the
+    /// platform took away, have violated the budget.
     pub spare: i64,
 }
 
-/// A wave.
+/// Status of a maintenance wave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveStatus {
-    /// Its pool.
+    /// Id of the pool.
     pub pool: PoolId,
-    /// The offset that began it.
+    /// Offset of the record that started the wave.
     pub since: Offset,
-    /// Instances that it has still to maintain.
+    /// Number of instances still to be maintained.
     pub left: u32,
-    /// Instances that are out of work for it now.
+    /// Number of instances draining or drained for maintenance.
     pub out: u32,
-    /// Instances that were lost in it.
+    /// Number of instances that failed during maintenance since the wave started or was last
+    /// resumed.
     pub lost: u32,
 }
 
-/// A team.
+/// Status of a team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamStatus {
-    /// Its id.
+    /// Id of the team.
     pub team: TeamId,
-    /// Its weight when everything is full.
+    /// Weight relative to other teams.
     pub share: u32,
-    /// The most it may have running at once.
+    /// Maximum number of concurrent requests and jobs together.
     pub limit: u32,
-    /// The part of the limit that its requests may use.
+    /// Part of the limit for requests.
     pub requests_limit: u32,
-    /// The part of the limit that its jobs may use.
+    /// Part of the limit for jobs.
     pub jobs_limit: u32,
-    /// Its jobs that run, start or stop.
+    /// Number of jobs that are placed, running or stopping.
     pub jobs_active: u32,
-    /// Its jobs that wait.
+    /// Number of waiting jobs.
     pub jobs_waiting: u32,
-    /// How many of its keys are in force.
+    /// Number of keys that are not withdrawn.
     pub keys: u32,
 }
 
-/// Something that waits.
+/// Work that is waiting, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Waiting {
-    /// What.
+    /// Description of the work.
     pub what: Box<str>,
-    /// Why.
+    /// Reason for which it is waiting.
     pub why: Box<str>,
 }
 
 impl Status {
-    /// The view of `state`.
+    /// Returns the status according to `state`.
     #[must_use]
     pub fn of(state: &State) -> Status {
         let members = &state.members;
@@ -245,7 +248,8 @@
     }
 }
 
-/// Why the next drain of a wave doesn't come now; `None` if nothing holds it up.
+/// Reason for which the wave can't drain another instance now; `None` if it can. `left` are the
+/// active instances that the wave still covers.
 fn why_waits<'a>(
     state: &State,
     pool: &PoolId,
