--- a/crates/pomelohitch-core/examples/jobs_cost.rs
+++ b/crates/pomelohitch-core/examples/jobs_cost.rs
@@ -1,5 +1,5 @@
-//! What a record about one job costs the fold while a reader holds the state before it, against
-//! one map of all jobs that is copied for every record.
+//! Measures the cost of applying a record about one job while a reader holds the previous state,
+//! compared with a single map of all jobs that is copied for each record.
 //!
 //! `cargo run --release -p pomelohitch-core --example jobs_cost`
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// Memory of this process; 0 where the system doesn't tell.
+/// Resident memory of this process in KiB; 0 if `/proc` isn't available.
 fn resident_kib() -> u64 {
     const PAGE_KIB: u64 = 4;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -50,7 +50,7 @@
     time.as_secs_f64() * 1e6 / f64::from(RECORDS)
 }
 
-/// Time of all records, and of finding what each changed.
+/// Total time to apply all records, and to find the jobs that each one changed.
 fn chunked(count: u32) -> (Duration, Duration) {
     let mut state = state_of(count);
     let (mut applying, mut finding) = (Duration::ZERO, Duration::ZERO);
@@ -73,7 +73,7 @@
     let template = entries.values().next().expect("there are jobs").clone();
     let mut all = Arc::new(entries);
     let began = Instant::now();
-    // A tenth of the records, since each copies everything.
+    // A tenth of the records, because each one copies the whole map.
     for number in 0..RECORDS / 10 {
         let reader = all.clone();
         let id = format!("new-{number}").into();
--- a/crates/pomelohitch-core/tests/fold.rs
+++ b/crates/pomelohitch-core/tests/fold.rs
@@ -1,4 +1,4 @@
-//! The fold's rules about configuration, keys, members, pools and waves.
+//! Tests of the fold: configuration, keys, members, pools, waves and snapshots.
 
 #[path = "fold/fleet.rs"]
 mod fleet;
--- a/crates/pomelohitch-core/tests/fold/fleet.rs
+++ b/crates/pomelohitch-core/tests/fold/fleet.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn a_move_that_would_break_a_budget_is_rejected() {
-    // Two planners, or one with an old view, both take instances away. Without the fold's own
-    // count, callers would meet a service with fewer runners than its operators declared.
+    // Two planners, or one with an outdated state, can drain too many instances in sum. The fold
+    // counts itself, so that a service never has fewer runners than declared.
     let mut log = Log::with_instances();
     log.accept_step(log.drain("i0", move_to("spare")));
     log.accept_step(log.drain("i1", move_to("spare")));
@@ -25,8 +25,8 @@
 
 #[test]
 fn a_failed_instance_counts_against_the_budget() {
-    // An instance fails while a wave goes on. The drains that the budget allowed before are no
-    // longer allowed, or the failure and the maintenance together leave too few.
+    // An instance fails during a wave. If failures didn't count, the failure and the maintenance
+    // together would leave too few active instances.
     let mut log = Log::with_instances();
     log.accept_step(log.fail("i0"));
     log.accept_step(log.drain("i1", move_to("spare")));
@@ -39,6 +39,8 @@
 
 #[test]
 fn what_the_platform_takes_away_is_recorded_whatever_the_budget() {
+    // The platform takes these instances away in any case, so rejecting the drains would only leave
+    // the state wrong.
     let mut log = Log::with_instances();
     for id in ["i0", "i1", "i2", "i3"] {
         log.accept_step(log.drain(id, DrainPurpose::Leaving));
@@ -61,8 +63,8 @@
 
 #[test]
 fn a_publish_that_raises_a_budget_stops_further_drains() {
-    // An operator raises the budget while drains go on. The publish is in force at once; what is
-    // draining may be taken back, and nothing more is drained.
+    // An operator raises the budget while instances drain. The new budget applies at once: drains
+    // in progress can be cancelled, and further ones are rejected.
     let mut log = Log::with_instances();
     log.accept_step(log.drain("i0", move_to("spare")));
     let version = log.state.config.files["web"].version;
@@ -78,8 +80,8 @@
 
 #[test]
 fn a_pool_to_which_an_instance_moves_cannot_be_removed() {
-    // The target of a move is removed while the instance is on its way. It would arrive in no
-    // pool and be lost to everyone, although it runs and is paid for.
+    // If the target pool of a move could be removed during the move, the instance would end up in
+    // no pool and stay unused.
     let mut log = Log::with_instances();
     for id in ["i4", "i5"] {
         log.accept_step(log.fail(id));
@@ -96,8 +98,8 @@
 
 #[test]
 fn a_late_return_does_not_put_an_instance_to_work_that_was_drained_anew() {
-    // A planner sends "it is back", hears no answer, and goes on. The append lands much later,
-    // when the instance is drained for another reason; callers would be sent to a rebooting one.
+    // The append of a `Return` gets no answer and lands much later, when the instance has entered
+    // another phase. Without the check, callers would be routed to a rebooting instance.
     let mut log = Log::with_instances();
     log.accept_step(log.drain("i0", move_to("spare")));
     let late = log.back("i0");
@@ -108,8 +110,8 @@
 
 #[test]
 fn a_late_adoption_does_not_bring_back_an_instance_that_is_gone() {
-    // An adoption is on its way for long. Meanwhile the instance was adopted, failed and was
-    // forgotten; the late one would have callers sent to an address where nobody answers.
+    // The append of an adoption is delayed. Meanwhile the instance was adopted, failed and was
+    // forgotten. Without the check, callers would be routed to an address that doesn't answer.
     let mut log = Log::with_planner();
     let after = log.state.next;
     log.accept_step(adopt("i0", "web", 0));
@@ -126,8 +128,8 @@
 
 #[test]
 fn a_failed_instance_comes_back_only_by_a_fresh_adoption() {
-    // An instance fails on its way to another pool, and the platform completes the move. Taken
-    // back as it was, it would stand in one pool here and in another one at the platform.
+    // An instance fails during a move that the platform then completes. If it could simply return,
+    // its pool in the state would differ from its pool at the platform.
     let mut log = Log::with_instances();
     log.accept_step(log.drain("i0", move_to("spare")));
     log.accept_step(log.drained("i0"));
@@ -142,8 +144,8 @@
 
 #[test]
 fn an_instance_that_works_cannot_be_forgotten() {
-    // A stale list lacks an instance that works. Forgetting it would take it away from its
-    // service without regard to the budget.
+    // An outdated list of the platform may lack an active instance. Forgetting it would bypass the
+    // availability budget.
     let mut log = Log::with_instances();
     assert!(matches!(
         log.step(log.forget("i0")),
@@ -153,7 +155,7 @@
 
 #[test]
 fn a_planner_of_an_earlier_term_decides_nothing() {
-    // A planner is paused, another one takes over, and the first one wakes and goes on.
+    // A planner is suspended, another one takes a new term, and the first one resumes.
     let mut log = Log::with_instances();
     let step = log.drain("i0", move_to("spare"));
     let incarnation = log.state.members.by_id["a"].incarnation;
--- a/crates/pomelohitch-core/tests/fold/members.rs
+++ b/crates/pomelohitch-core/tests/fold/members.rs
@@ -26,8 +26,8 @@
 
 #[test]
 fn a_restarted_member_is_a_new_incarnation_and_no_longer_plans() {
-    // The planner's process is replaced under the same name. Its successor knows nothing of what
-    // was begun, so it has to take a term of its own.
+    // The planner's process restarts under the same id. The new process doesn't know what the
+    // previous one had started, so it has to take a new term.
     let mut log = Log::with_planner();
     log.accept(join("a"));
     assert_eq!(log.state.members.planner, None);
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_late_leave_does_not_end_a_later_incarnation() {
-    // The peers held a member for dead, and it joined again before their record landed.
+    // The peers consider a member dead, and it joins again before their record lands.
     let mut log = Log::with_planner();
     log.accept(join("a"));
     let verdict = log.append(Body::Leave(Leave {
@@ -49,8 +49,8 @@
 
 #[test]
 fn a_repeat_is_noticed_also_after_its_id_was_dropped() {
-    // An append whose answer was lost is sent again very late. Its id is no longer remembered, but
-    // the record itself says how old its proposer's view was.
+    // An append whose answer was lost is repeated very late, when its id has been dropped. The
+    // record is still rejected, by the age of its proposer's view in `after`.
     let mut log = Log::default();
     log.accept(join("a"));
     let first = log.records[0].clone();
@@ -67,8 +67,8 @@
 
 #[test]
 fn a_record_from_beyond_the_head_is_rejected() {
-    // The log service lost its newest records. Whoever had read them decides by a state that
-    // nobody else will ever have.
+    // The log service has lost its newest records. A proposer that had read them bases its decision
+    // on a state that no other process has.
     let mut log = Log::with_planner();
     let mut record = log.records[0].clone();
     record.id = pomelohitch_core::id::RecordId::from_u128(77);
--- a/crates/pomelohitch-core/tests/fold/properties.rs
+++ b/crates/pomelohitch-core/tests/fold/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for any records whatever.
+//! Properties that hold for any sequence of records.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
@@ -9,7 +9,7 @@
 
 use crate::support::{Log, adopt, join, move_to, publish, spare, start_wave, team, web, withdraw};
 
-/// One record, chosen by a few bytes; mostly one that the state allows.
+/// Selects one record, usually one that the state accepts; see [`body`].
 type Choice = (u8, u8, u8);
 
 const POOLS: [&str; 3] = ["web", "spare", "gone"];
@@ -157,7 +157,7 @@
     });
 }
 
-/// Equal but for how far was read.
+/// Asserts that all parts that these records can change are equal.
 fn assert_unchanged(before: &State, after: &State) {
     assert_eq!(before.config, after.config);
     assert_eq!(before.withdrawn, after.withdrawn);
@@ -216,7 +216,7 @@
 
 #[test]
 fn the_choices_reach_every_phase() {
-    // Guards the other properties: they would hold of records that are all rejected.
+    // The other properties would hold trivially if all records were rejected.
     static REACHED: [AtomicU32; 4] = [const { AtomicU32::new(0) }; 4];
     pomelohitch_property::check(|choices: &Vec<Choice>| {
         let mut log = Log::with_instances();
--- a/crates/pomelohitch-core/tests/fold/publish.rs
+++ b/crates/pomelohitch-core/tests/fold/publish.rs
@@ -5,8 +5,8 @@
 
 #[test]
 fn the_loser_of_two_publishes_is_told_which_offset_beat_it() {
-    // Two operators start from the same version of a file. The second publish would silently undo
-    // the first.
+    // Two operators edit the same version of a file. Without the check, the second publish would
+    // silently undo the first.
     let mut log = Log::with_planner();
     let base = Some(log.state.config.files["web"].version);
     log.accept(publish("web", base, Some(web(3))));
@@ -46,8 +46,8 @@
 
 #[test]
 fn a_withdrawn_key_that_a_file_lists_again_stays_withdrawn() {
-    // A key leaks and is withdrawn at night. In the morning someone publishes a file that still
-    // lists it; whoever found the key would be let in again.
+    // A key leaks and is withdrawn, and later someone publishes a file that still lists it. The
+    // leaked key must not become valid again.
     let mut log = Log::with_planner();
     log.accept(publish("snow", None, Some(team("snow", &["k1", "k2"]))));
     assert!(log.state.team_of_key("k1").is_some());
--- a/crates/pomelohitch-core/tests/fold/snapshot.rs
+++ b/crates/pomelohitch-core/tests/fold/snapshot.rs
@@ -21,8 +21,8 @@
 
 #[test]
 fn a_torn_snapshot_is_passed_over_for_an_older_whole_one() {
-    // Whoever wrote the newest snapshot died half-way. A reader that took it for whole would start
-    // without some instances or keys.
+    // The writer of the newest snapshot died half-way. A reader that used it would start without
+    // some instances or keys.
     let mut log = Log::with_instances();
     let older = log.state.clone();
     let mut records = split(&older, id(1), 100);
@@ -35,8 +35,8 @@
 
 #[test]
 fn chunks_of_two_writers_are_not_mixed() {
-    // Two planners write at the same time, after one was held for dead. Their chunks interleave
-    // in the stream and some are appended twice.
+    // Two planners write at the same time, one of them wrongly considered dead. Their chunks are
+    // interleaved in the stream, and some are appended twice.
     let log = Log::with_instances();
     let (one, two) = (split(&log.state, id(1), 80), split(&log.state, id(2), 90));
     let mut records: Vec<_> = one.iter().zip(&two).flat_map(|(a, b)| [a, b, a]).collect();
--- a/crates/pomelohitch-core/tests/fold/support.rs
+++ b/crates/pomelohitch-core/tests/fold/support.rs
@@ -1,4 +1,4 @@
-//! A log in memory, with short ways to write each record.
+//! In-memory log, and helpers that create records.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 };
 use pomelohitch_core::{State, Verdict};
 
-/// The records so far and the state that they give.
+/// Records appended so far, and the state that they produce.
 #[derive(Default)]
 pub struct Log {
     pub state: State,
@@ -18,7 +18,8 @@
 }
 
 impl Log {
-    /// A member `a` that plans, and the pools `web` (2 of its instances have to stay) and `spare`.
+    /// A log with member `a` as planner, pool `web` (service `shop` needs 2 active instances) and
+    /// pool `spare` (floor 1).
     pub fn with_planner() -> Log {
         let mut log = Log::default();
         let incarnation = log.state.next;
@@ -33,7 +34,7 @@
         log
     }
 
-    /// The same with 4 instances in `web` and 2 in `spare`, over two availability zones.
+    /// [`Log::with_planner`] with 4 instances in `web` and 2 in `spare`, in two availability zones.
     pub fn with_instances() -> Log {
         let mut log = Log::with_planner();
         for n in 0..6_u8 {
@@ -65,7 +66,7 @@
         assert_eq!(self.append(body), Verdict::Accepted, "{text}");
     }
 
-    /// A step of the current term.
+    /// Appends a planner's step in the current term.
     pub fn step(&mut self, step: FleetStep) -> Verdict {
         let term = self.state.members.term;
         self.append(Body::Fleet(FleetDecision { term, step }))
--- a/crates/pomelohitch-core/tests/fold/waves.rs
+++ b/crates/pomelohitch-core/tests/fold/waves.rs
@@ -44,8 +44,8 @@
 
 #[test]
 fn a_wave_keeps_to_its_availability_zones() {
-    // A wave that spreads over every zone leaves no zone whole: the next zone that fails takes
-    // its own instances on top of those that reboot everywhere else.
+    // If a wave had instances in maintenance in every zone, the failure of a zone would come on top
+    // of the maintenance in all others.
     let mut log = Log::with_instances();
     log.accept(start_wave("web", ONE_ZONE));
     log.accept_step(log.drain("i0", DrainPurpose::Maintain));
@@ -71,8 +71,8 @@
 
 #[test]
 fn an_instance_lost_in_maintenance_is_counted_and_does_not_hold_up_the_end() {
-    // An instance never comes back from its reboot. The wave must be able to end without it, and
-    // whoever looks at the wave must see the loss.
+    // An instance doesn't come back from its reboot. The wave must be able to end without it, and
+    // has to report the loss.
     let mut log = Log::with_instances();
     log.accept(start_wave("web", WaveLimits::default()));
     for id in ["i1", "i2", "i3"] {
--- a/crates/pomelohitch-core/tests/jobs.rs
+++ b/crates/pomelohitch-core/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! The life of batch jobs in the fold.
+//! Tests of the fold: batch jobs.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -15,13 +15,14 @@
 use pomelohitch_core::state::jobs::{ENDED_KEPT, ENDED_REMEMBERED, FAILURES_TO_END};
 use pomelohitch_core::{Body, Record, Rejection, State, Verdict};
 
-/// A log with one team and a planner.
+/// State of a log with one team and a planner.
 struct Log {
     state: State,
 }
 
 impl Log {
-    /// A team of which `jobs` jobs may run at once, half of its limit.
+    /// Sets the team's limit to twice `jobs`, so that by the default split `jobs` jobs may run at
+    /// once.
     fn new(jobs: u32) -> Log {
         let mut log = Log {
             state: State::default(),
@@ -178,8 +179,7 @@
     Event::Unknown,
 ];
 
-/// Every event that can follow a start, for a job that may run twice and one that may not, with
-/// and without a cancel before it.
+/// Every event on a placed job, for idempotent and other jobs, with and without an earlier cancel.
 #[test]
 fn every_event_has_one_outcome_that_says_what_ran() {
     let mut table = String::new();
@@ -203,8 +203,9 @@
     insta::assert_snapshot!(table);
 }
 
-/// Two entry instances hear of a cancel and of a start in either order. If each decided by what
-/// it saw first, one caller would read "cancelled" and another "succeeded" for the same job.
+/// Guards against two outcomes for one job. Entry instances learn of a cancel and a start in either
+/// order; if each decided by what it saw first, one caller would get "cancelled" and another
+/// "succeeded".
 #[test]
 fn a_cancel_that_races_a_start_has_one_outcome() {
     let mut cancel_first = Log::new(9);
@@ -228,8 +229,8 @@
     assert_eq!(start_first.state_of("j"), end);
 }
 
-/// A cancelled job runs on until its worker has stopped it. If its place under the team's limit
-/// were given away at once, the team would have more running than its limit.
+/// Guards against exceeding a team's limit: a cancelled job still runs until its worker has stopped
+/// it, so another job must not be placed before that.
 #[test]
 fn a_job_that_is_being_stopped_counts_for_the_limit() {
     let mut log = Log::new(1);
@@ -244,8 +245,8 @@
     assert_eq!(log.state.jobs.active_of("choir"), 1);
 }
 
-/// The append of a decision seems lost, its planner decides anew, and then the first one lands
-/// after all. If both held, workers would get more than they have.
+/// Guards against overcommitted workers: the append of a decision seems lost, the planner makes
+/// another decision, and then the first one lands too.
 #[test]
 fn a_decision_that_lands_late_changes_nothing() {
     let mut log = Log::new(9);
@@ -263,7 +264,7 @@
     assert_eq!(log.state_of("a"), "waiting");
 }
 
-/// A planner that was paused wakes up and decides by a term that is over.
+/// Guards against a planner that was suspended and then decides in a term that has ended.
 #[test]
 fn a_decision_of_an_earlier_term_is_rejected() {
     let mut log = Log::new(9);
@@ -273,8 +274,8 @@
     assert_eq!(log.state_of("a"), "waiting");
 }
 
-/// A worker that fails everything takes job after job. Jobs that failed there are tried
-/// elsewhere; one that fails on enough healthy workers has itself to blame.
+/// Guards against a faulty worker that makes good jobs end as failed: failures on quarantined
+/// workers don't count. A job that fails on enough other workers does end.
 #[test]
 fn failures_on_quarantined_workers_do_not_end_a_job() {
     let mut log = Log::new(9);
@@ -295,8 +296,8 @@
     assert_eq!(FAILURES_TO_END, 3);
 }
 
-/// Patient work is checkpointed for urgent work many times in a day. Each time is an attempt,
-/// and a bound on attempts must not end a job that did nothing wrong.
+/// Guards against the limit on attempts ending a job that is merely preempted often: patient jobs
+/// can be checkpointed for urgent ones many times a day.
 #[test]
 fn checkpoints_do_not_use_up_the_attempts() {
     let mut log = Log::new(9);
@@ -310,8 +311,8 @@
     assert_eq!(log.state_of("j"), "waiting");
 }
 
-/// A caller whose answer was lost submits again with the same key, minutes later. Until enough
-/// other jobs have ended, that is the same job, also when its entry is no longer kept.
+/// Guards against running a job twice when a caller whose answer was lost submits it again minutes
+/// later, after its entry has been dropped. The id is kept until enough other jobs have ended.
 #[test]
 fn ended_jobs_are_dropped_but_not_run_again() {
     const BATCH: u64 = 4096;
@@ -342,7 +343,7 @@
     assert_eq!(log.state_of("first"), "waiting");
 }
 
-/// Readers find what changed between two states without a look at every job.
+/// Readers determine the changed jobs between two states without comparing all jobs.
 #[test]
 fn changes_between_two_states_are_found() {
     let mut log = Log::new(9);
@@ -353,8 +354,8 @@
     assert_eq!(changed, vec!["b".into()]);
 }
 
-/// The log may hold any mix of records. Whatever it holds, no team has more attempts than its
-/// limit, the counts agree with the jobs, and an end stays as it is.
+/// For any sequence of records, the team stays within its limit, the active count matches the jobs,
+/// and final states never change.
 #[test]
 fn any_records_keep_the_limit_the_counts_and_the_ends() {
     pomelohitch_property::check(|steps: &Vec<(u8, u8, u8)>| {
@@ -399,8 +400,8 @@
     }
 }
 
-/// A settlement that isn't idempotent is paid twice if it begins twice. After any event but a
-/// certain "never began" or a checkpoint, it must not wait for another worker.
+/// Guards against a second start of a job that isn't idempotent, for example a payment. It may only
+/// wait again after `NotStarted` or a checkpoint.
 #[test]
 fn a_job_that_is_not_idempotent_never_begins_twice() {
     pomelohitch_property::check(|events: &Vec<u8>| {
--- a/crates/pomelohitch-core/tests/limits.rs
+++ b/crates/pomelohitch-core/tests/limits.rs
@@ -1,4 +1,4 @@
-//! How a team's upper limit is divided between requests and jobs.
+//! Tests of the fold: split of a team's limit between requests and jobs.
 
 #![allow(clippy::unwrap_used, reason = "a panic is how a test fails")]
 
@@ -13,7 +13,7 @@
 
 const TEAM: &str = "choir";
 
-/// A member that plans, and one team.
+/// State of a log with a planner and one team.
 struct Log {
     state: State,
 }
@@ -73,7 +73,7 @@
         self.append(Body::DivideLimit(divide))
     }
 
-    /// What the home of the team's permits proposes now.
+    /// Proposal of the home of the team's permits, based on the current state.
     fn proposal(&self, jobs: u32) -> DivideLimit {
         DivideLimit {
             team: TEAM.into(),
@@ -89,7 +89,7 @@
         (limits.requests_of(team), limits.jobs_of(team))
     }
 
-    /// Places so many more jobs; returns how many run then.
+    /// Submits and places `count` jobs; returns the team's number of active jobs.
     fn place(&mut self, count: u32) -> u32 {
         let ids: Vec<Box<str>> = (0..count)
             .map(|n| format!("{}-{n}", self.state.next).into())
@@ -130,8 +130,8 @@
     }
 }
 
-/// A team's jobs and its requests are counted in two places. If each were held to the whole limit,
-/// a team that uses both would have twice as much running as it may, at the others' cost.
+/// Guards against a team running twice its limit: requests and jobs are counted separately, so each
+/// count has to be held to its own part.
 #[test]
 fn requests_and_jobs_together_never_exceed_the_limit() {
     let mut log = Log::new(9);
@@ -142,7 +142,8 @@
     assert_eq!(log.place(9), 7);
 }
 
-/// Jobs that run can't be made to end by moving the border: requests would be let in beside them.
+/// Guards against exceeding the limit by a split that gives the jobs' part to requests while the
+/// jobs still run.
 #[test]
 fn jobs_that_run_keep_their_part() {
     let mut log = Log::new(10);
@@ -156,9 +157,9 @@
     assert_eq!(log.divide(5), Verdict::Accepted);
 }
 
-/// The home of a team's permits takes some back and proposes to give them to jobs. Before the
-/// record lands, another member becomes the home, which knows nothing of it and hands the same
-/// permits to requests.
+/// Guards against using the same permits twice: the home of a team's permits takes some back and
+/// proposes to give them to jobs, but before the record lands another member becomes the home and
+/// issues the same permits to requests.
 #[test]
 fn a_proposal_of_an_earlier_home_is_rejected() {
     let mut log = Log::new(10);
@@ -173,8 +174,8 @@
     assert_eq!(verdict, Verdict::Rejected(Rejection::StaleEpoch(joined)));
 }
 
-/// A home that hears nothing of its proposal settles on another one. The first lands after all,
-/// seconds later; by then the permits that it meant may be in use again.
+/// Guards against a proposal that lands seconds late, after the home has made another one: the
+/// permits that it reserved may be in use again.
 #[test]
 fn a_proposal_that_lands_late_is_rejected() {
     let mut log = Log::new(10);
@@ -186,8 +187,9 @@
     assert_eq!(log.parts(), (8, 2));
 }
 
-/// While a publish changes the limit, a home that hasn't read it hands out permits by the old part
-/// of requests, and the fold already allows jobs by the new one.
+/// Guards against exceeding the limit while a publish changes it: a home that hasn't read the
+/// publish still issues permits by the old part for requests, while the fold already applies the
+/// new part for jobs.
 #[test]
 fn a_changed_limit_is_kept_by_readers_at_different_offsets() {
     pomelohitch_property::check(|&(before, jobs, after): &(u8, Option<u8>, u8)| {
