--- a/crates/pomelohitch-core/examples/jobs_cost.rs
+++ b/crates/pomelohitch-core/examples/jobs_cost.rs
@@ -18,7 +18,7 @@
 const RECORDS: u32 = 2000;
 
 fn main() {
-    println!("jobs, us a record, us to find what changed, us a record with one map, KiB resident");
+    println!("jobs, us per record, us to find changes, us per record with one map, KiB resident");
     for count in [1_000, 10_000, 100_000] {
         let before = resident_kib();
         let state = state_of(count);
@@ -70,7 +70,11 @@
     let state = state_of(count);
     let entries = state.jobs.table.iter();
     let entries: BTreeMap<JobId, Entry> = entries.map(|(id, e)| (id.clone(), e.clone())).collect();
-    let template = entries.values().next().expect("there are jobs").clone();
+    let template = entries
+        .values()
+        .next()
+        .expect("the state has at least one job")
+        .clone();
     let mut all = Arc::new(entries);
     let began = Instant::now();
     // A tenth of the records, because each one copies the whole map.
--- a/crates/pomelohitch-core/src/record.rs
+++ b/crates/pomelohitch-core/src/record.rs
@@ -57,7 +57,7 @@
     #[must_use]
     pub fn encode(&self) -> Box<str> {
         serde_json::to_string(self)
-            .expect("records have string keys and no failing types")
+            .expect("all map keys serialise as strings")
             .into()
     }
 
--- a/crates/pomelohitch-core/src/snapshot.rs
+++ b/crates/pomelohitch-core/src/snapshot.rs
@@ -41,7 +41,7 @@
 /// Never: serialisation can't fail for the types in the state.
 #[must_use]
 pub fn split(state: &State, snapshot: RecordId, bytes: usize) -> Vec<Box<str>> {
-    let text = serde_json::to_string(state).expect("the state has string keys");
+    let text = serde_json::to_string(state).expect("all map keys serialise as strings");
     let hash: Box<str> = blake3::hash(text.as_bytes()).to_hex().as_str().into();
     let parts = cut(&text, bytes);
     let count = parts.len();
@@ -55,7 +55,7 @@
     });
     chunks
         .map(|chunk| {
-            let text = serde_json::to_string(&chunk).expect("a chunk has no failing types");
+            let text = serde_json::to_string(&chunk).expect("a chunk has no maps");
             text.into()
         })
         .collect()
--- a/crates/pomelohitch-core/src/state.rs
+++ b/crates/pomelohitch-core/src/state.rs
@@ -171,7 +171,7 @@
     pub fn apply(&mut self, offset: Offset, record: &Record) -> Verdict {
         assert!(
             offset >= self.next,
-            "the log is read in order: {offset} after {}",
+            "records must be applied in order: got offset {offset}, expected {} or later",
             self.next
         );
         self.next = offset + 1;
--- a/crates/pomelohitch-core/src/state/seen.rs
+++ b/crates/pomelohitch-core/src/state/seen.rs
@@ -47,7 +47,7 @@
         let newest = self
             .chunks
             .last_mut()
-            .expect("a chunk was pushed if there was none");
+            .expect("a chunk is pushed above if there is none");
         Arc::make_mut(newest).ids.insert(id, offset);
     }
 }
--- a/crates/pomelohitch-core/tests/fold/properties.rs
+++ b/crates/pomelohitch-core/tests/fold/properties.rs
@@ -179,7 +179,7 @@
             let offset = log.state.next;
             let verdict = log.append(body(&log, *choice));
             if let Some(joiner) = &mut joiner {
-                let record = log.records.last().expect("one was just appended");
+                let record = log.records.last().expect("a record was just appended");
                 assert_eq!(joiner.apply(offset, record), verdict);
                 assert_eq!(*joiner, log.state);
             }
@@ -193,8 +193,8 @@
 }
 
 fn round_trip(state: &State) -> State {
-    let text = serde_json::to_string(state).expect("the state has string keys");
-    serde_json::from_str(&text).expect("what was written can be read")
+    let text = serde_json::to_string(state).expect("all map keys serialise as strings");
+    serde_json::from_str(&text).expect("a serialised state can be deserialised")
 }
 
 #[test]
@@ -207,7 +207,7 @@
             let first = log.state.offset_of(&log.records[earlier].id);
             let before = log.state.clone();
             let verdict = log.append_record(log.records[earlier].clone());
-            let first = first.expect("every record was remembered");
+            let first = first.expect("all ids are within the repeat window");
             assert_eq!(verdict, Verdict::Repeat(first));
             assert_unchanged(&before, &log.state);
         }
--- a/crates/pomelohitch-core/tests/jobs.rs
+++ b/crates/pomelohitch-core/tests/jobs.rs
@@ -197,7 +197,8 @@
             let idempotent = if is_idempotent { "idempotent" } else { "once" };
             let cancelled = if is_cancelled { ", cancelled" } else { "" };
             let state = log.state_of("j");
-            writeln!(table, "{event:?}, {idempotent}{cancelled} -> {state}").expect("a string");
+            writeln!(table, "{event:?}, {idempotent}{cancelled} -> {state}")
+                .expect("writing to a string cannot fail");
         }
     }
     insta::assert_snapshot!(table);
@@ -336,7 +337,10 @@
     log.submit(&["first"], false);
     assert_eq!(log.state_of("first"), "none");
     assert!(log.state.jobs.table.is_remembered("first"));
-    assert!(log.state.jobs.table.len() < 3 * usize::try_from(ENDED_KEPT).expect("small"));
+    assert!(
+        log.state.jobs.table.len()
+            < 3 * usize::try_from(ENDED_KEPT).expect("the constant fits into usize")
+    );
 
     end_some(&mut log, 2 * ENDED_REMEMBERED);
     log.submit(&["first"], false);
@@ -388,7 +392,7 @@
 fn check(state: &State, ends: &mut BTreeMap<Box<str>, JobState>) {
     let entries = state.jobs.table.iter();
     let active = entries.filter(|(_, entry)| entry.attempt().is_some());
-    let active = u32::try_from(active.count()).expect("few");
+    let active = u32::try_from(active.count()).expect("at most six jobs are submitted");
     assert_eq!(active, state.jobs.active_of("choir"));
     assert!(active <= LIMIT);
     for (id, entry) in state.jobs.table.iter() {
