--- a/crates/pomelohitch-core/src/record/job.rs
+++ b/crates/pomelohitch-core/src/record/job.rs
@@ -32,7 +32,7 @@
     Decide(JobDecision),
     /// Reports of the platform on attempts.
     Report {
-        /// Position in the platform's report stream after the last of these reports.
+        /// Position in the platform's report stream below which all reports have been handled.
         next: u64,
         /// Reports to apply, in this order.
         reports: Vec<Report>,
--- a/crates/pomelohitch-core/src/state.rs
+++ b/crates/pomelohitch-core/src/state.rs
@@ -184,8 +184,8 @@
         if offset.saturating_sub(record.after) > REPEAT_WINDOW {
             return Verdict::Rejected(Rejection::TooLate);
         }
-        self.seen.remember(offset, record.id);
-        match self.judge(offset, record) {
+        self.seen.insert(offset, record.id);
+        match self.apply_body(offset, record) {
             Ok(()) => Verdict::Accepted,
             Err(rejection) => Verdict::Rejected(rejection),
         }
@@ -196,7 +196,7 @@
         self.next = self.next.max(offset + 1);
     }
 
-    fn judge(&mut self, offset: Offset, record: &Record) -> Result<()> {
+    fn apply_body(&mut self, offset: Offset, record: &Record) -> Result<()> {
         match &record.body {
             Body::Publish(publish) => self.publish(offset, publish),
             Body::WithdrawKey(withdraw) => {
@@ -211,10 +211,10 @@
             Body::TakeTerm(take) => Arc::make_mut(&mut self.members).take_term(take),
             Body::Fleet(decision) => {
                 self.members.check_term(decision.term)?;
-                self.fleet_step(offset, record, &decision.step)
+                self.apply_fleet_step(offset, record, &decision.step)
             }
-            Body::Maintain(order) => self.maintain(offset, record.at, order),
-            Body::Job(job) => self.job_record(offset, job),
+            Body::Maintain(order) => self.apply_maintain_order(offset, record.at, order),
+            Body::Job(job) => self.apply_job_record(offset, job),
             Body::DivideLimit(divide) => self.divide_limit(offset, divide),
         }
     }
--- a/crates/pomelohitch-core/src/state/fleet.rs
+++ b/crates/pomelohitch-core/src/state/fleet.rs
@@ -124,7 +124,7 @@
 }
 
 impl State {
-    pub(super) fn fleet_step(
+    pub(super) fn apply_fleet_step(
         &mut self,
         offset: Offset,
         record: &Record,
@@ -159,12 +159,12 @@
                 purpose,
             } => {
                 self.check_drain(instance, *since, purpose)?;
-                self.enter(offset, instance, Phase::Draining(purpose.clone()))
+                self.set_phase(offset, instance, Phase::Draining(purpose.clone()))
             }
             FleetStep::Drained { instance, since } => {
-                match self.judged(instance, *since)?.phase.clone() {
+                match self.instance_in_phase(instance, *since)?.phase.clone() {
                     Phase::Draining(purpose) => {
-                        self.enter(offset, instance, Phase::Drained(purpose))
+                        self.set_phase(offset, instance, Phase::Drained(purpose))
                     }
                     phase => Err(Rejection::WrongPhase(phase)),
                 }
@@ -180,7 +180,7 @@
 
     /// Returns the instance if it is still in the phase that began at `since`, on which the planner
     /// based its decision.
-    fn judged(&self, id: &InstanceId, since: Offset) -> Result<&Instance> {
+    fn instance_in_phase(&self, id: &InstanceId, since: Offset) -> Result<&Instance> {
         let instance = self.fleet.instances.get(id);
         let instance = instance.ok_or_else(|| Rejection::UnknownInstance(id.clone()))?;
         if instance.since == since {
@@ -210,7 +210,7 @@
     /// platform takes the instance away, which can't be refused. Any other drain must respect
     /// pauses and the availability budget of each service on the pool.
     fn check_drain(&self, id: &InstanceId, since: Offset, purpose: &DrainPurpose) -> Result<()> {
-        let instance = self.judged(id, since)?;
+        let instance = self.instance_in_phase(id, since)?;
         if instance.phase != Phase::Active {
             return Err(Rejection::WrongPhase(instance.phase.clone()));
         }
@@ -265,7 +265,7 @@
         id: &InstanceId,
         since: Offset,
     ) -> Result<()> {
-        let phase = self.judged(id, since)?.phase.clone();
+        let phase = self.instance_in_phase(id, since)?.phase.clone();
         match &phase {
             Phase::Draining(DrainPurpose::Maintain | DrainPurpose::MoveTo(_)) => {}
             Phase::Drained(DrainPurpose::Maintain) => {
@@ -279,11 +279,11 @@
             }
             _ => return Err(Rejection::WrongPhase(phase)),
         }
-        self.enter(offset, id, Phase::Active)
+        self.set_phase(offset, id, Phase::Active)
     }
 
     fn fail(&mut self, offset: Offset, id: &InstanceId, since: Offset) -> Result<()> {
-        let instance = self.judged(id, since)?;
+        let instance = self.instance_in_phase(id, since)?;
         match &instance.phase {
             Phase::Failed => return Err(Rejection::WrongPhase(Phase::Failed)),
             Phase::Draining(DrainPurpose::Maintain) | Phase::Drained(DrainPurpose::Maintain) => {
@@ -294,13 +294,13 @@
             }
             _ => {}
         }
-        self.enter(offset, id, Phase::Failed)
+        self.set_phase(offset, id, Phase::Failed)
     }
 
     /// Removes an instance that failed or is leaving. Any other instance must not be removed here,
     /// since this doesn't check the availability budgets.
     fn forget(&mut self, offset: Offset, id: &InstanceId, since: Offset) -> Result<()> {
-        let phase = self.judged(id, since)?.phase.clone();
+        let phase = self.instance_in_phase(id, since)?.phase.clone();
         let is_gone = matches!(
             phase,
             Phase::Failed
@@ -318,7 +318,7 @@
         Ok(())
     }
 
-    fn enter(&mut self, offset: Offset, id: &InstanceId, phase: Phase) -> Result<()> {
+    fn set_phase(&mut self, offset: Offset, id: &InstanceId, phase: Phase) -> Result<()> {
         let instance = Arc::make_mut(&mut self.fleet).get_mut(id)?;
         instance.phase = phase;
         instance.since = offset;
--- a/crates/pomelohitch-core/src/state/jobs.rs
+++ b/crates/pomelohitch-core/src/state/jobs.rs
@@ -32,16 +32,16 @@
 pub use table::Table;
 
 /// Minimum number of ended jobs that are kept with their full entry.
-pub const ENDED_KEPT: u64 = 8_192;
+pub const ENDED_ENTRIES_KEPT: u64 = 8_192;
 /// Minimum number of ended jobs whose ids are kept, so that a repeated submit doesn't create a
 /// second job.
-pub const ENDED_REMEMBERED: u64 = 131_072;
+pub const ENDED_IDS_KEPT: u64 = 131_072;
 /// An idempotent job ends as failed once it has failed on this many distinct workers that are not
 /// quarantined: the cause is then the job and not a worker.
-pub const FAILURES_TO_END: usize = 3;
+pub const MAX_FAILED_WORKERS: usize = 3;
 /// Maximum number of attempts of an idempotent job. Bounds the retries of a job that makes its
 /// workers crash.
-pub const ATTEMPTS_TO_END: u32 = 16;
+pub const MAX_ATTEMPTS: u32 = 16;
 
 /// State of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -126,12 +126,12 @@
     pub killed_at: BTreeMap<JobClass, u64>,
     /// Offset of the last accepted decision about jobs; 0 if there was none.
     pub decided: Offset,
-    /// Position in the platform's report stream below which all reports have been recorded.
+    /// Position in the platform's report stream below which all reports have been handled.
     pub reports_next: u64,
 }
 
 impl State {
-    pub(super) fn job_record(&mut self, offset: Offset, record: &JobRecord) -> Result<()> {
+    pub(super) fn apply_job_record(&mut self, offset: Offset, record: &JobRecord) -> Result<()> {
         match record {
             JobRecord::Submit(jobs) => {
                 self.submit(offset, jobs);
@@ -140,7 +140,7 @@
             JobRecord::Cancel(ids) => {
                 let jobs = Arc::make_mut(&mut self.jobs);
                 for id in ids {
-                    jobs.step(id, outcome::cancel);
+                    jobs.transition(id, outcome::cancel);
                 }
                 Ok(())
             }
@@ -185,10 +185,10 @@
             jobs.quarantined.remove(worker);
         }
         for id in &decision.refuse {
-            jobs.step(id, outcome::refuse);
+            jobs.transition(id, outcome::refuse);
         }
         for preemption in &decision.preempt {
-            jobs.step(&preemption.job, |entry| {
+            jobs.transition(&preemption.job, |entry| {
                 outcome::preempt(entry, preemption.attempt)
             });
         }
@@ -235,7 +235,7 @@
             worker: placement.worker.clone(),
             reserve: placement.reserve,
         };
-        self.step(&placement.job, |entry| {
+        self.transition(&placement.job, |entry| {
             entry.attempts += 1;
             Some(JobState::Placed(attempt))
         });
@@ -254,15 +254,15 @@
             *killed_at = memory_mib.max(*killed_at);
         }
         let quarantined = std::mem::take(&mut self.quarantined);
-        let is_bad = |worker: &InstanceId| quarantined.contains_key(worker);
-        self.step(&report.job, |entry| {
-            outcome::report(entry, report.event, &is_bad)
+        let is_quarantined = |worker: &InstanceId| quarantined.contains_key(worker);
+        self.transition(&report.job, |entry| {
+            outcome::report(entry, report.event, &is_quarantined)
         });
         self.quarantined = quarantined;
     }
 
     /// Sets a job to the state that `next` returns, if any, and updates the team's active count.
-    fn step(&mut self, id: &JobId, next: impl FnOnce(&mut Entry) -> Option<JobState>) {
+    fn transition(&mut self, id: &JobId, next: impl FnOnce(&mut Entry) -> Option<JobState>) {
         let Some(entry) = self.table.get_mut(id) else {
             return;
         };
@@ -273,16 +273,16 @@
         let has_ended = matches!(entry.state, JobState::Ended(_));
         let team = entry.job.team.clone();
         if has_ended {
-            self.table.note_end(id);
+            self.table.record_end(id);
         }
         match (was_active, is_active) {
             (false, true) => *self.active.entry(team).or_default() += 1,
-            (true, false) => self.release_one(&team),
+            (true, false) => self.decrement_active(&team),
             _ => {}
         }
     }
 
-    fn release_one(&mut self, team: &TeamId) {
+    fn decrement_active(&mut self, team: &TeamId) {
         let Some(active) = self.active.get_mut(team) else {
             return;
         };
--- a/crates/pomelohitch-core/src/state/jobs/outcome.rs
+++ b/crates/pomelohitch-core/src/state/jobs/outcome.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{ATTEMPTS_TO_END, Attempt, Entry, FAILURES_TO_END, JobState, StopCause};
+use super::{Attempt, Entry, JobState, MAX_ATTEMPTS, MAX_FAILED_WORKERS, StopCause};
 use crate::id::InstanceId;
 use crate::record::job::{AttemptId, Event};
 
@@ -41,7 +41,7 @@
 pub enum Reason {
     /// The program exited on its own.
     Ended,
-    /// The program failed on [`FAILURES_TO_END`] distinct workers that are not quarantined.
+    /// The program failed on [`MAX_FAILED_WORKERS`] distinct workers that are not quarantined.
     FailedOnSeveralWorkers,
     /// The attempt was killed for its memory use, and the job isn't idempotent.
     MemoryKilled,
@@ -51,7 +51,7 @@
     Stopped,
     /// The result of the last attempt can't be determined, and the job isn't idempotent.
     NoTrace,
-    /// [`ATTEMPTS_TO_END`] attempts ended without a final result.
+    /// [`MAX_ATTEMPTS`] attempts ended without a final result.
     TooManyAttempts,
     /// The team cancelled the job.
     CancelledByTeam,
@@ -74,12 +74,12 @@
 }
 
 /// New state of the job; `None` if it doesn't change.
-type Next = Option<JobState>;
+type NextState = Option<JobState>;
 
 /// Cancels a job. A waiting job ends at once. A placed one may be running, so it is stopped first
 /// and ends with what the platform then reports. This gives all readers the same outcome, and the
 /// job counts towards the team's limit until it has certainly stopped.
-pub(super) fn cancel(entry: &mut Entry) -> Next {
+pub(super) fn cancel(entry: &mut Entry) -> NextState {
     match &entry.state {
         JobState::Waiting => {
             let ran = ran_before(entry, entry.attempts);
@@ -109,7 +109,7 @@
 }
 
 /// Refuses a waiting job that fits no worker.
-pub(super) fn refuse(entry: &mut Entry) -> Next {
+pub(super) fn refuse(entry: &mut Entry) -> NextState {
     (entry.state == JobState::Waiting).then(|| {
         JobState::Ended(End {
             outcome: Outcome::Refused,
@@ -121,7 +121,7 @@
 }
 
 /// Starts to stop `attempt`, if it is the current one of a placed or running job.
-pub(super) fn preempt(entry: &mut Entry, attempt: AttemptId) -> Next {
+pub(super) fn preempt(entry: &mut Entry, attempt: AttemptId) -> NextState {
     match &entry.state {
         JobState::Placed(current) | JobState::Running(current) if current.attempt == attempt => {
             Some(JobState::Stopping(current.clone(), StopCause::Preempt))
@@ -130,13 +130,13 @@
     }
 }
 
-/// Applies the platform's report on the current attempt. Failures on workers for which `is_bad`
-/// returns true (those in quarantine) don't count towards [`FAILURES_TO_END`].
+/// Applies the platform's report on the current attempt. Failures on quarantined workers don't
+/// count towards [`MAX_FAILED_WORKERS`].
 pub(super) fn report(
     entry: &mut Entry,
     event: Event,
-    is_bad: &dyn Fn(&InstanceId) -> bool,
-) -> Next {
+    is_quarantined: &dyn Fn(&InstanceId) -> bool,
+) -> NextState {
     let attempt = entry.attempt()?.clone();
     let is_cancelled = matches!(entry.state, JobState::Stopping(_, StopCause::Cancel));
     let end = |outcome, reason, ran| Some(ended(&attempt, outcome, reason, ran));
@@ -150,7 +150,7 @@
         Event::Failed if is_cancelled || !entry.job.idempotent => {
             end(Outcome::Failed, Reason::Ended, Ran::ToItsEnd)
         }
-        Event::Failed => Some(failed(entry, &attempt, is_bad)),
+        Event::Failed => Some(after_failure(entry, &attempt, is_quarantined)),
         Event::NotStarted if is_cancelled => cancelled(ran_before(entry, entry.attempts - 1)),
         // An attempt that never started doesn't count.
         Event::NotStarted => {
@@ -170,12 +170,22 @@
         Event::MemoryKilled { memory_mib } => {
             let killed_at = memory_mib.max(attempt.reserve.memory_mib);
             entry.memory_floor_mib = entry.memory_floor_mib.max(raised(killed_at));
-            Some(again(entry, &attempt, Reason::MemoryKilled, Ran::InPart))
+            Some(retry_or_end(
+                entry,
+                &attempt,
+                Reason::MemoryKilled,
+                Ran::InPart,
+            ))
         }
-        Event::Stopped => Some(again(entry, &attempt, Reason::Stopped, Ran::InPart)),
-        Event::LeaseExpired => Some(again(entry, &attempt, Reason::LeaseExpired, Ran::InPart)),
+        Event::Stopped => Some(retry_or_end(entry, &attempt, Reason::Stopped, Ran::InPart)),
+        Event::LeaseExpired => Some(retry_or_end(
+            entry,
+            &attempt,
+            Reason::LeaseExpired,
+            Ran::InPart,
+        )),
         Event::Unknown if is_cancelled => cancelled(Ran::Unknown),
-        Event::Unknown => Some(again(entry, &attempt, Reason::NoTrace, Ran::Unknown)),
+        Event::Unknown => Some(retry_or_end(entry, &attempt, Reason::NoTrace, Ran::Unknown)),
     }
 }
 
@@ -196,22 +206,29 @@
 }
 
 /// Retries a failed idempotent job on another worker, since the cause may be the worker. After
-/// [`FAILURES_TO_END`] distinct workers that are not quarantined, the job ends as failed.
-fn failed(entry: &mut Entry, attempt: &Attempt, is_bad: &dyn Fn(&InstanceId) -> bool) -> JobState {
+/// [`MAX_FAILED_WORKERS`] distinct workers that are not quarantined, the job ends as failed.
+fn after_failure(
+    entry: &mut Entry,
+    attempt: &Attempt,
+    is_quarantined: &dyn Fn(&InstanceId) -> bool,
+) -> JobState {
     if !entry.failed_on.contains(&attempt.worker) {
         entry.failed_on.push(attempt.worker.clone());
     }
-    let healthy = entry.failed_on.iter().filter(|worker| !is_bad(worker));
-    if healthy.count() >= FAILURES_TO_END {
+    let healthy = entry
+        .failed_on
+        .iter()
+        .filter(|worker| !is_quarantined(worker));
+    if healthy.count() >= MAX_FAILED_WORKERS {
         let reason = Reason::FailedOnSeveralWorkers;
         return ended(attempt, Outcome::Failed, reason, Ran::ToItsEnd);
     }
-    again(entry, attempt, Reason::Ended, Ran::ToItsEnd)
+    retry_or_end(entry, attempt, Reason::Ended, Ran::ToItsEnd)
 }
 
-/// Retries an idempotent job, up to [`ATTEMPTS_TO_END`] attempts. A job that isn't idempotent must
+/// Retries an idempotent job, up to [`MAX_ATTEMPTS`] attempts. A job that isn't idempotent must
 /// not run twice, and ends.
-fn again(entry: &mut Entry, attempt: &Attempt, reason: Reason, ran: Ran) -> JobState {
+fn retry_or_end(entry: &mut Entry, attempt: &Attempt, reason: Reason, ran: Ran) -> JobState {
     if !entry.job.idempotent {
         let outcome = match reason {
             Reason::MemoryKilled => Outcome::Failed,
@@ -219,7 +236,7 @@
         };
         return ended(attempt, outcome, reason, ran);
     }
-    if entry.attempts >= ATTEMPTS_TO_END {
+    if entry.attempts >= MAX_ATTEMPTS {
         return ended(attempt, Outcome::Failed, Reason::TooManyAttempts, ran);
     }
     JobState::Waiting
--- a/crates/pomelohitch-core/src/state/jobs/table.rs
+++ b/crates/pomelohitch-core/src/state/jobs/table.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{ENDED_KEPT, ENDED_REMEMBERED, Entry, JobState};
+use super::{ENDED_ENTRIES_KEPT, ENDED_IDS_KEPT, Entry, JobState};
 use crate::id::{JobId, Offset};
 use crate::record::job::Job;
 
@@ -17,13 +17,14 @@
 const CHUNKS: usize = 512;
 
 /// Sequence number of an ended job: the number of jobs that ended before it.
-type EndNumber = u64;
+type EndSeq = u64;
 
 /// Jobs that wait, run or ended recently, by id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
     chunks: Vec<Arc<Chunk>>,
-    ended: EndNumber,
+    /// Sequence number of the next job to end.
+    ended: EndSeq,
     len: usize,
 }
 
@@ -32,9 +33,9 @@
 struct Chunk {
     jobs: BTreeMap<JobId, Entry>,
     /// Ended jobs that still have an entry in `jobs`, in the order in which they ended.
-    ended: BTreeMap<EndNumber, JobId>,
+    ended: BTreeMap<EndSeq, JobId>,
     /// Id hashes of ended jobs whose entry has been dropped.
-    remembered: Arc<BTreeMap<u64, EndNumber>>,
+    remembered: Arc<BTreeMap<u64, EndSeq>>,
 }
 
 impl Default for Table {
@@ -79,7 +80,7 @@
     }
 
     /// Ids of the jobs that differ between `earlier` and `self`, including dropped ones. Compares
-    /// only the chunks that are not shared, so the cost doesn't depend on the total number of jobs.
+    /// only the chunks that the two tables don't share, instead of all jobs.
     #[must_use]
     pub fn changed_since(&self, earlier: &Table) -> Vec<JobId> {
         let mut changed = Vec::new();
@@ -106,7 +107,7 @@
             return;
         }
         let chunk = Arc::make_mut(&mut self.chunks[chunk_of(hash)]);
-        self.len -= chunk.forget(self.ended);
+        self.len -= chunk.drop_ended(self.ended);
         let entry = Entry {
             job: Arc::new(job.clone()),
             submitted: offset,
@@ -128,8 +129,8 @@
         Arc::make_mut(chunk).jobs.get_mut(id)
     }
 
-    /// Records that a job ended, so that [`Chunk::forget`] can drop it later.
-    pub(super) fn note_end(&mut self, id: &JobId) {
+    /// Records that a job ended, so that [`Chunk::drop_ended`] can drop it later.
+    pub(super) fn record_end(&mut self, id: &JobId) {
         let chunk = Arc::make_mut(&mut self.chunks[chunk_of(hash(id))]);
         chunk.ended.insert(self.ended, id.clone());
         self.ended += 1;
@@ -137,22 +138,24 @@
 }
 
 impl Chunk {
-    /// Drops the entries of jobs that are not among the last [`ENDED_KEPT`] to end, and keeps their
-    /// ids. When it drops any, it also drops the ids of jobs that are not among the last
-    /// [`ENDED_REMEMBERED`] to end. Each submit calls this for its own chunk, which bounds the size
-    /// of the state without a pass over all jobs. Returns the number of entries dropped.
-    fn forget(&mut self, ended: EndNumber) -> usize {
-        let kept = self.ended.split_off(&ended.saturating_sub(ENDED_KEPT));
+    /// Drops the entries of jobs that are not among the last [`ENDED_ENTRIES_KEPT`] to end, and
+    /// keeps their ids. When it drops any, it also drops the ids of jobs that are not among the
+    /// last [`ENDED_IDS_KEPT`] to end. Each submit calls this for its own chunk, which bounds the
+    /// size of the state without a pass over all jobs. Returns the number of entries dropped.
+    fn drop_ended(&mut self, ended: EndSeq) -> usize {
+        let kept = self
+            .ended
+            .split_off(&ended.saturating_sub(ENDED_ENTRIES_KEPT));
         let dropped = std::mem::replace(&mut self.ended, kept);
         if dropped.is_empty() {
             return 0;
         }
         let remembered = Arc::make_mut(&mut self.remembered);
-        let oldest = ended.saturating_sub(ENDED_REMEMBERED);
-        remembered.retain(|_, &mut number| number >= oldest);
-        for (&number, id) in &dropped {
+        let oldest = ended.saturating_sub(ENDED_IDS_KEPT);
+        remembered.retain(|_, &mut seq| seq >= oldest);
+        for (&seq, id) in &dropped {
             self.jobs.remove(id);
-            remembered.insert(hash(id), number);
+            remembered.insert(hash(id), seq);
         }
         dropped.len()
     }
--- a/crates/pomelohitch-core/src/state/publish.rs
+++ b/crates/pomelohitch-core/src/state/publish.rs
@@ -31,8 +31,8 @@
         }
         let config = Config::from_files(files).map_err(Rejection::Invalid)?;
         self.check_pools_in_use(&config)?;
-        let has_removed = |pool: &PoolId| !config.pools.contains_key(pool);
-        if self.config.pools.keys().any(has_removed) {
+        let is_removed = |pool: &PoolId| !config.pools.contains_key(pool);
+        if self.config.pools.keys().any(is_removed) {
             Arc::make_mut(&mut self.waves).retain_pools(&config);
         }
         self.config = Arc::new(config);
--- a/crates/pomelohitch-core/src/state/seen.rs
+++ b/crates/pomelohitch-core/src/state/seen.rs
@@ -34,7 +34,7 @@
         newest_first.find_map(|chunk| chunk.ids.get(id)).copied()
     }
 
-    pub(super) fn remember(&mut self, offset: Offset, id: RecordId) {
+    pub(super) fn insert(&mut self, offset: Offset, id: RecordId) {
         let number = offset / CHUNK;
         if self.chunks.last().is_none_or(|last| last.number != number) {
             let oldest = offset.saturating_sub(REPEAT_WINDOW) / CHUNK;
--- a/crates/pomelohitch-core/src/state/waves.rs
+++ b/crates/pomelohitch-core/src/state/waves.rs
@@ -70,7 +70,7 @@
     /// Whether an instance in `zone` and `rack` may be drained within the wave's limits, given the
     /// failure domains already affected.
     #[must_use]
-    pub fn allows(&self, out: &Spread, zone: &ZoneId, rack: &RackId) -> bool {
+    pub fn allows(&self, spread: &Spread, zone: &ZoneId, rack: &RackId) -> bool {
         let rack = RackIn {
             zone: zone.clone(),
             rack: rack.clone(),
@@ -80,12 +80,12 @@
         };
         fits(
             self.limits.zones,
-            out.zones.len(),
-            out.zones.contains(&rack.zone),
+            spread.zones.len(),
+            spread.zones.contains(&rack.zone),
         ) && fits(
             self.limits.racks,
-            out.racks.len(),
-            out.racks.contains(&rack),
+            spread.racks.len(),
+            spread.racks.contains(&rack),
         )
     }
 }
@@ -105,11 +105,11 @@
     pub fn of(fleet: &Fleet, pool: &str) -> Spread {
         let mut spread = Spread::default();
         for (_, instance) in fleet.in_pool(pool) {
-            let is_out = matches!(
+            let is_in_maintenance = matches!(
                 instance.phase,
                 Phase::Draining(DrainPurpose::Maintain) | Phase::Drained(DrainPurpose::Maintain)
             );
-            if is_out {
+            if is_in_maintenance {
                 spread.add(&instance.zone, &instance.rack);
             }
         }
@@ -127,7 +127,7 @@
 }
 
 impl State {
-    pub(super) fn maintain(
+    pub(super) fn apply_maintain_order(
         &mut self,
         offset: Offset,
         at: Timestamp,
@@ -190,8 +190,8 @@
         if !wave.covers(instance) {
             return Err(Rejection::NotInWave);
         }
-        let out = Spread::of(&self.fleet, &instance.pool);
-        if wave.allows(&out, &instance.zone, &instance.rack) {
+        let spread = Spread::of(&self.fleet, &instance.pool);
+        if wave.allows(&spread, &instance.zone, &instance.rack) {
             return Ok(());
         }
         Err(Rejection::TooWide)
--- a/crates/pomelohitch-core/tests/jobs.rs
+++ b/crates/pomelohitch-core/tests/jobs.rs
@@ -12,7 +12,7 @@
 };
 use pomelohitch_core::record::{FileChange, Join, Publish, TakeTerm};
 use pomelohitch_core::state::JobState;
-use pomelohitch_core::state::jobs::{ENDED_KEPT, ENDED_REMEMBERED, FAILURES_TO_END};
+use pomelohitch_core::state::jobs::{ENDED_ENTRIES_KEPT, ENDED_IDS_KEPT, MAX_FAILED_WORKERS};
 use pomelohitch_core::{Body, Record, Rejection, State, Verdict};
 
 /// State of a log with one team and a planner.
@@ -294,7 +294,7 @@
     log.report("j", attempt, Event::Failed);
     let end = "Failed: FailedOnSeveralWorkers, ran: ToItsEnd";
     assert_eq!(log.state_of("j"), end);
-    assert_eq!(FAILURES_TO_END, 3);
+    assert_eq!(MAX_FAILED_WORKERS, 3);
 }
 
 /// Guards against the limit on attempts ending a job that is merely preempted often: patient jobs
@@ -332,17 +332,17 @@
             log.job(JobRecord::Cancel(ids));
         }
     };
-    end_some(&mut log, 2 * ENDED_KEPT);
+    end_some(&mut log, 2 * ENDED_ENTRIES_KEPT);
     assert_eq!(log.state_of("first"), "none");
     log.submit(&["first"], false);
     assert_eq!(log.state_of("first"), "none");
     assert!(log.state.jobs.table.is_remembered("first"));
     assert!(
         log.state.jobs.table.len()
-            < 3 * usize::try_from(ENDED_KEPT).expect("the constant fits into usize")
+            < 3 * usize::try_from(ENDED_ENTRIES_KEPT).expect("the constant fits into usize")
     );
 
-    end_some(&mut log, 2 * ENDED_REMEMBERED);
+    end_some(&mut log, 2 * ENDED_IDS_KEPT);
     log.submit(&["first"], false);
     assert_eq!(log.state_of("first"), "waiting");
 }
