--- a/crates/pomelohitch-core/src/state/limits.rs
+++ b/crates/pomelohitch-core/src/state/limits.rs
@@ -18,18 +18,20 @@
 
 /// Split of a team's limit that was set by a record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Border {
+pub struct LimitSplit {
     /// Part of the limit that is for jobs; the rest is for requests.
     pub jobs: u32,
     /// Offset of the record that set it.
     pub version: Offset,
 }
 
-/// Splits that were set by a record. The limit of any other team is split in half.
+/// Splits that were set by a record. Any other team's limit is split in half, the odd one for
+/// requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Splits by team.
-    pub borders: BTreeMap<TeamId, Border>,
+    #[serde(rename = "borders")]
+    pub splits: BTreeMap<TeamId, LimitSplit>,
 }
 
 impl Limits {
@@ -40,8 +42,8 @@
     /// the old part of one reader and the new part of another don't exceed the larger limit.
     #[must_use]
     pub fn jobs_of(&self, team: &Team) -> u32 {
-        match self.borders.get(&team.id) {
-            Some(border) => border.jobs.min(team.limit),
+        match self.splits.get(&team.id) {
+            Some(split) => split.jobs.min(team.limit),
             None => team.limit / 2,
         }
     }
@@ -55,7 +57,7 @@
     /// Offset of the record that last set the team's split; `None` if none did.
     #[must_use]
     pub fn version_of(&self, team: &str) -> Option<Offset> {
-        self.borders.get(team).map(|border| border.version)
+        self.splits.get(team).map(|split| split.version)
     }
 }
 
@@ -83,12 +85,12 @@
                 limit: team.limit,
             });
         }
-        let border = Border {
+        let split = LimitSplit {
             jobs: divide.jobs,
             version: offset,
         };
         let limits = Arc::make_mut(&mut self.limits);
-        limits.borders.insert(divide.team.clone(), border);
+        limits.splits.insert(divide.team.clone(), split);
         Ok(())
     }
 }
