--- a/crates/pomelohitch-core/src/snapshot.rs
+++ b/crates/pomelohitch-core/src/snapshot.rs
@@ -43,7 +43,7 @@
 pub fn split(state: &State, snapshot: RecordId, bytes: usize) -> Vec<Box<str>> {
     let text = serde_json::to_string(state).expect("all map keys serialise as strings");
     let hash: Box<str> = blake3::hash(text.as_bytes()).to_hex().as_str().into();
-    let parts = cut(&text, bytes);
+    let parts = split_text(&text, bytes);
     let count = parts.len();
     let chunks = parts.iter().enumerate().map(|(index, part)| Chunk {
         snapshot,
@@ -63,7 +63,7 @@
 
 /// Splits `text` at character boundaries into parts of at most `bytes` bytes, or of one character
 /// if that is longer.
-fn cut(text: &str, bytes: usize) -> Vec<&str> {
+fn split_text(text: &str, bytes: usize) -> Vec<&str> {
     let mut parts = Vec::new();
     let mut rest = text;
     while !rest.is_empty() {
@@ -90,18 +90,18 @@
         chunks.insert(chunk.index, chunk);
     }
     let mut newest_first = snapshots.into_values().rev();
-    newest_first.find_map(|chunks| join(&chunks))
+    newest_first.find_map(|chunks| assemble(&chunks))
 }
 
 /// Restores the state from the chunks of a snapshot; `None` if they are incomplete or damaged.
-fn join(chunks: &BTreeMap<usize, Chunk>) -> Option<State> {
+fn assemble(chunks: &BTreeMap<usize, Chunk>) -> Option<State> {
     let first = chunks.get(&0)?;
     // Indices are distinct and below the count, so the snapshot is complete if the number of chunks
     // equals the count.
-    let fits = |chunk: &Chunk| {
+    let is_consistent = |chunk: &Chunk| {
         chunk.count == first.count && chunk.hash == first.hash && chunk.index < first.count
     };
-    if chunks.len() != first.count || !chunks.values().all(fits) {
+    if chunks.len() != first.count || !chunks.values().all(is_consistent) {
         return None;
     }
     let text: String = chunks.values().map(|chunk| &*chunk.data).collect();
--- a/crates/pomelohitch-core/src/status.rs
+++ b/crates/pomelohitch-core/src/status.rs
@@ -184,27 +184,27 @@
             next: state.next,
             term: members.term,
             planner: members.planner.clone(),
-            members: members.by_id.iter().map(member).collect(),
+            members: members.by_id.iter().map(member_status).collect(),
             pools: state
                 .config
                 .pools
                 .keys()
-                .map(|id| pool(state, id))
+                .map(|id| pool_status(state, id))
                 .collect(),
             waves: Vec::new(),
-            teams: teams(state),
+            teams: team_statuses(state),
             quarantined: state.jobs.quarantined.keys().cloned().collect(),
             waiting: Vec::new(),
         };
         if status.planner.is_none() {
-            status.wait("every move, drain and placement", "no entry instance plans");
+            status.add_waiting("every move, drain and placement", "no entry instance plans");
         }
         status.add_waves(state);
         status.add_jobs();
         status
     }
 
-    fn wait(&mut self, what: impl Into<Box<str>>, why: impl Into<Box<str>>) {
+    fn add_waiting(&mut self, what: impl Into<Box<str>>, why: impl Into<Box<str>>) {
         self.waiting.push(Waiting {
             what: what.into(),
             why: why.into(),
@@ -215,16 +215,16 @@
         for (pool, wave) in &state.waves.by_pool {
             let in_pool = || state.fleet.in_pool(pool).map(|(_, instance)| instance);
             let left: Vec<_> = in_pool().filter(|i| wave.covers(i)).collect();
-            let out = in_pool().filter(|i| is_maintained(i)).count();
+            let in_maintenance = in_pool().filter(|i| is_in_maintenance(i)).count();
             let can_drain = left.iter().filter(|i| i.phase == Phase::Active);
-            if let Some(why) = why_waits(state, pool, wave, can_drain.copied()) {
-                self.wait(format!("the wave over {pool}"), why);
+            if let Some(reason) = wave_wait_reason(state, pool, wave, can_drain.copied()) {
+                self.add_waiting(format!("the wave over {pool}"), reason);
             }
             self.waves.push(WaveStatus {
                 pool: pool.clone(),
                 since: wave.since,
-                left: count(left.len()),
-                out: count(out),
+                left: saturating_u32(left.len()),
+                out: saturating_u32(in_maintenance),
                 lost: wave.lost,
             });
         }
@@ -235,7 +235,7 @@
             if team.jobs_waiting == 0 {
                 continue;
             }
-            let why = if team.jobs_active >= team.jobs_limit {
+            let reason = if team.jobs_active >= team.jobs_limit {
                 format!(
                     "{} of {} jobs run: the limit",
                     team.jobs_active, team.jobs_limit
@@ -243,14 +243,17 @@
             } else {
                 "no worker has room, or their turn by share hasn't come".to_owned()
             };
-            self.wait(format!("{} jobs of {}", team.jobs_waiting, team.team), why);
+            self.add_waiting(
+                format!("{} jobs of {}", team.jobs_waiting, team.team),
+                reason,
+            );
         }
     }
 }
 
 /// Reason for which the wave can't drain another instance now; `None` if it can. `left` are the
 /// active instances that the wave still covers.
-fn why_waits<'a>(
+fn wave_wait_reason<'a>(
     state: &State,
     pool: &PoolId,
     wave: &Wave,
@@ -269,21 +272,21 @@
             service.id, service.min_available
         ));
     }
-    let out = Spread::of(&state.fleet, pool);
+    let spread = Spread::of(&state.fleet, pool);
     let mut left = left.by_ref().peekable();
     left.peek()?;
-    let is_held = left.all(|i| !wave.allows(&out, &i.zone, &i.rack));
-    is_held.then(|| "its limits of availability zones or racks are used up".to_owned())
+    let is_blocked = left.all(|i| !wave.allows(&spread, &i.zone, &i.rack));
+    is_blocked.then(|| "its limits of availability zones or racks are used up".to_owned())
 }
 
-fn is_maintained(instance: &Instance) -> bool {
+fn is_in_maintenance(instance: &Instance) -> bool {
     matches!(
         instance.phase,
         Phase::Draining(DrainPurpose::Maintain) | Phase::Drained(DrainPurpose::Maintain)
     )
 }
 
-fn member((id, member): (&MemberId, &crate::Member)) -> MemberStatus {
+fn member_status((id, member): (&MemberId, &crate::Member)) -> MemberStatus {
     MemberStatus {
         member: id.clone(),
         incarnation: member.incarnation,
@@ -292,7 +295,7 @@
     }
 }
 
-fn pool(state: &State, id: &PoolId) -> PoolStatus {
+fn pool_status(state: &State, id: &PoolId) -> PoolStatus {
     let mut pool = PoolStatus {
         pool: id.clone(),
         spare: state.config.pools.get(id).is_some_and(|pool| pool.spare),
@@ -319,7 +322,7 @@
     pool
 }
 
-fn teams(state: &State) -> Vec<TeamStatus> {
+fn team_statuses(state: &State) -> Vec<TeamStatus> {
     let mut waiting = std::collections::BTreeMap::<&TeamId, u32>::new();
     for (_, entry) in state.jobs.table.iter() {
         if entry.state == JobState::Waiting {
@@ -334,7 +337,7 @@
         jobs_limit: state.limits.jobs_of(team),
         jobs_active: state.jobs.active_of(&team.id),
         jobs_waiting: waiting.get(&team.id).copied().unwrap_or(0),
-        keys: count(
+        keys: saturating_u32(
             team.keys
                 .iter()
                 .filter(|key| !state.withdrawn.contains(*key))
@@ -344,6 +347,6 @@
     teams.collect()
 }
 
-fn count(n: usize) -> u32 {
+fn saturating_u32(n: usize) -> u32 {
     u32::try_from(n).unwrap_or(u32::MAX)
 }
