--- a/crates/pomelohitch-core/examples/jobs_cost.rs
+++ b/crates/pomelohitch-core/examples/jobs_cost.rs
@@ -21,16 +21,16 @@
     println!("jobs, us per record, us to find changes, us per record with one map, KiB resident");
     for count in [1_000, 10_000, 100_000] {
         let before = resident_kib();
-        let state = state_of(count);
+        let state = state_with_jobs(count);
         let resident = resident_kib().saturating_sub(before);
         drop(state);
-        let (chunked, changed) = chunked(count);
-        let one_map = one_map(count);
+        let (chunked, changed) = time_chunked(count);
+        let single_map = time_single_map(count);
         println!(
             "{count}, {:.1}, {:.1}, {:.1}, {resident}",
             micros(chunked),
             micros(changed),
-            micros(one_map)
+            micros(single_map)
         );
     }
 }
@@ -51,8 +51,8 @@
 }
 
 /// Total time to apply all records, and to find the jobs that each one changed.
-fn chunked(count: u32) -> (Duration, Duration) {
-    let mut state = state_of(count);
+fn time_chunked(count: u32) -> (Duration, Duration) {
+    let mut state = state_with_jobs(count);
     let (mut applying, mut finding) = (Duration::ZERO, Duration::ZERO);
     for number in 0..RECORDS {
         let reader = state.clone();
@@ -66,8 +66,8 @@
     (applying, finding)
 }
 
-fn one_map(count: u32) -> Duration {
-    let state = state_of(count);
+fn time_single_map(count: u32) -> Duration {
+    let state = state_with_jobs(count);
     let entries = state.jobs.table.iter();
     let entries: BTreeMap<JobId, Entry> = entries.map(|(id, e)| (id.clone(), e.clone())).collect();
     let template = entries
@@ -87,7 +87,7 @@
     began.elapsed() * 10
 }
 
-fn state_of(count: u32) -> State {
+fn state_with_jobs(count: u32) -> State {
     let mut state = State::default();
     let team = Team {
         id: "team".into(),
--- a/crates/pomelohitch-core/tests/fold/fleet.rs
+++ b/crates/pomelohitch-core/tests/fold/fleet.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_the_platform_takes_away_is_recorded_whatever_the_budget() {
+fn drains_of_leaving_instances_ignore_the_budget() {
     // The platform takes these instances away in any case, so rejecting the drains would only leave
     // the state wrong.
     let mut log = Log::with_instances();
@@ -74,7 +74,7 @@
         verdict,
         Verdict::Rejected(Rejection::BudgetBroken { left: 2, .. })
     ));
-    log.accept_step(log.back("i0"));
+    log.accept_step(log.return_to_work("i0"));
     assert_eq!(log.state.fleet.active_in("web"), 4);
 }
 
@@ -92,24 +92,24 @@
     let verdict = log.append(publish("spare", Some(version), None));
     assert_eq!(verdict, rejected(Rejection::PoolInUse("spare".into())));
     log.accept_step(log.drained("i0"));
-    log.accept_step(log.back("i0"));
+    log.accept_step(log.return_to_work("i0"));
     assert_eq!(&*log.state.fleet.instances["i0"].pool, "spare");
 }
 
 #[test]
-fn a_late_return_does_not_put_an_instance_to_work_that_was_drained_anew() {
+fn a_late_return_is_rejected_after_a_phase_change() {
     // The append of a `Return` gets no answer and lands much later, when the instance has entered
     // another phase. Without the check, callers would be routed to a rebooting instance.
     let mut log = Log::with_instances();
     log.accept_step(log.drain("i0", move_to("spare")));
-    let late = log.back("i0");
+    let late = log.return_to_work("i0");
     log.accept_step(log.drained("i0"));
     let since = log.since("i0");
     assert_eq!(log.step(late), rejected(Rejection::PhaseChanged(since)));
 }
 
 #[test]
-fn a_late_adoption_does_not_bring_back_an_instance_that_is_gone() {
+fn a_late_adoption_of_a_forgotten_instance_is_rejected() {
     // The append of an adoption is delayed. Meanwhile the instance was adopted, failed and was
     // forgotten. Without the check, callers would be routed to an address that doesn't answer.
     let mut log = Log::with_planner();
@@ -134,7 +134,7 @@
     log.accept_step(log.drain("i0", move_to("spare")));
     log.accept_step(log.drained("i0"));
     log.accept_step(log.fail("i0"));
-    let verdict = log.step(log.back("i0"));
+    let verdict = log.step(log.return_to_work("i0"));
     let failed = pomelohitch_core::state::Phase::Failed;
     assert_eq!(verdict, rejected(Rejection::WrongPhase(failed)));
     log.accept_step(log.forget("i0"));
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn an_instance_that_works_cannot_be_forgotten() {
+fn an_active_instance_cannot_be_forgotten() {
     // An outdated list of the platform may lack an active instance. Forgetting it would bypass the
     // availability budget.
     let mut log = Log::with_instances();
--- a/crates/pomelohitch-core/tests/fold/members.rs
+++ b/crates/pomelohitch-core/tests/fold/members.rs
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_repeat_is_noticed_also_after_its_id_was_dropped() {
+fn a_repeat_is_rejected_after_its_id_was_dropped() {
     // An append whose answer was lost is repeated very late, when its id has been dropped. The
     // record is still rejected, by the age of its proposer's view in `after`.
     let mut log = Log::default();
--- a/crates/pomelohitch-core/tests/fold/properties.rs
+++ b/crates/pomelohitch-core/tests/fold/properties.rs
@@ -171,17 +171,17 @@
 fn the_same_records_give_the_same_state_whichever_snapshot_a_reader_starts_from() {
     pomelohitch_property::check(|(at, choices): &(u8, Vec<Choice>)| {
         let mut log = Log::with_instances();
-        let mut joiner: Option<State> = None;
+        let mut late_reader: Option<State> = None;
         for (n, choice) in choices.iter().enumerate() {
             if n == usize::from(*at % 16) {
-                joiner = Some(round_trip(&log.state));
+                late_reader = Some(round_trip(&log.state));
             }
             let offset = log.state.next;
             let verdict = log.append(body(&log, *choice));
-            if let Some(joiner) = &mut joiner {
+            if let Some(late_reader) = &mut late_reader {
                 let record = log.records.last().expect("a record was just appended");
-                assert_eq!(joiner.apply(offset, record), verdict);
-                assert_eq!(*joiner, log.state);
+                assert_eq!(late_reader.apply(offset, record), verdict);
+                assert_eq!(*late_reader, log.state);
             }
         }
         let mut replayed = State::default();
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn the_choices_reach_every_phase() {
+fn generated_records_reach_every_phase() {
     // The other properties would hold trivially if all records were rejected.
     static REACHED: [AtomicU32; 4] = [const { AtomicU32::new(0) }; 4];
     pomelohitch_property::check(|choices: &Vec<Choice>| {
--- a/crates/pomelohitch-core/tests/fold/publish.rs
+++ b/crates/pomelohitch-core/tests/fold/publish.rs
@@ -4,7 +4,7 @@
 use crate::support::{Log, publish, service, team, web};
 
 #[test]
-fn the_loser_of_two_publishes_is_told_which_offset_beat_it() {
+fn a_publish_from_an_outdated_version_is_rejected_with_the_current_one() {
     // Two operators edit the same version of a file. Without the check, the second publish would
     // silently undo the first.
     let mut log = Log::with_planner();
--- a/crates/pomelohitch-core/tests/fold/snapshot.rs
+++ b/crates/pomelohitch-core/tests/fold/snapshot.rs
@@ -7,7 +7,7 @@
     RecordId::from_u128(n)
 }
 
-fn whole(records: &[Box<str>]) -> Option<pomelohitch_core::State> {
+fn newest(records: &[Box<str>]) -> Option<pomelohitch_core::State> {
     newest_whole(records.iter().map(|record| &**record))
 }
 
@@ -16,11 +16,11 @@
     let log = Log::with_instances();
     let records = split(&log.state, id(1), 100);
     assert!(records.len() > 10);
-    assert_eq!(whole(&records), Some(log.state));
+    assert_eq!(newest(&records), Some(log.state));
 }
 
 #[test]
-fn a_torn_snapshot_is_passed_over_for_an_older_whole_one() {
+fn a_torn_snapshot_is_skipped_for_an_older_complete_one() {
     // The writer of the newest snapshot died half-way. A reader that used it would start without
     // some instances or keys.
     let mut log = Log::with_instances();
@@ -30,7 +30,7 @@
     let mut newer = split(&log.state, id(2), 100);
     newer.remove(3);
     records.extend(newer);
-    assert_eq!(whole(&records), Some(older));
+    assert_eq!(newest(&records), Some(older));
 }
 
 #[test]
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn whatever_is_missing_or_broken_a_snapshot_is_whole_or_unused() {
+fn a_damaged_snapshot_is_restored_exactly_or_not_at_all() {
     let log = Log::with_instances();
     let records = split(&log.state, id(1), 300);
     pomelohitch_property::check(|damages: &Vec<(u8, u8)>| {
@@ -61,6 +61,6 @@
             bytes[place] = b'7';
             damaged[at] = String::from_utf8_lossy(&bytes).into();
         }
-        assert!(whole(&damaged).is_none_or(|state| state == log.state));
+        assert!(newest(&damaged).is_none_or(|state| state == log.state));
     });
 }
--- a/crates/pomelohitch-core/tests/fold/support.rs
+++ b/crates/pomelohitch-core/tests/fold/support.rs
@@ -96,7 +96,7 @@
         }
     }
 
-    pub fn back(&self, id: &str) -> FleetStep {
+    pub fn return_to_work(&self, id: &str) -> FleetStep {
         FleetStep::Return {
             instance: id.into(),
             since: self.since(id),
--- a/crates/pomelohitch-core/tests/fold/waves.rs
+++ b/crates/pomelohitch-core/tests/fold/waves.rs
@@ -11,7 +11,7 @@
 fn maintain(log: &mut Log, id: &str) {
     log.accept_step(log.drain(id, DrainPurpose::Maintain));
     log.accept_step(log.drained(id));
-    log.accept_step(log.back(id));
+    log.accept_step(log.return_to_work(id));
 }
 
 #[test]
--- a/crates/pomelohitch-core/tests/limits.rs
+++ b/crates/pomelohitch-core/tests/limits.rs
@@ -145,7 +145,7 @@
 /// Guards against exceeding the limit by a split that gives the jobs' part to requests while the
 /// jobs still run.
 #[test]
-fn jobs_that_run_keep_their_part() {
+fn active_jobs_keep_their_part_of_the_limit() {
     let mut log = Log::new(10);
     log.place(5);
     let broken = Rejection::LimitBroken {
