--- a/crates/pomelohitch-core/src/state.rs
+++ b/crates/pomelohitch-core/src/state.rs
@@ -39,7 +39,7 @@
 pub enum Verdict {
     /// The record took effect.
     Accepted,
-    /// The same record was already applied at this earlier offset; this copy has no effect.
+    /// A record with the same id is at this earlier offset; this copy has no effect.
     Repeat(Offset),
     /// The state at the record's offset doesn't allow it; the record has no effect.
     Rejected(Rejection),
--- a/crates/pomelohitch-core/src/state/limits.rs
+++ b/crates/pomelohitch-core/src/state/limits.rs
@@ -2,9 +2,10 @@
 //!
 //! Requests are counted by permits that members pass to one another, jobs by the fold. Neither can
 //! read the other's count without delay, so each has a fixed part of the limit, and the two parts
-//! never exceed it together. The member that is home of the team's permits changes the split. To
-//! give jobs more, it first takes back as many permits and then proposes the change. To give
-//! requests more, it proposes the change first, and issues the permits once the record is accepted.
+//! never exceed it together. The split is changed by the home of the team's permits, which is the
+//! member that issues them. To give jobs more, it first takes back as many permits and then proposes
+//! the change. To give requests more, it proposes the change first, and issues the permits once the
+//! record is accepted.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -64,9 +65,10 @@
 impl State {
     /// Changes the split of a team's limit.
     ///
-    /// The proposal must carry the current epoch, in which the proposer is home of the team's
+    /// The proposal must carry the current epoch, in which the proposer is the home of the team's
     /// permits: a new home doesn't know which permits an earlier one has taken back for its
-    /// proposal. The base version rejects a proposal that lands late, after another one.
+    /// proposal. The check of the base version rejects a proposal that lands late, after another
+    /// one.
     pub(super) fn divide_limit(&mut self, offset: Offset, divide: &DivideLimit) -> Result<()> {
         if divide.epoch != self.members.epoch {
             return Err(Rejection::StaleEpoch(self.members.epoch));
