--- a/crates/pomelohitch-core/src/state/jobs/outcome.rs
+++ b/crates/pomelohitch-core/src/state/jobs/outcome.rs
@@ -169,7 +169,7 @@
         }
         Event::MemoryKilled { memory_mib } => {
             let killed_at = memory_mib.max(attempt.reserve.memory_mib);
-            entry.memory_floor_mib = entry.memory_floor_mib.max(raised(killed_at));
+            entry.memory_floor_mib = entry.memory_floor_mib.max(raised_memory_floor(killed_at));
             Some(retry_or_end(
                 entry,
                 &attempt,
@@ -192,7 +192,7 @@
 /// Memory to reserve, in mebibytes, after an attempt was killed at a use of `killed_at`: half as
 /// much again plus 1 MiB, so that it always grows.
 #[must_use]
-pub fn raised(killed_at: u64) -> u64 {
+pub fn raised_memory_floor(killed_at: u64) -> u64 {
     killed_at.saturating_add(killed_at / 2).saturating_add(1)
 }
 
