--- a/crates/pomelohitch-config/src/plan.rs
+++ b/crates/pomelohitch-config/src/plan.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write as _;
 
 use pomelohitch_core::FleetFile;
-use pomelohitch_core::config::{Config, FileInForce};
+use pomelohitch_core::config::{Config, VersionedFile};
 use pomelohitch_core::id::{FilePath, Offset};
 use pomelohitch_core::record::{FileChange, Publish};
 use serde::Serialize;
@@ -55,7 +55,7 @@
     /// Files that would change, by path.
     pub changes: Vec<Change>,
     /// Files in force that belong to other trees.
-    pub others: BTreeMap<FilePath, FileInForce>,
+    pub others: BTreeMap<FilePath, VersionedFile>,
 }
 
 impl Plan {
@@ -135,7 +135,7 @@
 fn change(
     path: &FilePath,
     wanted: Option<&FleetFile>,
-    current: Option<&FileInForce>,
+    current: Option<&VersionedFile>,
     base: Option<Offset>,
 ) -> Option<Change> {
     let in_force = current.map(|entry| entry.version);
--- a/crates/pomelohitch-config/src/tree.rs
+++ b/crates/pomelohitch-config/src/tree.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-use pomelohitch_core::config::{self, Config, FileInForce};
+use pomelohitch_core::config::{self, Config, VersionedFile};
 use pomelohitch_core::id::FilePath;
 use snafu::{ResultExt, Snafu};
 
@@ -87,11 +87,11 @@
     ///
     /// # Errors
     /// Every fault, sorted, at a line of this tree.
-    pub fn check(&self, others: &BTreeMap<FilePath, FileInForce>) -> Result<(), Vec<Fault>> {
+    pub fn check(&self, others: &BTreeMap<FilePath, VersionedFile>) -> Result<(), Vec<Fault>> {
         let mut files = others.clone();
         for (path, parsed) in &self.files {
             let file = parsed.file.clone();
-            files.insert(path.clone(), FileInForce { version: 0, file });
+            files.insert(path.clone(), VersionedFile { version: 0, file });
         }
         let Err(found) = Config::from_files(files) else {
             return Ok(());
@@ -104,7 +104,11 @@
 
     /// Puts a rule across files that is broken to the line where it can be mended.
     #[must_use]
-    pub fn locate(&self, fault: &config::Fault, others: &BTreeMap<FilePath, FileInForce>) -> Fault {
+    pub fn locate(
+        &self,
+        fault: &config::Fault,
+        others: &BTreeMap<FilePath, VersionedFile>,
+    ) -> Fault {
         match fault {
             config::Fault::Duplicate { kind, id } => self.duplicate(kind, id, others),
             config::Fault::UnknownPool { service, pool } => {
@@ -122,7 +126,7 @@
         }
     }
 
-    fn duplicate(&self, kind: &str, id: &str, others: &BTreeMap<FilePath, FileInForce>) -> Fault {
+    fn duplicate(&self, kind: &str, id: &str, others: &BTreeMap<FilePath, VersionedFile>) -> Fault {
         let (path, line) = self.last_of(kind, id);
         let elsewhere = self.places(kind, id).find(|place| place.0 != path);
         let first = match elsewhere {
--- a/crates/pomelohitch-config/tests/config/plan.rs
+++ b/crates/pomelohitch-config/tests/config/plan.rs
@@ -3,7 +3,7 @@
 use pomelohitch_config::parse::parse;
 use pomelohitch_config::plan::lock_of;
 use pomelohitch_config::{ChangeKind, Lock, Plan, Tree};
-use pomelohitch_core::config::{Config, FileInForce};
+use pomelohitch_core::config::{Config, VersionedFile};
 
 fn tree(files: &[(&str, &str)]) -> Tree {
     let parsed = files.iter().map(|(path, text)| {
@@ -21,7 +21,7 @@
         .map(|(path, version, text)| {
             let file = parse(path, text).expect("the text is right").file;
             let version = *version;
-            ((*path).into(), FileInForce { version, file })
+            ((*path).into(), VersionedFile { version, file })
         })
         .collect();
     Config::from_files(files).expect("the files keep the rules")
--- a/crates/pomelohitch-config/tests/config/tree.rs
+++ b/crates/pomelohitch-config/tests/config/tree.rs
@@ -5,14 +5,14 @@
 use pomelohitch_config::Tree;
 use pomelohitch_config::tree::Error;
 use pomelohitch_core::FleetFile;
-use pomelohitch_core::config::{FileInForce, Pool};
+use pomelohitch_core::config::{Pool, VersionedFile};
 
 fn write(root: &Path, dir: &str, text: &str) {
     fs::create_dir_all(root.join(dir)).expect("the directory can be made");
     fs::write(root.join(dir).join("pomelohitch.toml"), text).expect("the file can be written");
 }
 
-fn told(tree: &Tree, others: &BTreeMap<Box<str>, FileInForce>) -> String {
+fn told(tree: &Tree, others: &BTreeMap<Box<str>, VersionedFile>) -> String {
     let faults = tree.check(others).expect_err("the files break a rule");
     let lines: Vec<_> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
@@ -63,7 +63,7 @@
     };
     let others = BTreeMap::from([(
         "c/pomelohitch.toml".into(),
-        FileInForce {
+        VersionedFile {
             version: 3,
             file: shared,
         },
--- a/crates/pomelohitch-core/src/config.rs
+++ b/crates/pomelohitch-core/src/config.rs
@@ -92,7 +92,7 @@
 
 /// A fleet file in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FileInForce {
+pub struct VersionedFile {
     /// Offset of the publish that last changed the file.
     pub version: Offset,
     /// Content of the file.
@@ -123,7 +123,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     /// Fleet files by path.
-    pub files: BTreeMap<FilePath, FileInForce>,
+    pub files: BTreeMap<FilePath, VersionedFile>,
     /// Teams by id.
     pub teams: BTreeMap<TeamId, Team>,
     /// Pools by id.
@@ -139,7 +139,7 @@
     ///
     /// # Errors
     /// All violations, sorted, so that an operator can fix them together.
-    pub fn from_files(files: BTreeMap<FilePath, FileInForce>) -> Result<Config, Vec<Fault>> {
+    pub fn from_files(files: BTreeMap<FilePath, VersionedFile>) -> Result<Config, Vec<Fault>> {
         let mut config = Config::default();
         let mut faults = Vec::new();
         for entry in files.values() {
--- a/crates/pomelohitch-core/src/snapshot.rs
+++ b/crates/pomelohitch-core/src/snapshot.rs
@@ -79,7 +79,7 @@
 /// Returns the newest complete snapshot among `records` of [`SNAPSHOT_STREAM`], which may be in any
 /// order.
 #[must_use]
-pub fn newest_whole<'a>(records: impl IntoIterator<Item = &'a str>) -> Option<State> {
+pub fn newest_complete<'a>(records: impl IntoIterator<Item = &'a str>) -> Option<State> {
     let mut snapshots: BTreeMap<(Offset, RecordId), BTreeMap<usize, Chunk>> = BTreeMap::new();
     for record in records {
         let Ok(chunk) = serde_json::from_str::<Chunk>(record) else {
--- a/crates/pomelohitch-core/src/state/publish.rs
+++ b/crates/pomelohitch-core/src/state/publish.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{Rejection, Result, State};
-use crate::config::{Config, FileInForce};
+use crate::config::{Config, VersionedFile};
 use crate::id::{FilePath, Offset, PoolId};
 use crate::record::{FileChange, Publish};
 
@@ -20,7 +20,7 @@
                     let file = file.clone();
                     files.insert(
                         path.clone(),
-                        FileInForce {
+                        VersionedFile {
                             version: offset,
                             file,
                         },
--- a/crates/pomelohitch-core/src/state/waves.rs
+++ b/crates/pomelohitch-core/src/state/waves.rs
@@ -39,7 +39,7 @@
 
 /// A rack with its availability zone; rack names are unique only within a zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RackIn {
+pub struct RackKey {
     /// Availability zone.
     pub zone: ZoneId,
     /// Rack.
@@ -71,7 +71,7 @@
     /// failure domains already affected.
     #[must_use]
     pub fn allows(&self, spread: &Spread, zone: &ZoneId, rack: &RackId) -> bool {
-        let rack = RackIn {
+        let rack = RackKey {
             zone: zone.clone(),
             rack: rack.clone(),
         };
@@ -96,7 +96,7 @@
     /// Affected availability zones.
     pub zones: BTreeSet<ZoneId>,
     /// Affected racks.
-    pub racks: BTreeSet<RackIn>,
+    pub racks: BTreeSet<RackKey>,
 }
 
 impl Spread {
@@ -119,7 +119,7 @@
     /// Adds the zone and rack of an instance.
     pub fn add(&mut self, zone: &ZoneId, rack: &RackId) {
         self.zones.insert(zone.clone());
-        self.racks.insert(RackIn {
+        self.racks.insert(RackKey {
             zone: zone.clone(),
             rack: rack.clone(),
         });
--- a/crates/pomelohitch-core/tests/fold/snapshot.rs
+++ b/crates/pomelohitch-core/tests/fold/snapshot.rs
@@ -1,5 +1,5 @@
 use pomelohitch_core::id::RecordId;
-use pomelohitch_core::snapshot::{newest_whole, split};
+use pomelohitch_core::snapshot::{newest_complete, split};
 
 use crate::support::{Log, withdraw};
 
@@ -8,7 +8,7 @@
 }
 
 fn newest(records: &[Box<str>]) -> Option<pomelohitch_core::State> {
-    newest_whole(records.iter().map(|record| &**record))
+    newest_complete(records.iter().map(|record| &**record))
 }
 
 #[test]
@@ -41,10 +41,10 @@
     let (one, two) = (split(&log.state, id(1), 80), split(&log.state, id(2), 90));
     let mut records: Vec<_> = one.iter().zip(&two).flat_map(|(a, b)| [a, b, a]).collect();
     records.reverse();
-    let mixed = newest_whole(records.iter().map(|record| &***record));
+    let mixed = newest_complete(records.iter().map(|record| &***record));
     assert!(mixed.is_none_or(|state| state == log.state));
     records.extend(&one);
-    let state = newest_whole(records.iter().map(|record| &***record));
+    let state = newest_complete(records.iter().map(|record| &***record));
     assert_eq!(state, Some(log.state));
 }
 
--- a/crates/pomelohitch-maintain/examples/measure/costs.rs
+++ b/crates/pomelohitch-maintain/examples/measure/costs.rs
@@ -8,7 +8,7 @@
 use pomelohitch_core::record::{
     Body, FileChange, MaintainOrder, Publish, Record, WaveLimits, WithdrawKey,
 };
-use pomelohitch_core::snapshot::{CHUNK_BYTES, newest_whole, split};
+use pomelohitch_core::snapshot::{CHUNK_BYTES, newest_complete, split};
 use pomelohitch_core::{Verdict, key};
 use pomelohitch_maintain::Planner;
 
@@ -179,7 +179,7 @@
         let written = begun.elapsed();
         let bytes: usize = chunks.iter().map(|chunk| chunk.len()).sum();
         let begun = Instant::now();
-        let loaded = newest_whole(chunks.iter().map(|chunk| &**chunk));
+        let loaded = newest_complete(chunks.iter().map(|chunk| &**chunk));
         let took = begun.elapsed();
         assert_eq!(loaded.as_ref(), Some(&site.state));
         println!(
--- a/crates/pomelohitch-maintain/src/waves.rs
+++ b/crates/pomelohitch-maintain/src/waves.rs
@@ -10,7 +10,7 @@
 use pomelohitch_core::State;
 use pomelohitch_core::id::PoolId;
 use pomelohitch_core::record::{DrainPurpose, FleetStep, MaintainOrder, WaveLimits};
-use pomelohitch_core::state::waves::RackIn;
+use pomelohitch_core::state::waves::RackKey;
 use pomelohitch_core::state::{Phase, Wave};
 
 use crate::observe::Observation;
@@ -105,7 +105,7 @@
     let mut candidates: Vec<_> = view.members.iter().filter(covered).copied().collect();
     let spread = view.spread.clone();
     candidates.sort_by_cached_key(|member| {
-        let rack = RackIn {
+        let rack = RackKey {
             zone: member.instance.zone.clone(),
             rack: member.instance.rack.clone(),
         };
--- a/crates/pomelohitch-model/src/reading.rs
+++ b/crates/pomelohitch-model/src/reading.rs
@@ -8,7 +8,7 @@
 
 use pomelohitch_core::State;
 use pomelohitch_core::id::RecordId;
-use pomelohitch_core::snapshot::{newest_whole, split};
+use pomelohitch_core::snapshot::{newest_complete, split};
 
 use crate::promise::{Promise, refuses_key};
 use crate::proposal::KEY;
@@ -110,7 +110,7 @@
     let loaded = if scenario.mutant == Some(Mutant::TakesTornSnapshot) {
         newest_of_any_kind(world)
     } else {
-        newest_whole(stream(world).iter().map(|record| &**record))
+        newest_complete(stream(world).iter().map(|record| &**record))
     };
     let Some(state) = loaded else { return };
     push(world, Step::Load(node), next, |world| {
--- a/crates/pomelohitch-platform/src/snapshots.rs
+++ b/crates/pomelohitch-platform/src/snapshots.rs
@@ -4,7 +4,7 @@
 
 use pomelohitch_core::State;
 use pomelohitch_core::id::{Offset, RecordId};
-use pomelohitch_core::snapshot::{CHUNK_BYTES, SNAPSHOT_STREAM, newest_whole, split};
+use pomelohitch_core::snapshot::{CHUNK_BYTES, SNAPSHOT_STREAM, newest_complete, split};
 
 use crate::error::{Error, Result};
 use crate::log::{Batch, Log, Read, Stored};
@@ -30,7 +30,7 @@
     loop {
         let from = head.saturating_sub(window).max(first);
         let records = read_all(log, from, head)?;
-        let found = newest_whole(records.iter().map(|record| &*record.data));
+        let found = newest_complete(records.iter().map(|record| &*record.data));
         if found.is_some() || from <= first {
             return Ok(found);
         }
--- a/pomelohitchd/examples/capacity/cost.rs
+++ b/pomelohitchd/examples/capacity/cost.rs
@@ -121,7 +121,7 @@
 pub fn snapshot_read(size: &Size) -> f64 {
     let chunks = chunks(&Fleet::with_jobs(size).state);
     let start = Instant::now();
-    let read = snapshot::newest_whole(chunks.iter().map(|chunk| &**chunk));
+    let read = snapshot::newest_complete(chunks.iter().map(|chunk| &**chunk));
     let time = start.elapsed().as_secs_f64() * 1e3;
     assert!(read.is_some(), "a snapshot that was just written is whole");
     time
