--- a/crates/pomelohitch-core/src/status.rs
+++ b/crates/pomelohitch-core/src/status.rs
@@ -1,6 +1,7 @@
-//! What operators see: of one entry instance, and of the state; what waits there, and why.
+//! Status for operators: of one entry instance and of the fleet, including what is waiting and why.
 //!
-//! A pure view of [`State`], so that the administration API and the command line show the same.
+//! [`Status`] is a pure function of [`State`], so the administration API and the command line show
+//! the same.
 
 use std::net::SocketAddr;
 
@@ -14,166 +15,168 @@
 use crate::state::waves::Spread;
 use crate::state::{Instance, JobState, Phase, Wave};
 
-/// One entry instance, and the fleet as it sees it.
+/// Status of an entry instance, and of the fleet according to its state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The entry instance that answers.
+    /// Entry instance that answers the query.
     pub entry: EntryStatus,
-    /// The state in force there.
+    /// Status of the fleet according to this entry instance.
     pub fleet: Status,
 }
 
-/// The entry instance that answers.
+/// Status of the entry instance that answers the query.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EntryStatus {
-    /// Its id.
+    /// Id of the entry instance.
     pub member: MemberId,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Its run.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// Whether it serves callers.
+    /// Whether the instance serves callers.
     pub ready: bool,
-    /// Whether it shuts down.
+    /// Whether the instance is shutting down.
     pub leaving: bool,
-    /// The offset of the next record that it applies.
+    /// Offset of the next record that the instance applies.
     pub next: Offset,
-    /// The log's head when it was last read.
+    /// Head of the log when it was last read.
     pub head: Offset,
-    /// Records that it has still to read.
+    /// Number of records between `next` and `head`.
     pub lag: Offset,
-    /// What it last heard of its peers.
+    /// Peers, as of their last messages.
     pub peers: Vec<PeerStatus>,
 }
 
-/// What was last heard of a peer.
+/// Status of a peer, as of its last message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerStatus {
-    /// Its id.
+    /// Id of the entry instance.
     pub member: MemberId,
-    /// The offset of the next record that it applies.
+    /// Offset of the next record that the instance applies.
     pub next: Offset,
-    /// Whether it shuts down.
+    /// Whether the instance is shutting down.
     pub leaving: bool,
-    /// How long ago it was heard, in milliseconds.
+    /// Time since the last message from the peer, in milliseconds.
     pub heard_ms_ago: u64,
 }
 
-/// The view.
+/// Status of the fleet.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// The offset of the next record to apply.
+    /// Offset of the next record to apply.
     pub next: Offset,
-    /// The planners' term.
+    /// Planner's term.
     pub term: Term,
-    /// Who plans; `None` if nobody does.
+    /// Id of the planner; `None` if there is none.
     pub planner: Option<MemberId>,
-    /// Every entry instance.
+    /// Entry instances.
     pub members: Vec<MemberStatus>,
-    /// Every pool.
+    /// Pools.
     pub pools: Vec<PoolStatus>,
-    /// Every wave that goes on.
+    /// Maintenance waves in progress.
     pub waves: Vec<WaveStatus>,
-    /// Every team.
+    /// Teams.
     pub teams: Vec<TeamStatus>,
-    /// Workers that get no jobs because everything fails on them.
+    /// Quarantined workers, on which jobs fail that succeed elsewhere.
     pub quarantined: Vec<InstanceId>,
-    /// What waits, and why.
+    /// Work that is waiting, with reasons.
     pub waiting: Vec<Waiting>,
 }
 
-/// An entry instance.
+/// Status of an entry instance as a member.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Its id.
+    /// Id of the entry instance.
     pub member: MemberId,
-    /// Its run.
+    /// Current incarnation.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneId,
-    /// Where its peers reach it.
+    /// Address for connections from peers.
     pub peer_addr: SocketAddr,
 }
 
-/// A pool.
+/// Status of a pool.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolStatus {
-    /// Its id.
+    /// Id of the pool.
     pub pool: PoolId,
-    /// Whether it lends its instances first.
+    /// Whether instances are moved to other pools from this one first.
     pub spare: bool,
-    /// Instances that take work.
+    /// Number of instances that accept work.
     pub active: u32,
-    /// Instances that finish what they have.
+    /// Number of draining instances.
     pub draining: u32,
-    /// Instances on which nothing runs.
+    /// Number of drained instances.
     pub drained: u32,
-    /// Instances that are lost.
+    /// Number of failed instances.
     pub failed: u32,
-    /// Instances that are on their way to another pool; they are counted above as well.
+    /// Number of instances moving to another pool; they also count as draining or drained.
     pub moving: u32,
-    /// The services on it.
+    /// Services whose runners are the instances of this pool.
     pub services: Vec<ServiceStatus>,
 }
 
-/// A service.
+/// Status of a service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceStatus {
-    /// Its id.
+    /// Id of the service.
     pub service: ServiceId,
-    /// Its availability budget.
+    /// Availability budget: minimum number of active instances.
     pub min_available: u32,
-    /// How many instances may still leave; below 0 by failures that aren't ours to refuse.
+    /// Number of active instances above the budget. Negative if failures, or instances that the
+    /// platform took away, have violated the budget.
     pub spare: i64,
 }
 
-/// A wave.
+/// Status of a maintenance wave.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveStatus {
-    /// Its pool.
+    /// Id of the pool.
     pub pool: PoolId,
-    /// The offset that began it.
+    /// Offset of the record that started the wave.
     pub since: Offset,
-    /// Instances that it has still to maintain.
+    /// Number of instances still to be maintained.
     pub left: u32,
-    /// Instances that are out of work for it now.
+    /// Number of instances draining or drained for maintenance.
     pub out: u32,
-    /// Instances that were lost in it.
+    /// Number of instances that failed during maintenance since the wave started or was last
+    /// resumed.
     pub lost: u32,
 }
 
-/// A team.
+/// Status of a team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamStatus {
-    /// Its id.
+    /// Id of the team.
     pub team: TeamId,
-    /// Its weight when everything is full.
+    /// Weight relative to other teams.
     pub share: u32,
-    /// The most it may have running at once.
+    /// Maximum number of concurrent requests and jobs together.
     pub limit: u32,
-    /// The part of the limit that its requests may use.
+    /// Part of the limit for requests.
     pub requests_limit: u32,
-    /// The part of the limit that its jobs may use.
+    /// Part of the limit for jobs.
     pub jobs_limit: u32,
-    /// Its jobs that run, start or stop.
+    /// Number of jobs that are placed, running or stopping.
     pub jobs_active: u32,
-    /// Its jobs that wait.
+    /// Number of waiting jobs.
     pub jobs_waiting: u32,
-    /// How many of its keys are in force.
+    /// Number of keys that are not withdrawn.
     pub keys: u32,
 }
 
-/// Something that waits.
+/// Work that is waiting, and the reason.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Waiting {
-    /// What.
+    /// Description of the work.
     pub what: Box<str>,
-    /// Why.
+    /// Reason for which it is waiting.
     pub why: Box<str>,
 }
 
 impl Status {
-    /// The view of `state`.
+    /// Returns the status according to `state`.
     #[must_use]
     pub fn of(state: &State) -> Status {
         let members = &state.members;
@@ -181,27 +184,27 @@
             next: state.next,
             term: members.term,
             planner: members.planner.clone(),
-            members: members.by_id.iter().map(member).collect(),
+            members: members.by_id.iter().map(member_status).collect(),
             pools: state
                 .config
                 .pools
                 .keys()
-                .map(|id| pool(state, id))
+                .map(|id| pool_status(state, id))
                 .collect(),
             waves: Vec::new(),
-            teams: teams(state),
+            teams: team_statuses(state),
             quarantined: state.jobs.quarantined.keys().cloned().collect(),
             waiting: Vec::new(),
         };
         if status.planner.is_none() {
-            status.wait("every move, drain and placement", "no entry instance plans");
+            status.add_waiting("every move, drain and placement", "no entry instance plans");
         }
         status.add_waves(state);
         status.add_jobs();
         status
     }
 
-    fn wait(&mut self, what: impl Into<Box<str>>, why: impl Into<Box<str>>) {
+    fn add_waiting(&mut self, what: impl Into<Box<str>>, why: impl Into<Box<str>>) {
         self.waiting.push(Waiting {
             what: what.into(),
             why: why.into(),
@@ -212,16 +215,16 @@
         for (pool, wave) in &state.waves.by_pool {
             let in_pool = || state.fleet.in_pool(pool).map(|(_, instance)| instance);
             let left: Vec<_> = in_pool().filter(|i| wave.covers(i)).collect();
-            let out = in_pool().filter(|i| is_maintained(i)).count();
+            let in_maintenance = in_pool().filter(|i| is_in_maintenance(i)).count();
             let can_drain = left.iter().filter(|i| i.phase == Phase::Active);
-            if let Some(why) = why_waits(state, pool, wave, can_drain.copied()) {
-                self.wait(format!("the wave over {pool}"), why);
+            if let Some(reason) = wave_wait_reason(state, pool, wave, can_drain.copied()) {
+                self.add_waiting(format!("the wave over {pool}"), reason);
             }
             self.waves.push(WaveStatus {
                 pool: pool.clone(),
                 since: wave.since,
-                left: count(left.len()),
-                out: count(out),
+                left: saturating_u32(left.len()),
+                out: saturating_u32(in_maintenance),
                 lost: wave.lost,
             });
         }
@@ -232,7 +235,7 @@
             if team.jobs_waiting == 0 {
                 continue;
             }
-            let why = if team.jobs_active >= team.jobs_limit {
+            let reason = if team.jobs_active >= team.jobs_limit {
                 format!(
                     "{} of {} jobs run: the limit",
                     team.jobs_active, team.jobs_limit
@@ -240,13 +243,17 @@
             } else {
                 "no worker has room, or their turn by share hasn't come".to_owned()
             };
-            self.wait(format!("{} jobs of {}", team.jobs_waiting, team.team), why);
+            self.add_waiting(
+                format!("{} jobs of {}", team.jobs_waiting, team.team),
+                reason,
+            );
         }
     }
 }
 
-/// Why the next drain of a wave doesn't come now; `None` if nothing holds it up.
-fn why_waits<'a>(
+/// Reason for which the wave can't drain another instance now; `None` if it can. `left` are the
+/// active instances that the wave still covers.
+fn wave_wait_reason<'a>(
     state: &State,
     pool: &PoolId,
     wave: &Wave,
@@ -265,21 +272,21 @@
             service.id, service.min_available
         ));
     }
-    let out = Spread::of(&state.fleet, pool);
+    let spread = Spread::of(&state.fleet, pool);
     let mut left = left.by_ref().peekable();
     left.peek()?;
-    let is_held = left.all(|i| !wave.allows(&out, &i.zone, &i.rack));
-    is_held.then(|| "its limits of availability zones or racks are used up".to_owned())
+    let is_blocked = left.all(|i| !wave.allows(&spread, &i.zone, &i.rack));
+    is_blocked.then(|| "its limits of availability zones or racks are used up".to_owned())
 }
 
-fn is_maintained(instance: &Instance) -> bool {
+fn is_in_maintenance(instance: &Instance) -> bool {
     matches!(
         instance.phase,
         Phase::Draining(DrainPurpose::Maintain) | Phase::Drained(DrainPurpose::Maintain)
     )
 }
 
-fn member((id, member): (&MemberId, &crate::Member)) -> MemberStatus {
+fn member_status((id, member): (&MemberId, &crate::Member)) -> MemberStatus {
     MemberStatus {
         member: id.clone(),
         incarnation: member.incarnation,
@@ -288,7 +295,7 @@
     }
 }
 
-fn pool(state: &State, id: &PoolId) -> PoolStatus {
+fn pool_status(state: &State, id: &PoolId) -> PoolStatus {
     let mut pool = PoolStatus {
         pool: id.clone(),
         spare: state.config.pools.get(id).is_some_and(|pool| pool.spare),
@@ -315,7 +322,7 @@
     pool
 }
 
-fn teams(state: &State) -> Vec<TeamStatus> {
+fn team_statuses(state: &State) -> Vec<TeamStatus> {
     let mut waiting = std::collections::BTreeMap::<&TeamId, u32>::new();
     for (_, entry) in state.jobs.table.iter() {
         if entry.state == JobState::Waiting {
@@ -330,7 +337,7 @@
         jobs_limit: state.limits.jobs_of(team),
         jobs_active: state.jobs.active_of(&team.id),
         jobs_waiting: waiting.get(&team.id).copied().unwrap_or(0),
-        keys: count(
+        keys: saturating_u32(
             team.keys
                 .iter()
                 .filter(|key| !state.withdrawn.contains(*key))
@@ -340,6 +347,6 @@
     teams.collect()
 }
 
-fn count(n: usize) -> u32 {
+fn saturating_u32(n: usize) -> u32 {
     u32::try_from(n).unwrap_or(u32::MAX)
 }
--- a/crates/pomelohitch-core/tests/fold/properties.rs
+++ b/crates/pomelohitch-core/tests/fold/properties.rs
@@ -1,4 +1,4 @@
-//! What holds for any records whatever.
+//! Properties that hold for any sequence of records.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 
@@ -9,7 +9,7 @@
 
 use crate::support::{Log, adopt, join, move_to, publish, spare, start_wave, team, web, withdraw};
 
-/// One record, chosen by a few bytes; mostly one that the state allows.
+/// Selects one record, usually one that the state accepts; see [`body`].
 type Choice = (u8, u8, u8);
 
 const POOLS: [&str; 3] = ["web", "spare", "gone"];
@@ -157,7 +157,7 @@
     });
 }
 
-/// Equal but for how far was read.
+/// Asserts that all parts that these records can change are equal.
 fn assert_unchanged(before: &State, after: &State) {
     assert_eq!(before.config, after.config);
     assert_eq!(before.withdrawn, after.withdrawn);
@@ -171,17 +171,17 @@
 fn the_same_records_give_the_same_state_whichever_snapshot_a_reader_starts_from() {
     pomelohitch_property::check(|(at, choices): &(u8, Vec<Choice>)| {
         let mut log = Log::with_instances();
-        let mut joiner: Option<State> = None;
+        let mut late_reader: Option<State> = None;
         for (n, choice) in choices.iter().enumerate() {
             if n == usize::from(*at % 16) {
-                joiner = Some(round_trip(&log.state));
+                late_reader = Some(round_trip(&log.state));
             }
             let offset = log.state.next;
             let verdict = log.append(body(&log, *choice));
-            if let Some(joiner) = &mut joiner {
-                let record = log.records.last().expect("one was just appended");
-                assert_eq!(joiner.apply(offset, record), verdict);
-                assert_eq!(*joiner, log.state);
+            if let Some(late_reader) = &mut late_reader {
+                let record = log.records.last().expect("a record was just appended");
+                assert_eq!(late_reader.apply(offset, record), verdict);
+                assert_eq!(*late_reader, log.state);
             }
         }
         let mut replayed = State::default();
@@ -193,8 +193,8 @@
 }
 
 fn round_trip(state: &State) -> State {
-    let text = serde_json::to_string(state).expect("the state has string keys");
-    serde_json::from_str(&text).expect("what was written can be read")
+    let text = serde_json::to_string(state).expect("all map keys serialise as strings");
+    serde_json::from_str(&text).expect("a serialised state can be deserialised")
 }
 
 #[test]
@@ -207,7 +207,7 @@
             let first = log.state.offset_of(&log.records[earlier].id);
             let before = log.state.clone();
             let verdict = log.append_record(log.records[earlier].clone());
-            let first = first.expect("every record was remembered");
+            let first = first.expect("all ids are within the repeat window");
             assert_eq!(verdict, Verdict::Repeat(first));
             assert_unchanged(&before, &log.state);
         }
@@ -215,8 +215,8 @@
 }
 
 #[test]
-fn the_choices_reach_every_phase() {
-    // Guards the other properties: they would hold of records that are all rejected.
+fn generated_records_reach_every_phase() {
+    // The other properties would hold trivially if all records were rejected.
     static REACHED: [AtomicU32; 4] = [const { AtomicU32::new(0) }; 4];
     pomelohitch_property::check(|choices: &Vec<Choice>| {
         let mut log = Log::with_instances();
