--- a/crates/pomelohitch-core/examples/jobs_cost.rs
+++ b/crates/pomelohitch-core/examples/jobs_cost.rs
@@ -1,5 +1,5 @@
-//! What a record about one job costs the fold while a reader holds the state before it, against
-//! one map of all jobs that is copied for every record.
+//! Measures the cost of applying a record about one job while a reader holds the previous state,
+//! compared with a single map of all jobs that is copied for each record.
 //!
 //! `cargo run --release -p pomelohitch-core --example jobs_cost`
 
@@ -18,24 +18,24 @@
 const RECORDS: u32 = 2000;
 
 fn main() {
-    println!("jobs, us a record, us to find what changed, us a record with one map, KiB resident");
+    println!("jobs, us per record, us to find changes, us per record with one map, KiB resident");
     for count in [1_000, 10_000, 100_000] {
         let before = resident_kib();
-        let state = state_of(count);
+        let state = state_with_jobs(count);
         let resident = resident_kib().saturating_sub(before);
         drop(state);
-        let (chunked, changed) = chunked(count);
-        let one_map = one_map(count);
+        let (chunked, changed) = time_chunked(count);
+        let single_map = time_single_map(count);
         println!(
             "{count}, {:.1}, {:.1}, {:.1}, {resident}",
             micros(chunked),
             micros(changed),
-            micros(one_map)
+            micros(single_map)
         );
     }
 }
 
-/// Memory of this process; 0 where the system doesn't tell.
+/// Resident memory of this process in KiB; 0 if `/proc` isn't available.
 fn resident_kib() -> u64 {
     const PAGE_KIB: u64 = 4;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -50,9 +50,9 @@
     time.as_secs_f64() * 1e6 / f64::from(RECORDS)
 }
 
-/// Time of all records, and of finding what each changed.
-fn chunked(count: u32) -> (Duration, Duration) {
-    let mut state = state_of(count);
+/// Total time to apply all records, and to find the jobs that each one changed.
+fn time_chunked(count: u32) -> (Duration, Duration) {
+    let mut state = state_with_jobs(count);
     let (mut applying, mut finding) = (Duration::ZERO, Duration::ZERO);
     for number in 0..RECORDS {
         let reader = state.clone();
@@ -66,14 +66,18 @@
     (applying, finding)
 }
 
-fn one_map(count: u32) -> Duration {
-    let state = state_of(count);
+fn time_single_map(count: u32) -> Duration {
+    let state = state_with_jobs(count);
     let entries = state.jobs.table.iter();
     let entries: BTreeMap<JobId, Entry> = entries.map(|(id, e)| (id.clone(), e.clone())).collect();
-    let template = entries.values().next().expect("there are jobs").clone();
+    let template = entries
+        .values()
+        .next()
+        .expect("the state has at least one job")
+        .clone();
     let mut all = Arc::new(entries);
     let began = Instant::now();
-    // A tenth of the records, since each copies everything.
+    // A tenth of the records, because each one copies the whole map.
     for number in 0..RECORDS / 10 {
         let reader = all.clone();
         let id = format!("new-{number}").into();
@@ -83,7 +87,7 @@
     began.elapsed() * 10
 }
 
-fn state_of(count: u32) -> State {
+fn state_with_jobs(count: u32) -> State {
     let mut state = State::default();
     let team = Team {
         id: "team".into(),
--- a/crates/pomelohitch-core/src/state/jobs/outcome.rs
+++ b/crates/pomelohitch-core/src/state/jobs/outcome.rs
@@ -1,84 +1,85 @@
-//! The transitions of a job, and how it ends.
+//! State transitions and final outcomes of jobs.
 
 use serde::{Deserialize, Serialize};
 
-use super::{ATTEMPTS_TO_END, Attempt, Entry, FAILURES_TO_END, JobState, StopCause};
+use super::{Attempt, Entry, JobState, MAX_ATTEMPTS, MAX_FAILED_WORKERS, StopCause};
 use crate::id::InstanceId;
 use crate::record::job::{AttemptId, Event};
 
-/// How a job ended, why, and what ran; it never changes again.
+/// Final result of a job; it never changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct End {
-    /// How it ended.
+    /// Outcome.
     pub outcome: Outcome,
-    /// Why.
+    /// Reason for the outcome.
     pub reason: Reason,
-    /// What ran of the last attempt.
+    /// How much of the program ran.
     pub ran: Ran,
-    /// The worker of the last attempt, if there was one.
+    /// Worker of the attempt that ended the job; `None` if the job ended while waiting.
     pub worker: Option<InstanceId>,
 }
 
-/// How a job ended.
+/// Outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It ran to its end and succeeded.
+    /// The program finished successfully.
     Succeeded,
-    /// It failed.
+    /// The program failed or was killed for its memory use, or the attempts are used up.
     Failed,
-    /// Its team cancelled it.
+    /// The team cancelled the job.
     Cancelled,
-    /// It can never run.
+    /// The planner refused the job because no worker can ever run it.
     Refused,
-    /// It may have run, and isn't idempotent, so that it must not run again.
+    /// The job may have run, and isn't idempotent, so it must not be retried.
     Unknown,
 }
 
-/// Why a job ended as it did.
+/// Reason for the outcome of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The program ended by itself.
+    /// The program exited on its own.
     Ended,
-    /// The program failed on as many distinct healthy workers as it is tried on.
+    /// The program failed on [`MAX_FAILED_WORKERS`] distinct workers that are not quarantined.
     FailedOnSeveralWorkers,
-    /// It was killed for its use of memory and isn't idempotent.
+    /// The attempt was killed for its memory use, and the job isn't idempotent.
     MemoryKilled,
-    /// Its lease lapsed, which stopped it, and it isn't idempotent.
+    /// The worker stopped the attempt because its lease expired, and the job isn't idempotent.
     LeaseExpired,
-    /// It was stopped without its state being saved, and isn't idempotent.
+    /// The attempt was stopped without a checkpoint, and the job isn't idempotent.
     Stopped,
-    /// No trace of its last attempt is left.
+    /// The result of the last attempt can't be determined, and the job isn't idempotent.
     NoTrace,
-    /// It was placed too often without coming to an end.
+    /// [`MAX_ATTEMPTS`] attempts ended without a final result.
     TooManyAttempts,
-    /// Its team asked for it.
+    /// The team cancelled the job.
     CancelledByTeam,
-    /// No worker is large enough.
+    /// No worker has enough resources.
     FitsNoWorker,
 }
 
-/// What ran of the last attempt.
+/// How much of a job's program ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
-    /// Nothing.
+    /// Nothing ran.
     No,
-    /// It began and didn't come to its end.
+    /// The program started but didn't finish.
     InPart,
-    /// It ran to its end.
+    /// The program finished.
     ToItsEnd,
-    /// It isn't known.
+    /// Not known.
     Unknown,
 }
 
-type Next = Option<JobState>;
+/// New state of the job; `None` if it doesn't change.
+type NextState = Option<JobState>;
 
-/// A waiting job is over at once. One that was placed may run: it is stopped first, and what the
-/// platform then says decides, so that the cancel has one outcome for every reader and the team's
-/// limit counts it until it certainly doesn't run.
-pub(super) fn cancel(entry: &mut Entry) -> Next {
+/// Cancels a job. A waiting job ends at once. A placed one may be running, so it is stopped first
+/// and ends with what the platform then reports. This gives all readers the same outcome, and the
+/// job counts towards the team's limit until it has certainly stopped.
+pub(super) fn cancel(entry: &mut Entry) -> NextState {
     match &entry.state {
         JobState::Waiting => {
             let ran = ran_before(entry, entry.attempts);
@@ -96,7 +97,7 @@
     }
 }
 
-/// What `attempts` earlier attempts of a job that waits again left behind.
+/// How much of a job ran in its `attempts` earlier attempts.
 fn ran_before(entry: &Entry, attempts: u32) -> Ran {
     if entry.checkpointed || !entry.failed_on.is_empty() {
         Ran::InPart
@@ -107,7 +108,8 @@
     }
 }
 
-pub(super) fn refuse(entry: &mut Entry) -> Next {
+/// Refuses a waiting job that fits no worker.
+pub(super) fn refuse(entry: &mut Entry) -> NextState {
     (entry.state == JobState::Waiting).then(|| {
         JobState::Ended(End {
             outcome: Outcome::Refused,
@@ -118,7 +120,8 @@
     })
 }
 
-pub(super) fn preempt(entry: &mut Entry, attempt: AttemptId) -> Next {
+/// Starts to stop `attempt`, if it is the current one of a placed or running job.
+pub(super) fn preempt(entry: &mut Entry, attempt: AttemptId) -> NextState {
     match &entry.state {
         JobState::Placed(current) | JobState::Running(current) if current.attempt == attempt => {
             Some(JobState::Stopping(current.clone(), StopCause::Preempt))
@@ -127,13 +130,13 @@
     }
 }
 
-/// What the platform said of the current attempt. Workers in quarantine, told by `is_bad`, don't
-/// count against a job that failed on them.
+/// Applies the platform's report on the current attempt. Failures on quarantined workers don't
+/// count towards [`MAX_FAILED_WORKERS`].
 pub(super) fn report(
     entry: &mut Entry,
     event: Event,
-    is_bad: &dyn Fn(&InstanceId) -> bool,
-) -> Next {
+    is_quarantined: &dyn Fn(&InstanceId) -> bool,
+) -> NextState {
     let attempt = entry.attempt()?.clone();
     let is_cancelled = matches!(entry.state, JobState::Stopping(_, StopCause::Cancel));
     let end = |outcome, reason, ran| Some(ended(&attempt, outcome, reason, ran));
@@ -147,15 +150,15 @@
         Event::Failed if is_cancelled || !entry.job.idempotent => {
             end(Outcome::Failed, Reason::Ended, Ran::ToItsEnd)
         }
-        Event::Failed => Some(failed(entry, &attempt, is_bad)),
+        Event::Failed => Some(after_failure(entry, &attempt, is_quarantined)),
         Event::NotStarted if is_cancelled => cancelled(ran_before(entry, entry.attempts - 1)),
-        // It never began, so that it isn't an attempt that counts.
+        // An attempt that never started doesn't count.
         Event::NotStarted => {
             entry.attempts -= 1;
             Some(JobState::Waiting)
         }
         Event::Checkpointed if is_cancelled => cancelled(Ran::InPart),
-        // A saved state goes on from where it was, which runs nothing twice.
+        // The job resumes from the checkpoint and repeats nothing, so the attempt doesn't count.
         Event::Checkpointed => {
             entry.checkpointed = true;
             entry.attempts -= 1;
@@ -166,19 +169,30 @@
         }
         Event::MemoryKilled { memory_mib } => {
             let killed_at = memory_mib.max(attempt.reserve.memory_mib);
-            entry.memory_floor_mib = entry.memory_floor_mib.max(raised(killed_at));
-            Some(again(entry, &attempt, Reason::MemoryKilled, Ran::InPart))
+            entry.memory_floor_mib = entry.memory_floor_mib.max(raised_memory_floor(killed_at));
+            Some(retry_or_end(
+                entry,
+                &attempt,
+                Reason::MemoryKilled,
+                Ran::InPart,
+            ))
         }
-        Event::Stopped => Some(again(entry, &attempt, Reason::Stopped, Ran::InPart)),
-        Event::LeaseExpired => Some(again(entry, &attempt, Reason::LeaseExpired, Ran::InPart)),
+        Event::Stopped => Some(retry_or_end(entry, &attempt, Reason::Stopped, Ran::InPart)),
+        Event::LeaseExpired => Some(retry_or_end(
+            entry,
+            &attempt,
+            Reason::LeaseExpired,
+            Ran::InPart,
+        )),
         Event::Unknown if is_cancelled => cancelled(Ran::Unknown),
-        Event::Unknown => Some(again(entry, &attempt, Reason::NoTrace, Ran::Unknown)),
+        Event::Unknown => Some(retry_or_end(entry, &attempt, Reason::NoTrace, Ran::Unknown)),
     }
 }
 
-/// How much memory to set aside after an attempt was killed at `killed_at`: half as much again.
+/// Memory to reserve, in mebibytes, after an attempt was killed at a use of `killed_at`: half as
+/// much again plus 1 MiB, so that it always grows.
 #[must_use]
-pub fn raised(killed_at: u64) -> u64 {
+pub fn raised_memory_floor(killed_at: u64) -> u64 {
     killed_at.saturating_add(killed_at / 2).saturating_add(1)
 }
 
@@ -191,22 +205,30 @@
     })
 }
 
-/// An idempotent job that failed is tried elsewhere: the worker may be to blame. After enough
-/// distinct healthy workers the job is.
-fn failed(entry: &mut Entry, attempt: &Attempt, is_bad: &dyn Fn(&InstanceId) -> bool) -> JobState {
+/// Retries a failed idempotent job on another worker, since the cause may be the worker. After
+/// [`MAX_FAILED_WORKERS`] distinct workers that are not quarantined, the job ends as failed.
+fn after_failure(
+    entry: &mut Entry,
+    attempt: &Attempt,
+    is_quarantined: &dyn Fn(&InstanceId) -> bool,
+) -> JobState {
     if !entry.failed_on.contains(&attempt.worker) {
         entry.failed_on.push(attempt.worker.clone());
     }
-    let healthy = entry.failed_on.iter().filter(|worker| !is_bad(worker));
-    if healthy.count() >= FAILURES_TO_END {
+    let healthy = entry
+        .failed_on
+        .iter()
+        .filter(|worker| !is_quarantined(worker));
+    if healthy.count() >= MAX_FAILED_WORKERS {
         let reason = Reason::FailedOnSeveralWorkers;
         return ended(attempt, Outcome::Failed, reason, Ran::ToItsEnd);
     }
-    again(entry, attempt, Reason::Ended, Ran::ToItsEnd)
+    retry_or_end(entry, attempt, Reason::Ended, Ran::ToItsEnd)
 }
 
-/// An idempotent job waits again; any other must not run twice and is over.
-fn again(entry: &mut Entry, attempt: &Attempt, reason: Reason, ran: Ran) -> JobState {
+/// Retries an idempotent job, up to [`MAX_ATTEMPTS`] attempts. A job that isn't idempotent must
+/// not run twice, and ends.
+fn retry_or_end(entry: &mut Entry, attempt: &Attempt, reason: Reason, ran: Ran) -> JobState {
     if !entry.job.idempotent {
         let outcome = match reason {
             Reason::MemoryKilled => Outcome::Failed,
@@ -214,7 +236,7 @@
         };
         return ended(attempt, outcome, reason, ran);
     }
-    if entry.attempts >= ATTEMPTS_TO_END {
+    if entry.attempts >= MAX_ATTEMPTS {
         return ended(attempt, Outcome::Failed, Reason::TooManyAttempts, ran);
     }
     JobState::Waiting
