--- a/pomelohitchd/src/fleet/election.rs
+++ b/pomelohitchd/src/fleet/election.rs
@@ -75,7 +75,7 @@
     let seed = millis(clock::steady());
     let others = succession::asked(shared.peers(), seed);
     let probe = Probe { with_store: false };
-    let answers = peers::ask_all::<ProbeReply>(&others, wire::PROBE, &probe);
+    let answers = peers::ask_all::<ProbeReply>(&others, wire::PROBE_PATH, &probe);
     let is_heard = answers
         .iter()
         .any(|(_, a)| Duration::from_millis(a.heard_ms) < HEARD_WITHIN);
--- a/pomelohitchd/src/fleet/internal.rs
+++ b/pomelohitchd/src/fleet/internal.rs
@@ -12,7 +12,7 @@
 
 use super::leader::core::millis;
 use super::shared::Shared;
-use super::wire::{self, Beat, BeatReply, Claim, Probe, ProbeReply};
+use super::wire::{self, Claim, Heartbeat, HeartbeatReply, Probe, ProbeReply};
 use super::{callers, clock};
 use crate::front::{Incoming, Limits, Service};
 
@@ -48,11 +48,11 @@
 fn answer(shared: &Shared, incoming: &Incoming) -> Response {
     let target = &*incoming.head.target;
     match target {
-        wire::BEAT => reply(&incoming.body, |heartbeat: Beat| {
+        wire::HEARTBEAT_PATH => reply(&incoming.body, |heartbeat: Heartbeat| {
             handle_heartbeat(shared, &heartbeat)
         }),
-        wire::PROBE => reply(&incoming.body, |probe: Probe| handle_probe(shared, &probe)),
-        wire::CLAIM => reply(&incoming.body, |claim: Claim| shared.ask_claim(claim)),
+        wire::PROBE_PATH => reply(&incoming.body, |probe: Probe| handle_probe(shared, &probe)),
+        wire::CLAIM_PATH => reply(&incoming.body, |claim: Claim| shared.ask_claim(claim)),
         _ => match target.strip_prefix(wire::FORWARD_PREFIX) {
             Some(path) => callers::answer_forwarded(shared, incoming, path),
             None => Response::empty_404(),
@@ -64,7 +64,7 @@
 /// is known.
 #[must_use]
 pub fn datagram(shared: &Shared, datagram: &[u8]) -> Option<Vec<u8>> {
-    let heartbeat: Beat = match postcard::from_bytes(datagram) {
+    let heartbeat: Heartbeat = match postcard::from_bytes(datagram) {
         Ok(heartbeat) => heartbeat,
         Err(error) => {
             warn!(%error, "heartbeat datagram can't be decoded");
@@ -80,7 +80,7 @@
         .ok()
 }
 
-fn handle_heartbeat(shared: &Shared, heartbeat: &Beat) -> BeatReply {
+fn handle_heartbeat(shared: &Shared, heartbeat: &Heartbeat) -> HeartbeatReply {
     let is_current = shared.follow(&heartbeat.leader, true);
     if is_current {
         shared.note_fleet_ms(heartbeat.leader.epoch, heartbeat.fleet_ms);
@@ -90,7 +90,7 @@
             view.alive_at = now;
         });
     }
-    BeatReply {
+    HeartbeatReply {
         epoch: known_epoch(shared),
     }
 }
--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -25,7 +25,7 @@
 use self::heartbeats::Datagrams;
 use super::clock;
 use super::shared::{Leading, Shared, spawn, spawn_with};
-use super::wire::{self, BeatReply, Claim, Leader, Probe, ProbeReply};
+use super::wire::{self, Claim, HeartbeatReply, Leader, Probe, ProbeReply};
 use super::{members, peers, succession};
 
 pub mod core;
@@ -188,7 +188,7 @@
         return None;
     }
     let probe = Probe { with_store: true };
-    let answers = peers::ask_all::<ProbeReply>(&larger, wire::PROBE, &probe);
+    let answers = peers::ask_all::<ProbeReply>(&larger, wire::PROBE_PATH, &probe);
     succession::successor(&answers)
 }
 
@@ -214,7 +214,12 @@
                 datagrams.send(shared, &peers);
             }
             let beat = heartbeats::beat_of(shared, &leader);
-            peers::ask_clients::<BeatReply>(&others, wire::BEAT, &beat, heartbeats::EVERY);
+            peers::ask_clients::<HeartbeatReply>(
+                &others,
+                wire::HEARTBEAT_PATH,
+                &beat,
+                heartbeats::EVERY,
+            );
             if ended.recv_timeout(heartbeats::EVERY) == Err(RecvTimeoutError::Disconnected) {
                 return;
             }
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -236,7 +236,7 @@
     /// Time for the request.
     const WITHIN: Duration = Duration::from_millis(300);
     let client = peers::client(successor);
-    match peers::ask::<()>(&client, wire::CLAIM, &claim, WITHIN) {
+    match peers::ask::<()>(&client, wire::CLAIM_PATH, &claim, WITHIN) {
         Ok(()) => info!(%successor, "leadership handed over"),
         Err(error) => warn!(%error, "leadership not handed over"),
     }
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -59,8 +59,8 @@
             // Side by side: a store that is silent takes its whole time-out to say so.
             let (answers, has_store) = std::thread::scope(|scope| {
                 let own = scope.spawn(|| internal::reaches_store(&shared, end));
-                let within = wire::STORE_PROBE_WITHIN;
-                let answers = peers::ask_all_within(&others, wire::PROBE, &probe, within);
+                let within = wire::STORE_PROBE_TIMEOUT;
+                let answers = peers::ask_all_within(&others, wire::PROBE_PATH, &probe, within);
                 (answers, own.join().unwrap_or(false))
             });
             let _ = tx.send(Event::Probed(answers, has_store));
@@ -97,7 +97,7 @@
         let tx = self.tx.clone();
         let asking = spawn("ask larger members", move || {
             let probe = Probe { with_store: true };
-            let answers = peers::ask_all_within(&larger, wire::PROBE, &probe, COMPARE_WITHIN);
+            let answers = peers::ask_all_within(&larger, wire::PROBE_PATH, &probe, COMPARE_WITHIN);
             let _ = tx.send(Event::Larger(answers));
         });
         if let Err(error) = asking {
@@ -140,7 +140,7 @@
     /// Ends the leadership for a shutdown, with the first member that can take over.
     pub(super) fn leave(&mut self) {
         let probe = Probe { with_store: true };
-        let answers = peers::ask_all::<ProbeReply>(&self.shared.peers(), wire::PROBE, &probe);
+        let answers = peers::ask_all::<ProbeReply>(&self.shared.peers(), wire::PROBE_PATH, &probe);
         self.stop("shutdown", successor(&answers));
     }
 }
--- a/pomelohitchd/src/fleet/leader/heartbeats.rs
+++ b/pomelohitchd/src/fleet/leader/heartbeats.rs
@@ -13,7 +13,7 @@
 use super::core::{Event, spawn_for};
 use crate::fleet::peers;
 use crate::fleet::shared::Shared;
-use crate::fleet::wire::{self, Alive, Beat, BeatReply, Leader, Member};
+use crate::fleet::wire::{self, Heartbeat, HeartbeatReply, Leader, LivenessRecord, Member};
 
 /// How often each member is told.
 pub const EVERY: Duration = Duration::from_millis(250);
@@ -27,8 +27,8 @@
 const SIGN_WITHIN: Duration = Duration::from_millis(800);
 
 /// The heartbeat of a leader now.
-pub(super) fn beat_of(shared: &Shared, leader: &Leader) -> Beat {
-    Beat {
+pub(super) fn beat_of(shared: &Shared, leader: &Leader) -> Heartbeat {
+    Heartbeat {
         leader: leader.clone(),
         fleet_ms: shared.fleet_ms(),
     }
@@ -79,7 +79,7 @@
     pub fn is_deposed(&self) -> bool {
         let mut buf = [0; REPLY_BYTES];
         while let Ok((len, _)) = self.socket.recv_from(&mut buf) {
-            let reply = postcard::from_bytes::<BeatReply>(&buf[..len]);
+            let reply = postcard::from_bytes::<HeartbeatReply>(&buf[..len]);
             if reply.is_ok_and(|r| r.epoch > self.leader.epoch) {
                 return true;
             }
@@ -117,12 +117,12 @@
     let mut count = 0;
     spawn_for("signs", shared, epoch, move |shared| {
         count += 1;
-        let sign = Alive {
+        let sign = LivenessRecord {
             epoch,
             count,
             fleet_ms: shared.fleet_ms(),
         };
-        let sign = progress::encode(wire::ALIVE_KEY.into(), &sign);
+        let sign = progress::encode(wire::LIVENESS_KEY.into(), &sign);
         let written = sign.map(|s| store.append(Topic::Members, &[s], Guard::Free, SIGN_WITHIN));
         if !matches!(written, Ok(Ok(_))) {
             info!(?written, "sign of life not written");
@@ -150,7 +150,7 @@
             return;
         }
         let message = beat_of(shared, &leader);
-        let reply = peers::ask::<BeatReply>(&client, wire::BEAT, &message, WITHIN);
+        let reply = peers::ask::<HeartbeatReply>(&client, wire::HEARTBEAT_PATH, &message, WITHIN);
         if reply.is_ok_and(|r| r.epoch > epoch) {
             let _ = tx.send(Event::Deposed("a member knows a later leader"));
         }
--- a/pomelohitchd/src/fleet/members.rs
+++ b/pomelohitchd/src/fleet/members.rs
@@ -9,7 +9,7 @@
 
 use super::clock;
 use super::shared::Shared;
-use super::wire::{self, Alive, Leader, Member};
+use super::wire::{self, Leader, LivenessRecord, Member};
 
 /// A read waits so long for news. Shorter, and every member reads more often; longer, and a
 /// connection that went silent is noticed later.
@@ -87,7 +87,7 @@
 
 /// Takes in one record, which may be old unless it `is_news`. One that can't be read names nobody.
 fn take(shared: &Shared, key: &str, value: Option<&[u8]>, is_news: bool) {
-    if let Some(name) = wire::member_of(key) {
+    if let Some(name) = wire::member_name(key) {
         let member = value.and_then(|v| postcard::from_bytes::<Member>(v).ok());
         shared.update(|view| match member {
             Some(member) => {
@@ -101,8 +101,8 @@
         if let Some(leader) = value.and_then(|v| postcard::from_bytes::<Leader>(v).ok()) {
             shared.follow(&leader, is_news);
         }
-    } else if key == wire::ALIVE_KEY
-        && let Some(alive) = value.and_then(|v| postcard::from_bytes::<Alive>(v).ok())
+    } else if key == wire::LIVENESS_KEY
+        && let Some(alive) = value.and_then(|v| postcard::from_bytes::<LivenessRecord>(v).ok())
     {
         if is_news {
             shared.note_fleet_ms(alive.epoch, alive.fleet_ms);
--- a/pomelohitchd/src/fleet/wire.rs
+++ b/pomelohitchd/src/fleet/wire.rs
@@ -6,12 +6,12 @@
 use pomelohitch_sched::{Epoch, UnixMs};
 use serde::{Deserialize, Serialize};
 
-/// Path of [`Beat`].
-pub const BEAT: &str = "/beat";
+/// Path of [`Heartbeat`].
+pub const HEARTBEAT_PATH: &str = "/beat";
 /// Path of [`Probe`].
-pub const PROBE: &str = "/probe";
+pub const PROBE_PATH: &str = "/probe";
 /// Path of [`Claim`], which has an empty reply.
-pub const CLAIM: &str = "/claim";
+pub const CLAIM_PATH: &str = "/claim";
 /// Prefix of the path of a forwarded request.
 pub const FORWARD_PREFIX: &str = "/call";
 /// Header of a forwarded request: the `Host` header of the caller's request.
@@ -46,7 +46,7 @@
 
 /// The leader's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// The sender.
     pub leader: Leader,
     /// The fleet's time, milliseconds since 1970, if it is known yet.
@@ -55,7 +55,7 @@
 
 /// Answer to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BeatReply {
+pub struct HeartbeatReply {
     /// The highest epoch that the member knows.
     pub epoch: Epoch,
 }
@@ -70,7 +70,7 @@
 /// Timeout of a probed member's call to the store; a store that is merely slow answers in time.
 pub const STORE_TRY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Timeout of a probe that includes a call to the store, also if the store doesn't answer.
-pub const STORE_PROBE_WITHIN: Duration = Duration::from_millis(850);
+pub const STORE_PROBE_TIMEOUT: Duration = Duration::from_millis(850);
 
 /// Asks a member to take over the leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -110,7 +110,7 @@
 
 /// The leader's liveness record in the store, for members that its heartbeats don't reach.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Alive {
+pub struct LivenessRecord {
     /// Epoch of the leadership.
     pub epoch: Epoch,
     /// Counts the updates of the record.
@@ -122,7 +122,7 @@
 /// Key of the record of the current leader, a [`Leader`].
 pub const LEADER_KEY: &str = "leader";
 /// Key of the leader's liveness record.
-pub const ALIVE_KEY: &str = "alive";
+pub const LIVENESS_KEY: &str = "alive";
 /// Prefix of the keys of members' records.
 const MEMBER_PREFIX: &str = "member.";
 
@@ -134,6 +134,6 @@
 
 /// The name of the member whose record has this key; `None` for other records.
 #[must_use]
-pub fn member_of(key: &str) -> Option<&str> {
+pub fn member_name(key: &str) -> Option<&str> {
     key.strip_prefix(MEMBER_PREFIX)
 }
