--- a/pomelohitchd/src/fleet/callers.rs
+++ b/pomelohitchd/src/fleet/callers.rs
@@ -13,7 +13,7 @@
 use tracing::{info, warn};
 
 use super::leader::core::{Event, Incoming as LeaderCall};
-use super::shared::{Leading, Shared};
+use super::shared::{Leadership, Shared};
 use super::{forwarding, wire};
 use crate::front::{Incoming, Limits, Service};
 
@@ -76,9 +76,9 @@
 const MAX_LEADER_SILENCE: Duration = Duration::from_secs(3);
 
 fn is_ready(shared: &Shared) -> bool {
-    let silent_for = super::clock::steady().saturating_sub(shared.view().heard_at);
+    let silent_for = super::clock::steady().saturating_sub(shared.view().leader_heard_at);
     let knows_leader = shared.view().leader.is_some() && silent_for < MAX_LEADER_SILENCE;
-    !shared.is_leaving() && (shared.leading().is_some() || knows_leader)
+    !shared.is_leaving() && (shared.leadership().is_some() || knows_leader)
 }
 
 /// Result of one attempt at the leader.
@@ -198,9 +198,15 @@
     if remaining.is_zero() {
         return Attempt::NotExecuted;
     }
-    if let Some(leading) = shared.leading() {
+    if let Some(leadership) = shared.leadership() {
         let host = incoming.head.headers.get("Host").unwrap_or_default();
-        return ask_local_leader(&leading, incoming, host, &incoming.head.target, remaining);
+        return ask_local_leader(
+            &leadership,
+            incoming,
+            host,
+            &incoming.head.target,
+            remaining,
+        );
     }
     let own = shared.site.load().internal;
     match shared.view().leader {
@@ -217,12 +223,12 @@
     let host = host.unwrap_or_default();
     let for_epoch = incoming.head.headers.get(wire::FOR_EPOCH_HEADER);
     let for_epoch: Option<Epoch> = for_epoch.and_then(|epoch| epoch.parse().ok());
-    let leading = shared.leading();
-    let leading = leading.filter(|l| for_epoch.is_none_or(|epoch| epoch == l.epoch));
-    let Some(leading) = leading else {
+    let leadership = shared.leadership();
+    let leadership = leadership.filter(|l| for_epoch.is_none_or(|epoch| epoch == l.epoch));
+    let Some(leadership) = leadership else {
         return Response::text("").with_status_code(421);
     };
-    match ask_local_leader(&leading, incoming, host, path, ATTEMPT_TIMEOUT) {
+    match ask_local_leader(&leadership, incoming, host, path, ATTEMPT_TIMEOUT) {
         Attempt::Answered(reply) => forwarded_response(reply),
         Attempt::NotExecuted | Attempt::Overloaded(_) => Response::text("").with_status_code(421),
         Attempt::Unknown(_) => Response::text("").with_status_code(504),
@@ -246,7 +252,7 @@
 
 /// Sends a request to the leader in this process and waits for its answer.
 fn ask_local_leader(
-    leading: &Leading,
+    leadership: &Leadership,
     incoming: &Incoming,
     host: &str,
     path: &str,
@@ -259,7 +265,7 @@
         "DELETE" => Verb::Cancel,
         _ => {
             return Attempt::Answered(Reply {
-                epoch: leading.epoch,
+                epoch: leadership.epoch,
                 response: Response::text("{}").with_status_code(405),
                 queue_refused_for: None,
             });
@@ -274,7 +280,7 @@
         verb,
         reply: tx,
     };
-    if leading.events.send(Event::Call(call)).is_err() {
+    if leadership.events.send(Event::Call(call)).is_err() {
         return Attempt::NotExecuted;
     }
     let answer: Result<Answer, _> = rx.recv_timeout(timeout);
@@ -282,12 +288,12 @@
         Ok(answer) => {
             log_answer(incoming, &answer);
             Attempt::Answered(Reply {
-                epoch: leading.epoch,
+                epoch: leadership.epoch,
                 response: respond(&answer),
                 queue_refused_for: queue_refused_for(&answer),
             })
         }
-        Err(_) => Attempt::Unknown(leading.epoch),
+        Err(_) => Attempt::Unknown(leadership.epoch),
     }
 }
 
--- a/pomelohitchd/src/fleet/election.rs
+++ b/pomelohitchd/src/fleet/election.rs
@@ -39,12 +39,12 @@
         let now = clock::steady();
         if now.saturating_sub(last_look) > STOOD_STILL {
             shared.update(|view| {
-                view.heard_at = now;
-                view.alive_at = now;
+                view.leader_heard_at = now;
+                view.leader_alive_at = now;
             });
         }
         last_look = now;
-        if shared.leading().is_some() || shared.is_leaving() {
+        if shared.leadership().is_some() || shared.is_leaving() {
             continue;
         }
         let view = shared.view();
@@ -61,8 +61,8 @@
 }
 
 fn is_suspect(view: &View, now: Steady, hold_back: Duration) -> bool {
-    let silent_for = now.saturating_sub(view.heard_at);
-    view.is_read && silent_for > SUSPECT_AFTER + hold_back
+    let silent_for = now.saturating_sub(view.leader_heard_at);
+    view.is_loaded && silent_for > SUSPECT_AFTER + hold_back
 }
 
 /// Whether nobody else hears the leader either. Without any leader there is nothing to be heard: the
@@ -79,7 +79,7 @@
     let is_heard = answers
         .iter()
         .any(|(_, a)| Duration::from_millis(a.heard_ms) < HEARD_WITHIN);
-    let no_sign = clock::steady().saturating_sub(view.alive_at) > NO_SIGN_FOR;
+    let no_sign = clock::steady().saturating_sub(view.leader_alive_at) > NO_SIGN_FOR;
     let is_silent = !is_heard && (!answers.is_empty() || no_sign);
     info!(
         peers = others.len(),
--- a/pomelohitchd/src/fleet/internal.rs
+++ b/pomelohitchd/src/fleet/internal.rs
@@ -52,7 +52,7 @@
             handle_heartbeat(shared, &heartbeat)
         }),
         wire::PROBE_PATH => reply(&incoming.body, |probe: Probe| handle_probe(shared, &probe)),
-        wire::CLAIM_PATH => reply(&incoming.body, |claim: Claim| shared.ask_claim(claim)),
+        wire::CLAIM_PATH => reply(&incoming.body, |claim: Claim| shared.request_claim(claim)),
         _ => match target.strip_prefix(wire::FORWARD_PREFIX) {
             Some(path) => callers::answer_forwarded(shared, incoming, path),
             None => Response::empty_404(),
@@ -63,7 +63,7 @@
 /// Handles a leader's heartbeat that arrived as a datagram. Returns a reply only if a later leader
 /// is known.
 #[must_use]
-pub fn datagram(shared: &Shared, datagram: &[u8]) -> Option<Vec<u8>> {
+pub fn handle_datagram(shared: &Shared, datagram: &[u8]) -> Option<Vec<u8>> {
     let heartbeat: Heartbeat = match postcard::from_bytes(datagram) {
         Ok(heartbeat) => heartbeat,
         Err(error) => {
@@ -81,13 +81,13 @@
 }
 
 fn handle_heartbeat(shared: &Shared, heartbeat: &Heartbeat) -> HeartbeatReply {
-    let is_current = shared.follow(&heartbeat.leader, true);
+    let is_current = shared.observe_leader(&heartbeat.leader, true);
     if is_current {
-        shared.note_fleet_ms(heartbeat.leader.epoch, heartbeat.fleet_ms);
+        shared.update_fleet_ms(heartbeat.leader.epoch, heartbeat.fleet_ms);
         let now = clock::steady();
         shared.update(|view| {
-            view.heard_at = now;
-            view.alive_at = now;
+            view.leader_heard_at = now;
+            view.leader_alive_at = now;
         });
     }
     HeartbeatReply {
@@ -97,8 +97,8 @@
 
 fn handle_probe(shared: &Shared, probe: &Probe) -> ProbeReply {
     let view = shared.view();
-    let silent_for: Steady = clock::steady().saturating_sub(view.heard_at);
-    let heard_ms = match shared.leading() {
+    let silent_for: Steady = clock::steady().saturating_sub(view.leader_heard_at);
+    let heard_ms = match shared.leadership() {
         Some(_) => 0,
         None => millis(silent_for),
     };
@@ -107,7 +107,7 @@
         heard_ms,
         has_store: probe.with_store && reaches_store(shared, view.members_end),
         is_leaving: shared.is_leaving(),
-        up_ms: millis(clock::steady().saturating_sub(shared.began)),
+        up_ms: millis(clock::steady().saturating_sub(shared.started_at)),
         power: shared.site.load().power,
     }
 }
--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -24,7 +24,7 @@
 
 use self::heartbeats::Datagrams;
 use super::clock;
-use super::shared::{Leading, Shared, spawn, spawn_with};
+use super::shared::{Leadership, Shared, spawn, spawn_with};
 use super::wire::{self, Claim, HeartbeatReply, Leader, Probe, ProbeReply};
 use super::{members, peers, succession};
 
@@ -101,7 +101,9 @@
     if let Err(error) = take_over(shared, epoch, is_handed_over) {
         info!(%error, "leadership not taken over");
         let now = clock::steady();
-        shared.update(|view| view.heard_at = view.heard_at.max(now.saturating_sub(PAUSE)));
+        shared.update(|view| {
+            view.leader_heard_at = view.leader_heard_at.max(now.saturating_sub(PAUSE));
+        });
     }
 }
 
@@ -137,7 +139,7 @@
         operations_per_s: site.operations_per_s,
         link_bytes_per_s: site.link_bytes_per_s,
         fleet_ms: shared.fleet_ms(),
-        fleet_ms_at_least: shared.fleet_ms_at_least(),
+        fleet_ms_at_least: shared.min_fleet_ms(),
         former_holder: if is_handed_over {
             HANDED_OVER
         } else {
@@ -149,7 +151,7 @@
     for fault in &faults {
         warn!(%fault, "record passed over");
     }
-    shared.note_fleet_ms(epoch, Some(cell.fleet_ms()));
+    shared.update_fleet_ms(epoch, Some(cell.fleet_ms()));
     let (tx, rx) = mpsc::channel();
     fill(&mut cell, &records);
     let took_ms = clock::steady().saturating_sub(began).as_millis();
@@ -161,8 +163,8 @@
         took_ms,
         "leadership taken over"
     );
-    shared.follow(&leader, true);
-    shared.set_leading(Some(Leading {
+    shared.observe_leader(&leader, true);
+    shared.set_leadership(Some(Leadership {
         epoch,
         events: tx.clone(),
     }));
@@ -275,7 +277,7 @@
         epoch: known + 1,
         member: site.member.clone(),
         addr: site.internal,
-        began_ms: shared.began_ms,
+        began_ms: shared.started_ms,
     };
     let record = progress::encode(wire::LEADER_KEY.into(), &leader).context(RecordSnafu)?;
     let guard = Guard::At(end.unwrap_or_default());
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -180,7 +180,7 @@
         Ok(started) => started,
         Err(error) => {
             error!(%error, "threads of the leader can't be started");
-            shared.set_leading(None);
+            shared.set_leadership(None);
             return;
         }
     };
@@ -205,7 +205,7 @@
     };
     core.show_evacuations();
     let end = core.lead(&parts.rx);
-    shared.set_leading(None);
+    shared.set_leadership(None);
     info!(
         epoch,
         why = end.why,
@@ -475,7 +475,7 @@
     mut step: impl FnMut(&Arc<Shared>) + Send + 'static,
 ) -> std::io::Result<()> {
     let running = spawn_with(name, shared, move |shared| {
-        while shared.leading().is_some_and(|l| l.epoch == epoch) {
+        while shared.leadership().is_some_and(|l| l.epoch == epoch) {
             step(shared);
         }
     });
--- a/pomelohitchd/src/fleet/leader/duties.rs
+++ b/pomelohitchd/src/fleet/leader/duties.rs
@@ -161,7 +161,10 @@
         operation: &Operation,
         at: Steady,
     ) -> Option<OperationOutcome> {
-        let is_leader = self.shared.leading().is_some_and(|l| l.epoch == self.epoch);
+        let is_leader = self
+            .shared
+            .leadership()
+            .is_some_and(|l| l.epoch == self.epoch);
         if !is_leader {
             return None;
         }
@@ -201,7 +204,7 @@
                     continue;
                 }
             };
-            while shared.leading().is_some_and(|l| l.epoch == epoch) {
+            while shared.leadership().is_some_and(|l| l.epoch == epoch) {
                 let records = std::slice::from_ref(&record);
                 match store.append(Topic::Status, records, Guard::Free, STATUS_WITHIN) {
                     Ok(_) => break,
--- a/pomelohitchd/src/fleet/leader/journal.rs
+++ b/pomelohitchd/src/fleet/leader/journal.rs
@@ -220,7 +220,7 @@
     }
 
     fn is_leader(&self) -> bool {
-        let leading = self.common.shared.leading();
+        let leading = self.common.shared.leadership();
         leading.is_some_and(|l| l.epoch == self.common.epoch)
     }
 
--- a/pomelohitchd/src/fleet/lifecycle.rs
+++ b/pomelohitchd/src/fleet/lifecycle.rs
@@ -119,7 +119,7 @@
 fn relay_calls(shared: &Arc<Shared>, addr: SocketAddr) -> Result<()> {
     let relaying = spawn_with("relay", shared, move |shared| {
         let shared = shared.clone();
-        let answer = Box::new(move |datagram: &[u8]| internal::datagram(&shared, datagram));
+        let answer = Box::new(move |datagram: &[u8]| internal::handle_datagram(&shared, datagram));
         if let Err(error) = relay::server::run(addr, answer) {
             warn!(%addr, %error, "calls aren't carried");
         }
@@ -195,8 +195,8 @@
 fn shut_down(shared: &Shared, serving: &std::thread::JoinHandle<()>) {
     info!("shutting down");
     let began = clock::steady();
-    shared.leave();
-    if let Some(leading) = shared.leading() {
+    shared.begin_shutdown();
+    if let Some(leading) = shared.leadership() {
         let _ = leading.events.send(Event::Leave);
     }
     let grace = shared.site.load().bounds.grace.saturating_sub(GRACE_MARGIN);
--- a/pomelohitchd/src/fleet/members.rs
+++ b/pomelohitchd/src/fleet/members.rs
@@ -59,9 +59,9 @@
     let newest = store.newest(Topic::Members)?;
     shared.update(|view| {
         view.members.clear();
-        view.store_at = clock::steady();
+        view.store_answered_at = clock::steady();
         view.members_end = newest.end;
-        view.is_read = true;
+        view.is_loaded = true;
     });
     for (key, value) in &newest.records {
         take(shared, key, Some(value), false);
@@ -74,7 +74,7 @@
         Read::Dropped => Ok(None),
         Read::Records { records, next } => {
             shared.update(|view| {
-                view.store_at = clock::steady();
+                view.store_answered_at = clock::steady();
                 view.members_end = next;
             });
             for Record { key, value } in &records {
@@ -99,19 +99,19 @@
         });
     } else if key == wire::LEADER_KEY {
         if let Some(leader) = value.and_then(|v| postcard::from_bytes::<Leader>(v).ok()) {
-            shared.follow(&leader, is_news);
+            shared.observe_leader(&leader, is_news);
         }
     } else if key == wire::LIVENESS_KEY
         && let Some(alive) = value.and_then(|v| postcard::from_bytes::<LivenessRecord>(v).ok())
     {
         if is_news {
-            shared.note_fleet_ms(alive.epoch, alive.fleet_ms);
+            shared.update_fleet_ms(alive.epoch, alive.fleet_ms);
         } else {
-            shared.note_fleet_ms_at_least(alive.epoch, alive.fleet_ms);
+            shared.update_min_fleet_ms(alive.epoch, alive.fleet_ms);
         }
         shared.update(|view| {
             if view.leader.as_ref().is_some_and(|l| l.epoch == alive.epoch) {
-                view.alive_at = clock::steady();
+                view.leader_alive_at = clock::steady();
             }
         });
     }
@@ -123,7 +123,7 @@
     let member = Member {
         addr: site.internal,
         power: site.power,
-        began_ms: shared.began_ms,
+        began_ms: shared.started_ms,
     };
     if shared.view().members.get(&site.member) == Some(&member) {
         return;
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -39,24 +39,24 @@
     /// The leader with the highest known epoch.
     pub leader: Option<Leader>,
     /// When this process last heard from the leader.
-    pub heard_at: Steady,
+    pub leader_heard_at: Steady,
     /// When the leader's liveness record in the store last changed, or the leader was heard.
-    pub alive_at: Steady,
+    pub leader_alive_at: Steady,
     /// When the store last answered.
-    pub store_at: Steady,
+    pub store_answered_at: Steady,
     /// End offset of the members' topic when it was last read.
     pub members_end: u64,
     /// Whether the members have been read at least once.
-    pub is_read: bool,
+    pub is_loaded: bool,
     /// The fleet's time, if a leader has sent it.
     pub fleet_time: Option<FleetTime>,
     /// Lower bound of the fleet's time, from a liveness record of unknown age.
-    pub fleet_time_at_least: Option<FleetTime>,
+    pub min_fleet_time: Option<FleetTime>,
 }
 
 /// The leadership that this process holds.
 #[derive(Debug, Clone)]
-pub struct Leading {
+pub struct Leadership {
     /// Epoch of the leadership.
     pub epoch: Epoch,
     /// Sends events to the leader's thread; closed when the leadership ends.
@@ -67,15 +67,15 @@
 #[derive(Debug)]
 pub struct Shared {
     /// When the process started.
-    pub began: Steady,
+    pub started_at: Steady,
     /// Start time in milliseconds since 1970; distinguishes the process from its member's earlier
     /// ones.
-    pub began_ms: u64,
+    pub started_ms: u64,
     /// The current settings.
     pub site: ArcSwap<Site>,
     view: Mutex<View>,
     changed: Condvar,
-    leading: Mutex<Option<Leading>>,
+    leadership: Mutex<Option<Leadership>>,
     is_leaving: AtomicBool,
     pending_claim: Mutex<Option<Claim>>,
     leader_client: Mutex<Option<Client>>,
@@ -91,17 +91,17 @@
         // counts as silent, though: if there is a leader, other members hear it.
         let now = clock::steady();
         let view = View {
-            heard_at: now.saturating_sub(INITIAL_SILENCE),
-            alive_at: now,
+            leader_heard_at: now.saturating_sub(INITIAL_SILENCE),
+            leader_alive_at: now,
             ..View::default()
         };
         Shared {
-            began: now,
-            began_ms: clock::now().unix_ms,
+            started_at: now,
+            started_ms: clock::now().unix_ms,
             site: ArcSwap::from_pointee(site),
             view: Mutex::new(view),
             changed: Condvar::new(),
-            leading: Mutex::new(None),
+            leadership: Mutex::new(None),
             is_leaving: AtomicBool::new(false),
             pending_claim: Mutex::new(None),
             leader_client: Mutex::new(None),
@@ -172,9 +172,9 @@
 
     /// Updates the known leader, unless a later one is known; returns whether none is.
     ///
-    /// `is_news` says that the leader has just sent a message or begun to lead, which counts as a
-    /// heartbeat. A record that is read at start may be that of a leader that ended long ago.
-    pub fn follow(&self, leader: &Leader, is_news: bool) -> bool {
+    /// `is_announced` says that the leader has just sent a message or begun to lead, which counts as
+    /// a heartbeat. A record that is read at start may be that of a leader that ended long ago.
+    pub fn observe_leader(&self, leader: &Leader, is_announced: bool) -> bool {
         let mut view = self.lock();
         let known = view.leader.as_ref().map_or(0, |l| l.epoch);
         if leader.epoch < known {
@@ -183,9 +183,9 @@
         if leader.epoch > known {
             info!(epoch = leader.epoch, leader = %leader.member, addr = %leader.addr, "new leader");
             view.leader = Some(leader.clone());
-            if is_news {
-                view.heard_at = clock::steady();
-                view.alive_at = view.heard_at;
+            if is_announced {
+                view.leader_heard_at = clock::steady();
+                view.leader_alive_at = view.leader_heard_at;
             }
             self.changed.notify_all();
         }
@@ -193,7 +193,7 @@
     }
 
     /// Updates the fleet's time with the one that the leader with `epoch` has just sent.
-    pub fn note_fleet_ms(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
+    pub fn update_fleet_ms(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
         let Some(ms) = fleet_ms else {
             return;
         };
@@ -210,13 +210,13 @@
 
     /// Updates the lower bound of the fleet's time with that of a liveness record, which the leader
     /// with `epoch` wrote at an unknown time.
-    pub fn note_fleet_ms_at_least(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
+    pub fn update_min_fleet_ms(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
         let Some(ms) = fleet_ms else {
             return;
         };
         let at = clock::steady();
         let reading = FleetTime { epoch, ms, at };
-        let known = &mut self.lock().fleet_time_at_least;
+        let known = &mut self.lock().min_fleet_time;
         if known.is_none_or(|known| reading.is_better_than(&known)) {
             *known = Some(reading);
         }
@@ -224,8 +224,8 @@
 
     /// Lower bound of the fleet's time, if a liveness record was read.
     #[must_use]
-    pub fn fleet_ms_at_least(&self) -> Option<UnixMs> {
-        let reading = self.lock().fleet_time_at_least;
+    pub fn min_fleet_ms(&self) -> Option<UnixMs> {
+        let reading = self.lock().min_fleet_time;
         reading.map(|reading| reading.at(clock::steady()))
     }
 
@@ -245,15 +245,18 @@
 
     /// The leadership that this process holds, if any.
     #[must_use]
-    pub fn leading(&self) -> Option<Leading> {
-        let leading = self.leading.lock();
-        leading.unwrap_or_else(PoisonError::into_inner).clone()
+    pub fn leadership(&self) -> Option<Leadership> {
+        let leadership = self.leadership.lock();
+        leadership.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Begins or ends the leadership of this process.
-    pub fn set_leading(&self, leading: Option<Leading>) {
-        let mut held = self.leading.lock().unwrap_or_else(PoisonError::into_inner);
-        *held = leading;
+    pub fn set_leadership(&self, leadership: Option<Leadership>) {
+        let mut held = self
+            .leadership
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        *held = leadership;
         drop(held);
         self.changed.notify_all();
     }
@@ -265,13 +268,13 @@
     }
 
     /// Begins the shutdown.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.is_leaving.store(true, Ordering::Release);
         self.changed.notify_all();
     }
 
     /// Requests that this process take over the leadership.
-    pub fn ask_claim(&self, claim: Claim) {
+    pub fn request_claim(&self, claim: Claim) {
         *self.pending_claim() = Some(claim);
         self.changed.notify_all();
     }
--- a/pomelohitchd/tests/fleet/callers.rs
+++ b/pomelohitchd/tests/fleet/callers.rs
@@ -10,7 +10,7 @@
 
 use pomelohitch_route::{Head, head};
 use pomelohitchd::fleet::callers;
-use pomelohitchd::fleet::shared::{Leading, Shared};
+use pomelohitchd::fleet::shared::{Leadership, Shared};
 use pomelohitchd::fleet::wire::{self, Leader};
 use pomelohitchd::front::Incoming;
 
@@ -114,7 +114,7 @@
         addr,
         began_ms: 1,
     };
-    assert!(shared.follow(&leader, true));
+    assert!(shared.observe_leader(&leader, true));
 }
 
 /// Status of the answer to a POST while `addr` is known as the leader, and whether the answer has a
@@ -208,7 +208,7 @@
 fn a_request_for_another_leadership_is_rejected() {
     let shared = Shared::new(site());
     let (events, received) = std::sync::mpsc::channel();
-    shared.set_leading(Some(Leading { epoch: 7, events }));
+    shared.set_leadership(Some(Leadership { epoch: 7, events }));
     let incoming = request_with("POST", &format!("{}: 6\r\n", wire::FOR_EPOCH_HEADER));
     let response = callers::answer_forwarded(&shared, &incoming, "/q/00000000000000a1");
     assert_eq!(response.status_code, 421);
--- a/pomelohitchd/tests/fleet/journal.rs
+++ b/pomelohitchd/tests/fleet/journal.rs
@@ -8,7 +8,7 @@
 use pomelohitch_sched::progress::Record;
 use pomelohitchd::fleet::leader::core::Event;
 use pomelohitchd::fleet::leader::journal::{Journal, Sequence};
-use pomelohitchd::fleet::shared::{Leading, Shared};
+use pomelohitchd::fleet::shared::{Leadership, Shared};
 
 use super::site::site;
 
@@ -93,7 +93,7 @@
         site.store = addr;
         let shared = Arc::new(Shared::new(site));
         let (tx, events) = mpsc::channel();
-        shared.set_leading(Some(Leading {
+        shared.set_leadership(Some(Leadership {
             epoch: EPOCH,
             events: tx.clone(),
         }));
@@ -110,7 +110,7 @@
     fn finish(self, last: Sequence) {
         let is_last = |event: Event| matches!(event, Event::Committed(durable) if durable == last);
         assert!(self.events.into_iter().any(is_last));
-        self.shared.set_leading(None);
+        self.shared.set_leadership(None);
     }
 }
 
@@ -201,7 +201,7 @@
     let is_last = |event: &Event| matches!(event, Event::Committed(3));
     assert!(events.iter().any(|event| is_last(&event)));
     drop(journal);
-    shared.set_leading(None);
+    shared.set_leadership(None);
     let told = events.iter().filter_map(|event| match event {
         Event::Appends(is_well) => Some(is_well),
         _ => None,
@@ -221,5 +221,5 @@
     running.journal.commit(vec![record(1)]);
     let is_end = |event: Event| matches!(event, Event::Deposed(_));
     assert!(running.events.into_iter().any(is_end));
-    running.shared.set_leading(None);
+    running.shared.set_leadership(None);
 }
--- a/pomelohitchd/tests/fleet/leaders.rs
+++ b/pomelohitchd/tests/fleet/leaders.rs
@@ -89,27 +89,27 @@
 #[test]
 fn an_old_record_of_a_leader_is_no_sign_of_life() {
     let shared = Shared::new(site());
-    let began = shared.view().heard_at;
+    let began = shared.view().leader_heard_at;
     let leader = Leader {
         epoch: 7,
         member: "front-a-2".into(),
         addr: nowhere(),
         began_ms: 1,
     };
-    assert!(shared.follow(&leader, false));
-    assert_eq!(shared.view().heard_at, began);
+    assert!(shared.observe_leader(&leader, false));
+    assert_eq!(shared.view().leader_heard_at, began);
     let later = Leader {
         epoch: 8,
         ..leader.clone()
     };
-    assert!(shared.follow(&later, true));
+    assert!(shared.observe_leader(&later, true));
     assert!(
         clock::steady()
-            .saturating_sub(shared.view().heard_at)
+            .saturating_sub(shared.view().leader_heard_at)
             .as_millis()
             < 500
     );
-    assert!(!shared.follow(&leader, true));
+    assert!(!shared.observe_leader(&leader, true));
 }
 
 fn told(epoch: u64, ms: u64, at_ms: u64) -> FleetTime {
@@ -144,11 +144,11 @@
 fn a_member_keeps_the_time_that_its_leader_told() {
     let shared = Shared::new(site());
     assert_eq!(shared.fleet_ms(), None);
-    shared.note_fleet_ms(3, Some(7_000));
+    shared.update_fleet_ms(3, Some(7_000));
     let told = shared.fleet_ms().expect("a leader has told it");
     assert!((7_000..8_000).contains(&told), "{told}");
-    shared.note_fleet_ms(2, Some(99_000));
-    shared.note_fleet_ms(3, None);
+    shared.update_fleet_ms(2, Some(99_000));
+    shared.update_fleet_ms(3, None);
     assert!(shared.fleet_ms().is_some_and(|ms| ms < 9_000));
 }
 
@@ -156,10 +156,10 @@
 #[test]
 fn an_old_sign_of_life_bounds_the_fleets_time() {
     let shared = Shared::new(site());
-    shared.note_fleet_ms_at_least(4, Some(50_000));
+    shared.update_min_fleet_ms(4, Some(50_000));
     assert_eq!(shared.fleet_ms(), None);
-    let least = shared.fleet_ms_at_least().expect("a sign was read");
+    let least = shared.min_fleet_ms().expect("a sign was read");
     assert!((50_000..51_000).contains(&least), "{least}");
-    shared.note_fleet_ms_at_least(3, Some(90_000));
-    assert!(shared.fleet_ms_at_least().is_some_and(|ms| ms < 52_000));
+    shared.update_min_fleet_ms(3, Some(90_000));
+    assert!(shared.min_fleet_ms().is_some_and(|ms| ms < 52_000));
 }
