--- a/pomelohitchd/src/fleet/calls.rs
+++ b/pomelohitchd/src/fleet/calls.rs
@@ -41,7 +41,7 @@
 
 /// An order to be sent.
 #[derive(Debug, Clone)]
-pub struct Sending {
+pub struct OutgoingOrder {
     /// The endpoint that it is for.
     pub target: Target,
     /// The order itself.
@@ -49,7 +49,7 @@
     /// Epoch of the leader that decided it.
     pub epoch: Epoch,
     /// When it was decided.
-    pub at: Steady,
+    pub decided_at: Steady,
 }
 
 /// Connections to one endpoint, and the limit of concurrent orders to it.
@@ -87,19 +87,19 @@
 
 impl Calls {
     /// Sends an order and waits for its outcome.
-    pub async fn order(&self, sending: &Sending) -> Outcome {
-        let Sending {
+    pub async fn order(&self, outgoing: &OutgoingOrder) -> Outcome {
+        let OutgoingOrder {
             target,
             order,
             epoch,
-            at,
-        } = sending;
+            decided_at,
+        } = outgoing;
         let client = self.client(target);
         // The semaphore is never closed.
         let _permit = client.order_permits.acquire().await;
         let sent_at = clock::steady();
         let is_start = matches!(order, Order::Start { .. });
-        if is_start && sent_at.saturating_sub(*at) > MAX_START_AGE {
+        if is_start && sent_at.saturating_sub(*decided_at) > MAX_START_AGE {
             return Outcome::Refused(Refusal::Unsent);
         }
         let timeout = self.rto.borrow().timeout();
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// If that endpoint doesn't answer in time, or its answer can't be read.
-    pub async fn look(&self, order: &LookOrder) -> Result<Look, LookFailure> {
+    pub async fn poll(&self, order: &LookOrder) -> Result<Look, LookFailure> {
         let client = self.client(&order.target);
         let timeout = self.rto.borrow().timeout();
         let extra = timeout.saturating_sub(ORDER_TIMEOUT.shortest);
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/lanes.rs
@@ -17,9 +17,9 @@
 use tracing::info;
 
 use super::core::Event;
-use crate::fleet::calls::{Calls, Sending};
+use crate::fleet::calls::{Calls, OutgoingOrder};
 use crate::fleet::clock;
-use crate::fleet::relay::client::Link;
+use crate::fleet::relay::client::RelayConnection;
 use crate::fleet::shared::spawn;
 
 /// A member that carried no more calls is asked again after this time.
@@ -44,7 +44,7 @@
 /// What the calling thread is told.
 #[derive(Debug)]
 enum Command {
-    Order(Sending),
+    Order(OutgoingOrder),
     Look(LookOrder),
     /// The endpoint isn't known any more.
     Forget(EndpointId),
@@ -95,11 +95,11 @@
     /// Sends an order that was decided at `at`.
     pub fn order(&mut self, target: Target, order: Order, epoch: Epoch, at: Steady) {
         self.known.insert(target.id.clone());
-        let sending = Sending {
+        let sending = OutgoingOrder {
             target,
             order,
             epoch,
-            at,
+            decided_at: at,
         };
         if let Err(mpsc::error::SendError(Command::Order(unsent))) =
             self.commands.send(Command::Order(sending))
@@ -179,7 +179,7 @@
     layout: Layout,
     /// The other members, as of the last look at the layout.
     members: Vec<SocketAddr>,
-    links: BTreeMap<SocketAddr, Link>,
+    links: BTreeMap<SocketAddr, RelayConnection>,
     laid_out_at: Option<Steady>,
 }
 
@@ -217,13 +217,14 @@
         }
         let members = self.options.members.as_ref().map(|members| members());
         self.members = members.unwrap_or_default();
-        let is_over = |link: &Link| link.ended_at().is_some_and(|at| now >= at + BACK_OFF);
+        let is_over =
+            |link: &RelayConnection| link.ended_at().is_some_and(|at| now >= at + BACK_OFF);
         self.links
             .retain(|peer, link| self.members.contains(peer) && !is_over(link));
     }
 
     /// The member that carries an endpoint's calls, if one does and is reached.
-    fn link(&mut self, target: &Target) -> Option<&Link> {
+    fn link(&mut self, target: &Target) -> Option<&RelayConnection> {
         if self.layout == Layout::default() {
             return None;
         }
@@ -236,11 +237,11 @@
         let link = self
             .links
             .entry(peer)
-            .or_insert_with(|| Link::start(peer, epoch, events.clone()));
+            .or_insert_with(|| RelayConnection::start(peer, epoch, events.clone()));
         link.is_open().then_some(link)
     }
 
-    fn order(&mut self, sending: Sending) {
+    fn order(&mut self, sending: OutgoingOrder) {
         let sending = match self.link(&sending.target) {
             Some(link) => link.order(sending),
             None => Some(sending),
@@ -258,7 +259,7 @@
 
     fn look(&mut self, look: LookOrder) {
         let look = match self.link(&look.target) {
-            Some(link) => link.look(look),
+            Some(link) => link.poll(look),
             None => Some(look),
         };
         let Some(look) = look else {
@@ -266,7 +267,7 @@
         };
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
-            let looked = calls.look(&look).await;
+            let looked = calls.poll(&look).await;
             // Nobody listens any more only when the leadership is over.
             let _ = events.send(Event::Looked(look.target, looked));
         });
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -23,7 +23,7 @@
     self, CallNumber, Hello, Instruction, Reader, Replies, Reply, Request, Requests, Writer,
 };
 use super::spec_cache::SpecCache;
-use crate::fleet::calls::Sending;
+use crate::fleet::calls::OutgoingOrder;
 use crate::fleet::clock;
 use crate::fleet::leader::core::Event;
 
@@ -46,7 +46,7 @@
 /// A call to be relayed.
 #[derive(Debug)]
 enum Call {
-    Order(Sending),
+    Order(OutgoingOrder),
     Poll(LookOrder),
 }
 
@@ -67,7 +67,7 @@
 
 /// A connection to a relay.
 #[derive(Debug)]
-pub struct Link {
+pub struct RelayConnection {
     peer: SocketAddr,
     commands: UnboundedSender<Command>,
     state: Rc<ConnectionState>,
@@ -81,10 +81,10 @@
     ended_at: Cell<Option<Steady>>,
 }
 
-impl Link {
+impl RelayConnection {
     /// Begins to connect to the relay at `peer`.
     #[must_use]
-    pub fn start(peer: SocketAddr, epoch: Epoch, events: Sender<Event>) -> Link {
+    pub fn start(peer: SocketAddr, epoch: Epoch, events: Sender<Event>) -> RelayConnection {
         let (commands, rx) = mpsc::unbounded_channel();
         let state = Rc::<ConnectionState>::default();
         let running = state.clone();
@@ -94,7 +94,7 @@
             running.is_open.set(false);
             running.ended_at.set(Some(clock::steady()));
         });
-        Link {
+        RelayConnection {
             peer,
             commands,
             state,
@@ -121,16 +121,16 @@
 
     /// Queues an order for sending; returns it if the connection has ended.
     #[must_use]
-    pub fn order(&self, sending: Sending) -> Option<Sending> {
-        match self.commands.send(Command::Call(Call::Order(sending))) {
-            Err(mpsc::error::SendError(Command::Call(Call::Order(sending)))) => Some(sending),
+    pub fn order(&self, outgoing: OutgoingOrder) -> Option<OutgoingOrder> {
+        match self.commands.send(Command::Call(Call::Order(outgoing))) {
+            Err(mpsc::error::SendError(Command::Call(Call::Order(outgoing)))) => Some(outgoing),
             _ => None,
         }
     }
 
     /// Queues a poll for sending; returns it if the connection has ended.
     #[must_use]
-    pub fn look(&self, poll: LookOrder) -> Option<LookOrder> {
+    pub fn poll(&self, poll: LookOrder) -> Option<LookOrder> {
         match self.commands.send(Command::Call(Call::Poll(poll))) {
             Err(mpsc::error::SendError(Command::Call(Call::Poll(poll)))) => Some(poll),
             _ => None,
@@ -229,14 +229,14 @@
         let number = outbox.number;
         let timeout = self.rto.borrow().timeout();
         let timeout = match &call {
-            Call::Order(sending) => {
-                if let Order::Start { spec, .. } = &sending.order
+            Call::Order(outgoing) => {
+                if let Order::Start { spec, .. } = &outgoing.order
                     && outbox.specs.insert(spec)
                 {
                     outbox.requests.push(Request::Job(spec.clone()));
                 }
-                let instruction = Instruction::from_order(&sending.order);
-                let target = sending.target.clone();
+                let instruction = Instruction::from_order(&outgoing.order);
+                let target = outgoing.target.clone();
                 outbox
                     .requests
                     .push(Request::Order(number, target, instruction));
@@ -279,11 +279,11 @@
         let now = clock::steady();
         match reply {
             Reply::Ordered(_, outcome) => {
-                if let Some((Call::Order(sending), sent_at)) =
+                if let Some((Call::Order(outgoing), sent_at)) =
                     in_flight.map(|c| (c.call, c.sent_at))
                 {
                     self.rto.borrow_mut().took(now.saturating_sub(sent_at));
-                    self.emit(Event::Ordered(sending.target, sending.order, outcome));
+                    self.emit(Event::Ordered(outgoing.target, outgoing.order, outcome));
                 }
             }
             Reply::Polled(_, Ok(delta)) => {
@@ -353,7 +353,7 @@
         }
         while let Ok(command) = rx.try_recv() {
             match command {
-                Command::Call(Call::Order(Sending { target, order, .. })) => {
+                Command::Call(Call::Order(OutgoingOrder { target, order, .. })) => {
                     let unsent = Outcome::Refused(Refusal::Unsent);
                     self.emit(Event::Ordered(target, order, unsent));
                 }
@@ -365,7 +365,7 @@
 
     fn fail(&self, call: Call) {
         self.emit(match call {
-            Call::Order(Sending { target, order, .. }) => {
+            Call::Order(OutgoingOrder { target, order, .. }) => {
                 Event::Ordered(target, order, Outcome::Unanswered)
             }
             Call::Poll(poll) => Event::Looked(poll.target, Err(LookFailure::Failed)),
--- a/pomelohitchd/src/fleet/relay/server.rs
+++ b/pomelohitchd/src/fleet/relay/server.rs
@@ -19,7 +19,7 @@
 use super::listing::Listing;
 use super::message::{self, CallNumber, Hello, Reply, Request, Requests, Writer};
 use super::spec_cache::SpecCache;
-use crate::fleet::calls::{Calls, Sending};
+use crate::fleet::calls::{Calls, OutgoingOrder};
 use crate::fleet::clock;
 
 /// Interval of keep-alive frames while there are no replies, and pause after a failed receive or
@@ -233,16 +233,16 @@
         let _ = self.tx.send(reply);
     }
 
-    fn order(&self, number: CallNumber, target: Target, order: Order, at: Steady) {
-        let sending = Sending {
+    fn order(&self, number: CallNumber, target: Target, order: Order, decided_at: Steady) {
+        let outgoing = OutgoingOrder {
             target,
             order,
             epoch: self.epoch,
-            at,
+            decided_at,
         };
         let (shared, tx) = (self.shared.clone(), self.tx.clone());
         task::spawn_local(async move {
-            let outcome = shared.calls.order(&sending).await;
+            let outcome = shared.calls.order(&outgoing).await;
             let _ = tx.send(Reply::Ordered(number, outcome));
         });
     }
@@ -254,7 +254,7 @@
             if clock::steady().saturating_sub(sent_at) > MAX_ACK_DELAY {
                 poll.noted = 0;
             }
-            let result = shared.calls.look(&poll).await;
+            let result = shared.calls.poll(&poll).await;
             let result = result.map(|reply| {
                 let mut listings = listings.borrow_mut();
                 listings.entry(poll.target.id).or_default().encode(reply)
