--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -172,8 +172,8 @@
 
     /// Updates the known leader, unless a later one is known; returns whether none is.
     ///
-    /// `is_announced` says that the leader has just sent a message or begun to lead, which counts as
-    /// a heartbeat. A record that is read at start may be that of a leader that ended long ago.
+    /// `is_announced` says that the leader has just sent a message or begun to lead, which counts
+    /// as a heartbeat. A record that is read at start may be that of a leader that ended long ago.
     pub fn observe_leader(&self, leader: &Leader, is_announced: bool) -> bool {
         let mut view = self.lock();
         let known = view.leader.as_ref().map_or(0, |l| l.epoch);
