--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -1,4 +1,4 @@
-//! Hands calls in at a member that carries them.
+//! The leader's side of relayed calls: sends them to a member that makes them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,73 +18,75 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 use tracing::{info, warn};
 
-use super::jobs::Jobs;
 use super::listing::{Delta, Listing};
 use super::message::{
     self, CallNumber, Hello, Instruction, Reader, Replies, Reply, Request, Requests, Writer,
 };
-use crate::fleet::calls::Sending;
+use super::spec_cache::SpecCache;
+use crate::fleet::calls::OutgoingOrder;
 use crate::fleet::clock;
 use crate::fleet::leader::core::Event;
 
-/// A connection that isn't made by then won't be.
-const CONNECT: Duration = Duration::from_millis(250);
-/// A member that is silent for this long carries no more calls; it sends a frame each 100 ms.
-const SILENCE: Duration = Duration::from_millis(450);
-/// How often calls without an answer are looked for.
-const TICK: Duration = Duration::from_millis(50);
-/// Timeouts of orders, longer than those between the member and the endpoint.
-const ORDER_WITHIN: Limits = Limits {
+/// Connect timeout; a connection that takes longer isn't expected to succeed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// The connection to a relay that sends nothing for this long is given up; relays send a frame at
+/// least every 100 ms.
+const MAX_SILENCE: Duration = Duration::from_millis(450);
+/// Interval of the check for calls that have timed out.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeouts of orders, longer than those between the relay and the endpoint.
+const ORDER_TIMEOUT: Limits = Limits {
     shortest: Duration::from_millis(220),
     longest: Duration::from_millis(800),
 };
-/// A poll may take this much longer than the endpoint was told to wait, beside the timeout of an
-/// order.
-const LOOK_MARGIN: Duration = Duration::from_millis(200);
+/// A poll times out this long, plus the timeout of an order, after the wait that the endpoint is
+/// asked for.
+const POLL_MARGIN: Duration = Duration::from_millis(200);
 
-/// A call that isn't over.
+/// A call to be relayed.
 #[derive(Debug)]
-enum Pending {
-    Order(Sending),
-    Look(LookOrder),
+enum Call {
+    Order(OutgoingOrder),
+    Poll(LookOrder),
 }
 
+/// A call that awaits its reply.
 #[derive(Debug)]
-struct Waiting {
-    call: Pending,
+struct InFlight {
+    call: Call,
     sent_at: Steady,
     expires_at: Steady,
 }
 
-/// What is handed in.
+/// A command to the task that runs the connection.
 #[derive(Debug)]
 enum Command {
-    Call(Pending),
+    Call(Call),
     Forget(EndpointId),
 }
 
-/// A connection to a member.
+/// A connection to a relay.
 #[derive(Debug)]
-pub struct Link {
+pub struct RelayConnection {
     peer: SocketAddr,
     commands: UnboundedSender<Command>,
-    state: Rc<State>,
+    state: Rc<ConnectionState>,
 }
 
-/// How a connection is.
+/// State of a connection.
 #[derive(Debug, Default)]
-struct State {
+struct ConnectionState {
     is_open: Cell<bool>,
-    /// When it ended, or wasn't made.
+    /// When it ended, or the attempt to connect failed.
     ended_at: Cell<Option<Steady>>,
 }
 
-impl Link {
-    /// Begins to connect to the member at `peer`.
+impl RelayConnection {
+    /// Begins to connect to the relay at `peer`.
     #[must_use]
-    pub fn start(peer: SocketAddr, epoch: Epoch, events: Sender<Event>) -> Link {
+    pub fn start(peer: SocketAddr, epoch: Epoch, events: Sender<Event>) -> RelayConnection {
         let (commands, rx) = mpsc::unbounded_channel();
-        let state = Rc::<State>::default();
+        let state = Rc::<ConnectionState>::default();
         let running = state.clone();
         task::spawn_local(async move {
             let session = Session::new(events);
@@ -92,20 +94,20 @@
             running.is_open.set(false);
             running.ended_at.set(Some(clock::steady()));
         });
-        Link {
+        RelayConnection {
             peer,
             commands,
             state,
         }
     }
 
-    /// Whose it is.
+    /// Address of the relay.
     #[must_use]
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Whether calls can be handed in.
+    /// Whether the connection accepts calls.
     #[must_use]
     pub fn is_open(&self) -> bool {
         self.state.is_open.get()
@@ -117,52 +119,52 @@
         self.state.ended_at.get()
     }
 
-    /// Hands an order in; gives it back if the connection has ended.
+    /// Queues an order for sending; returns it if the connection has ended.
     #[must_use]
-    pub fn order(&self, sending: Sending) -> Option<Sending> {
-        match self.commands.send(Command::Call(Pending::Order(sending))) {
-            Err(mpsc::error::SendError(Command::Call(Pending::Order(sending)))) => Some(sending),
+    pub fn order(&self, outgoing: OutgoingOrder) -> Option<OutgoingOrder> {
+        match self.commands.send(Command::Call(Call::Order(outgoing))) {
+            Err(mpsc::error::SendError(Command::Call(Call::Order(outgoing)))) => Some(outgoing),
             _ => None,
         }
     }
 
-    /// Hands a poll in; gives it back if the connection has ended.
+    /// Queues a poll for sending; returns it if the connection has ended.
     #[must_use]
-    pub fn look(&self, look: LookOrder) -> Option<LookOrder> {
-        match self.commands.send(Command::Call(Pending::Look(look))) {
-            Err(mpsc::error::SendError(Command::Call(Pending::Look(look)))) => Some(look),
+    pub fn poll(&self, poll: LookOrder) -> Option<LookOrder> {
+        match self.commands.send(Command::Call(Call::Poll(poll))) {
+            Err(mpsc::error::SendError(Command::Call(Call::Poll(poll)))) => Some(poll),
             _ => None,
         }
     }
 
-    /// Tells that an endpoint isn't known any more.
+    /// Has the relay drop its state of an endpoint that no longer exists.
     pub fn forget(&self, id: &EndpointId) {
-        // A connection that has ended knows no endpoints.
+        // A connection that has ended keeps no state of endpoints.
         let _ = self.commands.send(Command::Forget(id.clone()));
     }
 }
 
-/// The calls over one connection.
+/// State of the calls over one connection.
 struct Session {
     events: Sender<Event>,
-    waiting: RefCell<HashMap<CallNumber, Waiting>>,
-    /// Polls that were given up. Later answers differ from theirs, so that these are read all the
-    /// same when they come.
-    given_up: RefCell<HashMap<CallNumber, EndpointId>>,
+    in_flight: RefCell<HashMap<CallNumber, InFlight>>,
+    /// Polls that timed out. Their late answers are decoded all the same, since later answers are
+    /// encoded as differences from them.
+    expired_polls: RefCell<HashMap<CallNumber, EndpointId>>,
     listings: RefCell<HashMap<EndpointId, Listing>>,
     rto: RefCell<Rto>,
-    heard_at: Cell<Steady>,
+    last_frame_at: Cell<Steady>,
 }
 
 impl Session {
     fn new(events: Sender<Event>) -> Session {
         Session {
             events,
-            waiting: RefCell::default(),
-            given_up: RefCell::default(),
+            in_flight: RefCell::default(),
+            expired_polls: RefCell::default(),
             listings: RefCell::default(),
-            rto: RefCell::new(Rto::new(ORDER_WITHIN)),
-            heard_at: Cell::new(clock::steady()),
+            rto: RefCell::new(Rto::new(ORDER_TIMEOUT)),
+            last_frame_at: Cell::new(clock::steady()),
         }
     }
 
@@ -171,15 +173,15 @@
         peer: SocketAddr,
         epoch: Epoch,
         rx: UnboundedReceiver<Command>,
-        state: &State,
+        state: &ConnectionState,
     ) {
         let Some((mut reader, mut writer)) = connect(peer).await else {
-            info!(%peer, "member carries no calls: no connection");
+            info!(%peer, "connection to relay failed");
             return;
         };
         let rx = RefCell::new(rx);
         if message::send(&mut writer, &Hello { epoch }).await.is_ok() {
-            self.heard_at.set(clock::steady());
+            self.last_frame_at.set(clock::steady());
             state.is_open.set(true);
             select! {
                 () = self.send(&mut writer, &rx) => {}
@@ -188,26 +190,26 @@
             }
             state.is_open.set(false);
         }
-        let lost = self.waiting.borrow().len();
-        warn!(%peer, lost, "member carries no more calls");
+        let lost = self.in_flight.borrow().len();
+        warn!(%peer, lost, "connection to relay ended");
         self.fail_all(&mut rx.borrow_mut());
     }
 
-    /// Sends what is handed in, as much in a frame as there is.
+    /// Sends requests; all commands that are queued at a time share a frame.
     async fn send(
         &self,
         writer: &mut Writer<OwnedWriteHalf>,
         rx: &RefCell<UnboundedReceiver<Command>>,
     ) {
-        let mut outgoing = Outgoing::default();
+        let mut outbox = Outbox::default();
         while let Some(command) = recv(rx).await {
-            self.prepare(command, &mut outgoing);
+            self.prepare(command, &mut outbox);
             while let Ok(command) = rx.borrow_mut().try_recv() {
-                self.prepare(command, &mut outgoing);
+                self.prepare(command, &mut outbox);
             }
             let requests = Requests {
                 sent_at: clock::steady(),
-                requests: std::mem::take(&mut outgoing.requests),
+                requests: std::mem::take(&mut outbox.requests),
             };
             if message::send(writer, &requests).await.is_err() {
                 return;
@@ -215,43 +217,43 @@
         }
     }
 
-    fn prepare(&self, command: Command, outgoing: &mut Outgoing) {
+    fn prepare(&self, command: Command, outbox: &mut Outbox) {
         let call = match command {
             Command::Call(call) => call,
             Command::Forget(id) => {
                 self.listings.borrow_mut().remove(&id);
-                return outgoing.requests.push(Request::Forget(id));
+                return outbox.requests.push(Request::Forget(id));
             }
         };
-        outgoing.number = outgoing.number.wrapping_add(1);
-        let number = outgoing.number;
-        let within = self.rto.borrow().timeout();
-        let within = match &call {
-            Pending::Order(sending) => {
-                if let Order::Start { spec, .. } = &sending.order
-                    && outgoing.jobs.insert(spec)
+        outbox.number = outbox.number.wrapping_add(1);
+        let number = outbox.number;
+        let timeout = self.rto.borrow().timeout();
+        let timeout = match &call {
+            Call::Order(outgoing) => {
+                if let Order::Start { spec, .. } = &outgoing.order
+                    && outbox.specs.insert(spec)
                 {
-                    outgoing.requests.push(Request::Job(spec.clone()));
+                    outbox.requests.push(Request::Job(spec.clone()));
                 }
-                let instruction = Instruction::of(&sending.order);
-                let target = sending.target.clone();
-                outgoing
+                let instruction = Instruction::from_order(&outgoing.order);
+                let target = outgoing.target.clone();
+                outbox
                     .requests
                     .push(Request::Order(number, target, instruction));
-                within
+                timeout
             }
-            Pending::Look(look) => {
-                outgoing.requests.push(Request::Look(number, look.clone()));
-                look.wait + LOOK_MARGIN + within
+            Call::Poll(poll) => {
+                outbox.requests.push(Request::Poll(number, poll.clone()));
+                poll.wait + POLL_MARGIN + timeout
             }
         };
         let sent_at = clock::steady();
-        let waiting = Waiting {
+        let in_flight = InFlight {
             call,
             sent_at,
-            expires_at: sent_at + within,
+            expires_at: sent_at + timeout,
         };
-        self.waiting.borrow_mut().insert(number, waiting);
+        self.in_flight.borrow_mut().insert(number, in_flight);
     }
 
     async fn receive(&self, reader: &mut Reader<OwnedReadHalf>) {
@@ -260,49 +262,49 @@
                 Ok(Some(replies)) => replies,
                 Ok(None) => return,
                 Err(error) => {
-                    info!(%error, "replies of a member end");
+                    info!(%error, "replies of relay can't be received");
                     return;
                 }
             };
-            self.heard_at.set(clock::steady());
+            self.last_frame_at.set(clock::steady());
             for reply in replies {
-                self.take(reply);
+                self.handle(reply);
             }
         }
     }
 
-    fn take(&self, reply: Reply) {
-        let (Reply::Ordered(number, _) | Reply::Looked(number, _)) = reply;
-        let waiting = self.waiting.borrow_mut().remove(&number);
+    fn handle(&self, reply: Reply) {
+        let (Reply::Ordered(number, _) | Reply::Polled(number, _)) = reply;
+        let in_flight = self.in_flight.borrow_mut().remove(&number);
         let now = clock::steady();
         match reply {
             Reply::Ordered(_, outcome) => {
-                if let Some((Pending::Order(sending), sent_at)) =
-                    waiting.map(|w| (w.call, w.sent_at))
+                if let Some((Call::Order(outgoing), sent_at)) =
+                    in_flight.map(|c| (c.call, c.sent_at))
                 {
                     self.rto.borrow_mut().took(now.saturating_sub(sent_at));
-                    self.tell(Event::Ordered(sending.target, sending.order, outcome));
+                    self.emit(Event::Ordered(outgoing.target, outgoing.order, outcome));
                 }
             }
-            Reply::Looked(_, Ok(delta)) => {
-                let Some((Pending::Look(order), sent_at)) = waiting.map(|w| (w.call, w.sent_at))
+            Reply::Polled(_, Ok(delta)) => {
+                let Some((Call::Poll(order), sent_at)) = in_flight.map(|c| (c.call, c.sent_at))
                 else {
-                    self.read_late(number, delta);
+                    self.decode_late(number, delta);
                     return;
                 };
-                let look = self.decode(&order.target.id, delta);
-                let look = look.ok_or(LookFailure::Failed);
-                let look = look.map(|look| Look {
+                let answer = self.decode(&order.target.id, delta);
+                let answer = answer.ok_or(LookFailure::Failed);
+                let answer = answer.map(|answer| Look {
                     sent_at,
                     answered_at: now,
-                    ..look
+                    ..answer
                 });
-                self.tell(Event::Looked(order.target, look));
+                self.emit(Event::Looked(order.target, answer));
             }
-            Reply::Looked(_, Err(failure)) => {
-                self.given_up.borrow_mut().remove(&number);
-                if let Some(Pending::Look(order)) = waiting.map(|w| w.call) {
-                    self.tell(Event::Looked(order.target, Err(failure)));
+            Reply::Polled(_, Err(failure)) => {
+                self.expired_polls.borrow_mut().remove(&number);
+                if let Some(Call::Poll(order)) = in_flight.map(|c| c.call) {
+                    self.emit(Event::Looked(order.target, Err(failure)));
                 }
             }
         }
@@ -313,31 +315,31 @@
         listings.entry(id.clone()).or_default().decode(delta)
     }
 
-    /// Takes in the answer to a poll that was given up.
-    fn read_late(&self, number: CallNumber, delta: Delta) {
-        if let Some(id) = self.given_up.borrow_mut().remove(&number) {
+    /// Decodes the late answer to a poll that timed out, to keep the listing current.
+    fn decode_late(&self, number: CallNumber, delta: Delta) {
+        if let Some(id) = self.expired_polls.borrow_mut().remove(&number) {
             self.decode(&id, delta);
         }
     }
 
-    /// Gives up calls without an answer, until the member is silent.
+    /// Fails calls that have timed out; returns once the relay has been silent for too long.
     async fn expire(&self) {
         loop {
-            time::sleep(TICK).await;
+            time::sleep(EXPIRY_INTERVAL).await;
             let now = clock::steady();
-            let mut waiting = self.waiting.borrow_mut();
-            let expired = waiting.extract_if(|_, w| w.expires_at <= now);
+            let mut in_flight = self.in_flight.borrow_mut();
+            let expired = in_flight.extract_if(|_, c| c.expires_at <= now);
             let expired: Vec<_> = expired.collect();
-            drop(waiting);
-            for (number, Waiting { call, sent_at, .. }) in expired {
-                if let Pending::Look(look) = &call {
-                    let id = look.target.id.clone();
-                    self.given_up.borrow_mut().insert(number, id);
+            drop(in_flight);
+            for (number, InFlight { call, sent_at, .. }) in expired {
+                if let Call::Poll(poll) = &call {
+                    let id = poll.target.id.clone();
+                    self.expired_polls.borrow_mut().insert(number, id);
                 }
                 self.rto.borrow_mut().took(now.saturating_sub(sent_at));
                 self.fail(call);
             }
-            if now.saturating_sub(self.heard_at.get()) > SILENCE {
+            if now.saturating_sub(self.last_frame_at.get()) > MAX_SILENCE {
                 return;
             }
         }
@@ -345,52 +347,52 @@
 
     fn fail_all(&self, rx: &mut UnboundedReceiver<Command>) {
         rx.close();
-        let waiting = std::mem::take(&mut *self.waiting.borrow_mut());
-        for waiting in waiting.into_values() {
-            self.fail(waiting.call);
+        let in_flight = std::mem::take(&mut *self.in_flight.borrow_mut());
+        for in_flight in in_flight.into_values() {
+            self.fail(in_flight.call);
         }
         while let Ok(command) = rx.try_recv() {
             match command {
-                Command::Call(Pending::Order(Sending { target, order, .. })) => {
+                Command::Call(Call::Order(OutgoingOrder { target, order, .. })) => {
                     let unsent = Outcome::Refused(Refusal::Unsent);
-                    self.tell(Event::Ordered(target, order, unsent));
+                    self.emit(Event::Ordered(target, order, unsent));
                 }
-                Command::Call(look) => self.fail(look),
+                Command::Call(poll) => self.fail(poll),
                 Command::Forget(_) => {}
             }
         }
     }
 
-    fn fail(&self, call: Pending) {
-        self.tell(match call {
-            Pending::Order(Sending { target, order, .. }) => {
+    fn fail(&self, call: Call) {
+        self.emit(match call {
+            Call::Order(OutgoingOrder { target, order, .. }) => {
                 Event::Ordered(target, order, Outcome::Unanswered)
             }
-            Pending::Look(look) => Event::Looked(look.target, Err(LookFailure::Failed)),
+            Call::Poll(poll) => Event::Looked(poll.target, Err(LookFailure::Failed)),
         });
     }
 
-    fn tell(&self, event: Event) {
-        // The receiver is gone only when the leadership is over.
+    fn emit(&self, event: Event) {
+        // The receiver is closed only when the leadership has ended.
         let _ = self.events.send(event);
     }
 }
 
-/// What goes into the next frame, and what the member was told before.
+/// Requests for the next frame, job specifications that the relay has, and the last call number.
 #[derive(Debug, Default)]
-struct Outgoing {
+struct Outbox {
     requests: Vec<Request>,
-    jobs: Jobs,
+    specs: SpecCache,
     number: CallNumber,
 }
 
-/// The next command. The receiver is used by one task at a time.
+/// Receives the next command. The receiver is borrowed by one task at a time.
 async fn recv(rx: &RefCell<UnboundedReceiver<Command>>) -> Option<Command> {
     std::future::poll_fn(|cx| rx.borrow_mut().poll_recv(cx)).await
 }
 
 async fn connect(peer: SocketAddr) -> Option<(Reader<OwnedReadHalf>, Writer<OwnedWriteHalf>)> {
-    let stream = time::timeout(CONNECT, TcpStream::connect(peer)).await;
+    let stream = time::timeout(CONNECT_TIMEOUT, TcpStream::connect(peer)).await;
     let stream = stream.ok()?.ok()?;
     stream.set_nodelay(true).ok()?;
     let (read, write) = stream.into_split();
--- a/pomelohitchd/src/fleet/relay/listing.rs
+++ b/pomelohitchd/src/fleet/relay/listing.rs
@@ -1,6 +1,6 @@
-//! What an endpoint runs, as changes from one poll to the next.
+//! Delta encoding of the runs that an endpoint lists, from one poll to the next.
 //!
-//! An endpoint lists all its runs at each poll, and most of them are as before.
+//! An endpoint lists all its runs in each poll, and most of them are unchanged.
 
 use std::collections::BTreeMap;
 
@@ -9,31 +9,31 @@
 use pomelohitch_sched::{Steady, TaskId};
 use serde::{Deserialize, Serialize};
 
-/// Counts the polls of one endpoint over one connection, from 1.
+/// Number of a poll of one endpoint over one connection, from 1.
 type Version = u32;
-/// A run's place in the order of tasks and run numbers.
-type Place = u16;
+/// A run's index in the listing, which is sorted by task and run number.
+type Index = u16;
 
-/// A load that differs by less than this share is passed on as it was.
-const SAME_LOAD: f64 = 0.1;
+/// A change of a run's load by at most this fraction isn't sent.
+const LOAD_TOLERANCE: f64 = 0.1;
 
-/// A poll's answer beside the one before.
+/// The difference of a poll's answer from the previous one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The answer that it is a change of; 0 for one that stands alone.
+    /// Version of the previous answer; 0 if the listing is complete.
     base: Version,
     born: u64,
     clock: Steady,
     renewed: bool,
     ended: Vec<Ended>,
     gone: Vec<(TaskId, RunNumber)>,
-    /// Runs that are new or of which more than the percentage has changed.
+    /// Runs that are new or have changed in more than the percentage.
     changed: Vec<Running>,
-    /// New percentages by place, once the other changes are made.
-    percents: Vec<(Place, u32)>,
+    /// New percentages by index, to be applied after the other changes.
+    percents: Vec<(Index, u32)>,
 }
 
-/// The runs of an endpoint as the other end knows them.
+/// The runs of an endpoint in its last answer, as the receiver decodes it.
 #[derive(Debug, Default)]
 pub struct Listing {
     version: Version,
@@ -41,11 +41,11 @@
 }
 
 impl Listing {
-    /// Takes in an answer, and returns how it differs from the one before.
-    pub fn encode(&mut self, look: Look) -> Delta {
+    /// Stores an answer and returns its difference from the previous one.
+    pub fn encode(&mut self, reply: Look) -> Delta {
         let base = self.version;
         self.version += 1;
-        let mut listed: BTreeMap<_, _> = look
+        let mut listed: BTreeMap<_, _> = reply
             .running
             .into_iter()
             .map(|r| ((r.task, r.number), r))
@@ -53,32 +53,32 @@
         let gone = self.runs.keys().filter(|key| !listed.contains_key(key));
         let gone = gone.copied().collect();
         let (mut changed, mut percents) = (Vec::new(), Vec::new());
-        for (place, (key, now)) in (0..).zip(&mut listed) {
+        for (index, (key, current)) in (0..).zip(&mut listed) {
             match self.runs.get(key) {
-                Some(before) if is_alike(before, now) => {
-                    now.load = before.load;
-                    if now.percent != before.percent {
-                        percents.push((place, now.percent));
+                Some(previous) if is_similar(previous, current) => {
+                    current.load = previous.load;
+                    if current.percent != previous.percent {
+                        percents.push((index, current.percent));
                     }
                 }
-                _ => changed.push(now.clone()),
+                _ => changed.push(current.clone()),
             }
         }
         self.runs = listed;
         Delta {
             base,
-            born: look.born,
-            clock: look.clock,
-            renewed: look.renewed,
-            ended: look.ended,
+            born: reply.born,
+            clock: reply.clock,
+            renewed: reply.renewed,
+            ended: reply.ended,
             gone,
             changed,
             percents,
         }
     }
 
-    /// Takes in a difference, and returns the answer; `None` if it is one from another answer than
-    /// the last.
+    /// Applies a difference and returns the whole answer; `None` if the difference is based on
+    /// another answer than the last one.
     pub fn decode(&mut self, delta: Delta) -> Option<Look> {
         if delta.base == 0 {
             self.runs.clear();
@@ -93,8 +93,8 @@
             self.runs.insert((run.task, run.number), run);
         }
         let mut percents = delta.percents.into_iter().peekable();
-        for (place, run) in (0..).zip(self.runs.values_mut()) {
-            if let Some((_, percent)) = percents.next_if(|(at, _)| *at == place) {
+        for (index, run) in (0..).zip(self.runs.values_mut()) {
+            if let Some((_, percent)) = percents.next_if(|(at, _)| *at == index) {
                 run.percent = percent;
             }
         }
@@ -109,8 +109,9 @@
     }
 }
 
-/// Whether two listings of a run differ in the percentage at most.
-fn is_alike(before: &Running, now: &Running) -> bool {
-    let difference = f64::from(before.load.abs_diff(now.load));
-    before.checkpoint == now.checkpoint && difference <= f64::from(before.load) * SAME_LOAD
+/// Whether a run has changed in nothing but its percentage, within the tolerance of its load.
+fn is_similar(previous: &Running, current: &Running) -> bool {
+    let difference = f64::from(previous.load.abs_diff(current.load));
+    previous.checkpoint == current.checkpoint
+        && difference <= f64::from(previous.load) * LOAD_TOLERANCE
 }
