--- a/pomelohitchd/src/fleet/internal.rs
+++ b/pomelohitchd/src/fleet/internal.rs
@@ -12,19 +12,20 @@
 
 use super::leader::core::millis;
 use super::shared::Shared;
-use super::wire::{self, Beat, BeatReply, Claim, Probe, ProbeReply};
+use super::wire::{self, Claim, Heartbeat, HeartbeatReply, Probe, ProbeReply};
 use super::{callers, clock};
 use crate::front::{Incoming, Limits, Service};
 
-/// Most connections of other entry instances. Each keeps a few for its callers' requests and opens
-/// more while those wait, for up to a second while the store is away: 100 requests a second then.
-const CONNECTIONS: usize = 1_024;
+/// Most connections from other entry instances. Each instance keeps a few open for forwarded
+/// requests and opens more while requests wait: up to a second during an outage of the store, at
+/// 100 requests a second.
+const MAX_CONNECTIONS: usize = 1_024;
 
 /// Limits for the connections of other entry instances.
 #[must_use]
 pub fn limits() -> Limits {
     Limits {
-        connections: CONNECTIONS,
+        connections: MAX_CONNECTIONS,
         idle: Duration::from_mins(1),
         idle_tick: Duration::from_secs(1),
         leaving_tick: Duration::from_millis(100),
@@ -33,7 +34,7 @@
     }
 }
 
-/// How requests of other entry instances are answered.
+/// The handler of other entry instances' requests.
 #[must_use]
 pub fn service(shared: &Arc<Shared>) -> Service {
     let leaving = shared.clone();
@@ -47,55 +48,57 @@
 fn answer(shared: &Shared, incoming: &Incoming) -> Response {
     let target = &*incoming.head.target;
     match target {
-        wire::BEAT => reply(&incoming.body, |beat: Beat| take_beat(shared, &beat)),
-        wire::PROBE => reply(&incoming.body, |probe: Probe| take_probe(shared, &probe)),
-        wire::CLAIM => reply(&incoming.body, |claim: Claim| shared.ask_claim(claim)),
-        _ => match target.strip_prefix(wire::CALL) {
-            Some(path) => callers::answer_passed_on(shared, incoming, path),
+        wire::HEARTBEAT_PATH => reply(&incoming.body, |heartbeat: Heartbeat| {
+            handle_heartbeat(shared, &heartbeat)
+        }),
+        wire::PROBE_PATH => reply(&incoming.body, |probe: Probe| handle_probe(shared, &probe)),
+        wire::CLAIM_PATH => reply(&incoming.body, |claim: Claim| shared.request_claim(claim)),
+        _ => match target.strip_prefix(wire::FORWARD_PREFIX) {
+            Some(path) => callers::answer_forwarded(shared, incoming, path),
             None => Response::empty_404(),
         },
     }
 }
 
-/// Takes a leader's heartbeat that came as a datagram. It is answered only if a later leader is
-/// known.
+/// Handles a leader's heartbeat that arrived as a datagram. Returns a reply only if a later leader
+/// is known.
 #[must_use]
-pub fn datagram(shared: &Shared, datagram: &[u8]) -> Option<Vec<u8>> {
-    let beat: Beat = match postcard::from_bytes(datagram) {
-        Ok(beat) => beat,
+pub fn handle_datagram(shared: &Shared, datagram: &[u8]) -> Option<Vec<u8>> {
+    let heartbeat: Heartbeat = match postcard::from_bytes(datagram) {
+        Ok(heartbeat) => heartbeat,
         Err(error) => {
-            warn!(%error, "datagram can't be read");
+            warn!(%error, "heartbeat datagram can't be decoded");
             return None;
         }
     };
-    let reply = take_beat(shared, &beat);
-    if reply.epoch <= beat.leader.epoch {
+    let reply = handle_heartbeat(shared, &heartbeat);
+    if reply.epoch <= heartbeat.leader.epoch {
         return None;
     }
     postcard::to_allocvec(&reply)
-        .map_err(|error| warn!(%error, "message can't be written"))
+        .map_err(|error| warn!(%error, "reply can't be encoded"))
         .ok()
 }
 
-fn take_beat(shared: &Shared, beat: &Beat) -> BeatReply {
-    let is_current = shared.follow(&beat.leader, true);
+fn handle_heartbeat(shared: &Shared, heartbeat: &Heartbeat) -> HeartbeatReply {
+    let is_current = shared.observe_leader(&heartbeat.leader, true);
     if is_current {
-        shared.note_fleet_ms(beat.leader.epoch, beat.fleet_ms);
+        shared.update_fleet_ms(heartbeat.leader.epoch, heartbeat.fleet_ms);
         let now = clock::steady();
         shared.update(|view| {
-            view.heard_at = now;
-            view.alive_at = now;
+            view.leader_heard_at = now;
+            view.leader_alive_at = now;
         });
     }
-    BeatReply {
+    HeartbeatReply {
         epoch: known_epoch(shared),
     }
 }
 
-fn take_probe(shared: &Shared, probe: &Probe) -> ProbeReply {
+fn handle_probe(shared: &Shared, probe: &Probe) -> ProbeReply {
     let view = shared.view();
-    let silent_for: Steady = clock::steady().saturating_sub(view.heard_at);
-    let heard_ms = match shared.leading() {
+    let silent_for: Steady = clock::steady().saturating_sub(view.leader_heard_at);
+    let heard_ms = match shared.leadership() {
         Some(_) => 0,
         None => millis(silent_for),
     };
@@ -104,7 +107,7 @@
         heard_ms,
         has_store: probe.with_store && reaches_store(shared, view.members_end),
         is_leaving: shared.is_leaving(),
-        up_ms: millis(clock::steady().saturating_sub(shared.began)),
+        up_ms: millis(clock::steady().saturating_sub(shared.started_at)),
         power: shared.site.load().power,
     }
 }
@@ -113,18 +116,19 @@
     shared.view().leader.map_or(0, |l| l.epoch)
 }
 
-/// Whether the store answers this process, in a time that leaves whoever asked time for the reply.
+/// Whether the store answers this process, within a timeout that is shorter than that of a probe,
+/// so that the reply to the probe arrives in time.
 pub(super) fn reaches_store(shared: &Shared, from: u64) -> bool {
     shared
         .store()
-        .answers(Topic::Members, from, wire::STORE_TRY_WITHIN)
+        .answers(Topic::Members, from, wire::STORE_TRY_TIMEOUT)
 }
 
 fn reply<Q: DeserializeOwned, A: Serialize>(body: &[u8], answer: impl FnOnce(Q) -> A) -> Response {
     match postcard::from_bytes(body) {
-        Ok(question) => message(&answer(question)),
+        Ok(request) => message(&answer(request)),
         Err(error) => {
-            warn!(%error, "message of an entry instance can't be read");
+            warn!(%error, "message from an entry instance can't be decoded");
             Response::text("unreadable").with_status_code(400)
         }
     }
@@ -134,7 +138,7 @@
     match postcard::to_allocvec(message) {
         Ok(body) => Response::from_data("application/octet-stream", body),
         Err(error) => {
-            warn!(%error, "message can't be written");
+            warn!(%error, "reply can't be encoded");
             Response::text("unwritable").with_status_code(500)
         }
     }
--- a/pomelohitchd/src/fleet/relay/server.rs
+++ b/pomelohitchd/src/fleet/relay/server.rs
@@ -1,4 +1,4 @@
-//! Carries calls for the leader.
+//! The relay's side of relayed calls: makes them for the leader.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,64 +16,65 @@
 use tokio_util::codec::{FramedRead, FramedWrite};
 use tracing::{info, warn};
 
-use super::jobs::Jobs;
 use super::listing::Listing;
 use super::message::{self, CallNumber, Hello, Reply, Request, Requests, Writer};
-use crate::fleet::calls::{Calls, Sending};
+use super::spec_cache::SpecCache;
+use crate::fleet::calls::{Calls, OutgoingOrder};
 use crate::fleet::clock;
 
-/// Without any reply to send, a frame says this often that the member lives.
-const ALIVE_EVERY: Duration = Duration::from_millis(100);
-/// Longer datagrams are cut: a heartbeat has some 60 bytes.
-const DATAGRAM_BYTES: usize = 1_500;
-/// Replies that come within this time share a frame.
-const GATHER: Duration = Duration::from_millis(5);
-/// A poll that is later than this acknowledges no ends: the endpoint may have restarted since, and
-/// its numbers of ends begin anew then.
-const SURE_FOR: Duration = Duration::from_millis(60);
-/// How much slower the leader's clock may run than the one here.
-const CLOCK_DRIFT: f64 = 0.001;
+/// Interval of keep-alive frames while there are no replies, and pause after a failed receive or
+/// accept.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(100);
+/// Longer datagrams are truncated; a heartbeat takes about 60 bytes.
+const MAX_DATAGRAM_BYTES: usize = 1_500;
+/// Replies that arrive within this time share a frame.
+const REPLY_BATCH_DELAY: Duration = Duration::from_millis(5);
+/// A poll that is delayed by more than this acknowledges no completions: the endpoint may have
+/// restarted since it was sent, and then numbers its completions anew.
+const MAX_ACK_DELAY: Duration = Duration::from_millis(60);
+/// Largest fraction by which the leader's clock may run slower than the local one.
+const MAX_CLOCK_DRIFT: f64 = 0.001;
 
-/// What all connections share.
+/// State shared by all connections.
 #[derive(Debug, Default)]
-struct Common {
+struct SharedState {
     calls: Calls,
-    /// The highest epoch that any leader came with.
+    /// The highest epoch of any leader that has connected.
     epoch: Cell<Epoch>,
 }
 
-/// Answers a datagram, or doesn't.
-pub type Answer = Box<dyn Fn(&[u8]) -> Option<Vec<u8>>>;
+/// Handler of datagrams; returns the reply, if any.
+pub type DatagramHandler = Box<dyn Fn(&[u8]) -> Option<Vec<u8>>>;
 
-/// Serves leaders until the process ends: carries calls, and passes datagrams on to `answer`.
+/// Serves leaders until the process ends: makes their calls, and passes datagrams to `handler`.
 ///
 /// # Errors
-/// If the address can't be listened on, or the system has no room for a poll.
-pub fn run(addr: SocketAddr, answer: Answer) -> std::io::Result<()> {
+/// If the address can't be bound, or the async runtime can't be created.
+pub fn run(addr: SocketAddr, handler: DatagramHandler) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
-        task::spawn_local(hear(UdpSocket::bind(addr).await?, answer));
+        task::spawn_local(serve_datagrams(UdpSocket::bind(addr).await?, handler));
         serve(addr).await
     })
 }
 
-/// Takes datagrams until the process ends.
-async fn hear(socket: UdpSocket, answer: Answer) {
-    let mut buf = [0; DATAGRAM_BYTES];
+/// Serves datagrams until the process ends.
+async fn serve_datagrams(socket: UdpSocket, handler: DatagramHandler) {
+    let mut buf = [0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut buf).await {
             Ok((len, peer)) => {
-                if let Some(reply) = answer(&buf[..len]) {
-                    // Datagrams may be lost on any way; the next heartbeat is answered again.
+                if let Some(reply) = handler(&buf[..len]) {
+                    // Datagrams may be lost anyway; the next heartbeat is answered again.
                     let _ = socket.send_to(&reply, peer).await;
                 }
             }
             Err(error) => {
-                warn!(%error, "datagram not taken");
-                time::sleep(ALIVE_EVERY).await;
+                warn!(%error, "datagram can't be received");
+                time::sleep(KEEPALIVE_INTERVAL).await;
             }
         }
     }
@@ -81,67 +82,71 @@
 
 async fn serve(addr: SocketAddr) -> std::io::Result<()> {
     let listener = TcpListener::bind(addr).await?;
-    let common = Rc::new(Common::default());
+    let shared = Rc::new(SharedState::default());
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let common = common.clone();
+                let shared = shared.clone();
                 task::spawn_local(async move {
-                    if let Err(error) = serve_leader(common, stream).await {
-                        info!(%peer, %error, "relaying ended");
+                    if let Err(error) = serve_leader(shared, stream).await {
+                        info!(%peer, %error, "relay session failed");
                     }
                 });
             }
             Err(error) => {
-                warn!(%error, "connection for relaying not taken");
-                time::sleep(ALIVE_EVERY).await;
+                warn!(%error, "relay connection can't be accepted");
+                time::sleep(KEEPALIVE_INTERVAL).await;
             }
         }
     }
 }
 
-async fn serve_leader(common: Rc<Common>, stream: TcpStream) -> message::Result<()> {
-    // Only delays small frames where it fails.
+async fn serve_leader(shared: Rc<SharedState>, stream: TcpStream) -> message::Result<()> {
+    // A failure only delays small frames.
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.into_split();
     let mut reader = FramedRead::new(read, message::codec());
     let Some(Hello { epoch }) = message::receive(&mut reader).await? else {
         return Ok(());
     };
-    if epoch < common.epoch.get() {
-        info!(epoch, known = common.epoch.get(), "former leader refused");
+    if epoch < shared.epoch.get() {
+        info!(
+            epoch,
+            known = shared.epoch.get(),
+            "relay session refused: later leader known"
+        );
         return Ok(());
     }
-    common.epoch.set(epoch);
+    shared.epoch.set(epoch);
     let (tx, rx) = mpsc::unbounded_channel();
-    task::spawn_local(reply(FramedWrite::new(write, message::codec()), rx));
+    task::spawn_local(send_replies(FramedWrite::new(write, message::codec()), rx));
     let mut session = Session {
-        common,
+        shared,
         epoch,
         tx,
-        jobs: Jobs::default(),
+        specs: SpecCache::default(),
         listings: Rc::default(),
-        lateness: Lateness::default(),
+        delay_estimator: DelayEstimator::default(),
     };
     session.run(&mut reader).await
 }
 
-/// Sends replies, as many in a frame as there are, until all senders are gone.
-async fn reply(mut writer: Writer<OwnedWriteHalf>, mut rx: UnboundedReceiver<Reply>) {
+/// Sends replies until all senders are dropped; those that are queued at a time share a frame.
+async fn send_replies(mut writer: Writer<OwnedWriteHalf>, mut rx: UnboundedReceiver<Reply>) {
     let mut replies = Vec::new();
     loop {
-        match time::timeout(ALIVE_EVERY, rx.recv()).await {
+        match time::timeout(KEEPALIVE_INTERVAL, rx.recv()).await {
             Ok(None) => return,
             Ok(Some(reply)) => {
                 replies.push(reply);
-                time::sleep(GATHER).await;
+                time::sleep(REPLY_BATCH_DELAY).await;
             }
             Err(_) => {}
         }
         while let Ok(reply) = rx.try_recv() {
             replies.push(reply);
         }
-        // A connection that has failed shows at the reader, too.
+        // The reader detects a failed connection as well.
         if message::send(&mut writer, &replies).await.is_err() {
             return;
         }
@@ -149,108 +154,112 @@
     }
 }
 
-/// How late frames of the leader arrive, beside the usual way.
+/// Estimates how much longer than usual the leader's frames were in transit.
 #[derive(Debug, Default)]
-pub struct Lateness {
-    /// The least that the clock here was ahead of the leader's when a frame came, in seconds.
-    least: Option<f64>,
-    taken_at: Steady,
+pub struct DelayEstimator {
+    /// Smallest difference so far between the local clock and a frame's send time, in seconds,
+    /// raised over time by the allowed drift.
+    min_offset: Option<f64>,
+    updated_at: Steady,
 }
 
-impl Lateness {
-    /// Takes in a frame, and returns how late it is.
-    pub fn of(&mut self, sent_at: Steady, now: Steady) -> Duration {
-        let ahead = now.as_secs_f64() - sent_at.as_secs_f64();
-        let passed = now.saturating_sub(self.taken_at).as_secs_f64();
-        self.taken_at = now;
-        let least = self.least.unwrap_or(ahead) + passed * CLOCK_DRIFT;
-        let least = least.min(ahead);
-        self.least = Some(least);
-        Duration::from_secs_f64((ahead - least).max(0.0))
+impl DelayEstimator {
+    /// Records a frame and returns its delay.
+    pub fn record(&mut self, sent_at: Steady, now: Steady) -> Duration {
+        let offset = now.as_secs_f64() - sent_at.as_secs_f64();
+        let passed = now.saturating_sub(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        let min_offset = self.min_offset.unwrap_or(offset) + passed * MAX_CLOCK_DRIFT;
+        let min_offset = min_offset.min(offset);
+        self.min_offset = Some(min_offset);
+        Duration::from_secs_f64((offset - min_offset).max(0.0))
     }
 }
 
 /// The calls of one leader over one connection.
 struct Session {
-    common: Rc<Common>,
+    shared: Rc<SharedState>,
     epoch: Epoch,
     tx: UnboundedSender<Reply>,
-    jobs: Jobs,
+    specs: SpecCache,
     listings: Rc<RefCell<HashMap<EndpointId, Listing>>>,
-    lateness: Lateness,
+    delay_estimator: DelayEstimator,
 }
 
 impl Session {
     async fn run(&mut self, reader: &mut message::Reader<OwnedReadHalf>) -> message::Result<()> {
         while let Some(Requests { sent_at, requests }) = message::receive(reader).await? {
-            if self.epoch < self.common.epoch.get() {
-                info!(epoch = self.epoch, "relaying ended by a later leader");
+            if self.epoch < self.shared.epoch.get() {
+                info!(
+                    epoch = self.epoch,
+                    "relay session ended: later leader known"
+                );
                 return Ok(());
             }
             let now = clock::steady();
-            let late = self.lateness.of(sent_at, now);
-            let sent_at = now.saturating_sub(late);
+            let delay = self.delay_estimator.record(sent_at, now);
+            let sent_at = now.saturating_sub(delay);
             for request in requests {
-                self.take(request, sent_at);
+                self.handle(request, sent_at);
             }
         }
         Ok(())
     }
 
-    fn take(&mut self, request: Request, sent_at: Steady) {
+    fn handle(&mut self, request: Request, sent_at: Steady) {
         match request {
             Request::Job(spec) => {
-                self.jobs.insert(&spec);
+                self.specs.insert(&spec);
             }
             Request::Order(number, target, instruction) => {
-                if let Some(order) = instruction.order(&self.jobs) {
+                if let Some(order) = instruction.into_order(&self.specs) {
                     self.order(number, target, order, sent_at);
                 } else {
-                    warn!(endpoint = %target.id, "start of a job that was not described");
+                    warn!(endpoint = %target.id, "start refused: job specification missing");
                     let unsent = Outcome::Refused(Refusal::Unsent);
                     self.reply(Reply::Ordered(number, unsent));
                 }
             }
-            Request::Look(number, look) => self.look(number, look, sent_at),
+            Request::Poll(number, poll) => self.poll(number, poll, sent_at),
             Request::Forget(id) => {
-                self.common.calls.forget(&id);
+                self.shared.calls.forget(&id);
                 self.listings.borrow_mut().remove(&id);
             }
         }
     }
 
     fn reply(&self, reply: Reply) {
-        // The connection may have ended meanwhile; the leader takes the call for lost then.
+        // If the connection has ended meanwhile, the leader has failed the call.
         let _ = self.tx.send(reply);
     }
 
-    fn order(&self, number: CallNumber, target: Target, order: Order, at: Steady) {
-        let sending = Sending {
+    fn order(&self, number: CallNumber, target: Target, order: Order, decided_at: Steady) {
+        let outgoing = OutgoingOrder {
             target,
             order,
             epoch: self.epoch,
-            at,
+            decided_at,
         };
-        let (common, tx) = (self.common.clone(), self.tx.clone());
+        let (shared, tx) = (self.shared.clone(), self.tx.clone());
         task::spawn_local(async move {
-            let outcome = common.calls.order(&sending).await;
+            let outcome = shared.calls.order(&outgoing).await;
             let _ = tx.send(Reply::Ordered(number, outcome));
         });
     }
 
-    fn look(&self, number: CallNumber, mut look: LookOrder, sent_at: Steady) {
-        let (common, tx) = (self.common.clone(), self.tx.clone());
+    fn poll(&self, number: CallNumber, mut poll: LookOrder, sent_at: Steady) {
+        let (shared, tx) = (self.shared.clone(), self.tx.clone());
         let listings = self.listings.clone();
         task::spawn_local(async move {
-            if clock::steady().saturating_sub(sent_at) > SURE_FOR {
-                look.noted = 0;
+            if clock::steady().saturating_sub(sent_at) > MAX_ACK_DELAY {
+                poll.noted = 0;
             }
-            let looked = common.calls.look(&look).await;
-            let looked = looked.map(|answer| {
+            let result = shared.calls.poll(&poll).await;
+            let result = result.map(|reply| {
                 let mut listings = listings.borrow_mut();
-                listings.entry(look.target.id).or_default().encode(answer)
+                listings.entry(poll.target.id).or_default().encode(reply)
             });
-            let _ = tx.send(Reply::Looked(number, looked));
+            let _ = tx.send(Reply::Polled(number, result));
         });
     }
 }
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -19,91 +19,92 @@
 use super::leader::core::Event;
 use super::wire::{Claim, Leader, Member};
 
-/// A connection to the store that isn't made by then won't be.
-const STORE_CONNECT: Duration = Duration::from_millis(500);
+/// Connect timeout for the store; a connection that takes longer isn't expected to succeed.
+const STORE_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection to the leader that isn't made by then won't be.
-const LEADER_CONNECT: Duration = Duration::from_millis(250);
-/// Connections to the leader that stay open.
+/// Connect timeout for the leader; a connection that takes longer isn't expected to succeed.
+const LEADER_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Connections to the leader that are kept open.
 const LEADER_CONNECTIONS: usize = 4;
 
-/// At its start a process takes the leader for silent since so long: enough to ask the others at
-/// once whether they hear one.
-const START_SILENCE: Duration = Duration::from_secs(1);
+/// How long a starting process assumes that the leader has been silent: long enough for it to ask
+/// the other members at once whether they hear a leader.
+const INITIAL_SILENCE: Duration = Duration::from_secs(1);
 
-/// What is known of members, leader and store.
+/// What this process knows of the members, the leader and the store.
 #[derive(Debug, Clone, Default)]
 pub struct View {
-    /// Every member.
+    /// Every member, by name.
     pub members: BTreeMap<Box<str>, Member>,
-    /// The leader of the highest epoch known.
+    /// The leader with the highest known epoch.
     pub leader: Option<Leader>,
-    /// When the leader was last heard.
-    pub heard_at: Steady,
-    /// When the leader's sign of life in the store last changed.
-    pub alive_at: Steady,
+    /// When this process last heard from the leader.
+    pub leader_heard_at: Steady,
+    /// When the leader's liveness record in the store last changed, or the leader was heard.
+    pub leader_alive_at: Steady,
     /// When the store last answered.
-    pub store_at: Steady,
-    /// Where the topic of members ended when it was last read.
+    pub store_answered_at: Steady,
+    /// End offset of the members' topic when it was last read.
     pub members_end: u64,
-    /// Whether the members were read at all.
-    pub is_read: bool,
-    /// The fleet's time, if a leader has told it.
+    /// Whether the members have been read at least once.
+    pub is_loaded: bool,
+    /// The fleet's time, if a leader has sent it.
     pub fleet_time: Option<FleetTime>,
-    /// The fleet's time at the least, by a sign of life of unknown age.
-    pub fleet_time_at_least: Option<FleetTime>,
+    /// Lower bound of the fleet's time, from a liveness record of unknown age.
+    pub min_fleet_time: Option<FleetTime>,
 }
 
 /// The leadership that this process holds.
 #[derive(Debug, Clone)]
-pub struct Leading {
-    /// Which.
+pub struct Leadership {
+    /// Epoch of the leadership.
     pub epoch: Epoch,
-    /// Takes events; closed when the leadership ends.
+    /// Sends events to the leader's thread; closed when the leadership ends.
     pub events: Sender<Event>,
 }
 
-/// Shared by all threads of one process.
+/// State shared by all threads of one process.
 #[derive(Debug)]
 pub struct Shared {
     /// When the process started.
-    pub began: Steady,
-    /// The same, milliseconds since 1970: tells this process from others of its member.
-    pub began_ms: u64,
-    /// The newest settings.
+    pub started_at: Steady,
+    /// Start time in milliseconds since 1970; distinguishes the process from its member's earlier
+    /// ones.
+    pub started_ms: u64,
+    /// The current settings.
     pub site: ArcSwap<Site>,
     view: Mutex<View>,
     changed: Condvar,
-    leading: Mutex<Option<Leading>>,
+    leadership: Mutex<Option<Leadership>>,
     is_leaving: AtomicBool,
-    claim_asked: Mutex<Option<Claim>>,
-    to_leader: Mutex<Option<Client>>,
-    /// Requests of callers that wait for the leader's answer.
+    pending_claim: Mutex<Option<Claim>>,
+    leader_client: Mutex<Option<Client>>,
+    /// Callers' requests that await the leader's answer.
     pub forwarding: Forwarding,
 }
 
 impl Shared {
-    /// A process that knows nothing yet.
+    /// The state of a process that has just started.
     #[must_use]
     pub fn new(site: Site) -> Shared {
-        // A process that just started hasn't missed a heartbeat, but needn't wait for all of the
-        // usual silence: if there is a leader, others have heard it.
+        // A process that just started has missed no heartbeat. It needn't wait until the leader
+        // counts as silent, though: if there is a leader, other members hear it.
         let now = clock::steady();
         let view = View {
-            heard_at: now.saturating_sub(START_SILENCE),
-            alive_at: now,
+            leader_heard_at: now.saturating_sub(INITIAL_SILENCE),
+            leader_alive_at: now,
             ..View::default()
         };
         Shared {
-            began: now,
-            began_ms: clock::now().unix_ms,
+            started_at: now,
+            started_ms: clock::now().unix_ms,
             site: ArcSwap::from_pointee(site),
             view: Mutex::new(view),
             changed: Condvar::new(),
-            leading: Mutex::new(None),
+            leadership: Mutex::new(None),
             is_leaving: AtomicBool::new(false),
-            claim_asked: Mutex::new(None),
-            to_leader: Mutex::new(None),
+            pending_claim: Mutex::new(None),
+            leader_client: Mutex::new(None),
             forwarding: Forwarding::default(),
         }
     }
@@ -112,7 +113,7 @@
     #[must_use]
     pub fn store(&self) -> Store {
         let site = self.site.load();
-        let store = Store::new(Client::new(site.store, STORE_CONNECT));
+        let store = Store::new(Client::new(site.store, STORE_CONNECT_TIMEOUT));
         match site.link_bytes_per_s {
             Some(rate) => store.over_link(rate),
             None => store,
@@ -121,35 +122,35 @@
 
     /// A client of the leader at `addr`, whose connections all callers of this process share.
     ///
-    /// With one for each caller's connection, some thousand callers of a fleet would use up the
-    /// connections that the leader takes.
+    /// With a client for each caller's connection, some thousand callers of the whole fleet would
+    /// exceed the number of connections that the leader accepts.
     #[must_use]
     pub fn leader_client(&self, addr: SocketAddr) -> Client {
-        let kept = self.to_leader.lock();
+        let kept = self.leader_client.lock();
         let mut kept = kept.unwrap_or_else(PoisonError::into_inner);
         match &*kept {
             Some(client) if client.peer() == addr => client.clone(),
             _ => {
-                let client = Client::keeping(addr, LEADER_CONNECT, LEADER_CONNECTIONS);
+                let client = Client::keeping(addr, LEADER_CONNECT_TIMEOUT, LEADER_CONNECTIONS);
                 *kept = Some(client.clone());
                 client
             }
         }
     }
 
-    /// What is known now.
+    /// A copy of the current view.
     #[must_use]
     pub fn view(&self) -> View {
         self.lock().clone()
     }
 
-    /// Changes what is known, and wakes who waits for a change.
+    /// Changes the view, and wakes the threads in [`Shared::wait`].
     pub fn update(&self, change: impl FnOnce(&mut View)) {
         change(&mut self.lock());
         self.changed.notify_all();
     }
 
-    /// The member of that name.
+    /// The member with that name, if it is known.
     #[must_use]
     pub fn member(&self, name: &str) -> Option<Member> {
         self.lock().members.get(name).copied()
@@ -163,78 +164,79 @@
         members.filter(|m| m.addr != own).collect()
     }
 
-    /// Where the other members take calls.
+    /// Addresses of the other members.
     #[must_use]
     pub fn peers(&self) -> Vec<SocketAddr> {
         self.others().into_iter().map(|m| m.addr).collect()
     }
 
-    /// Takes in who leads; an older epoch than the one known changes nothing.
+    /// Updates the known leader, unless a later one is known; returns whether none is.
     ///
-    /// `is_news` says that it has just begun to lead, which counts as a sign of life. A record that
-    /// is read at the start may be that of a leader that is long gone.
-    pub fn follow(&self, leader: &Leader, is_news: bool) -> bool {
+    /// `is_announced` says that the leader has just sent a message or begun to lead, which counts
+    /// as a heartbeat. A record that is read at start may be that of a leader that ended long ago.
+    pub fn observe_leader(&self, leader: &Leader, is_announced: bool) -> bool {
         let mut view = self.lock();
         let known = view.leader.as_ref().map_or(0, |l| l.epoch);
         if leader.epoch < known {
             return false;
         }
         if leader.epoch > known {
-            info!(epoch = leader.epoch, leader = %leader.member, addr = %leader.addr, "leader known");
+            info!(epoch = leader.epoch, leader = %leader.member, addr = %leader.addr, "new leader");
             view.leader = Some(leader.clone());
-            if is_news {
-                view.heard_at = clock::steady();
-                view.alive_at = view.heard_at;
+            if is_announced {
+                view.leader_heard_at = clock::steady();
+                view.leader_alive_at = view.leader_heard_at;
             }
             self.changed.notify_all();
         }
         true
     }
 
-    /// Takes in the fleet's time as the leader with `epoch` tells it now.
-    pub fn note_fleet_ms(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
+    /// Updates the fleet's time with the one that the leader with `epoch` has just sent.
+    pub fn update_fleet_ms(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
         let Some(ms) = fleet_ms else {
             return;
         };
         let at = clock::steady();
-        let told = FleetTime { epoch, ms, at };
+        let received = FleetTime { epoch, ms, at };
         let mut view = self.lock();
         if view
             .fleet_time
-            .is_none_or(|known| told.is_better_than(&known))
+            .is_none_or(|known| received.is_better_than(&known))
         {
-            view.fleet_time = Some(told);
+            view.fleet_time = Some(received);
         }
     }
 
-    /// Takes in the fleet's time of a sign of life that the leader with `epoch` wrote some time ago.
-    pub fn note_fleet_ms_at_least(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
+    /// Updates the lower bound of the fleet's time with that of a liveness record, which the leader
+    /// with `epoch` wrote at an unknown time.
+    pub fn update_min_fleet_ms(&self, epoch: Epoch, fleet_ms: Option<UnixMs>) {
         let Some(ms) = fleet_ms else {
             return;
         };
         let at = clock::steady();
-        let read = FleetTime { epoch, ms, at };
-        let known = &mut self.lock().fleet_time_at_least;
-        if known.is_none_or(|known| read.is_better_than(&known)) {
-            *known = Some(read);
+        let reading = FleetTime { epoch, ms, at };
+        let known = &mut self.lock().min_fleet_time;
+        if known.is_none_or(|known| reading.is_better_than(&known)) {
+            *known = Some(reading);
         }
     }
 
-    /// The fleet's time at the least, if a sign of life was read.
+    /// Lower bound of the fleet's time, if a liveness record was read.
     #[must_use]
-    pub fn fleet_ms_at_least(&self) -> Option<UnixMs> {
-        let read = self.lock().fleet_time_at_least;
-        read.map(|read| read.at(clock::steady()))
+    pub fn min_fleet_ms(&self) -> Option<UnixMs> {
+        let reading = self.lock().min_fleet_time;
+        reading.map(|reading| reading.at(clock::steady()))
     }
 
-    /// The fleet's time, if a leader has told it.
+    /// The fleet's time, if a leader has sent it.
     #[must_use]
     pub fn fleet_ms(&self) -> Option<UnixMs> {
-        let told = self.lock().fleet_time;
-        told.map(|told| told.at(clock::steady()))
+        let received = self.lock().fleet_time;
+        received.map(|received| received.at(clock::steady()))
     }
 
-    /// Waits for a change of what is known, at most `time`.
+    /// Waits for a change of the view or the leadership, or a shutdown, for at most `time`.
     pub fn wait(&self, time: Duration) {
         let view = self.lock();
         let waited = self.changed.wait_timeout(view, time);
@@ -243,46 +245,49 @@
 
     /// The leadership that this process holds, if any.
     #[must_use]
-    pub fn leading(&self) -> Option<Leading> {
-        let leading = self.leading.lock();
-        leading.unwrap_or_else(PoisonError::into_inner).clone()
+    pub fn leadership(&self) -> Option<Leadership> {
+        let leadership = self.leadership.lock();
+        leadership.unwrap_or_else(PoisonError::into_inner).clone()
     }
 
     /// Begins or ends the leadership of this process.
-    pub fn set_leading(&self, leading: Option<Leading>) {
-        let mut held = self.leading.lock().unwrap_or_else(PoisonError::into_inner);
-        *held = leading;
+    pub fn set_leadership(&self, leadership: Option<Leadership>) {
+        let mut held = self
+            .leadership
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        *held = leadership;
         drop(held);
         self.changed.notify_all();
     }
 
-    /// Whether the process shuts down.
+    /// Whether the process is shutting down.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.is_leaving.load(Ordering::Acquire)
     }
 
     /// Begins the shutdown.
-    pub fn leave(&self) {
+    pub fn begin_shutdown(&self) {
         self.is_leaving.store(true, Ordering::Release);
         self.changed.notify_all();
     }
 
-    /// Asks this process to take the leadership over.
-    pub fn ask_claim(&self, claim: Claim) {
-        *self.claim_asked() = Some(claim);
+    /// Requests that this process take over the leadership.
+    pub fn request_claim(&self, claim: Claim) {
+        *self.pending_claim() = Some(claim);
         self.changed.notify_all();
     }
 
-    /// With what this process was asked to take over, if it was; once.
+    /// Takes the pending request to take over the leadership, if there is one.
     #[must_use]
     pub fn take_claim(&self) -> Option<Claim> {
-        self.claim_asked().take()
+        self.pending_claim().take()
     }
 
-    fn claim_asked(&self) -> MutexGuard<'_, Option<Claim>> {
-        let asked = self.claim_asked.lock();
-        asked.unwrap_or_else(PoisonError::into_inner)
+    fn pending_claim(&self) -> MutexGuard<'_, Option<Claim>> {
+        let claim = self.pending_claim.lock();
+        claim.unwrap_or_else(PoisonError::into_inner)
     }
 
     fn lock(&self) -> MutexGuard<'_, View> {
@@ -293,24 +298,24 @@
 /// Starts a named thread.
 ///
 /// # Errors
-/// If the system has no room for another thread.
+/// If the system can't create another thread.
 pub fn spawn(
     name: &str,
     run: impl FnOnce() + Send + 'static,
 ) -> std::io::Result<std::thread::JoinHandle<()>> {
-    /// Enough for a call over HTTP with its parsing; the system's default of 8 MiB is reserved
-    /// for each of some hundred threads otherwise.
-    const STACK: usize = 512 * 1024;
+    /// Enough for an HTTP call with its parsing. The system's default of 8 MiB would be reserved
+    /// for each of some hundred threads.
+    const STACK_SIZE: usize = 512 * 1024;
     std::thread::Builder::new()
         .name(name.into())
-        .stack_size(STACK)
+        .stack_size(STACK_SIZE)
         .spawn(run)
 }
 
-/// Starts a named thread that works on what is shared.
+/// Starts a named thread that has access to the shared state.
 ///
 /// # Errors
-/// If the system has no room for another thread.
+/// If the system can't create another thread.
 pub fn spawn_with(
     name: &str,
     shared: &Arc<Shared>,
