--- a/crates/pomelohitch-sched/src/endpoint.rs
+++ b/crates/pomelohitch-sched/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint, its clock and its lease.
+//! State of an endpoint as the leader knows it: clock, lease and allocated resources.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,103 +10,104 @@
 use crate::id::{EndpointId, RunNumber, ServiceName, TaskId, ZoneName};
 use crate::resources::Resources;
 
-/// How much slower than ours an endpoint's clock may run; the platform's own bound.
+/// Largest fraction by which an endpoint's clock may run slower than ours, as specified by the
+/// platform.
 const SLOW_CLOCK: f64 = 0.02;
-/// A lease counts as lapsed only so long after its end, for the endpoint's own timers.
+/// A lease counts as lapsed only this long after its end, to allow for the endpoint's own timers.
 const LAPSE_MARGIN: Duration = Duration::from_millis(200);
 
-/// An endpoint that answered within this time hasn't restarted, run a task and ended it since.
-/// Tasks take some hundred milliseconds, and a record of ends is durable within 40.
+/// An endpoint that answered within this time cannot have restarted, run a task and ended it since:
+/// tasks take hundreds of milliseconds, and a record of completions is durable within 40 ms.
 const SURE_FOR: Duration = Duration::from_millis(80);
 
-/// What an endpoint says of itself in the platform's list.
+/// An endpoint's entry in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Which endpoint.
+    /// Endpoint id.
     pub id: EndpointId,
-    /// Which life of it, milliseconds since 1970.
+    /// Incarnation: start time in milliseconds since 1970.
     pub born: u64,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it takes calls, IP:PORT.
+    /// Address for calls.
     pub addr: std::net::SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
     /// Whether it is about to leave.
     pub is_draining: bool,
-    /// Room for tasks.
+    /// Total capacity for tasks.
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Machine kind and rack, in this order.
     pub labels: Arc<[Box<str>]>,
 }
 
-/// What an endpoint answered to a look.
+/// An endpoint's answer to a poll.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Look {
-    /// Which life of it answered.
+    /// Incarnation that answered.
     pub born: u64,
-    /// Its clock.
+    /// Endpoint's clock at the time of the answer.
     pub clock: Duration,
-    /// What runs.
+    /// Runs that are running.
     pub running: Vec<Running>,
-    /// What has ended and isn't acknowledged yet.
+    /// Completions that are not acknowledged yet.
     pub ended: Vec<Ended>,
-    /// When the call went out.
+    /// When the poll was sent.
     pub sent_at: Steady,
-    /// When the answer came.
+    /// When the answer arrived.
     pub answered_at: Steady,
-    /// Whether the look asked for a lease.
+    /// Whether the poll requested a lease.
     pub renewed: bool,
 }
 
-/// A run that is at work.
+/// A run that an endpoint lists as running.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Running {
-    /// Whose run.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which run.
+    /// Run number.
     pub number: RunNumber,
-    /// The newest checkpoint.
+    /// Newest checkpoint.
     pub checkpoint: Box<str>,
-    /// How far it is; a lasting task is at work at 100.
+    /// Progress in percent; a lasting task is in service at 100.
     pub percent: u32,
-    /// Of a task with a target its tail latency in milliseconds, of others the processors in use.
+    /// Tail latency in milliseconds for tasks with a latency target, processors in use for others.
     pub load: u32,
 }
 
-/// A run that ended.
+/// A completed run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// Counts the ends of this life of the endpoint.
+    /// Sequence number of the completion within this incarnation of the endpoint.
     pub number: u64,
-    /// Whose run.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which run.
+    /// Run number.
     pub run: RunNumber,
-    /// How it ended.
+    /// Why it ended.
     pub how: How,
-    /// Where a next run can go on.
+    /// Checkpoint from which the next run can resume.
     pub checkpoint: Box<str>,
 }
 
-/// How a run ended.
+/// Why a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum How {
-    /// Well.
+    /// Completed successfully.
     Done,
-    /// By its own fault or the endpoint's.
+    /// Failed because of the task or of the endpoint.
     Failed,
-    /// By an order.
+    /// Stopped by an order.
     Stopped,
-    /// The lease ran out.
+    /// The lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang didn't come.
+    /// The other members of its gang did not arrive.
     Alone,
 }
 
-/// A reading of the endpoint's clock.
+/// A reading of the endpoint's clock, with our time before and after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Reading {
     clock: Duration,
@@ -114,89 +115,90 @@
     answered_at: Steady,
 }
 
-/// When an endpoint is looked at next.
+/// When an endpoint is polled next.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LookPlan {
-    /// Not before then.
+    /// Earliest time of the next poll.
     pub due: Steady,
-    /// Whether a look hasn't ended yet.
+    /// Whether a poll is in flight.
     pub is_under_way: bool,
-    /// How many looks have failed since the last that was answered.
+    /// Polls that failed since the last successful one.
     pub failures: u32,
 }
 
 impl LookPlan {
-    /// Brings the next look forward to `now`.
+    /// Makes the next poll due at `now` if it is due later.
     pub fn hurry(&mut self, now: Steady) {
         self.due = self.due.min(now);
     }
 }
 
-/// What a run takes up.
+/// Resources that a run takes on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Booked {
-    /// Room.
+    /// Allocated amounts.
     pub room: Resources,
-    /// Whether its task lasts.
+    /// Whether the run belongs to a lasting task.
     pub is_lasting: bool,
 }
 
-/// One endpoint.
+/// State of an endpoint.
 #[expect(clippy::struct_excessive_bools, reason = "independent facts")]
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Its newest entry in the platform's list, if it ever had one.
+    /// Newest entry in the platform's list, if there ever was one.
     pub report: Option<Report>,
-    /// Which life of it is meant.
+    /// Current incarnation.
     pub born: u64,
-    /// Whether the list holds it now.
+    /// Whether the platform's list contains it now.
     pub is_listed: bool,
-    /// Room taken, also by what is being stopped or may be running.
+    /// Allocated resources, including those of runs that are being stopped or may be running.
     pub used: Resources,
-    /// How many runs are of lasting tasks.
+    /// Number of runs of lasting tasks.
     pub lasting: usize,
-    /// Runs that may be there, with what each takes up.
+    /// Runs that may exist there, with their allocations.
     pub runs: BTreeMap<(TaskId, RunNumber), Booked>,
-    /// The last end that was taken in.
+    /// Sequence number of the last completion that was processed.
     pub noted: u64,
-    /// The last end that is durably noted, and so may be acknowledged.
+    /// Sequence number of the last completion that is durably recorded and may be acknowledged.
     pub noted_durably: u64,
-    /// Whether the last look that was answered listed ends, which are to be acknowledged.
+    /// Whether the last answered poll listed completions, which have to be acknowledged.
     pub lists_ends: bool,
-    /// When the newest look that was answered went out.
+    /// When the newest answered poll was sent.
     pub looked_at: Option<Steady>,
-    /// When it last answered a look.
+    /// When it last answered a poll.
     pub heard_at: Option<Steady>,
-    /// Whether a look that asked for a lease was answered: until then only starts hold one, and a
-    /// short one.
+    /// Whether a poll that requested a lease was answered. Before that, only starts hold a lease,
+    /// and a short one.
     pub lease_confirmed: bool,
-    /// Not used for new work until then.
+    /// Gets no new work before this time.
     pub avoided_until: Steady,
-    /// Whether it has answered nothing since it left a start unanswered. Such an endpoint gets no
-    /// work: it may be gone. One that has answered since only lost that order, and where one order
-    /// in some is lost, leaving it out for a fixed time would idle most of a busy pool.
+    /// Whether it has answered nothing since it left a start unanswered. Such an endpoint may be
+    /// gone and gets no new work until it answers again. Excluding it for a fixed time instead
+    /// would idle most of a busy pool when a fraction of the orders is lost.
     pub is_doubted: bool,
-    /// Failed and done runs of late, for telling a broken endpoint; fades.
+    /// Failed runs, decaying over time; used to detect a broken endpoint.
     pub failures: f64,
-    /// Runs that ended well of late; fades.
+    /// Successful runs, decaying over time.
     pub successes: f64,
-    /// Kept free because its instance is to move or to be maintained.
+    /// Gets no new work because its instance is to be moved or maintained.
     pub is_reserved: bool,
-    /// Whether its instance is due for maintenance, so that what lasts had better be elsewhere.
+    /// Whether its instance is due for maintenance, so that lasting tasks should be placed
+    /// elsewhere.
     pub is_due: bool,
-    /// The share that fillers work at there, percent.
+    /// Speed of filler tasks there, percent.
     pub filler_pace: u32,
-    /// When that share was last changed.
+    /// When `filler_pace` last changed.
     pub paced_at: Steady,
-    /// When it is looked at next.
+    /// Schedule of polls.
     pub look: LookPlan,
     reading: Option<Reading>,
-    /// The latest end of a lease that was ever asked for, on the endpoint's clock.
+    /// Latest end of any lease that was requested, on the endpoint's clock.
     lease_end: Duration,
 }
 
 impl Endpoint {
-    /// An endpoint of which only its id and life are known.
+    /// Creates an endpoint of which only the incarnation is known.
     #[must_use]
     pub fn new(born: u64) -> Endpoint {
         Endpoint {
@@ -226,7 +228,7 @@
         }
     }
 
-    /// Takes in a reading of the endpoint's clock.
+    /// Stores the clock reading of a poll's answer.
     pub fn read_clock(&mut self, look: &Look) {
         self.reading = Some(Reading {
             clock: look.clock,
@@ -235,12 +237,13 @@
         });
     }
 
-    /// The end up to which a look acknowledges that goes out at `now`; 0 for none.
+    /// The last completion that a poll sent at `now` may acknowledge; 0 for none.
     ///
-    /// Numbers of ends begin anew when the endpoint restarts under its id. A look that carries one
-    /// of the former life would make the new one forget ends that nobody has read, and their tasks
-    /// would run again. It is therefore sent only right after the same life has listed ends: what
-    /// starts in a new life doesn't end so soon.
+    /// Completions are numbered from the start again when the endpoint restarts under its id.
+    /// Acknowledging a number of the previous incarnation would make the new one drop completions
+    /// that were never read, and their tasks would run again. The number is therefore sent only
+    /// shortly after the same incarnation has listed completions: a run that starts in a new
+    /// incarnation does not end that soon.
     #[must_use]
     pub fn acknowledges(&self, now: Steady) -> u64 {
         let is_sure = self.look.failures == 0 && self.is_heard(now, SURE_FOR);
@@ -251,7 +254,7 @@
         }
     }
 
-    /// The least that the endpoint's clock can show by now.
+    /// Lower bound of the endpoint's clock at `now`; `None` if it was never read.
     #[must_use]
     pub fn clock_at_least(&self, now: Steady) -> Option<Duration> {
         let reading = self.reading?;
@@ -259,7 +262,7 @@
         Some(reading.clock + passed.mul_f64(1.0 - SLOW_CLOCK))
     }
 
-    /// A point `ahead` of the endpoint's clock, by the best guess.
+    /// Best estimate of the endpoint's clock at `now` plus `ahead`; `None` if it was never read.
     #[must_use]
     pub fn clock_ahead(&self, now: Steady, ahead: Duration) -> Option<Duration> {
         let reading = self.reading?;
@@ -267,15 +270,15 @@
         Some(reading.clock + now.saturating_sub(middle) + ahead)
     }
 
-    /// Remembers that a lease up to `end` may be in force, whether the call is answered or not.
+    /// Records that a lease until `end` may be in force, whether or not the call is answered.
     pub fn lease_asked(&mut self, end: Duration) {
         self.lease_end = self.lease_end.max(end);
     }
 
-    /// Whether every lease has surely run out, so that nothing runs there.
+    /// Whether every lease has certainly expired, so that nothing runs there.
     ///
-    /// `unread_until` stands in where the clock was never read: a former leader may have asked
-    /// for leases that this one doesn't know.
+    /// `unread_until` is the limit if the clock was never read: a former leader may have requested
+    /// leases that are unknown to this one.
     #[must_use]
     pub fn is_lapsed(&self, now: Steady, unread_until: Steady) -> bool {
         match self.clock_at_least(now) {
@@ -284,27 +287,27 @@
         }
     }
 
-    /// Whether a look was answered within `window`.
+    /// Whether a poll that was sent within the last `window` was answered.
     #[must_use]
     pub fn is_fresh(&self, now: Steady, window: Duration) -> bool {
         self.looked_at
             .is_some_and(|at| now.saturating_sub(at) <= window)
     }
 
-    /// Whether a look was answered within the last `window`.
+    /// Whether an answer to a poll arrived within the last `window`.
     #[must_use]
     pub fn is_heard(&self, now: Steady, window: Duration) -> bool {
         self.heard_at
             .is_some_and(|at| now.saturating_sub(at) <= window)
     }
 
-    /// Its rack: the label that isn't its kind.
+    /// Rack, the second label.
     #[must_use]
     pub fn rack(&self) -> Option<&str> {
         self.report.as_ref()?.labels.get(1).map(|l| &**l)
     }
 
-    /// Whether it carries `label`.
+    /// Whether one of the labels is `label`.
     #[must_use]
     pub fn has_label(&self, label: &str) -> bool {
         self.report
@@ -312,7 +315,7 @@
             .is_some_and(|r| r.labels.iter().any(|l| &**l == label))
     }
 
-    /// Room that is left.
+    /// Free capacity.
     #[must_use]
     pub fn free(&self) -> Resources {
         self.report
@@ -320,14 +323,14 @@
             .map_or_else(Resources::default, |r| r.capacity.less(&self.used))
     }
 
-    /// Whether more is taken than there is: its room has shrunk.
+    /// Whether more is allocated than the capacity, which can shrink.
     #[must_use]
     pub fn is_over(&self) -> bool {
         let capacity = self.report.as_ref().map(|r| r.capacity);
         capacity.is_some_and(|c| !c.holds(&self.used))
     }
 
-    /// Takes room for a run.
+    /// Allocates resources for a run; no effect if it has them already.
     pub fn occupy(&mut self, task: TaskId, number: RunNumber, booked: Booked) {
         if self.runs.insert((task, number), booked).is_none() {
             self.used += &booked.room;
@@ -335,7 +338,7 @@
         }
     }
 
-    /// Gives back a run's room; whether there was such a run.
+    /// Releases a run's resources; returns whether it had any.
     pub fn vacate(&mut self, task: TaskId, number: RunNumber) -> bool {
         let Some(booked) = self.runs.remove(&(task, number)) else {
             return false;
--- a/crates/pomelohitch-sched/src/job.rs
+++ b/crates/pomelohitch-sched/src/job.rs
@@ -1,4 +1,4 @@
-//! What a caller asks for, and the check of it.
+//! Job specifications and their validation.
 
 use std::time::Duration;
 
@@ -9,90 +9,90 @@
 use crate::id::{JobId, QueueName, ServiceName, WorkspaceName};
 use crate::resources::Resources;
 
-/// Longest text that goes to each task, bytes; the platform's own limit.
+/// Longest text that is passed to each task, in bytes; a limit of the platform.
 pub const SPEC_BYTES: usize = 4_000;
-/// Most steps of a job. Jobs of today have at most 5.
+/// Most steps of a job; jobs usually have at most 5.
 pub const MAX_STEPS: usize = 256;
-/// Most tasks of a job, over its steps. Jobs of today have at most some hundred; more would let
+/// Most tasks of a job over all its steps. Jobs usually have at most a few hundred; more would let
 /// one caller fill the memory of an entry instance.
 pub const MAX_TASKS: u64 = 10_000;
 /// Most repetitions of a job.
 pub const MAX_REPEATS: u32 = 1_000_000;
 
-/// A job as accepted.
+/// Specification of an accepted job.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Chosen by the caller.
+    /// Id chosen by the caller.
     pub id: JobId,
-    /// The queue that took it.
+    /// Queue that accepted the job.
     pub queue: QueueName,
-    /// The service that the queue sent to when the job came; used if the queue is removed.
+    /// Service of the queue when the job was accepted; used if the queue is removed.
     pub service: ServiceName,
-    /// Who sent it; nobody for a public queue.
+    /// Workspace that submitted the job; `None` for a public queue.
     pub workspace: Option<WorkspaceName>,
-    /// What each task is given.
+    /// Text that is passed to each task.
     pub text: Box<str>,
-    /// Its steps.
+    /// Steps; a step can depend only on earlier ones.
     pub steps: Vec<StepSpec>,
-    /// Present if the steps run several times.
+    /// Set if the steps run several times.
     pub repeat: Option<Repeat>,
-    /// When the job came.
+    /// When the job was accepted.
     pub accepted_ms: UnixMs,
 }
 
-/// A step: tasks of one kind.
+/// A step: a number of tasks of the same kind.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent traits, each of which a caller sets or not"
 )]
 pub struct StepSpec {
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
-    /// What each takes up while it runs.
+    /// Resources of each task while it runs.
     pub need: Resources,
-    /// Rough length of one task.
+    /// Rough estimate of the run time of one task.
     pub estimate: Duration,
-    /// Earlier steps, all of whose tasks have to be done first.
+    /// Earlier steps whose tasks all have to be done before this step starts.
     pub after: Vec<u16>,
-    /// Whether stopped tasks can go on from a checkpoint.
+    /// Whether stopped tasks can resume from a checkpoint.
     pub has_checkpoints: bool,
-    /// Whether the tasks work only all together.
+    /// Whether the tasks run as a gang: all at the same time or not at all.
     pub is_gang: bool,
-    /// Whether the tasks are slow when spread over racks.
+    /// Whether the tasks are slow when spread over several racks.
     pub is_rack_local: bool,
-    /// A label that the endpoint needs.
+    /// Label that the endpoint must have.
     pub requires: Option<Box<str>>,
-    /// The rack where the data lie; tasks are slow on others.
+    /// Rack of the input data; tasks are slow on others.
     pub near: Option<Box<str>>,
-    /// Most tasks of the step on one endpoint; 0 is no limit.
+    /// Most tasks of the step on one endpoint; 0 for no limit.
     pub per_endpoint: u32,
-    /// Whether copies of a task may run side by side.
+    /// Whether several runs of a task may exist at the same time.
     pub may_copy: bool,
-    /// Whether the tasks run until the job is cancelled.
+    /// Whether the tasks run until the job is cancelled (lasting tasks).
     pub is_lasting: bool,
-    /// What the tasks run.
+    /// Image that the tasks run.
     pub image: Box<str>,
-    /// The tail latency that a lasting task has to keep.
+    /// Tail latency that a lasting task has to keep.
     pub target: Option<Duration>,
-    /// Whether the tasks take only processors that others leave.
+    /// Whether the tasks use only processors that other tasks leave idle (filler tasks).
     pub is_filler: bool,
-    /// How many tasks may be away at once by our own doing.
+    /// Number of tasks that the scheduler may take out of service at the same time.
     pub may_miss: u32,
 }
 
-/// A job that repeats.
+/// Repetition of a job.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Repeat {
-    /// How many times.
+    /// Number of repetitions.
     pub count: u32,
-    /// When the first is due.
+    /// When the first one is due.
     pub first_due_ms: UnixMs,
-    /// From one to the next.
+    /// Time from one due time to the next.
     pub interval: Duration,
 }
 
-/// Why something isn't a job.
+/// Why a job specification is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// The text for the tasks is too long.
@@ -101,36 +101,37 @@
     /// There are no steps, or too many.
     #[snafu(display("{count} steps, but 1 to {MAX_STEPS} are allowed"))]
     Steps {
-        /// How many there are.
+        /// Number of steps.
         count: usize,
     },
-    /// A step has no tasks, or the job too many.
+    /// A step has no tasks, or the job has too many.
     #[snafu(display("step {step}: no tasks, or over {MAX_TASKS} in the job"))]
     Tasks {
-        /// Which step.
+        /// Index of the step.
         step: usize,
     },
-    /// A step waits for itself, a later one or one that isn't there.
+    /// A step depends on itself, on a later step or on one that does not exist.
     #[snafu(display("step {step} waits for step {after}, which isn't an earlier one"))]
     After {
-        /// Which step.
+        /// Index of the step.
         step: usize,
-        /// What it waits for.
+        /// Step that it depends on.
         after: u16,
     },
-    /// Too many repetitions, or no time between them.
+    /// There are too many repetitions, or the interval between them is zero.
     #[snafu(display("over {MAX_REPEATS} repetitions, or no time between them"))]
     Repeat,
 }
 
-/// The result of this module.
+/// Result of the checks in this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl JobSpec {
-    /// Checks what the types alone don't say.
+    /// Validates what the types do not enforce.
     ///
     /// # Errors
-    /// If the job could never be run as it stands, or would take too much memory.
+    ///
+    /// If the job could never run as specified, or would take too much memory.
     pub fn check(&self) -> Result<()> {
         ensure!(self.text.len() <= SPEC_BYTES, TextSnafu);
         let count = self.steps.len();
@@ -150,13 +151,13 @@
         Ok(())
     }
 
-    /// How many times the steps run.
+    /// Number of times that the steps run.
     #[must_use]
     pub fn occurrences(&self) -> u32 {
         self.repeat.map_or(1, |r| r.count)
     }
 
-    /// When an occurrence is due.
+    /// Due time of an occurrence.
     #[must_use]
     pub fn due_ms(&self, occurrence: u32) -> UnixMs {
         self.repeat.map_or(self.accepted_ms, |r| {
@@ -167,7 +168,7 @@
     }
 }
 
-/// The longest chain of estimates among the steps that are left.
+/// Length of the critical path, by estimates, over the steps for which `is_left` holds.
 #[must_use]
 pub fn chain(steps: &[StepSpec], is_left: impl Fn(usize) -> bool) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(steps.len());
@@ -184,7 +185,7 @@
 }
 
 impl StepSpec {
-    /// What one task takes of an endpoint's room. A filler's processors aren't counted.
+    /// Resources that one task allocates on an endpoint. A filler task allocates no processors.
     #[must_use]
     pub fn room(&self) -> Resources {
         Resources {
--- a/crates/pomelohitch-sched/src/order.rs
+++ b/crates/pomelohitch-sched/src/order.rs
@@ -1,4 +1,4 @@
-//! What goes out and how it ended.
+//! Orders, operations and answers that the scheduler emits, and their outcomes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,16 +11,16 @@
 use crate::progress::JobState;
 use crate::{Steady, UnixMs};
 
-/// Where an order goes.
+/// Destination of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The endpoint.
+    /// Endpoint id.
     pub id: EndpointId,
-    /// Which life of it.
+    /// Incarnation of the endpoint.
     pub born: u64,
-    /// Its service.
+    /// Service of the endpoint.
     pub service: ServiceName,
-    /// Its address.
+    /// Address of the endpoint.
     pub addr: SocketAddr,
 }
 
@@ -29,46 +29,46 @@
 pub enum Order {
     /// Starts a run.
     Start {
-        /// Which task.
+        /// Task to run.
         task: TaskId,
-        /// Which run.
+        /// Run number.
         run: RunNumber,
-        /// Whose text goes along.
+        /// Job whose text is passed to the task.
         spec: Arc<JobSpec>,
-        /// The order is void after this point of the endpoint's clock; set once its record is
-        /// durable.
+        /// Time on the endpoint's clock after which the order is void; set once the start is
+        /// durably recorded.
         deadline: Duration,
-        /// Where to go on; empty for the start.
+        /// Checkpoint to resume from; empty for none.
         checkpoint: Box<str>,
-        /// What the policy gave out for it.
+        /// Ticket that the placement policy issued for this start.
         ticket: Option<Box<str>>,
     },
-    /// Stops a run, and rejects it if it comes later.
+    /// Stops a run, or rejects it if it arrives later.
     Stop {
-        /// Which task.
+        /// Task of the run.
         task: TaskId,
-        /// Which run.
+        /// Run number.
         run: RunNumber,
     },
-    /// Lets a run work at a share of its speed.
+    /// Limits the speed of a run.
     Pace {
-        /// Which task.
+        /// Task of the run.
         task: TaskId,
-        /// Which run.
+        /// Run number.
         run: RunNumber,
-        /// The share, percent.
+        /// Speed in percent of full speed.
         percent: u32,
     },
 }
 
-/// How an order ended.
+/// Outcome of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It was taken.
+    /// The endpoint accepted it.
     Taken,
-    /// It had no effect, and won't have any.
+    /// It had no effect and will not have any.
     Refused(Refusal),
-    /// Its answer was lost; it may still be carried out.
+    /// The answer was lost; the order may still be carried out.
     Unanswered,
 }
 
@@ -77,21 +77,21 @@
 pub enum Refusal {
     /// The endpoint has seen a higher epoch.
     Fenced,
-    /// A higher run was there before.
+    /// The endpoint has already seen a higher run number of the task.
     OldRun,
     /// The order's deadline had passed.
     Late,
-    /// No room.
+    /// The endpoint's free capacity is too small.
     Room,
-    /// The policy's ticket isn't valid.
+    /// The placement policy's ticket is not valid.
     Ticket,
-    /// The endpoint says that it is unwell.
+    /// The endpoint reports that it is unhealthy.
     Unwell,
-    /// The order is malformed in its eyes.
+    /// The endpoint considers the order malformed.
     Malformed,
-    /// Another endpoint has this address now, or nothing listens there.
+    /// Nothing listens at the address, or another endpoint does.
     Elsewhere,
-    /// It was given up before it was sent.
+    /// It was dropped before it was sent.
     Unsent,
 }
 
@@ -100,32 +100,32 @@
 pub enum Operation {
     /// Moves it to another pool.
     Move {
-        /// The pool.
+        /// Destination pool.
         pool: ServiceName,
     },
     /// Takes it down for maintenance.
     Maintain {
-        /// The wave that asks for it.
+        /// Maintenance wave that requests it.
         wave: u64,
     },
 }
 
-/// How an operation ended.
+/// Outcome of an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OperationOutcome {
-    /// It is under way or done.
+    /// It is in progress or done.
     Taken,
-    /// It had no effect: the instance isn't up.
+    /// It had no effect because the instance is not up.
     Busy,
-    /// It had no effect, and asking again is in vain.
+    /// It had no effect, and a retry is futile.
     Refused,
-    /// It had no effect: too many calls, or the service is away.
+    /// It had no effect: rate limit exceeded or service unavailable.
     Later,
-    /// The answer was lost; it may have been carried out.
+    /// The answer was lost; the operation may have been carried out.
     Unanswered,
 }
 
-/// Says which call an answer belongs to.
+/// Identifies the call that an answer belongs to.
 pub type CallId = u64;
 
 /// An answer to a caller.
@@ -133,115 +133,114 @@
 pub enum Answer {
     /// The job is accepted and durable.
     Accepted,
-    /// The job's state.
+    /// State of the job.
     State(JobState),
-    /// The job failed: endpoints crash under one of its tasks.
+    /// The job failed because endpoints crashed under one of its tasks.
     GivenUp,
-    /// The job is cancelled, durably.
+    /// The cancellation is durable.
     Cancelled,
-    /// There is no such job.
+    /// The job does not exist.
     Gone,
-    /// How many jobs of the queue haven't begun.
+    /// Number of jobs of the queue that have not begun.
     Waiting(usize),
-    /// No such queue.
+    /// The queue does not exist.
     NoQueue,
-    /// Key missing, unknown or withdrawn.
+    /// The key is missing, unknown or withdrawn.
     NoKey,
-    /// Not a job.
+    /// The request is not a valid job.
     Malformed(Box<str>),
-    /// Not now, and nothing was done.
+    /// Refused for now, without any effect.
     Refused {
-        /// When to come back.
+        /// When to retry.
         retry_after: Duration,
-        /// Whether the other jobs of its queue are refused until then, too.
+        /// Whether other jobs of the same queue will be refused until then, too.
         is_for_queue: bool,
-        /// Why.
+        /// Reason for the refusal.
         reason: &'static str,
     },
 }
 
-/// Something to carry out.
+/// An action for the driver to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// An order to an endpoint, decided at `at`.
+    /// Sends an order to an endpoint.
     Order {
-        /// Where to.
+        /// Destination.
         target: Target,
-        /// What.
+        /// Order to send.
         order: Order,
-        /// The epoch that it carries.
+        /// Epoch that it carries.
         epoch: Epoch,
-        /// When it was decided; an order that waited too long isn't sent.
+        /// When it was decided; an order that has waited too long is not sent.
         at: Steady,
     },
-    /// A look at an endpoint.
+    /// Polls an endpoint.
     Look(LookOrder),
-    /// An operation on an instance.
+    /// Performs an operation on an instance.
     Operate {
-        /// Which instance.
+        /// Instance to operate on.
         instance: InstanceId,
-        /// What.
+        /// Operation to perform.
         operation: Operation,
-        /// When it was decided; one that waited too long isn't sent.
+        /// When it was decided; an operation that has waited too long is not sent.
         at: Steady,
     },
     /// Reads the platform's list of instances.
     ListInstances,
-    /// An answer to a caller.
+    /// Answers a caller.
     Reply {
-        /// Which call.
+        /// Call that is answered.
         call: CallId,
-        /// The answer.
+        /// Answer to send.
         answer: Answer,
     },
-    /// Says how a wave is.
+    /// Reports the status of a maintenance wave.
     WaveStatus {
-        /// Which wave.
+        /// Wave number.
         wave: u64,
-        /// Whether all of it is done.
+        /// Whether the whole wave is done.
         is_completed: bool,
     },
-    /// Asks the policy which endpoints may run a step.
+    /// Asks the placement policy which endpoints may run a step.
     Advise {
-        /// The job, occurrence and step; the index is 0.
+        /// Job, occurrence and step; the index is 0.
         step: TaskId,
         /// Endpoints to ask about.
         endpoints: Vec<EndpointId>,
     },
 }
 
-/// A look at an endpoint, which also renews its lease and acknowledges ends.
+/// A poll of an endpoint, which also renews its lease and acknowledges completions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LookOrder {
-    /// Which endpoint.
+    /// Endpoint to poll.
     pub target: Target,
-    /// The epoch that it carries.
+    /// Epoch that it carries.
     pub epoch: Epoch,
-    /// Ends up to here are durably noted.
+    /// Completions up to this sequence number are durably recorded.
     pub noted: u64,
-    /// The end of the lease that is asked for, on the endpoint's clock; none before that clock was
-    /// read.
+    /// End of the requested lease on the endpoint's clock; `None` until that clock was read.
     pub lease: Option<Duration>,
-    /// How long the endpoint may wait for an end before it answers.
+    /// How long the endpoint may wait for a completion before it answers.
     pub wait: Duration,
 }
 
-/// Why a look gave nothing.
+/// Why a poll failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LookFailure {
     /// The endpoint has seen a higher epoch.
     Fenced,
-    /// Another endpoint has this address now, or nothing listens there.
+    /// Nothing listens at the address, or another endpoint does.
     Elsewhere,
-    /// No answer, or one that can't be read.
+    /// There was no answer, or it could not be decoded.
     Failed,
 }
 
-/// A job due at some time of day.
+/// A job that becomes due at a time of day.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Due {
-    /// When.
+    /// Due time.
     pub at_ms: UnixMs,
-    /// Which job.
+    /// Job id.
     pub job: crate::id::JobId,
 }
--- a/crates/pomelohitch-sched/src/policy.rs
+++ b/crates/pomelohitch-sched/src/policy.rs
@@ -1,62 +1,63 @@
-//! Which mechanisms decide, and by which amounts. All of them do as shipped; an experiment switches
-//! one off, or sets another amount, to learn what it is worth.
+//! Policy switches and parameters. All mechanisms are on by default; experiments switch single ones
+//! off or change a parameter to determine its effect.
 
 use std::time::Duration;
 
 use crate::suspicion::CrashLimits;
 
-/// Which mechanisms decide.
+/// Enabled scheduling mechanisms and their parameters.
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[expect(
     clippy::struct_excessive_bools,
     reason = "independent mechanisms, each of which decides or doesn't"
 )]
 pub struct Policy {
-    /// Jobs whose objective is out of reach wait for those that can still be in time.
+    /// Jobs that cannot meet their objective wait for those that still can.
     pub late_last: bool,
-    /// Multiple of the objective beyond which it counts as out of reach. Estimates are rough: taken at
-    /// their word, they make jobs wait that would be in time.
+    /// Multiple of the objective beyond which a job counts as late. Above 1 because estimates are
+    /// rough and would otherwise hold back jobs that can still meet their objective.
     pub late_after: f64,
-    /// Jobs are ordered by their latest start, not by their arrival.
+    /// Jobs are ordered by latest start time instead of arrival time.
     pub by_latest_start: bool,
-    /// Under overload the jobs are deferred whose work frees most for others.
+    /// Under overload, defers the jobs with the most work, so that the others can meet their
+    /// objectives.
     pub defers: bool,
-    /// Late jobs go first when it is their last chance to be of use.
+    /// Late jobs are promoted shortly before their result becomes useless to the caller.
     pub promotes_expiring: bool,
-    /// How demand is forecast.
+    /// Methods used to forecast demand.
     pub demand: Foresight,
-    /// How much pools provide beside what is wanted.
+    /// Headroom that pools get beyond the forecast demand.
     pub margins: Margins,
-    /// What waits for a place counts as wanted.
+    /// Tasks waiting for capacity count towards a pool's demand.
     pub provides_backlog: bool,
-    /// Instances that no pool will want soon are switched off.
+    /// Instances that no pool will need soon are switched off.
     pub switches_off: bool,
-    /// Tasks go to the fullest endpoints, so that others stay empty.
+    /// Tasks are packed onto the fullest endpoints to keep others empty.
     pub packs: bool,
-    /// An endpoint that left a start unanswered gets no work until it answers something.
+    /// An endpoint that left a start unanswered gets no new work until it answers a call.
     pub doubts_silent: bool,
-    /// What becomes of tasks under which endpoints crash.
+    /// Limits for tasks whose endpoints crash.
     pub crashes: CrashLimits,
 }
 
-/// How much pools provide beside what is wanted, and for how long.
+/// Headroom of pools beyond the forecast demand, and the delays of scaling down.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Margins {
-    /// The part of a pool's processors that can be in use: tasks don't fit exactly, and what arrives
-    /// varies around what is foreseen.
+    /// Target utilization of a pool's processors, 0 to 1. Below 1 because tasks do not pack exactly
+    /// and arrivals vary around the forecast.
     pub fill: f64,
-    /// Largest backlog that is provided for, as a part of the other demand: it is gone in a second or
-    /// two, and an instance takes as long to come.
+    /// Largest backlog that is provisioned for, as a multiple of the other demand. A backlog drains
+    /// within two seconds, which is also the time that an instance takes to arrive.
     pub most_backlog: f64,
-    /// Multiple of the demand that is kept at the peak of a turn, for random arrivals.
+    /// Factor on the demand that is kept during the peak of a burst, to cover random arrivals.
     pub height: f64,
-    /// A rise is carried on to at most this many times the rate on top of it: a few large jobs that
-    /// come together look like a steep one.
+    /// A rising rate is extrapolated by at most this many times the rate itself, because a few
+    /// large jobs that arrive together look like a steep rise.
     pub most_rise: f64,
-    /// An instance is kept that will be wanted within this time: switching it off and on again costs
-    /// two moves.
+    /// An instance that will be needed within this time is kept: switching it off and on again
+    /// costs two moves.
     pub soon: Duration,
-    /// Time for which a surplus has to last before instances are switched off.
+    /// A surplus has to last this long before instances are switched off.
     pub surplus_for: Duration,
 }
 
@@ -73,14 +74,14 @@
     }
 }
 
-/// How demand is forecast.
+/// Methods used to forecast demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Foresight {
-    /// By the period in which it repeats.
+    /// Forecasts by the period of the demand.
     pub uses_period: bool,
-    /// By its recent trend.
+    /// Extrapolates the recent trend.
     pub uses_rise: bool,
-    /// At the height of a turn, by what arrives.
+    /// Detects from the arrival rate that a burst has reached its peak or is over.
     pub uses_height: bool,
 }
 
--- a/crates/pomelohitch-sched/src/progress.rs
+++ b/crates/pomelohitch-sched/src/progress.rs
@@ -1,9 +1,10 @@
-//! How far a job is, and the durable records of it.
+//! Progress of jobs, and the durable records of it.
 //!
-//! A job has two records: what was asked for, written once, and its [`Progress`], written anew
-//! at each change. One short [`EndedJob`] takes their place once nothing of it runs any more, so
-//! that a successor has little to read. A start stands in the progress before its order goes out, and an end before
-//! it is acknowledged, so that whoever takes over knows every run that may exist.
+//! A job has two records: its specification, written once, and its [`Progress`], rewritten at each
+//! change. When none of its runs exists any more, both are replaced by one short [`EndedJob`],
+//! which keeps the amount that a new leader has to read small. A start is recorded before its order
+//! is sent, and a completion before it is acknowledged, so that a new leader knows every run that
+//! may exist.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -22,42 +23,42 @@
 
 mod stored;
 
-/// What callers are told of a job.
+/// State of a job as reported to callers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum JobState {
-    /// No task has begun.
+    /// No task has started.
     #[default]
     Queued,
-    /// Some task has begun.
+    /// At least one task has started.
     Running,
     /// All tasks are done.
     Completed,
     /// A task has failed too often.
     Failed,
-    /// The caller has cancelled it.
+    /// The caller has cancelled the job.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether nothing of the job will start any more.
+    /// Whether the job will start no more runs.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::Failed | Self::Cancelled)
     }
 }
 
-/// How far a job is.
+/// Progress of a job.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// What it comes to.
+    /// State of the job, or its outcome once final.
     pub state: JobState,
     /// When the state became final; 0 before.
     pub ended_ms: UnixMs,
-    /// Whether it failed because endpoints crash under one of its tasks.
+    /// Whether the job failed because endpoints crashed under one of its tasks.
     pub is_given_up: bool,
-    /// Occurrences that have begun and aren't done.
+    /// Occurrences that have begun and are not done.
     pub open: BTreeMap<u32, Occurrence>,
-    /// The next one that is to begin.
+    /// Number of the next occurrence to begin.
     pub next: u32,
 }
 
@@ -68,49 +69,49 @@
     pub steps: Vec<Vec<Task>>,
 }
 
-/// One task.
+/// State of one task.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Task {
-    /// Whether a run of it ended well.
+    /// Whether one of its runs completed successfully.
     pub is_done: bool,
-    /// The number of its newest run; 0 before the first.
+    /// Number of its newest run; 0 before the first.
     pub last_run: RunNumber,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub failures: u32,
-    /// What the endpoints that were lost under it say of it.
+    /// Endpoints that were lost while it ran, as evidence that it crashes them.
     pub suspicion: Suspicion,
-    /// Where the next run goes on; empty at the start.
+    /// Checkpoint from which the next run resumes; empty if there is none.
     pub checkpoint: Box<str>,
-    /// Runs that may exist: at most one, but for copies.
+    /// Runs that may exist: at most one, unless the task has copies.
     pub runs: Vec<Run>,
-    /// Where it failed, so that it is tried elsewhere; not durable.
+    /// Endpoints where it failed, so that it is tried elsewhere; not durable.
     pub failed_at: Vec<EndpointId>,
-    /// Its next start waits after starts that were refused; not durable.
+    /// Backoff of its next start after refused starts; not durable.
     pub backoff: Backoff,
 }
 
-/// How long a task waits after starts that were refused for a reason of their own.
+/// Exponential backoff after starts that were refused for a reason specific to the task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backoff {
-    /// Starts refused one after another.
+    /// Number of consecutive refused starts.
     refused: u32,
-    /// Not started before.
+    /// Time before which the task is not started.
     until: Steady,
 }
 
-/// The wait after the first refused start; each further one doubles it.
+/// Backoff after the first refused start; it doubles with each further one.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The wait is doubled so often at most.
+/// The backoff doubles at most this many times.
 const BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Backoff {
-    /// Takes in that a start was refused.
+    /// Records a refused start.
     pub fn refused(&mut self, now: Steady) {
         self.until = now + FIRST_BACKOFF * 2_u32.pow(self.refused.min(BACKOFF_DOUBLINGS));
         self.refused += 1;
     }
 
-    /// Whether the next start still waits.
+    /// Whether the next start still has to wait.
     #[must_use]
     pub fn holds(&self, now: Steady) -> bool {
         now < self.until
@@ -120,31 +121,31 @@
 /// A run that may exist at an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Run {
-    /// Its number.
+    /// Run number.
     pub number: RunNumber,
-    /// Where it is.
+    /// Endpoint that it was sent to.
     pub endpoint: EndpointId,
-    /// Which life of the endpoint.
+    /// Incarnation of the endpoint.
     pub born: u64,
-    /// Whether its lasting task was told to leave the endpoint. Durable before the order goes out,
-    /// since the endpoint lists it as at work until it is gone.
+    /// Whether the run of a lasting task was ordered to leave the endpoint. Recorded before the
+    /// order is sent, because the endpoint lists the run as running until it is gone.
     pub is_leaving: bool,
-    /// What is believed of it; not durable.
+    /// Assumed state of the run; not durable.
     pub view: RunView,
 }
 
-/// What is believed of a run.
+/// Assumed state of a run, rebuilt after a change of leader.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RunView {
-    /// How far its start is.
+    /// Phase of its start.
     pub phase: Phase,
     /// When its start was decided.
     pub ordered_at: Steady,
     /// When its start was sent.
     pub sent_at: Option<Steady>,
-    /// When it was first seen at work.
+    /// When a poll first listed it as running.
     pub seen_at: Option<Steady>,
-    /// The percentage the endpoint gave last.
+    /// Last percentage that the endpoint reported.
     pub percent: u32,
     /// When that percentage last changed.
     pub moved_at: Steady,
@@ -152,27 +153,27 @@
     pub stop_sent_at: Option<Steady>,
     /// When a stop was last acknowledged.
     pub stop_acked_at: Option<Steady>,
-    /// Its start is void after this point of the endpoint's clock.
+    /// Time on the endpoint's clock after which its start is void.
     pub void_after: Option<Duration>,
-    /// The share that it is paced to; `None` for all.
+    /// Speed that the run is limited to, percent; `None` for full speed.
     pub pace: Option<u32>,
-    /// How it is lost if the endpoint's new incarnation doesn't list it.
+    /// The loss to record if the endpoint's new incarnation does not list it.
     pub loss: Option<Loss>,
 }
 
-/// How far a start is.
+/// Phase of a start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Phase {
-    /// Known from the records only: a look decides.
+    /// Known only from the records; the next poll shows whether it exists.
     #[default]
     Recorded,
-    /// The order is on its way.
+    /// The order is in flight.
     Ordered,
-    /// The order's answer was lost.
+    /// The answer to the order was lost.
     Unanswered,
-    /// The endpoint has taken it.
+    /// The endpoint has accepted the start.
     Taken {
-        /// When its answer came.
+        /// When its answer arrived.
         at: Steady,
     },
 }
@@ -186,7 +187,7 @@
 }
 
 impl Occurrence {
-    /// A fresh occurrence of `steps`.
+    /// Creates an occurrence in which no task has run.
     #[must_use]
     pub fn new(steps: &[StepSpec]) -> Occurrence {
         let tasks = |s: &StepSpec| vec![Task::default(); s.count as usize];
@@ -201,19 +202,19 @@
         self.steps[usize::from(step)].iter().all(|t| t.is_done)
     }
 
-    /// Whether a step's turn has come.
+    /// Whether all steps that this one depends on are done.
     #[must_use]
     pub fn is_step_ready(&self, spec: &StepSpec) -> bool {
         spec.after.iter().all(|&a| self.is_step_done(a))
     }
 
-    /// Whether all is done.
+    /// Whether all tasks are done.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.steps.iter().flatten().all(|t| t.is_done)
     }
 
-    /// How many steps have tasks that aren't done.
+    /// Number of steps with tasks that are not done.
     #[must_use]
     pub fn steps_left(&self) -> u32 {
         let left = self
@@ -223,8 +224,8 @@
         u32::try_from(left.count()).unwrap_or(u32::MAX)
     }
 
-    /// What the tasks take that neither run nor are done, by their estimates: thousandths of a core
-    /// times milliseconds.
+    /// Estimated work of the tasks that are neither running nor done: thousandths of a core times
+    /// milliseconds.
     #[must_use]
     pub fn waiting_work(&self, steps: &[StepSpec]) -> f64 {
         let work = self.steps.iter().zip(steps).map(|(tasks, step)| {
@@ -236,13 +237,13 @@
         work.sum()
     }
 
-    /// Whether some task has run.
+    /// Whether any task has been started.
     #[must_use]
     pub fn has_begun(&self) -> bool {
         self.steps.iter().flatten().any(|t| t.last_run > 0)
     }
 
-    /// The longest chain of estimates that is left.
+    /// Length of the critical path, by estimates, over the steps that are not done.
     #[must_use]
     pub fn chain_left(&self, steps: &[StepSpec]) -> Duration {
         job::chain(steps, |step| self.steps[step].iter().any(|t| !t.is_done))
@@ -250,14 +251,14 @@
 }
 
 impl Progress {
-    /// A task, if its occurrence is open.
+    /// The task, if its occurrence is open.
     #[must_use]
     pub fn task(&self, id: TaskId) -> Option<&Task> {
         let steps = &self.open.get(&id.occurrence)?.steps;
         steps.get(usize::from(id.step))?.get(id.index as usize)
     }
 
-    /// A task to change, if its occurrence is open.
+    /// The task for modification, if its occurrence is open.
     pub fn task_mut(&mut self, id: TaskId) -> Option<&mut Task> {
         let steps = &mut self.open.get_mut(&id.occurrence)?.steps;
         steps
@@ -265,7 +266,7 @@
             .get_mut(id.index as usize)
     }
 
-    /// Every run that may exist, to change.
+    /// Every run that may exist, for modification.
     pub fn runs_mut(&mut self) -> impl Iterator<Item = &mut Run> {
         let steps = self.open.values_mut().flat_map(|o| &mut o.steps);
         steps.flatten().flat_map(|task| &mut task.runs)
@@ -289,7 +290,7 @@
     }
 }
 
-/// A record that can't be read or written.
+/// A record that cannot be encoded or decoded.
 #[derive(Debug, Snafu)]
 #[snafu(display("record {key}: {source}"))]
 pub struct Error {
@@ -297,40 +298,41 @@
     source: postcard::Error,
 }
 
-/// The result of this module.
+/// Result of encoding and decoding records.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A durable record: the newest one of a key counts, and one without a value drops the key.
+/// A durable record. The newest record of a key is valid; one without a value deletes the key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// What it is about.
+    /// Key of the record.
     pub key: Box<str>,
-    /// What is so now.
+    /// Encoded value; `None` deletes the key.
     pub value: Option<Box<[u8]>>,
 }
 
-/// The key of what was asked for.
+/// Key of a job's specification.
 #[must_use]
 pub fn spec_key(id: JobId) -> Box<str> {
     format!("j{}", job_text(id)).into()
 }
 
-/// The key of how far it is.
+/// Key of a job's progress.
 #[must_use]
 pub fn progress_key(id: JobId) -> Box<str> {
     format!("p{}", job_text(id)).into()
 }
 
-/// The key of a job that has ended, in place of the other two.
+/// Key of an ended job, which replaces the other two records.
 #[must_use]
 pub fn ended_key(id: JobId) -> Box<str> {
     format!("e{}", job_text(id)).into()
 }
 
-/// Makes a record of `value`.
+/// Encodes `value` as a record.
 ///
 /// # Errors
-/// If it can't be encoded, which for these types doesn't happen.
+///
+/// If encoding fails, which does not happen for the types of this crate.
 pub fn encode(key: Box<str>, value: &impl Serialize) -> Result<Record> {
     let bytes = postcard::to_allocvec(value).context(Snafu { key: key.clone() })?;
     Ok(Record {
@@ -339,29 +341,30 @@
     })
 }
 
-/// The record of how far a job is.
+/// Encodes the progress of a job as a record.
 ///
 /// # Errors
-/// If it can't be encoded, which for these types doesn't happen.
+///
+/// If encoding fails, which does not happen for this type.
 pub fn encode_progress(id: JobId, progress: &Progress) -> Result<Record> {
     encode(progress_key(id), &Stored::of(progress))
 }
 
-/// A job that has ended and of which nothing runs any more.
+/// A job that has ended and of which no run exists any more.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EndedJob {
-    /// What it came to.
+    /// Final state.
     pub state: JobState,
-    /// When.
+    /// When it ended.
     pub ended_ms: UnixMs,
-    /// Whether it failed because endpoints crash under one of its tasks.
+    /// Whether it failed because endpoints crashed under one of its tasks.
     pub is_given_up: bool,
-    /// What was asked for, without the text.
+    /// Specification without the text.
     pub spec: JobSpec,
 }
 
 impl EndedJob {
-    /// How far such a job is.
+    /// The progress that corresponds to this final state.
     #[must_use]
     pub fn progress(&self) -> Progress {
         Progress {
@@ -374,21 +377,22 @@
     }
 }
 
-/// A record as read.
+/// A decoded record.
 #[derive(Debug)]
 pub enum Entry {
-    /// What was asked for.
+    /// Specification of a job.
     Spec(Arc<JobSpec>),
-    /// How far it is.
+    /// Progress of a job.
     Progress(JobId, Progress),
-    /// All that is kept of a job that has ended.
+    /// Summary of an ended job.
     Ended(EndedJob),
 }
 
-/// Reads a record.
+/// Decodes a record.
 ///
 /// # Errors
-/// If key or value aren't ones of a job.
+///
+/// If key or value are not those of a job's record.
 pub fn decode(key: &str, value: &[u8]) -> Result<Entry> {
     let failed = || Snafu { key };
     let (kind, id) = key.split_at_checked(1).unwrap_or_default();
--- a/crates/pomelohitch-sched/src/progress/stored.rs
+++ b/crates/pomelohitch-sched/src/progress/stored.rs
@@ -1,8 +1,8 @@
-//! How far a job is, as its record holds it.
+//! Stored form of a job's progress.
 //!
-//! The record is written anew at each change, and with every start and end of a busy fleet. Most
-//! tasks wait, run for the first time or are done, and runs of a job share endpoints; neither is
-//! written out in full.
+//! The record is rewritten at each change, which includes every start and completion in a busy
+//! fleet, so it is kept compact: tasks that wait, run for the first time or are done have short
+//! variants, and endpoints are listed once and referred to by index.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,31 +11,31 @@
 use crate::id::{EndpointId, RunNumber};
 use crate::suspicion::Suspicion;
 
-/// A place in [`Stored::endpoints`].
+/// Index into [`Stored::endpoints`].
 type Place = u32;
 
-/// The value of a record.
+/// Value of a progress record.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Stored {
     state: JobState,
     ended_ms: UnixMs,
     is_given_up: bool,
     next: u32,
-    /// Endpoints that runs are at, with the life of each that is meant.
+    /// Endpoints of the runs, with their incarnations.
     endpoints: Vec<(EndpointId, u64)>,
     open: Vec<(u32, Vec<Vec<StoredTask>>)>,
 }
 
-/// A task.
+/// State of a task.
 #[derive(Debug, Serialize, Deserialize)]
 enum StoredTask {
-    /// It has never run.
+    /// Never started.
     Waiting,
-    /// It is done, and nothing runs.
+    /// Done, without any remaining run.
     Done(RunNumber),
-    /// Its newest run is its only one, and none has failed, was lost or left a checkpoint.
+    /// The newest run is the only one; no earlier run failed, was lost or left a checkpoint.
     Running(RunNumber, Place),
-    /// Anything else.
+    /// Any other state.
     Other {
         is_done: bool,
         last_run: RunNumber,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What was stored; `None` if a run is at no endpoint.
+    /// Restores the progress; `None` if a run refers to an endpoint that is not listed.
     pub(super) fn progress(self) -> Option<Progress> {
         let endpoints = self.endpoints;
         let open = self.open.into_iter().map(|(occurrence, steps)| {
