--- a/crates/pomelohitch-sched/examples/cost.rs
+++ b/crates/pomelohitch-sched/examples/cost.rs
@@ -1,9 +1,9 @@
-//! What deciding costs in a large fleet.
+//! Processor time of scheduling decisions in a large fleet.
 //!
-//! Some 350 endpoints in five pools; queues have their turns, in which each asks about four times
-//! its mean; lasting tasks; a wave over half of the instances; a few thousand queues that nobody
-//! uses. Endpoints, log and instances answer at once, in virtual time. Printed for each second:
-//! starts, jobs held, and the processor time that the decisions took.
+//! Simulates about 350 endpoints in five pools, queues with bursts of about four times their mean
+//! load, lasting tasks, a maintenance wave over half of the instances, and 1,400 idle queues.
+//! Endpoints, log and instances answer immediately, in virtual time. Prints for each second the
+//! starts, the jobs held, and the processor time of the decisions.
 //!
 //! `cargo run --release -p pomelohitch-sched --example cost`
 
@@ -18,16 +18,16 @@
 
 use pomelohitch_emulator::fleet::{self, Fleet};
 
-/// Seconds played.
+/// Simulated time in seconds.
 const SECONDS: u32 = 24;
-/// Length of a queue's turn, seconds.
+/// Length of a queue's burst in seconds.
 const TURN: u32 = 4;
-/// Steps of virtual time in a second.
+/// Steps of virtual time per second.
 const STEPS: u32 = 100;
-/// Queues that get no work.
+/// Number of queues without jobs.
 const IDLE_QUEUES: usize = 1_400;
-/// Name, instances, jobs a second in its turn, tasks of a step, thousandths of a core for each,
-/// milliseconds.
+/// Name, instances, jobs per second during a burst, tasks per step, and for each task thousandths
+/// of a core and run time in milliseconds.
 const POOLS: [(&str, u16, u32, u32, u64, u64); 4] = [
     ("pricing", 61, 118, 8, 1_500, 640),
     ("issuing", 69, 24, 8, 3_300, 1_300),
@@ -110,7 +110,7 @@
     fleet::job(vec![fleet::step(count, cpu, millis), second])
 }
 
-/// Hands in the jobs of one step of time.
+/// Submits the jobs of one step of virtual time.
 fn arrive(fleet: &mut Fleet, second: u32, step: u32, next_id: &mut u64) {
     for (turn, &(name, _, rate, count, cpu, millis)) in (0..).zip(&POOLS) {
         let is_its_turn = second / TURN % 4 == turn;
--- a/crates/pomelohitch-sched/src/config.rs
+++ b/crates/pomelohitch-sched/src/config.rs
@@ -1,4 +1,4 @@
-//! Queues, services and workspaces in force.
+//! Configuration of queues, services and workspaces.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,50 +6,50 @@
 use crate::id::{QueueName, ServiceName, WorkspaceName};
 use crate::resources::Resources;
 
-/// One version of the configuration, whole.
+/// A complete version of the configuration.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct FleetConfig {
-    /// Rises with every change, in uneven steps.
+    /// Version number; it grows with every change, not always by one.
     pub version: u64,
-    /// Where jobs come in.
+    /// Queues that accept jobs.
     pub queues: Vec<Queue>,
-    /// What runs them.
+    /// Services that run jobs, by name.
     pub services: BTreeMap<ServiceName, Service>,
-    /// Who sends them.
+    /// Workspaces that submit jobs.
     pub workspaces: Vec<Workspace>,
 }
 
-/// A queue takes jobs for one service.
+/// A queue that accepts jobs for one service.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Queue {
-    /// Its name.
+    /// Queue name.
     pub name: QueueName,
-    /// The host that callers name.
+    /// Host name in the requests of callers.
     pub host: Box<str>,
-    /// What the path begins with.
+    /// Prefix of the request path.
     pub prefix: Box<str>,
-    /// Whose endpoints run its tasks.
+    /// Service whose endpoints run the tasks.
     pub service: ServiceName,
-    /// 0 goes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// A task fails for good after so many failed runs.
+    /// Number of failed runs after which a task fails for good.
     pub attempts: u32,
-    /// The objective in multiples of the job's longest chain of work.
+    /// Objective as a multiple of the job's critical path.
     pub stretch: f64,
-    /// What the objective allows beside the work.
+    /// Time that the objective allows in addition to the multiple of the critical path.
     pub objective: Duration,
     /// Whether callers need no key.
     pub is_public: bool,
-    /// Present if a policy allows only some endpoints.
+    /// Set if a placement policy restricts the endpoints.
     pub advice: Option<AdviceTerms>,
 }
 
-/// What a question to the policy costs.
+/// Latency of the placement policy's answers, and validity of its tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AdviceTerms {
-    /// How long each answer takes.
+    /// Time for each answer.
     pub decide: Duration,
-    /// How much longer for each endpoint asked about.
+    /// Additional time for each endpoint in the question.
     pub per_endpoint: Duration,
     /// How long a ticket is valid.
     pub validity: Duration,
@@ -58,27 +58,27 @@
 /// A service and its pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Service {
-    /// Whether its endpoints themselves reject what doesn't fit.
+    /// Whether its endpoints themselves refuse tasks that exceed their free capacity.
     pub guards_room: bool,
-    /// Whether its instances are switched off and cost nothing.
+    /// Whether its instances are switched off and cost nothing (spare pool).
     pub is_spare: bool,
 }
 
-/// A workspace shares the fleet with others.
+/// A workspace: a customer that shares the fleet with others.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Workspace {
-    /// Its name.
+    /// Workspace name.
     pub name: WorkspaceName,
-    /// Keys that are taken.
+    /// Valid keys.
     pub keys: Vec<Box<str>>,
-    /// Its share when all is full, beside the others' weights.
+    /// Weight of its share under overload, relative to other workspaces.
     pub weight: u64,
-    /// What it may have running over all endpoints; an amount of 0 is no bound.
+    /// Limit on its running tasks over all endpoints; an amount of 0 means no limit.
     pub bound: Resources,
 }
 
 impl FleetConfig {
-    /// The queue for a call: the longest prefix of `path` among the queues of `host`.
+    /// The queue for a call: among the queues of `host`, the one with the longest prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Queue> {
         self.queues
@@ -87,7 +87,7 @@
             .max_by_key(|q| q.prefix.len())
     }
 
-    /// The queue of that name.
+    /// The queue with this name.
     #[must_use]
     pub fn queue(&self, name: &str) -> Option<&Queue> {
         self.queues.iter().find(|q| &*q.name == name)
@@ -101,7 +101,7 @@
             .find(|w| w.keys.iter().any(|k| &**k == key))
     }
 
-    /// The workspace of that name.
+    /// The workspace with this name.
     #[must_use]
     pub fn workspace(&self, name: &str) -> Option<&Workspace> {
         self.workspaces.iter().find(|w| &*w.name == name)
--- a/crates/pomelohitch-sched/src/demand.rs
+++ b/crates/pomelohitch-sched/src/demand.rs
@@ -1,9 +1,9 @@
-//! How many processors each service will want.
+//! Forecast of the processors that each service needs.
 //!
-//! The load that this answers: queues have their turns, in which each asks about five times its
-//! mean for some seconds and a twentieth in between. An instance takes about two seconds to move,
-//! half a turn, so that pools have to follow what is about to be wanted. Turns come in the same
-//! order again and again, which shows as a period in what was wanted so far.
+//! Queues have bursts: for some seconds a queue submits about five times its mean load, and a
+//! twentieth of it in between. Moving an instance takes about two seconds, half the length of a
+//! burst, so pools have to be scaled ahead of the demand. Bursts come in the same order again and
+//! again, so past demand has a period.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,41 +13,42 @@
 use crate::job::StepSpec;
 use crate::policy::{Foresight, Margins};
 
-/// Length of one bucket of the series, milliseconds: a job's steps take two or more.
+/// Length of a bucket of the time series, milliseconds. A job's steps take two or more buckets.
 const BUCKET_MS: u64 = 250;
-/// Buckets that are kept: three periods of the longest that is looked for.
+/// Number of buckets kept: three times the longest detectable period.
 const KEPT: u64 = 360;
-/// The shortest and longest period that is looked for, buckets: 6 s to 30 s.
+/// Shortest and longest detectable period in buckets: 6 s to 30 s.
 const PERIODS: std::ops::RangeInclusive<u64> = 24..=120;
-/// Buckets beyond a whole period that have to be seen before it counts.
+/// Buckets beyond a whole period that have to be observed before the period can be detected.
 const OVERLAP: u64 = 12;
-/// Autocorrelation, 0 to 1, above which a lag is taken for the period.
+/// Smallest autocorrelation, 0 to 1, of a lag to be taken for the period.
 const MIN_AUTOCORRELATION: f64 = 0.6;
-/// How much larger the autocorrelation of a longer period has to be: multiples of the true period
-/// reach the same.
+/// A longer lag needs an autocorrelation higher by this much, because multiples of the true period
+/// reach the same value.
 const LONGER_BONUS: f64 = 0.05;
-/// A service has its turn behind it when this many times what arrives now once arrived, and more than
-/// a few tasks take, thousandths of a core.
+/// A burst of a service is over when the largest arrival rate was this many times the present one,
+/// and above `TURN_PEAK`, thousandths of a core, which a few tasks do not reach.
 const TURN_RATIO: f64 = 4.0;
 const TURN_PEAK: f64 = 30_000.0;
-/// Neighbours, on both sides together, of the mean around a bucket: jobs may wait about so long.
+/// Number of neighbouring buckets, on both sides together, averaged with a bucket: about the time
+/// for which jobs may wait.
 const SMOOTHING_BUCKETS: u64 = 4;
-/// Buckets over which the forecast is compared with arrivals.
+/// Buckets over which the forecast is compared with actual demand.
 const CHECKED: u64 = 4;
-/// Share of the forecast that has to have arrived for the period to be trusted.
+/// Share of the forecast demand that has to occur for the period to be trusted.
 const MIN_FORECAST_HIT: f64 = 0.3;
-/// Growth from one span to the next, as a ratio, up to which arrivals count as steady.
+/// Arrivals count as steady up to this ratio between one span and the one before.
 const STEADY_GROWTH: f64 = 1.1;
-/// The rate of arriving work is taken over so many buckets.
+/// Number of buckets over which the arrival rate is computed.
 const RATE_BUCKETS: u64 = 3;
-/// The same number, as the length of a sliding window.
+/// `RATE_BUCKETS` as the length of a sliding window.
 const WINDOW: usize = 3;
-/// A rise is carried on for no longer than a move takes.
+/// A rise is extrapolated for at most the time that a move takes.
 const TREND_AHEAD: Duration = Duration::from_secs(2);
-/// Standard deviations of a count of random arrivals that are allowed for.
+/// Safety margin for random arrivals, in standard deviations of their count.
 const STANDARD_DEVIATIONS: f64 = 1.0;
 
-/// What arrived in a bucket.
+/// Work that arrived in a bucket.
 #[derive(Debug, Clone, Copy, Default)]
 struct Arrivals {
     /// Thousandths of a core times milliseconds.
@@ -56,16 +57,17 @@
 }
 
 impl Arrivals {
-    /// How far off the work may be as a measure of what arrives, as a part of it.
+    /// Relative uncertainty of the arrival rate, from the number of jobs (Poisson arrivals).
     fn doubt(&self) -> f64 {
         STANDARD_DEVIATIONS / f64::from(self.jobs.max(1)).sqrt()
     }
 }
 
-/// What each service wanted, and will want.
+/// Past and forecast demand of each service.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
-    /// Thousandths of a core that would be in use if every task started at once.
+    /// Thousandths of a core that would be in use if every task started at once, by service and
+    /// bucket.
     wanted: BTreeMap<ServiceName, BTreeMap<u64, f64>>,
     arrived: BTreeMap<ServiceName, BTreeMap<u64, Arrivals>>,
     first: Option<u64>,
@@ -77,7 +79,7 @@
 }
 
 impl Demand {
-    /// Nothing is known yet.
+    /// Creates a forecast without any history.
     #[must_use]
     pub fn new(foresight: Foresight, margins: Margins) -> Demand {
         Demand {
@@ -87,7 +89,7 @@
         }
     }
 
-    /// Takes in that work came at `at_ms`.
+    /// Adds the work of a job that arrived at `at_ms`.
     pub fn add(&mut self, service: &ServiceName, steps: &[StepSpec], at_ms: UnixMs) {
         let bucket = at_ms / BUCKET_MS;
         self.first = Some(self.first.map_or(bucket, |first| first.min(bucket)));
@@ -116,7 +118,7 @@
         arrivals.jobs += 1;
     }
 
-    /// The most that a service will want from now until `ahead` from now, thousandths of a core.
+    /// Peak demand of a service from now until `ahead` from now, thousandths of a core.
     #[must_use]
     pub fn most(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
         let now = now_ms / BUCKET_MS;
@@ -138,9 +140,9 @@
         known.max(before)
     }
 
-    /// The same for as long as it can be foreseen: by the period, or, before that is known, for a
-    /// service that has just had its turn, or whose turn doesn't rise any more. `None` if a turn may
-    /// come at any time.
+    /// Peak demand of a service as [`Demand::most`] gives it, if it can be relied on for scaling
+    /// down: the period is known, a burst has just ended, or a burst has stopped rising. `None` if
+    /// a burst may come at any time.
     #[must_use]
     pub fn foreseen(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> Option<f64> {
         let most = self.most(service, now_ms, ahead);
@@ -155,8 +157,9 @@
             .then_some(most * self.margins.height)
     }
 
-    /// Whether a service has its turn, and what arrives has stopped rising. The rise before was
-    /// carried on, and what it brought beyond the height would stay idle for the rest of the turn.
+    /// Whether a service is in a burst whose arrival rate has stopped rising. The rise has been
+    /// extrapolated before, and the instances provided beyond the peak would stay idle for the rest
+    /// of the burst.
     fn is_at_height(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
         let now = now_ms / BUCKET_MS;
         let span = as_f64(RATE_BUCKETS * BUCKET_MS);
@@ -169,8 +172,9 @@
         rate > TURN_PEAK && rate <= STEADY_GROWTH * before.work / span
     }
 
-    /// Whether much more has arrived for a service than arrives now. By what is still wanted the end of
-    /// a turn would show two seconds later, since jobs go on after the last has arrived.
+    /// Whether the arrival rate of a service has dropped far below its past peak. Outstanding work
+    /// would show the end of a burst only two seconds later, because jobs still run after the last
+    /// one has arrived.
     fn has_had_turn(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
         let now = now_ms / BUCKET_MS;
         let Some(arrived) = self.arrived.get(service) else {
@@ -190,11 +194,11 @@
         peak / span > TURN_PEAK && peak > TURN_RATIO * lately
     }
 
-    /// What arriving work will take `ahead` from now, thousandths of a core: the rate of the last
-    /// moments, and its rise carried on, since a turn begins over some seconds.
+    /// Expected demand `ahead` from now, thousandths of a core: the recent arrival rate with its
+    /// rise extrapolated, because a burst builds up over some seconds.
     ///
-    /// Both by what they are at least, given how few jobs they are known from: one large job would
-    /// look like the beginning of a turn otherwise.
+    /// Uses the lower confidence bounds of rate and rise, given the number of jobs that they are
+    /// computed from; otherwise one large job would look like the start of a burst.
     fn trend(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
         let now = now_ms / BUCKET_MS;
         let span = RATE_BUCKETS * BUCKET_MS;
@@ -218,8 +222,8 @@
         sum
     }
 
-    /// The period, unless what it foretold for the last moments has not come: callers may have
-    /// stopped, and pools would be kept for turns that nobody asks for.
+    /// The period, unless the demand that it predicted for the last buckets has not occurred:
+    /// callers may have stopped, and instances would be kept for bursts that do not come.
     fn trusted_period(&self, now: u64) -> Option<u64> {
         let period = self.period?;
         let sum = |buckets: std::ops::Range<u64>| -> f64 {
@@ -234,13 +238,13 @@
         (sum(lately) >= sum(before) * MIN_FORECAST_HIT).then_some(period)
     }
 
-    /// The period in which turns repeat, once it is known.
+    /// Period of the bursts; `None` until it is detected.
     #[must_use]
     pub fn period(&self) -> Option<Duration> {
         self.period.map(|p| Duration::from_millis(p * BUCKET_MS))
     }
 
-    /// Drops what is old, and looks for the period, about once a second.
+    /// Drops old buckets and detects the period again, about once a second.
     pub fn tend(&mut self, now_ms: UnixMs) {
         const EVERY: u64 = 4;
         let now = now_ms / BUCKET_MS;
@@ -276,7 +280,7 @@
         best.map(|(lag, _)| lag)
     }
 
-    /// How like the series is to itself `lag` buckets ago, 0 to 1.
+    /// Autocorrelation of the series at `lag` buckets, 0 to 1.
     fn likeness(&self, now: u64, lag: u64) -> f64 {
         let from = self.first.unwrap_or(now) + lag;
         let (mut product, mut newer, mut older) = (0.0, 0.0, 0.0);
@@ -296,8 +300,8 @@
     }
 }
 
-/// The mean around a bucket: single large jobs don't come again at the same time, and what comes
-/// together can wait for as long.
+/// Moving average around a bucket: single large jobs do not recur at the same time, and jobs that
+/// arrive together may wait for about that long.
 fn smooth(at: &impl Fn(u64) -> f64, bucket: u64) -> f64 {
     let around = bucket.saturating_sub(SMOOTHING_BUCKETS / 2)..=bucket + SMOOTHING_BUCKETS / 2;
     #[expect(clippy::cast_precision_loss, reason = "a few buckets")]
@@ -305,13 +309,13 @@
     around.map(at).sum::<f64>() / count
 }
 
-/// Amounts of resources and times are far below the numbers that a float can't hold.
+/// Amounts of resources and times are small enough to be exact in an `f64`.
 #[expect(clippy::cast_precision_loss)]
 fn as_f64(number: u64) -> f64 {
     number as f64
 }
 
-/// The buckets before those that the rate is taken over.
+/// The span of buckets before the one over which the present rate is computed.
 fn earlier(now: u64) -> std::ops::Range<u64> {
     now.saturating_sub(2 * RATE_BUCKETS)..now.saturating_sub(RATE_BUCKETS)
 }
--- a/crates/pomelohitch-sched/src/evacuations.rs
+++ b/crates/pomelohitch-sched/src/evacuations.rs
@@ -1,45 +1,45 @@
-//! Availability zones that are being evacuated.
+//! Evacuations of availability zones.
 //!
-//! An evacuation lasts until operators withdraw it. Nothing starts in its zone meanwhile; what runs
-//! there ends by itself or leaves.
+//! An evacuation lasts until operators withdraw it. Meanwhile nothing starts in its zone; runs
+//! there complete or are moved.
 
 use std::collections::BTreeMap;
 
 use crate::Steady;
 use crate::id::ZoneName;
 
-/// The evacuations in force.
+/// Evacuations in force.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Evacuations {
-    /// When each was first seen.
+    /// When each was first seen, by zone.
     zones: BTreeMap<ZoneName, Steady>,
 }
 
 impl Evacuations {
-    /// Whether nothing may start in a zone.
+    /// Whether `zone` is being evacuated, so that nothing may start there.
     #[must_use]
     pub fn cover(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
     }
 
-    /// Whether there are none.
+    /// Whether no evacuation is in force.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
 
-    /// How many zones are evacuated.
+    /// Number of zones being evacuated.
     #[must_use]
     pub fn len(&self) -> usize {
         self.zones.len()
     }
 
-    /// The zones, for logs and tests.
+    /// Zones being evacuated, for logs and tests.
     pub fn zones(&self) -> impl Iterator<Item = &ZoneName> {
         self.zones.keys()
     }
 
-    /// Begins the evacuation of a zone; returns whether that is news.
+    /// Begins the evacuation of a zone; returns false if it was in force already.
     pub fn begin(&mut self, zone: ZoneName, now: Steady) -> bool {
         let is_news = !self.cover(&zone);
         self.zones.entry(zone).or_insert(now);
--- a/crates/pomelohitch-sched/src/flow.rs
+++ b/crates/pomelohitch-sched/src/flow.rs
@@ -1,45 +1,46 @@
-//! How many starts may be under way.
+//! Window on the starts in flight.
 //!
-//! The load that this answers: a new leader finds thousands of waiting tasks, or a turn asks for
-//! more starts than this member's link or processor carries. Sent all at once, they would wait
-//! until they are void, and the polls that renew leases would wait behind them.
+//! A new leader can find thousands of waiting tasks, and a burst can need more starts than this
+//! member's link or processor carries. If all were sent at once, they would queue up until they are
+//! void, and the polls that renew leases would queue behind them.
 //!
-//! A window on starts, as in delay-based congestion control (TCP Vegas): it grows while endpoints
-//! answer promptly and shrinks while their answers are late.
+//! The window follows delay-based congestion control (TCP Vegas): it grows while endpoints answer
+//! promptly and shrinks while their answers are late.
 
 use std::time::Duration;
 
 use crate::Steady;
 
-/// The window before the first answer, where the link isn't slower.
+/// Initial window, unless the link is slower.
 const INITIAL: f64 = 160.0;
-/// The smallest window.
+/// Smallest window.
 const FEWEST: f64 = 8.0;
-/// The largest window.
+/// Largest window.
 const MOST: f64 = 4096.0;
-/// Answers that take less than this on average let the window grow.
+/// The window grows while the average answer takes less than this.
 const PROMPT: Duration = Duration::from_millis(50);
-/// Answers that take more than this on average shrink the window.
+/// The window shrinks while the average answer takes more than this.
 const LATE: Duration = Duration::from_millis(100);
-/// The part of the window that stays when it shrinks.
+/// Factor by which the window shrinks.
 const SHRINK: f64 = 0.7;
-/// Weight of a new answer in the average.
+/// Weight of a new answer in the moving average.
 const WEIGHT: f64 = 0.125;
-/// The initial window holds what the link carries in this time.
+/// The initial window is at most what the link carries in this time.
 const INITIAL_TIME: Duration = Duration::from_millis(50);
-/// Bytes of a start on the link.
+/// Size of a start on the link, bytes.
 const START_BYTES: f64 = 700.0;
-/// The average is forgotten this long after the newest answer.
+/// The average is reset this long after the newest answer.
 const FORGET: Duration = Duration::from_secs(2);
 
-/// Answers are counted over spans of at least this length.
+/// The rate of answers is computed over spans of at least this length.
 const SPAN: Duration = Duration::from_millis(500);
-/// How much of the rate of answers stays from one span to the next.
+/// Weight of the previous rate in the moving average of the rate.
 const RATE_FADE: f64 = 0.5;
-/// A window that has been full for this long is what tasks wait for, rather than endpoints.
+/// Once the window has been full for this long, it is what waiting tasks wait for, not free
+/// capacity at endpoints.
 const SURELY_FULL: Duration = Duration::from_secs(2);
 
-/// The window on starts that are under way.
+/// Window on the starts in flight.
 #[derive(Debug, Clone)]
 pub struct Flow {
     under_way: usize,
@@ -48,11 +49,11 @@
     delay: Duration,
     answered_at: Steady,
     shrunk_at: Steady,
-    /// Since when passes over the waiting tasks have left no room.
+    /// Start of the series of scheduling passes that all ended with a full window.
     full_since: Option<Steady>,
     span_began: Steady,
     answered: u32,
-    /// Answers a second.
+    /// Answers per second.
     rate: f64,
 }
 
@@ -73,7 +74,7 @@
 }
 
 impl Flow {
-    /// A window for a link of this rate, bytes a second.
+    /// Creates a window for a link with this rate, bytes per second.
     #[must_use]
     pub fn of_link(bytes_per_s: f64) -> Flow {
         let carried = bytes_per_s * INITIAL_TIME.as_secs_f64() / START_BYTES;
@@ -83,17 +84,17 @@
         }
     }
 
-    /// Takes in that a start was decided.
+    /// Records that a start was decided.
     pub fn decided(&mut self) {
         self.under_way += 1;
     }
 
-    /// Takes in that a start ended before it was sent.
+    /// Records that a start was dropped before it was sent.
     pub fn unsent(&mut self) {
         self.under_way = self.under_way.saturating_sub(1);
     }
 
-    /// Takes in that a start was answered, or given up, this long after it was sent.
+    /// Records that a start was answered, or timed out, `took` after it was sent.
     pub fn answered(&mut self, now: Steady, took: Duration) {
         let is_used = float(self.under_way) * 2.0 >= self.window;
         self.under_way = self.under_way.saturating_sub(1);
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Takes in that a pass over the waiting tasks has ended.
+    /// Records the end of a scheduling pass over the waiting tasks.
     pub fn passed(&mut self, now: Steady) {
         if self.has_room() {
             self.full_since = None;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// How long it takes to start `tasks` waiting tasks, if it is the window that they wait for.
+    /// Time needed to start `tasks` waiting tasks; `None` unless they wait for the window.
     #[must_use]
     pub fn wait_of(&self, now: Steady, tasks: usize) -> Option<Duration> {
         let full_for = now.saturating_sub(self.full_since?);
@@ -142,7 +143,7 @@
         Duration::try_from_secs_f64(float(tasks) / self.rate).ok()
     }
 
-    /// Average time from sending a start to its answer; zero while none is answered.
+    /// Average time from sending a start to its answer; zero if there is no recent answer.
     #[must_use]
     pub fn delay(&self, now: Steady) -> Duration {
         if self.is_idle(now) {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Whether one more start may go out.
+    /// Whether another start may be sent.
     #[must_use]
     pub fn has_room(&self) -> bool {
         float(self.under_way) < self.window
--- a/crates/pomelohitch-sched/src/forwarding.rs
+++ b/crates/pomelohitch-sched/src/forwarding.rs
@@ -1,44 +1,44 @@
-//! How many requests of callers a member may have passed on to the leader without an answer.
+//! Window on the requests that a member has forwarded to the leader and that are not answered yet.
 //!
-//! The load that this answers: the leader's link or processor is full, and answers come late. Members
-//! that give requests up and pass them on again fill it further, until it carries repeats only and
-//! the leader hears neither the store nor the other members. What finds no place is refused before
-//! it is sent, so that its caller can be told that it hasn't run.
+//! When the leader's link or processor is overloaded, answers come late. Members that time out and
+//! forward the same requests again add to the load, until the leader handles only repeats and loses
+//! contact with the store and with other members. Requests beyond the window are refused before
+//! they are sent, so that their callers know that nothing has run.
 //!
-//! A window with additive increase and multiplicative decrease, as in TCP (RFC 5681).
+//! The window uses additive increase and multiplicative decrease, as TCP does (RFC 5681).
 
 use std::time::Duration;
 
 use crate::Steady;
 
-/// The window before the first answer.
+/// Initial window.
 const INITIAL: f64 = 16.0;
-/// The smallest window.
+/// Smallest window.
 const FEWEST: f64 = 4.0;
-/// The largest window.
+/// Largest window.
 const MOST: f64 = 1024.0;
 /// Answers that take less than this let the window grow.
 const PROMPT: Duration = Duration::from_millis(250);
 /// Answers that take more than this shrink the window.
 const LATE: Duration = Duration::from_millis(600);
-/// A window's worth of prompt answers adds this many places.
+/// The window grows by this much for each window of prompt answers.
 const INCREASE: f64 = 4.0;
-/// The part of the window that stays when it shrinks.
+/// Factor by which the window shrinks.
 const DECREASE: f64 = 0.5;
-/// Weight of a new answer in the average.
+/// Weight of a new answer in the moving average.
 const WEIGHT: f64 = 0.125;
-/// Retry-After of what finds no place: this many times the average answer, and no sooner or later
-/// than these.
+/// `Retry-After` of requests beyond the window: this multiple of the average answer time, within
+/// the limits below.
 const RETRY_ANSWERS: u32 = 4;
 const SOONEST_RETRY: Duration = Duration::from_secs(1);
 const LATEST_RETRY: Duration = Duration::from_secs(5);
 
-/// The window on requests that were passed on to one leader.
+/// Window on the requests forwarded to one leader.
 #[derive(Debug, Clone)]
 pub struct Window {
     in_flight: usize,
     size: f64,
-    /// Average time from passing a request on to its answer.
+    /// Average time from forwarding a request to its answer.
     delay: Duration,
     shrunk_at: Option<Steady>,
 }
@@ -55,20 +55,20 @@
 }
 
 impl Window {
-    /// How many requests have a place.
+    /// Number of requests in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.in_flight
     }
 
-    /// Takes a place for a request; whether there was one.
+    /// Adds a request to those in flight; returns false if the window is full.
     pub fn take(&mut self) -> bool {
         let has_place = float(self.in_flight) < self.size;
         self.in_flight += usize::from(has_place);
         has_place
     }
 
-    /// Takes in that a request was answered this long after it was passed on.
+    /// Records that a request was answered `took` after it was forwarded.
     pub fn answered(&mut self, now: Steady, took: Duration) {
         let is_used = float(self.in_flight) * 2.0 >= self.size;
         self.free(took);
@@ -79,18 +79,18 @@
         }
     }
 
-    /// Takes in that a request was given up this long after it was passed on.
+    /// Records that a request timed out `waited` after it was forwarded.
     pub fn gave_up(&mut self, now: Steady, waited: Duration) {
         self.free(waited);
         self.shrink(now, waited);
     }
 
-    /// Takes in that a request wasn't sent.
+    /// Records that a request was not sent after all.
     pub fn unsent(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// When a caller whose request finds no place had best come back.
+    /// When the caller of a request beyond the window should retry.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
         (self.delay * RETRY_ANSWERS).clamp(SOONEST_RETRY, LATEST_RETRY)
@@ -101,7 +101,7 @@
         self.delay = self.delay.mul_f64(1.0 - WEIGHT) + took.mul_f64(WEIGHT);
     }
 
-    /// Shrinks once for all requests that were in flight together.
+    /// Shrinks the window, once for all requests that were in flight at the same time.
     fn shrink(&mut self, now: Steady, took: Duration) {
         let sent_at = now.saturating_sub(took);
         if self.shrunk_at.is_none_or(|at| sent_at >= at) {
--- a/crates/pomelohitch-sched/src/id.rs
+++ b/crates/pomelohitch-sched/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of jobs, tasks, endpoints and instances.
+//! Identifiers of jobs, tasks, endpoints and instances.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,26 +7,27 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, Snafu, ensure};
 
-/// A job's id, chosen by its caller; 16 hexadecimal digits as text.
+/// Job id, chosen by the caller; written as 16 hexadecimal digits.
 pub type JobId = u64;
-/// One life of an instance that runs tasks.
+/// Endpoint id. An endpoint is a process on an instance that runs tasks.
 pub type EndpointId = Arc<str>;
-/// A machine that the platform gives.
+/// Instance id. An instance is a machine of the platform.
 pub type InstanceId = Arc<str>;
-/// A queue's name.
+/// Queue name.
 pub type QueueName = Box<str>;
-/// A service's name, which is also that of its pool.
+/// Service name, which is also the name of its pool.
 pub type ServiceName = Arc<str>;
-/// An availability zone's name.
+/// Availability zone name.
 pub type ZoneName = Arc<str>;
-/// A workspace's name.
+/// Workspace name.
 pub type WorkspaceName = Arc<str>;
-/// Counts leaderships; every order carries it, so that a former leader's orders can be told.
+/// Counter of leaderships. Every order carries it, so that orders of a former leader can be fenced
+/// off.
 pub type Epoch = u64;
-/// Counts the starts of one task, from 1.
+/// Number of a run among the runs of one task, from 1.
 pub type RunNumber = u32;
 
-/// A text that names no task or job.
+/// A text that cannot be parsed as a job or task id.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{text:?} names no {what}"))]
 pub struct Error {
@@ -34,16 +35,17 @@
     text: Box<str>,
 }
 
-/// The result of this module.
+/// Result of parsing an id.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Digits of a job's id.
+/// Number of digits of a job id.
 const JOB_DIGITS: usize = 16;
 
-/// Reads a job's id.
+/// Parses a job id.
 ///
 /// # Errors
-/// If `text` isn't 16 lower-case hexadecimal digits. Upper case is refused, since the same job
+///
+/// If `text` is not 16 lower-case hexadecimal digits. Upper case is refused, because the same job
 /// would otherwise have two names.
 pub fn parse_job(text: &str) -> Result<JobId> {
     let is_plain =
@@ -54,22 +56,22 @@
         .context(Snafu { what: "job", text })
 }
 
-/// Writes a job's id.
+/// Formats a job id as 16 hexadecimal digits.
 #[must_use]
 pub fn job_text(id: JobId) -> String {
     format!("{id:016x}")
 }
 
-/// One task of one occurrence of a job.
+/// Identifies a task of one occurrence of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct TaskId {
-    /// The job.
+    /// Job id.
     pub job: JobId,
-    /// Which repetition of the job, from 0.
+    /// Repetition of the job, from 0.
     pub occurrence: u32,
-    /// The step, from 0.
+    /// Index of the step, from 0.
     pub step: u16,
-    /// The task within its step, from 0.
+    /// Index of the task within its step, from 0.
     pub index: u32,
 }
 
--- a/crates/pomelohitch-sched/src/instances.rs
+++ b/crates/pomelohitch-sched/src/instances.rs
@@ -1,7 +1,8 @@
-//! Instances: moves between pools and maintenance in waves.
+//! State of the instances: moves between pools and maintenance in waves.
 //!
-//! An instance is only moved or maintained when nothing runs on it. It is therefore reserved
-//! first, which keeps new work away; what lasts is moved elsewhere, the rest ends by itself.
+//! An instance is moved or maintained only when nothing runs on it. It is therefore reserved first,
+//! so that it gets no new work; lasting tasks are moved to other endpoints, and the other runs
+//! complete.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -16,65 +17,65 @@
 use crate::resources::Resources;
 use crate::{Steady, UnixMs};
 
-/// How an instance is.
+/// State of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceState {
-    /// At work.
+    /// In service.
     Up,
-    /// On its way to another pool.
+    /// Being moved to another pool.
     Moving,
     /// Being maintained.
     Maintenance,
-    /// Not there.
+    /// Not running.
     Down,
 }
 
-/// An instance as the platform lists it.
+/// An instance as listed by the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// Which instance.
+    /// Instance id.
     pub id: InstanceId,
-    /// The pool that it is in.
+    /// Its pool.
     pub pool: ServiceName,
-    /// How it is.
+    /// Its state.
     pub state: InstanceState,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Room for tasks.
+    /// Total capacity for tasks.
     pub capacity: Resources,
-    /// Its kind and its rack; both stay with it, whichever pool it is in.
+    /// Machine kind and rack, in this order; neither changes when the instance moves between pools.
     pub labels: Arc<[Box<str>]>,
-    /// The endpoint that lives on it now.
+    /// Endpoint that currently runs on it.
     pub endpoint: Option<EndpointId>,
 }
 
-/// Instances that are due for maintenance.
+/// A maintenance wave: a set of instances to be maintained within a time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wave {
-    /// Which wave.
+    /// Wave number.
     pub number: u64,
-    /// Its instances.
+    /// Instances to maintain.
     pub instances: Vec<InstanceId>,
-    /// The time for all of it.
+    /// Time limit for the whole wave.
     pub within: Duration,
-    /// How many may be down at once.
+    /// Largest number of instances that may be down at the same time.
     pub at_once: usize,
 }
 
-/// What lasts of a wave: only what the platform has confirmed. An order that was on its way when
-/// its leader ended may never have been carried out, and counted as done it would leave the
-/// instance out of its wave for good. Ordered again it does no harm, as the platform answers that
-/// it is done already.
+/// Durable state of a wave: only what the platform has confirmed. An order that was in flight when
+/// its leader ended may never have been carried out; if it counted as done, the instance would be
+/// left out of the wave. Ordering it again is harmless, because the platform answers that it is
+/// done already.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Confirmed {
     instances: BTreeSet<InstanceId>,
     is_completed: bool,
-    /// Instances that were about to leave for good: a leader that takes over finds them missing,
-    /// and would wait for them as for ones that crashed.
+    /// Instances that were about to leave for good. Without this, a new leader that finds them
+    /// missing would wait for them as it does for crashed ones.
     leaving: BTreeSet<InstanceId>,
 }
 
-/// A wave and how far it is.
+/// A wave and what was reported of it.
 #[derive(Debug, Clone)]
 struct WaveState {
     wave: Wave,
@@ -82,7 +83,7 @@
     told: Option<bool>,
 }
 
-/// An instance that was ordered down and isn't known to be back.
+/// An instance with an operation that is not known to be over.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct UnderWay {
     since: Steady,
@@ -91,7 +92,7 @@
     to: Option<ServiceName>,
 }
 
-/// All instances and waves.
+/// State of all instances and waves.
 #[derive(Debug, Clone, Default)]
 pub struct Instances {
     list: BTreeMap<InstanceId, Instance>,
@@ -99,28 +100,30 @@
     asked_at: Option<Steady>,
     waves: BTreeMap<u64, WaveState>,
     confirmed: BTreeMap<u64, Confirmed>,
-    /// When former leaders last ordered an operation on an instance.
+    /// Time of the last operation that a former leader ordered, by instance.
     former_orders: BTreeMap<InstanceId, UnixMs>,
     absent_since: BTreeMap<InstanceId, Steady>,
     leaving: BTreeSet<InstanceId>,
     under_way: BTreeMap<InstanceId, UnderWay>,
 }
 
-/// After a call that was taken, a list that was asked for earlier than this may not show it yet.
+/// A list requested less than this after an operation was accepted may not reflect the operation
+/// yet.
 const LIST_LAG: Duration = Duration::from_millis(300);
-/// A call that wasn't taken, or not answered, is made again after this.
+/// An operation that was not accepted, or not answered, is ordered again after this time.
 const UNANSWERED_AFTER: Duration = Duration::from_millis(1500);
-/// An instance missing from the list for longer than any crash of today lasts (10 s) is gone.
+/// An instance that is missing from the list for longer than this is gone; a crashed instance is
+/// missing for at most 10 s.
 const GONE_AFTER: Duration = Duration::from_secs(16);
-/// One whose endpoint had announced that it leaves is gone after this: an instance whose endpoint is
-/// only replaced is back within two or three seconds.
+/// The same if its endpoint had announced that it leaves. An instance whose endpoint is only
+/// replaced is back within three seconds.
 const LEFT_AFTER: Duration = Duration::from_secs(5);
 
 impl Instances {
-    /// Takes in what a former leader recorded of a wave or an operation.
+    /// Restores what a former leader recorded of a wave or an operation.
     pub fn restore(&mut self, key: &str, value: &[u8]) {
         if let Some(id) = key.strip_prefix(OPERATION_PREFIX) {
-            // Without a time that can be read the order counts as given just now.
+            // If the time cannot be decoded, the operation counts as ordered just now.
             let at_ms = postcard::from_bytes(value).unwrap_or(UnixMs::MAX);
             self.former_orders.insert(id.into(), at_ms);
             return;
@@ -131,13 +134,13 @@
         }
     }
 
-    /// When a former leader last ordered an operation on the instance, if any did.
+    /// When a former leader last ordered an operation on the instance; `None` if none did.
     #[must_use]
     pub fn former_order_ms(&self, id: &InstanceId) -> Option<UnixMs> {
         self.former_orders.get(id).copied()
     }
 
-    /// Takes in a wave that operators ask for. A wave keeps its number for good.
+    /// Adds a wave requested by operators. The first definition of a wave number stays in force.
     pub fn wave(&mut self, wave: Wave, now: Steady) {
         self.waves.entry(wave.number).or_insert(WaveState {
             wave,
@@ -146,9 +149,9 @@
         });
     }
 
-    /// Takes in the platform's list, asked for at `asked_at`.
+    /// Processes the platform's list, which was requested at `asked_at`.
     ///
-    /// Returns endpoints whose lives have ended, since their instances live others now.
+    /// Returns the endpoints that have ended, because other endpoints now run on their instances.
     pub fn listed(&mut self, list: Vec<Instance>, asked_at: Steady) -> Vec<EndpointId> {
         let list: BTreeMap<_, _> = list.into_iter().map(|i| (i.id.clone(), i)).collect();
         let replaced = self.list.values().filter_map(|before| {
@@ -167,11 +170,12 @@
         replaced
     }
 
-    /// Notes that these instances are about to leave for good: their endpoints drain. All others of the
-    /// list stay. Returns the records of waves that ask for them.
+    /// Records that these instances are about to leave for good, because their endpoints drain. All
+    /// other instances of the list stay. Returns the changed records of waves that contain them.
     ///
     /// # Errors
-    /// If a record can't be encoded, which for these types doesn't happen.
+    ///
+    /// If a record cannot be encoded, which does not happen for these types.
     pub fn leaving(&mut self, leaving: BTreeSet<InstanceId>) -> progress::Result<Vec<Record>> {
         let list = &self.list;
         self.leaving.retain(|id| !list.contains_key(id));
@@ -190,25 +194,25 @@
         Ok(records)
     }
 
-    /// The endpoint that lived on an instance before the operation that is under way.
+    /// Endpoint that ran on the instance before the operation in progress.
     #[must_use]
     pub fn endpoint_before(&self, id: &InstanceId) -> Option<EndpointId> {
         self.under_way.get(id)?.endpoint.clone()
     }
 
-    /// Endpoints on instances that an operation is under way for.
+    /// Endpoints on instances with an operation in progress.
     #[must_use]
     pub fn endpoints_under_way(&self) -> BTreeSet<EndpointId> {
         let endpoints = self.under_way.values().filter_map(|u| u.endpoint.clone());
         endpoints.collect()
     }
 
-    /// Takes in that the list couldn't be read.
+    /// Records that reading the list failed.
     pub fn list_failed(&mut self) {
         self.asked_at = None;
     }
 
-    /// Whether to ask for the list now, at most every `every`.
+    /// Whether to request the list now, at most once every `every`; records the request if so.
     pub fn wants_list(&mut self, now: Steady, every: Duration) -> bool {
         let is_due = self.listed_at.is_none_or(|at| now >= at + every);
         let is_asked = self.asked_at.is_some();
@@ -219,13 +223,13 @@
         false
     }
 
-    /// Whether some wave isn't completed.
+    /// Whether any wave is not completed.
     #[must_use]
     pub fn has_open_wave(&self) -> bool {
         self.waves.keys().any(|n| !self.is_completed(*n))
     }
 
-    /// Whether an operation isn't known to be over.
+    /// Whether any operation is not known to be over.
     #[must_use]
     pub fn has_under_way(&self) -> bool {
         !self.under_way.is_empty()
@@ -235,26 +239,26 @@
         self.confirmed.get(&number).is_some_and(|c| c.is_completed)
     }
 
-    /// Instances that some open wave still asks for.
+    /// Instances that are still to be maintained in some open wave.
     #[must_use]
     pub fn due(&self) -> BTreeSet<InstanceId> {
         let remaining = self.remaining();
         remaining.into_iter().flat_map(|r| r.left).collect()
     }
 
-    /// Every instance of the newest list.
+    /// All instances of the newest list.
     #[must_use]
     pub fn list(&self) -> &BTreeMap<InstanceId, Instance> {
         &self.list
     }
 
-    /// When the newest list was asked for.
+    /// When the newest list was requested.
     #[must_use]
     pub fn listed_at(&self) -> Option<Steady> {
         self.listed_at
     }
 
-    /// Instances of each open wave that are still to be taken down, with how many may be now.
+    /// Remaining instances of each open wave, with the number that may be taken down now.
     #[must_use]
     pub fn remaining(&self) -> Vec<Remaining> {
         let open = self.waves.iter().filter(|(n, _)| !self.is_completed(**n));
@@ -285,14 +289,14 @@
         .collect()
     }
 
-    /// The pool that an instance is on its way to.
+    /// Pool that the instance is being moved to.
     #[must_use]
     pub fn destination(&self, id: &InstanceId) -> Option<&ServiceName> {
         self.under_way.get(id)?.to.as_ref()
     }
 
-    /// Thousandths of a core of the instances that are on their way to the pool and may be given
-    /// work there.
+    /// Thousandths of a core of the instances that are being moved to the pool and whose zone is
+    /// not being evacuated.
     #[must_use]
     pub fn awaited_cpu(&self, pool: &ServiceName, evacuations: &Evacuations) -> u64 {
         let is_coming = |i: &&Instance| match self.under_way.get(&i.id) {
@@ -304,7 +308,7 @@
         coming.map(|i| i.capacity.cpu).sum()
     }
 
-    /// Whether an instance is on its way to the pool.
+    /// Whether any instance is being moved to the pool.
     #[must_use]
     pub fn is_awaited(&self, pool: &ServiceName) -> bool {
         let is_moving = |i: &Instance| i.state == InstanceState::Moving && i.pool == *pool;
@@ -312,7 +316,7 @@
             || self.list.values().any(is_moving)
     }
 
-    /// Notes that an instance is ordered down, or to another pool.
+    /// Records an order to maintain an instance, or to move it to the pool `to`.
     pub fn set_under_way(&mut self, id: &InstanceId, now: Steady, to: Option<ServiceName>) {
         let endpoint = self.list.get(id).and_then(|i| i.endpoint.clone());
         self.under_way.insert(
@@ -326,24 +330,25 @@
         );
     }
 
-    /// Takes in that the operation decided at `at` was given up before it was ordered. Another may
-    /// have been decided since.
+    /// Withdraws the operation decided at `at`, which was dropped before it was sent. A newer
+    /// operation on the instance stays.
     pub fn unsent(&mut self, id: &InstanceId, at: Steady) {
         if self.under_way.get(id).is_some_and(|u| u.since == at) {
             self.under_way.remove(id);
         }
     }
 
-    /// Whether an operation on the instance isn't known to be over.
+    /// Whether an operation on the instance is not known to be over.
     #[must_use]
     pub fn is_under_way(&self, id: &InstanceId) -> bool {
         self.under_way.contains_key(id)
     }
 
-    /// Takes in how an operation ended; returns the record of what is confirmed by it.
+    /// Processes the outcome of an operation; returns the wave's record if it changed.
     ///
     /// # Errors
-    /// If the record can't be encoded, which for these types doesn't happen.
+    ///
+    /// If the record cannot be encoded, which does not happen for these types.
     pub fn operated(
         &mut self,
         id: &InstanceId,
@@ -359,8 +364,8 @@
                 }
                 wave.map(|w| self.confirm(w, id)).transpose()
             }
-            // Ordered again after a while, also when the platform says that there is no such
-            // instance: it may have crashed and come back.
+            // Ordered again after `UNANSWERED_AFTER`. This includes refusals because the instance
+            // does not exist: it may have crashed and come back.
             OperationOutcome::Refused
             | OperationOutcome::Busy
             | OperationOutcome::Later
@@ -374,14 +379,15 @@
         wave_record(wave, confirmed)
     }
 
-    /// Calls whose answer was lost are made again; one that was carried out is confirmed then.
+    /// Drops operations whose answer was lost, so that they are ordered again. If one was carried
+    /// out, the repeated order is confirmed.
     pub fn forget_unanswered(&mut self, now: Steady) {
         self.under_way
             .retain(|_, u| u.is_answered || now <= u.since + UNANSWERED_AFTER);
     }
 
-    /// Whether an instance is missing from the list and won't come back: it was about to leave, or
-    /// has been missing for long. One that crashed may be missing for some seconds.
+    /// Whether an instance is missing from the list and will not come back: it was about to leave,
+    /// or it has been missing for too long. A crashed instance may be missing for some seconds.
     fn is_gone(&self, id: &InstanceId) -> bool {
         let since = self.absent_since.get(id);
         let listed_at = self.listed_at.unwrap_or_default();
@@ -405,10 +411,10 @@
         }
     }
 
-    /// Whether every instance of a wave is back from its maintenance, or gone for good.
+    /// Whether every instance of a wave has been maintained or is gone for good.
     ///
-    /// One that has been maintained may be on its way to another pool: pools follow demand all the
-    /// time, and a large wave would hardly ever find all of its instances at rest.
+    /// A maintained instance may already be moving to another pool: pools are scaled all the time,
+    /// and a large wave would hardly ever find all of its instances at rest.
     fn is_over(&self, number: u64) -> bool {
         let Some(state) = self.waves.get(&number) else {
             return false;
@@ -424,10 +430,12 @@
         self.listed_at.is_some() && state.wave.instances.iter().all(is_done)
     }
 
-    /// Waves whose status has changed, with the record that has to be durable before it is told.
+    /// Waves whose status has changed: number, whether completed, and the record that has to be
+    /// durable before the status is reported.
     ///
     /// # Errors
-    /// If a record can't be encoded, which for these types doesn't happen.
+    ///
+    /// If a record cannot be encoded, which does not happen for these types.
     pub fn statuses(&mut self) -> progress::Result<Vec<(u64, bool, Option<Record>)>> {
         let mut changed = Vec::new();
         let numbers: Vec<u64> = self.waves.keys().copied().collect();
@@ -451,30 +459,31 @@
     }
 }
 
-/// What is left of a wave.
+/// What remains to be done of a wave.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Remaining {
-    /// Which wave.
+    /// Wave number.
     pub wave: u64,
-    /// Instances that are still to be ordered down.
+    /// Instances that are still to be taken down.
     pub left: Vec<InstanceId>,
-    /// How many may be ordered down now.
+    /// Number of instances that may be taken down now.
     pub may_begin: usize,
-    /// How many may be down at once.
+    /// Largest number of instances that may be down at the same time.
     pub at_once: usize,
     /// When the wave was first seen.
     pub since: Steady,
-    /// The time for all of it.
+    /// Time limit for the whole wave.
     pub within: Duration,
 }
 
-/// What the key of an operation's record begins with.
+/// First character of the key of an operation's record.
 const OPERATION_PREFIX: char = 'o';
 
-/// The record that an operation on an instance is ordered at that time.
+/// Encodes the record of an operation on an instance, ordered at `at_ms`.
 ///
 /// # Errors
-/// If it can't be encoded, which for these types doesn't happen.
+///
+/// If encoding fails, which does not happen for these types.
 pub fn operation_record(id: &InstanceId, at_ms: UnixMs) -> progress::Result<Record> {
     progress::encode(format!("{OPERATION_PREFIX}{id}").into(), &at_ms)
 }
--- a/crates/pomelohitch-sched/src/lib.rs
+++ b/crates/pomelohitch-sched/src/lib.rs
@@ -1,31 +1,31 @@
-//! Schedules jobs of steps on endpoints.
+//! Scheduling of multi-step jobs on a fleet of endpoints.
 //!
-//! Pure: facts in, records and orders out; no I/O and no clock of its own. Whoever drives a
-//! [`Cell`] tells it what happened and when, makes its records durable, and only then carries out
-//! the orders that came with them.
+//! The crate is pure: it turns events into records and orders, performs no I/O and reads no clock.
+//! The driver of a [`Cell`] reports each event with its time, makes the returned records durable,
+//! and only then carries out the orders returned with them.
 //!
-//! * [`id`]: names of jobs, tasks, endpoints and instances.
+//! * [`id`]: identifiers of jobs, tasks, endpoints and instances.
 //! * [`resources`]: processors, memory and accelerators.
-//! * [`config`]: queues, services and workspaces in force.
-//! * [`job`]: what a caller asks for, and the check of it.
-//! * [`policy`]: which mechanisms decide.
-//! * [`progress`]: how far a job is; the durable records.
-//! * [`demand`]: what each service will want.
-//! * [`endpoint`]: what is known of one endpoint, its clock and its lease.
-//! * [`evacuations`]: availability zones in which nothing may start.
-//! * [`flow`]: how many starts may be under way.
-//! * [`forwarding`]: how many requests of callers may wait for the leader's answer.
-//! * [`loss`]: how runs are lost.
-//! * [`order`]: what goes out and how it ended.
-//! * [`place`]: which endpoint takes a task.
-//! * [`suspicion`]: which tasks are suspected of crashing their endpoints.
-//! * [`urgency`]: which job goes first.
-//! * [`instances`]: operations on instances, and maintenance in waves.
-//! * [`rate`]: how many calls a second may go out.
-//! * [`relaying`]: which member carries calls to which endpoints.
-//! * [`rto`]: how long an answer is waited for.
-//! * [`pools`]: which instances should move to which pool.
-//! * [`cell`]: the state that ties them together.
+//! * [`config`]: configuration of queues, services and workspaces.
+//! * [`job`]: job specifications and their validation.
+//! * [`policy`]: policy switches and parameters.
+//! * [`progress`]: progress of jobs, and the durable records of it.
+//! * [`demand`]: forecast of the processors that each service needs.
+//! * [`endpoint`]: state of an endpoint, its clock and its lease.
+//! * [`evacuations`]: evacuations of availability zones.
+//! * [`flow`]: window on the starts in flight.
+//! * [`forwarding`]: window on the requests forwarded to the leader.
+//! * [`loss`]: causes of lost runs.
+//! * [`order`]: orders, operations and answers, and their outcomes.
+//! * [`place`]: choice of the endpoint for a task.
+//! * [`suspicion`]: detection of tasks that crash their endpoints.
+//! * [`urgency`]: ordering of waiting jobs.
+//! * [`instances`]: moves of instances, and maintenance in waves.
+//! * [`rate`]: rate limit for calls.
+//! * [`relaying`]: assignment of endpoints to the members that carry the leader's calls.
+//! * [`rto`]: adaptive timeouts of calls.
+//! * [`pools`]: planning of moves between pools.
+//! * [`cell`]: the scheduler's state, which combines all of these.
 #![forbid(unsafe_code)]
 
 pub mod cell;
@@ -57,16 +57,16 @@
 };
 pub use resources::Resources;
 
-/// A point of time on the steady clock that also counts while the machine is suspended.
+/// Time on a monotonic clock that also advances while the machine is suspended.
 pub type Steady = std::time::Duration;
 
 /// Milliseconds since 1970.
 pub type UnixMs = u64;
 
-/// Both clocks, read together.
+/// A reading of both clocks at the same moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Now {
-    /// Time on the steady clock.
+    /// Monotonic time.
     pub steady: Steady,
     /// Time of day.
     pub unix_ms: UnixMs,
--- a/crates/pomelohitch-sched/src/loss.rs
+++ b/crates/pomelohitch-sched/src/loss.rs
@@ -1,25 +1,26 @@
-//! How runs are lost: they are gone without an end of their own.
+//! Lost runs: runs that are gone without a completion.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What the loss of a run is put down to.
+/// Cause of the loss of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LossCause {
-    /// Its start was refused, never sent, or surely not carried out.
+    /// The start was refused, never sent, or certainly not carried out.
     NotStarted,
-    /// The same incarnation of its endpoint is there and doesn't list it.
+    /// The same incarnation of the endpoint no longer lists the run.
     Missing,
-    /// Its endpoint ended without notice.
+    /// The endpoint ended without notice.
     Crash,
-    /// Its endpoint had announced that it leaves, or its instance was operated on.
+    /// The endpoint had announced that it leaves, or an operation was performed on its instance.
     Planned,
-    /// Its endpoint was silent until every lease had run out; it may have ended or be cut off.
+    /// The endpoint did not answer until all of its leases had expired; it may have ended or be
+    /// disconnected.
     Silence,
 }
 
 impl LossCause {
-    /// The cause as metrics name it.
+    /// Label of the cause in metrics.
     #[must_use]
     pub fn label(self) -> &'static str {
         match self {
@@ -32,29 +33,30 @@
     }
 }
 
-/// How a run was lost.
+/// Circumstances of a lost run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Loss {
-    /// What it is put down to.
+    /// Cause of the loss.
     pub cause: LossCause,
-    /// Why, for logs.
+    /// Explanation for logs.
     pub why: &'static str,
-    /// The incarnation of the endpoint that it was started at.
+    /// Incarnation of the endpoint that the run was started at.
     pub born: u64,
-    /// For how long it had been seen at work when the endpoint was last heard.
+    /// How long polls had listed the run as running when the endpoint last answered.
     pub worked: Duration,
-    /// How many other runs were at the endpoint.
+    /// Number of other runs at the endpoint.
     pub beside: usize,
-    /// Whether it had surely begun, and can't have ended by itself before its endpoint did.
+    /// Whether the run had certainly begun and cannot have completed before its endpoint ended.
     pub was_at_work: bool,
-    /// Whether it had been at work for long enough to be taken for sound.
+    /// Whether the run had been running for long enough not to be blamed for a crash.
     pub is_proven: bool,
-    /// Whether every run of another job at the endpoint is taken for sound.
+    /// Whether every run of another job at the endpoint had been running for that long, which
+    /// leaves only this job as a suspect.
     pub is_sole: bool,
 }
 
 impl Loss {
-    /// The loss of a run whose endpoint goes on.
+    /// The loss of a run whose endpoint continues to run.
     #[must_use]
     pub fn of_run(cause: LossCause, why: &'static str, born: u64) -> Loss {
         Loss {
@@ -70,5 +72,5 @@
     }
 }
 
-/// How many runs were lost, by cause.
+/// Number of lost runs by cause.
 pub type LossCounts = BTreeMap<LossCause, u64>;
--- a/crates/pomelohitch-sched/src/place.rs
+++ b/crates/pomelohitch-sched/src/place.rs
@@ -1,4 +1,4 @@
-//! Which endpoint takes a task.
+//! Choice of the endpoint for a task.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -8,25 +8,25 @@
 use crate::job::StepSpec;
 use crate::resources::Resources;
 
-/// One endpoint as placing sees it.
+/// An endpoint as a candidate for placement.
 #[derive(Debug, Clone)]
 pub struct Slot {
-    /// Which endpoint.
+    /// Endpoint id.
     pub id: EndpointId,
-    /// Room that is left.
+    /// Free capacity.
     pub free: Resources,
-    /// How many lasting tasks it has.
+    /// Number of lasting tasks there.
     pub lasting: usize,
     /// Whether its instance is due for maintenance.
     pub is_due: bool,
-    /// Whether runs fail there more often than not.
+    /// Whether most runs fail there, see [`is_doubtful`].
     pub is_doubtful: bool,
-    /// Its kind and its rack.
+    /// Machine kind and rack, in this order.
     pub labels: Arc<[Box<str>]>,
 }
 
 impl Slot {
-    /// The endpoint as it is now.
+    /// Builds the slot from the present state of the endpoint.
     #[must_use]
     pub fn new(id: &EndpointId, endpoint: &Endpoint) -> Slot {
         let labels = endpoint.report.as_ref().map(|r| r.labels.clone());
@@ -40,13 +40,13 @@
         }
     }
 
-    /// Its rack: the label that isn't its kind.
+    /// Rack, the second label.
     #[must_use]
     pub fn rack(&self) -> Option<&str> {
         self.labels.get(1).map(|l| &**l)
     }
 
-    /// Whether a task of `step` can start here, beside `siblings` others of its step.
+    /// Whether a task of `step` can start here, given `siblings` other tasks of the step.
     #[must_use]
     pub fn may_take(&self, step: &StepSpec, siblings: u32) -> bool {
         let is_spread = step.per_endpoint == 0 || siblings < step.per_endpoint;
@@ -54,24 +54,23 @@
         is_spread && self.free.holds(&step.room()) && step.requires.as_deref().is_none_or(has_label)
     }
 
-    /// Takes room for a task.
+    /// Allocates capacity for a task.
     pub fn take(&mut self, step: &StepSpec) {
         self.free = self.free.less(&step.room());
         self.lasting += usize::from(step.is_lasting);
     }
 }
 
-/// The endpoints of a service that may be given work, as they are while a pass lasts, so that they
-/// aren't looked up again for each task.
+/// Slots of the endpoints of a service that may get work, built once for a scheduling pass.
 #[derive(Debug, Default)]
 pub struct Slots {
-    /// Each of them.
+    /// All slots.
     pub list: Vec<Slot>,
     index: HashMap<EndpointId, usize>,
 }
 
 impl Slots {
-    /// These endpoints.
+    /// Creates the index of the slots.
     #[must_use]
     pub fn new(list: Vec<Slot>) -> Slots {
         let ids = list.iter().map(|slot| slot.id.clone());
@@ -79,7 +78,7 @@
         Slots { list, index }
     }
 
-    /// How many tasks of a step each slot has, by the endpoints that have some.
+    /// Number of tasks of a step in each slot, given the counts by endpoint.
     #[must_use]
     pub fn siblings(&self, counts: &BTreeMap<EndpointId, u32>) -> Vec<u32> {
         let mut siblings = vec![0; self.list.len()];
@@ -91,7 +90,7 @@
         siblings
     }
 
-    /// Takes an endpoint out.
+    /// Removes an endpoint.
     pub fn remove(&mut self, id: &EndpointId) {
         if let Some(at) = self.index.remove(id) {
             self.list.remove(at);
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Reads again what is free on each.
+    /// Rebuilds each slot from the present state of its endpoint.
     pub fn read_again(&mut self, endpoints: &BTreeMap<EndpointId, Endpoint>) {
         for slot in &mut self.list {
             if let Some(endpoint) = endpoints.get(&slot.id) {
@@ -111,17 +110,17 @@
     }
 }
 
-/// Which endpoints may run a step.
+/// Endpoints that may run a step.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Allowed {
-    /// All of its service.
+    /// All endpoints of its service.
     All,
-    /// Those that the policy names.
+    /// Endpoints that the placement policy allows.
     Only(BTreeSet<EndpointId>),
 }
 
 impl Allowed {
-    /// Whether this endpoint may.
+    /// Whether the endpoint is allowed.
     #[must_use]
     pub fn has(&self, id: &EndpointId) -> bool {
         match self {
@@ -131,22 +130,22 @@
     }
 }
 
-/// A task that needs a place.
+/// A task to be placed.
 #[derive(Debug, Clone, Copy)]
 pub struct Ask<'a> {
-    /// Its step.
+    /// Step of the task.
     pub step: &'a StepSpec,
-    /// Where it may run.
+    /// Endpoints that may run it.
     pub allowed: &'a Allowed,
-    /// Tasks of the same step that each slot has already.
+    /// Number of tasks of the same step in each slot.
     pub siblings: &'a [u32],
-    /// Where it failed before.
+    /// Endpoints where the task failed before.
     pub failed_at: &'a [EndpointId],
-    /// Whether it goes to the fullest endpoint that can take it, else to the emptiest.
+    /// Whether to choose the fullest endpoint that can take the task, instead of the emptiest.
     pub packs: bool,
 }
 
-/// Lower is better, compared from the first field on.
+/// Cost of a slot, lowest first; fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Cost {
     risk: u8,
@@ -156,10 +155,11 @@
     siblings: u32,
 }
 
-/// The best of `slots` for a task, if any can take it.
+/// Chooses the best slot for a task; `None` if none can take it.
 ///
-/// Tasks are packed onto the fullest endpoints, lasting ones onto those that have lasting ones
-/// already and aren't due for maintenance, so that others stay empty and their instances can move or be maintained.
+/// Tasks are packed onto the fullest endpoints, and lasting tasks onto endpoints that already have
+/// some and are not due for maintenance. This keeps other endpoints empty, so that their instances
+/// can be moved or maintained.
 #[must_use]
 pub fn choose(slots: &[Slot], ask: &Ask<'_>) -> Option<usize> {
     slots
@@ -189,7 +189,7 @@
     }
 }
 
-/// How little an endpoint suits a lasting task, 0 for best.
+/// Penalty of an endpoint for a lasting task, 0 for best.
 fn avoided_by_lasting(step: &StepSpec, slot: &Slot, siblings: u32) -> u8 {
     if !step.is_lasting {
         return 0;
@@ -198,14 +198,15 @@
     4 * u8::from(slot.is_due) + 2 * u8::from(is_crowded) + u8::from(slot.lasting == 0)
 }
 
-/// So many lasting tasks of a step are put on one endpoint for each that may be away at once. They
-/// leave it one after another, at about two seconds each, before its instance can be maintained.
+/// Lasting tasks of a step per endpoint, for each one that may be out of service. They leave an
+/// endpoint one after another, which takes about two seconds each, before its instance can be
+/// maintained.
 const LASTING_TOGETHER: u32 = 2;
 
-/// An endpoint is doubtful when more than half of several runs of late failed there.
+/// Whether an endpoint is probably broken: more than half of several recent runs failed there.
 ///
-/// Tasks fail by their own fault in a few cases of a hundred, so three failures beside fewer
-/// successes point at the endpoint.
+/// Some percent of the tasks fail by their own fault, so three failures and fewer successes point
+/// at the endpoint.
 #[must_use]
 pub fn is_doubtful(endpoint: &Endpoint) -> bool {
     const FEWEST: f64 = 2.5;
--- a/crates/pomelohitch-sched/src/pools.rs
+++ b/crates/pomelohitch-sched/src/pools.rs
@@ -1,82 +1,85 @@
-//! Which instances should move to which pool.
+//! Planning of moves of instances between pools.
 //!
-//! Pure: what each pool wants and what each instance does come in, moves come out. A move costs
-//! about as much as an instance in a pool for 1.2 seconds, and takes the instance away for about
-//! two, so that a pool that has enough for what is coming is left alone. Instances that no pool
-//! will want for a while go to the spare pool, where they are switched off and cost nothing.
+//! A pure function from the demand of pools and the state of instances to moves. A move costs about
+//! as much as an instance in a pool for 1.2 seconds, and the instance is unavailable for about two
+//! seconds, so a pool that has enough for its forecast demand is left alone. Instances that no pool
+//! will need for a while go to the spare pool, where they are switched off and cost nothing.
 
 use std::sync::Arc;
 
 use crate::id::{InstanceId, ServiceName};
 use crate::policy::Margins;
 
-/// A pool never gives away its last instances: work of its service may come at any time.
+/// Smallest size of a pool that gives instances away, because work for its service may arrive at
+/// any time.
 pub const KEPT: usize = 2;
-/// A pool that is short asks for one instance at a time: any lack does.
+/// Shortfall of a pool that is short, thousandths of a core. Any positive value makes it ask for
+/// one instance at a time.
 const ONE_MORE: f64 = 1.0;
 
-/// What a pool wants.
+/// Demand of a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pool {
-    /// Its service.
+    /// Name of its service.
     pub name: ServiceName,
-    /// Whether its instances are off.
+    /// Whether its instances are switched off (spare pool).
     pub is_spare: bool,
-    /// Processors that tasks will take by the time a move is over, thousandths of a core.
+    /// Processors needed by the time a move is over, thousandths of a core.
     pub wanted: f64,
-    /// The most that they will take within the time for which switching off pays; `None` if that
-    /// isn't known.
+    /// Peak demand within the time for which switching off pays off, thousandths of a core; `None`
+    /// if it is unknown.
     pub soon: Option<f64>,
-    /// What tasks take that wait for a place now, thousandths of a core.
+    /// Processors of the tasks that wait for capacity now, thousandths of a core.
     pub backlog: f64,
-    /// Whether a task finds no place whatever processors are free: for want of memory, or because
-    /// it has to be apart from others.
+    /// Whether a task cannot be placed however many processors are free, because memory is short or
+    /// the task has to be isolated.
     pub is_short: bool,
-    /// What an instance has to carry that is to help it, if it is short.
+    /// Label that an instance needs to relieve the shortage, if `is_short`.
     pub label: Option<Box<str>>,
 }
 
 /// An instance that may be moved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Which instance.
+    /// Instance id.
     pub id: InstanceId,
-    /// Where it is, or will be.
+    /// Its pool, or its destination while it is being moved.
     pub pool: ServiceName,
-    /// Its kind and its rack.
+    /// Machine kind and rack, in this order.
     pub labels: Arc<[Box<str>]>,
-    /// Thousandths of a core.
+    /// Capacity in thousandths of a core.
     pub cpu: u64,
-    /// Whether it can be moved: up, nothing under way, no lasting task on it.
+    /// Whether it can be moved: it is up, no operation is in progress and no lasting task runs
+    /// there.
     pub is_movable: bool,
-    /// Whether it is being emptied for a move already.
+    /// Whether it is already being emptied for a move.
     pub is_reserved: bool,
-    /// Whether its zone is evacuated, so that it can't be given work in any pool.
+    /// Whether its zone is being evacuated, so that no pool can use it.
     pub is_evacuated: bool,
     /// Thousandths of a core in use.
     pub used: u64,
 }
 
-/// A move that should be made.
+/// A planned move.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
-    /// Which instance.
+    /// Instance to move.
     pub instance: InstanceId,
-    /// Where to.
+    /// Destination pool.
     pub to: ServiceName,
 }
 
-/// What should be moved.
+/// The planned moves.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Moves that bring each pool what it wants, as far as others can spare it.
+    /// Moves that cover the demand of the pools, as far as other pools can spare instances.
     pub moves: Vec<Move>,
-    /// Moves to the spare pool of instances that none will want soon, or that lie in an evacuated
-    /// zone.
+    /// Moves to the spare pool of instances that no pool will need soon or whose zone is being
+    /// evacuated.
     pub surplus: Vec<Move>,
 }
 
-/// Decides which instances should move.
+/// Plans which instances should move.
 #[must_use]
 pub fn plan(pools: &[Pool], instances: &[Candidate], margins: &Margins) -> Plan {
     let place = |name: &ServiceName| pools.iter().position(|p| p.name == *name);
@@ -97,18 +100,18 @@
     }
 }
 
-/// What each pool has while moves are decided one after another.
+/// Capacity of each pool while moves are planned one after another.
 struct Ledger<'a> {
     balances: Vec<Balance<'a>>,
     rows: Vec<Row<'a>>,
 }
 
-/// An instance while moves are decided.
+/// State of an instance during planning.
 struct Row<'a> {
     candidate: &'a Candidate,
-    /// The place of its pool's balance.
+    /// Index of its pool's balance.
     balance: Option<usize>,
-    /// Whether it moves already.
+    /// Whether a move of it is planned already.
     is_taken: bool,
 }
 
@@ -118,7 +121,8 @@
         while let Some(needy) = self.neediest() {
             match self.giver(needy) {
                 Some(giver) => moves.push(self.transfer(giver, needy)),
-                // No instance of the kind that it is short of can be spared: any helps the rest.
+                // No instance with the needed label can be spared; any instance can still cover the
+                // remaining demand.
                 None if self.balances[needy].wanted_label().is_some() => {
                     self.balances[needy].is_short = false;
                 }
@@ -133,7 +137,8 @@
         let Some(spare) = self.balances.iter().position(|b| b.pool.is_spare) else {
             return moves;
         };
-        // What a pool has over only shrinks, so that an instance that is kept now stays kept.
+        // The surplus of pools only shrinks, so an instance that is kept here need not be checked
+        // again.
         for at in 0..self.rows.len() {
             if self.is_idle(at) {
                 moves.push(self.transfer(at, spare));
@@ -165,8 +170,8 @@
             .map(|(at, _)| at)
     }
 
-    /// Idle instances that nobody will miss come first, as they cost; then those that are off,
-    /// those that are being emptied, and the emptiest.
+    /// Order in which instances are taken, lowest first: idle surplus instances, which cost money;
+    /// then those that are switched off, those that are being emptied, and the least used.
     fn effort(&self, row: &Row<'_>) -> (u8, u64) {
         let instance = row.candidate;
         let balance = self.balance(row);
@@ -183,10 +188,10 @@
         (rank, instance.used)
     }
 
-    /// Whether an instance is idle and no pool will want it soon, its own or another, or its zone is
-    /// evacuated.
+    /// Whether an instance is idle and no pool will need it soon, or its zone is being evacuated.
     ///
-    /// What waits for a place counts against it: whether what is on its way will do isn't known yet.
+    /// The backlog of all pools counts as demand, because instances on their way may not suffice
+    /// for it.
     fn is_idle(&self, at: usize) -> bool {
         let row = &self.rows[at];
         let Some(balance) = self.balance(row).filter(|b| !b.pool.is_spare) else {
@@ -233,7 +238,7 @@
     }
 }
 
-/// What a pool has beside what it wants.
+/// Capacity of a pool in relation to its demand.
 struct Balance<'a> {
     pool: &'a Pool,
     margins: Margins,
@@ -255,7 +260,7 @@
         }
     }
 
-    /// Processors that are missing; a pool that is off wants none.
+    /// Missing thousandths of a core; 0 for the spare pool.
     fn lacks(&self) -> f64 {
         if self.pool.is_spare {
             return 0.0;
@@ -282,8 +287,8 @@
         self.pool.is_spare || (is_enough && !self.pool.is_short)
     }
 
-    /// Processors beyond what the pool will want soon, or lacking for it; `None` if that isn't
-    /// known or the pool is off.
+    /// Thousandths of a core beyond the demand that is expected soon; negative for a shortfall.
+    /// `None` if that demand is unknown, and for the spare pool.
     fn over(&self) -> Option<f64> {
         let soon = self.pool.soon.filter(|_| !self.pool.is_spare)?;
         Some(self.have - soon.max(self.wanted()) / self.margins.fill)
@@ -295,7 +300,7 @@
     }
 }
 
-/// Amounts of processors are far below the numbers that a float can't hold.
+/// Amounts of processors are small enough to be exact in an `f64`.
 #[expect(clippy::cast_precision_loss)]
 fn as_f64(number: u64) -> f64 {
     number as f64
--- a/crates/pomelohitch-sched/src/rate.rs
+++ b/crates/pomelohitch-sched/src/rate.rs
@@ -1,17 +1,18 @@
-//! How many calls a second may go out.
+//! Rate limit for calls.
 //!
-//! The platform takes so many operations on instances a second from all members together and
-//! refuses the rest. A turn of a queue in a large fleet wants some hundred moves at once: decided
-//! all together they would wait in line for seconds, and be carried out by what was true then.
+//! The platform accepts a limited number of operations on instances per second from all members
+//! together and refuses the rest. A burst in a large fleet can need some hundred moves at once: if
+//! all were decided together, they would queue for seconds and be carried out on outdated
+//! decisions.
 
 use std::time::Duration;
 
 use crate::Steady;
 
-/// The part of what is allowed that goes out evenly; the rest is for what comes at once.
+/// Share of the allowed rate that is refilled evenly; the rest is the size of a burst.
 const EVEN: f64 = 0.75;
 
-/// Allows calls up to a rate.
+/// A token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rate {
     per_second: f64,
@@ -21,7 +22,7 @@
 }
 
 impl Rate {
-    /// At most `per_second` calls in any second.
+    /// Creates a limiter for at most `per_second` calls in any second.
     #[must_use]
     pub fn new(per_second: f64) -> Rate {
         let most = (per_second * (1.0 - EVEN)).max(1.0);
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Whether one more call may go out at `now`; counts it if so.
+    /// Takes a token; returns false if no call may be sent at `now`.
     pub fn take(&mut self, now: Steady) -> bool {
         let passed = now.saturating_sub(self.at);
         self.left = (self.left + passed.as_secs_f64() * self.per_second).min(self.most);
--- a/crates/pomelohitch-sched/src/relaying.rs
+++ b/crates/pomelohitch-sched/src/relaying.rs
@@ -1,34 +1,35 @@
-//! Which member carries calls to which endpoints for the leader.
+//! Assignment of endpoints to the members that carry the leader's calls to them.
 //!
-//! The load that this answers: polls and starts of hundreds of endpoints fill the link or the
-//! processor of one member. Endpoints are divided into shards, each of one service so that a job is
-//! described to few members, and each shard has a member by rendezvous hashing: when a member comes
-//! or goes, only its own shards move.
+//! Polls and starts of hundreds of endpoints exceed the link or the processor of one member.
+//! Endpoints are divided into shards. A shard belongs to one service, so that a job's specification
+//! is sent to few members. Each shard is assigned to a member by rendezvous hashing: when a member
+//! joins or leaves, only its own shards move.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use crate::id::{EndpointId, ServiceName};
 
-/// Target number of endpoints in a shard: few enough for a small member on a slow link.
+/// Target number of endpoints per shard, few enough for a small member on a slow link.
 const SHARD: usize = 5;
-/// Fewer endpoints than this the leader calls by itself: a hop costs a few milliseconds.
+/// With fewer endpoints than this, the leader calls them directly: a hop costs a few milliseconds.
 const RELAYED_FROM: usize = 600;
-/// Bytes a second of the calls to an endpoint at work, both ways.
+/// Traffic of the calls to a busy endpoint, bytes per second in both directions together.
 const ENDPOINT_BYTES_PER_S: f64 = 3_000.0;
-/// Shards are kept until there are this many times as many as wanted.
+/// The number of shards is kept until it is this many times the wanted number.
 const MOST_OVER: u64 = 4;
-/// The share of the link that calls to endpoints may take.
+/// Share of the leader's link that calls to endpoints may use.
 const LINK_SHARE: f64 = 0.25;
 
-/// How the endpoints are divided.
+/// Division of the endpoints into shards.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Layout {
-    /// Shards of each service; none if the leader calls all endpoints by itself.
+    /// Shards per service; 0 if the leader calls all endpoints directly.
     pub shards: u64,
 }
 
 impl Layout {
-    /// The division of `endpoints` of `services`, for a leader with this link.
+    /// Computes the layout for a number of endpoints and services, and the rate of the leader's
+    /// link.
     #[must_use]
     pub fn of(endpoints: usize, services: usize, link_bytes_per_s: Option<f64>) -> Layout {
         let count = u32::try_from(endpoints).unwrap_or(u32::MAX);
@@ -43,11 +44,11 @@
         }
     }
 
-    /// The layout that follows this one where `wanted` would fit best.
+    /// The layout to use after this one if `wanted` is the best fit now.
     ///
-    /// Endpoints come and go all the time, and each changed number of shards moves many of them to
-    /// other members, with new connections. It grows at once, shrinks by much only, and calls that
-    /// members carry don't go back to the leader.
+    /// Endpoints come and go all the time, and each change of the number of shards moves many of
+    /// them to other members, which need new connections. The number therefore grows at once,
+    /// shrinks only by a large factor, and does not go back to 0.
     #[must_use]
     pub fn followed_by(self, wanted: Layout) -> Layout {
         let grows = wanted.shards > self.shards;
@@ -55,7 +56,8 @@
         if grows || shrinks { wanted } else { self }
     }
 
-    /// The one of `members` that carries an endpoint's calls; `None` if the leader makes them.
+    /// The one of `members` that carries calls to an endpoint; `None` if the leader calls it
+    /// directly.
     pub fn member<'a, M: Hash + Copy + 'a>(
         &self,
         service: &ServiceName,
@@ -70,7 +72,8 @@
     }
 }
 
-/// The power of two that is the smallest factor away: doubled, half of the endpoints stay where they are.
+/// The nearest power of two by ratio. Doubling the number of shards leaves half of the endpoints at
+/// their members.
 fn nearest_power(number: u64) -> u64 {
     let above = number.next_power_of_two();
     let below = (above / 2).max(1);
@@ -81,7 +84,7 @@
     }
 }
 
-/// Stable within one process, which is as long as a layout is used.
+/// Hash that is stable within one process, which suffices because a layout is not shared.
 fn hash(key: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
--- a/crates/pomelohitch-sched/src/resources.rs
+++ b/crates/pomelohitch-sched/src/resources.rs
@@ -1,4 +1,4 @@
-//! Processors, memory and accelerators.
+//! Amounts of processors, memory and accelerators.
 
 use std::ops::{AddAssign, SubAssign};
 
@@ -9,9 +9,9 @@
 pub struct Resources {
     /// Thousandths of a core.
     pub cpu: u64,
-    /// Memory, MB.
+    /// Memory in MB.
     pub mem_mb: u64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub gpu: u64,
 }
 
@@ -22,7 +22,7 @@
         need.cpu <= self.cpu && need.mem_mb <= self.mem_mb && need.gpu <= self.gpu
     }
 
-    /// What is left after `used`; nothing where more is used than there is.
+    /// This amount without `used`, saturating at zero.
     #[must_use]
     pub fn less(&self, used: &Resources) -> Resources {
         Resources {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// This amount, `count` times.
+    /// This amount multiplied by `count`, saturating.
     #[must_use]
     pub fn times(&self, count: u64) -> Resources {
         Resources {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// How often `need` fits into this amount.
+    /// How many times `need` fits into this amount.
     #[must_use]
     pub fn fits(&self, need: &Resources) -> u64 {
         let times = |have: u64, need: u64| have.checked_div(need).unwrap_or(u64::MAX);
@@ -51,7 +51,7 @@
             .min(times(self.gpu, need.gpu))
     }
 
-    /// As a bound, an amount of 0 means that there is none.
+    /// Whether `total` is within this limit; an amount of 0 means no limit.
     #[must_use]
     pub fn bounds(&self, total: &Resources) -> bool {
         let within = |bound: u64, total: u64| bound == 0 || total <= bound;
--- a/crates/pomelohitch-sched/src/rto.rs
+++ b/crates/pomelohitch-sched/src/rto.rs
@@ -1,28 +1,28 @@
-//! How long an answer is waited for.
+//! Adaptive timeout of calls.
 //!
-//! The load that this answers: a link or a processor that is full for a while. Answers come late
-//! then, and calls that are given up too early are made again and fill it further. Estimated as the
-//! retransmission timeout of TCP is (RFC 6298).
+//! While a link or a processor is overloaded, answers come late. Calls that time out too early are
+//! repeated and add to the load. The timeout is estimated like the retransmission timeout of TCP
+//! (RFC 6298).
 
 use std::time::Duration;
 
-/// Weight of a new sample in the smoothed time, the RFC's alpha.
+/// Weight of a new sample in the smoothed time (alpha in the RFC).
 const ALPHA: f64 = 0.125;
-/// Weight of a new sample in the variation, the RFC's beta.
+/// Weight of a new sample in the variation (beta in the RFC).
 const BETA: f64 = 0.25;
-/// Variations that are added to the smoothed time, the RFC's K.
+/// Multiple of the variation that is added to the smoothed time (K in the RFC).
 const VARIATIONS: u32 = 4;
 
-/// The shortest and the longest timeout.
+/// Bounds of the timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Where answers are prompt.
+    /// Smallest timeout.
     pub shortest: Duration,
-    /// Where they are late.
+    /// Largest timeout.
     pub longest: Duration,
 }
 
-/// The estimate of a timeout.
+/// Estimator of a timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rto {
     limits: Limits,
@@ -31,7 +31,7 @@
 }
 
 impl Rto {
-    /// An estimate before the first answer.
+    /// Creates an estimator without samples.
     #[must_use]
     pub fn new(limits: Limits) -> Rto {
         Rto {
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Takes in how long an answer took, or how long one was waited for in vain.
+    /// Adds a sample: the time an answer took, or the time after which a call timed out.
     pub fn took(&mut self, took: Duration) {
         let Some(smoothed) = self.smoothed else {
             self.smoothed = Some(took);
@@ -52,7 +52,7 @@
         self.smoothed = Some(smoothed.mul_f64(1.0 - ALPHA) + took.mul_f64(ALPHA));
     }
 
-    /// How long to wait for the next answer.
+    /// Timeout of the next call.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         let Limits { shortest, longest } = self.limits;
--- a/crates/pomelohitch-sched/src/suspicion.rs
+++ b/crates/pomelohitch-sched/src/suspicion.rs
@@ -1,9 +1,9 @@
-//! Which tasks are suspected of crashing the endpoints that start them.
+//! Detection of tasks that crash their endpoints.
 //!
-//! A crash takes all runs of an endpoint with it, and nothing says which of them caused it. A run that
-//! had been seen at work for a while is taken for sound. Jobs with other runs are suspected: their
-//! tasks run apart from those of other jobs until they have been at work for that while, so that a
-//! second crash tells.
+//! A crash ends all runs of an endpoint, and nothing shows which of them caused it. A run that had
+//! been running for a while is not blamed. Jobs of the other runs become suspects: their tasks are
+//! isolated from those of other jobs until they have been running for that while, so that a second
+//! crash shows which job is at fault.
 
 use std::time::Duration;
 
@@ -11,33 +11,34 @@
 
 use crate::loss::{Loss, LossCause};
 
-/// When a task is suspected, and when it is given up.
+/// Limits for suspecting and giving up a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrashLimits {
-    /// Endpoints lost under a task, by which it is given up if only its job can have caused `alone` of
-    /// these crashes.
+    /// Number of endpoints lost under a task at which it is given up, if its job is the only
+    /// possible cause of at least `alone` of the crashes.
     pub lost_alone: u32,
     /// See [`CrashLimits::lost_alone`].
     pub alone: u32,
-    /// Endpoints lost under a task, by which it is given up if `certain` of them surely crashed under
-    /// it, whatever ran beside.
+    /// Number of endpoints lost under a task at which it is given up, if at least `certain` of them
+    /// certainly crashed under it, whatever else ran there.
     pub lost_certain: u32,
     /// See [`CrashLimits::lost_certain`].
     pub certain: u32,
-    /// Endpoints lost under a task, by which it is given up in any case. The platform allows no more.
+    /// Number of endpoints lost under a task at which it is given up in any case; the platform
+    /// allows no more.
     pub lost: u32,
-    /// A run seen at work for so long doesn't crash its endpoint.
+    /// A run that has been running for this long is not blamed for a crash.
     pub proven_after: Duration,
     /// The same for a task under which an endpoint was lost before.
     pub proven_again_after: Duration,
-    /// What was lost before is forgotten of a task that has been at work for so long.
+    /// After a task has been running for this long, its earlier losses are forgotten.
     pub cleared_after: Duration,
-    /// Whether suspected jobs run apart from others.
+    /// Whether suspected jobs are isolated from other jobs.
     pub isolates: bool,
-    /// The part of a service's endpoints that is kept for suspected jobs at most while others wait; one
-    /// at least.
+    /// Largest share of a service's endpoints that are reserved for suspected jobs while other jobs
+    /// wait; at least one endpoint.
     pub most_isolated: f64,
-    /// A suspected job that waited so long to run apart starts beside others.
+    /// A suspected job that has waited this long for an isolated endpoint starts beside other jobs.
     pub patience: Duration,
     /// The same while more than half of the service's processors are in use.
     pub busy_patience: Duration,
@@ -62,21 +63,21 @@
     }
 }
 
-/// What the endpoints that were lost under a task say of it.
+/// Evidence that a task crashes its endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspicion {
-    /// Endpoints that were lost under its runs, or may have been.
+    /// Number of endpoints that were, or may have been, lost under its runs.
     pub lost: u32,
-    /// Those of them that surely crashed under it.
+    /// Number of those that certainly crashed under it.
     pub certain: u32,
-    /// Those of these that only its job can have caused.
+    /// Number of those crashes that only its job can have caused.
     pub alone: u32,
-    /// Whether it runs apart from other jobs.
+    /// Whether it is isolated from other jobs.
     pub is_suspect: bool,
 }
 
 impl Suspicion {
-    /// Takes in how a run of the task was lost. Returns whether that counts.
+    /// Records the loss of a run of the task; returns whether the loss counts as evidence.
     pub fn note(&mut self, loss: &Loss) -> bool {
         if !matches!(loss.cause, LossCause::Crash | LossCause::Silence) {
             return false;
@@ -89,7 +90,7 @@
         true
     }
 
-    /// Takes back a loss: the endpoint had only been cut off.
+    /// Withdraws a loss, because the endpoint had only been disconnected.
     pub fn retract(&mut self) {
         self.lost = self.lost.saturating_sub(1);
         if self.lost == 0 {
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Whether the task is to be given up.
+    /// Whether the task has to be given up.
     #[must_use]
     pub fn is_over(&self, limits: &CrashLimits) -> bool {
         let is_alone = self.alone >= limits.alone && self.lost >= limits.lost_alone;
@@ -105,7 +106,7 @@
         is_alone || is_certain || self.lost >= limits.lost
     }
 
-    /// Whether a run of the task that has been seen at work for so long is taken for sound.
+    /// Whether a run of the task that has been running for `worked` is not blamed for a crash.
     #[must_use]
     pub fn is_proven(&self, worked: Duration, limits: &CrashLimits) -> bool {
         let needed = if self.lost == 0 {
--- a/crates/pomelohitch-sched/src/urgency.rs
+++ b/crates/pomelohitch-sched/src/urgency.rs
@@ -1,9 +1,9 @@
 //! Ordering of waiting jobs.
 //!
-//! The load that this answers: each queue in its turn asks about five times its mean for some
-//! seconds, more than its pool holds. First come first served would then make every job late, and
-//! so would going by the latest start alone: each job would end a little too late. As many jobs as
-//! possible are therefore to be in time, and the others wait until there is room to spare.
+//! Queues have bursts: for some seconds a queue submits about five times its mean load, more than
+//! its pool can run. First come, first served would then make every job late, and so would ordering
+//! by latest start time alone, which lets each job finish slightly too late. The order therefore
+//! lets as many jobs as possible meet their objectives; the others wait for free capacity.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,90 +13,92 @@
 use crate::id::JobId;
 use crate::policy::Policy;
 
-/// A job is of use until this many times its objective.
+/// A job's result is useful until this multiple of its objective.
 const LATE_TIMES: f64 = 3.0;
-/// Jobs are deferred where the work due is this many times what can be done; estimates are rough.
+/// Jobs are deferred when the work due exceeds this multiple of what can be done. Above 1 because
+/// estimates are rough.
 const OVERLOAD: f64 = 1.6;
-/// A late job expires soon if its latest useful start is within this time.
+/// A late job is about to expire if its latest useful start time is within this time.
 const EXPIRING_WITHIN: Duration = Duration::from_millis(500);
-/// Share of a pool's room that promoted jobs take at most.
+/// Largest share of a pool's capacity for promoted jobs.
 const PROMOTED_PART: f64 = 0.2;
-/// Time of a step beside its work: recording and sending starts, polling and recording ends.
+/// Time that a step takes beyond its work: recording and sending starts, polling and recording
+/// completions.
 const STEP_OVERHEAD: Duration = Duration::from_millis(80);
 
-/// What a job is ranked by among those that wait for the same service.
+/// A job as input to the ordering, among the jobs that wait for the same service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Which job.
+    /// Job id.
     pub job: JobId,
-    /// When it came or was due.
+    /// When the job was accepted or became due.
     pub from_ms: UnixMs,
-    /// Its whole chain of work, by its estimates.
+    /// Length of its whole critical path, by estimates.
     pub chain: Duration,
-    /// What is left of the chain.
+    /// Length of the remaining critical path.
     pub chain_left: Duration,
-    /// How many steps are left, one after another at the most.
+    /// Number of remaining steps, an upper bound on the steps in sequence.
     pub steps_left: u32,
-    /// What its tasks take that haven't begun: thousandths of a core times milliseconds.
+    /// Estimated work of its tasks that have not begun: thousandths of a core times milliseconds.
     pub work_left: f64,
-    /// Whether some task has begun.
+    /// Whether any of its tasks has begun.
     pub has_begun: bool,
-    /// Whether its tasks last: they serve users of their own all the time, and have to be back soon
-    /// however they ended.
+    /// Whether its tasks are lasting ones. These serve users continuously and have to restart soon,
+    /// whatever ended them.
     pub is_lasting: bool,
-    /// The objective in multiples of the chain.
+    /// Objective as a multiple of the critical path.
     pub stretch: f64,
-    /// What the objective allows beside the work.
+    /// Time that the objective allows in addition to the multiple of the critical path.
     pub slack: Duration,
-    /// Priority of its queue, 0 first.
+    /// Priority of its queue; 0 is the highest.
     pub priority: u32,
-    /// Which workspace sent it, by its place in the configuration.
+    /// Index of its workspace in the configuration.
     pub owner: u32,
-    /// That workspace's weight.
+    /// Weight of that workspace.
     pub weight: u64,
 }
 
-/// What a service's endpoints can take on.
+/// Capacity of a service's endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Room {
-    /// Thousandths of a core beside those that lasting tasks take.
+    /// Thousandths of a core that lasting tasks do not use.
     pub cpu: f64,
-    /// What runs there is still to take, thousandths of a core times milliseconds.
+    /// Remaining work of the runs there, thousandths of a core times milliseconds.
     pub under_way: f64,
-    /// Thousandths of a core of instances that are on their way to the pool.
+    /// Thousandths of a core of instances that are being moved to the pool.
     pub awaited: f64,
 }
 
 impl Room {
-    /// An instance on its way is there after so long on average: moves take 1.5 s.
+    /// Average time until an instance being moved arrives; a move takes 1.5 s.
     const AWAITED_AFTER_MS: f64 = 900.0;
 
-    /// The work that can be done within a time.
+    /// Work that can be done within `millis`.
     fn within(&self, millis: f64) -> f64 {
         let later = (millis - Self::AWAITED_AFTER_MS).max(0.0);
         self.cpu * millis + self.awaited * later - self.under_way
     }
 }
 
-/// Whether a job can be served in time, best first.
+/// Whether a job can meet its objective; variants in the order in which jobs are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Feasibility {
-    /// Its tasks last: whatever else waits, they have to be back soon.
+    /// A job of lasting tasks, which have to restart soon whatever else waits.
     Lasting,
-    /// It is late, and expires unless it starts now.
+    /// Late, and expires unless it starts now.
     Expiring,
-    /// It can be in time.
+    /// Can meet its objective.
     Feasible,
-    /// It could be, but is deferred for others.
+    /// Could meet its objective, but is deferred in favour of other jobs.
     Deferred,
-    /// It will be late.
+    /// Will miss its objective.
     Late,
-    /// It will be of no use to its caller.
+    /// Its result will be of no use to the caller.
     Expired,
 }
 
 impl Candidate {
-    /// When the job should be done.
+    /// Time by which the job should be done.
     #[must_use]
     pub fn objective_ms(&self) -> UnixMs {
         self.from_ms.saturating_add(millis(self.allowed()))
@@ -106,8 +108,7 @@
         self.chain.mul_f64(self.stretch.max(0.0)) + self.slack
     }
 
-    /// When its next step has to start at the latest for it to be done in so many times its
-    /// objective.
+    /// Latest start time of the next step for the job to be done within `times` its objective.
     fn start_by_ms(&self, times: f64) -> UnixMs {
         let allowed = millis(self.allowed().mul_f64(times));
         let takes = self.chain_left + STEP_OVERHEAD * self.steps_left;
@@ -116,7 +117,7 @@
     }
 }
 
-/// The jobs in the order in which they should be given room.
+/// Sorts jobs in the order in which they should get capacity.
 #[must_use]
 pub fn order(candidates: &[Candidate], room: &Room, now_ms: UnixMs, policy: &Policy) -> Vec<JobId> {
     let mut ranked: Vec<Ranked<'_>> = candidates.iter().map(|c| rank(c, now_ms, policy)).collect();
@@ -139,7 +140,7 @@
 }
 
 impl Ranked<'_> {
-    /// Lower goes first. What has begun goes before what hasn't among jobs that are late.
+    /// Sort key, lowest first. Among late jobs, those that have begun go before the others.
     fn key(&self) -> (Feasibility, u32, bool, UnixMs, JobId) {
         let waits = self.feasibility >= Feasibility::Late && !self.candidate.has_begun;
         let (priority, job) = (self.candidate.priority, self.candidate.job);
@@ -171,11 +172,12 @@
     }
 }
 
-/// Defers jobs until the others can be in time together, as Moore and Hodgson's rule for the least
-/// number of late jobs does: by due time, and each time that the work due is more than can be done by
-/// then, one job is taken out. It is one of the workspace that asks for most beside its weight, and of
-/// its jobs the one that takes most work, so that a workspace that presses is held to its weighted
-/// fair share. What has begun isn't deferred.
+/// Defers jobs until all others can meet their objectives, following the Moore-Hodgson algorithm
+/// for the least number of late jobs: goes through the jobs by due time, and whenever the work due
+/// exceeds what can be done by then, removes one job. The removed job belongs to the workspace with
+/// the most work in relation to its weight, and is the one with the most work of that workspace, so
+/// that a workspace that overloads a pool is held to its weighted fair share. Jobs that have begun
+/// are not deferred.
 fn defer(ranked: &mut [Ranked<'_>], room: &Room, now_ms: UnixMs) {
     let feasible = ranked
         .iter()
@@ -208,8 +210,9 @@
     }
 }
 
-/// Ranks late jobs first that are of no use unless they start now, up to a part of the room: without
-/// that bound an overload would have every job served just before it expires, and none in time.
+/// Promotes late jobs that are of no use unless they start now, up to a share of the capacity.
+/// Without this limit, an overload would have every job served just before it expires, and none in
+/// time.
 fn promote_expiring(ranked: &mut [Ranked<'_>], room: &Room, now_ms: UnixMs) {
     let is_last = |p: &Ranked<'_>| {
         p.feasibility == Feasibility::Late
@@ -228,7 +231,7 @@
     }
 }
 
-/// The job that is deferred next, by its index.
+/// Removes and returns the index of the job to defer next.
 fn next_deferred(owners: &mut BTreeMap<u32, Owner>) -> Option<usize> {
     let asking = owners.values_mut().filter(|o| !o.fresh.is_empty());
     let most = asking.max_by(|a, b| a.compare(b))?;
@@ -237,7 +240,7 @@
     Some(fresh.at)
 }
 
-/// What a workspace asks for.
+/// Work requested by one workspace.
 #[derive(Debug, Default)]
 struct Owner {
     work: f64,
@@ -245,8 +248,7 @@
     fresh: BinaryHeap<Fresh>,
 }
 
-/// A job that hasn't begun; the greatest is deferred first: what is less urgent, then what takes
-/// more work.
+/// A job that has not begun. The greatest is deferred first: lowest priority, then most work.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Fresh {
     priority: u32,
@@ -294,7 +296,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Times of day in milliseconds are far below the numbers that a float can't hold.
+/// Times of day in milliseconds are small enough to be exact in an `f64`.
 #[expect(clippy::cast_precision_loss)]
 fn as_f64(number: u64) -> f64 {
     number as f64
--- a/crates/pomelohitch-sched/tests/demand.rs
+++ b/crates/pomelohitch-sched/tests/demand.rs
@@ -1,4 +1,4 @@
-//! What services will want, from what arrived.
+//! Tests of the demand forecast.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     }]
 }
 
-/// Jobs of one core for 0.8 s, `per_second` at each time.
+/// Adds jobs of one core for 0.8 s until `until_ms`, at the rate `per_second` of the time.
 fn arrive(demand: &mut Demand, name: &ServiceName, until_ms: u64, per_second: impl Fn(u64) -> u64) {
     for at in (0..until_ms).step_by(100) {
         for _ in 0..per_second(at) / 10 {
@@ -35,9 +35,9 @@
     demand.most(name, now_ms, ahead) / 1000.0
 }
 
-/// A queue's turn begins over some seconds, longer than a move takes. Here arrivals rise by 40 a
-/// second each second, so that two seconds later over 100 cores are in use. By what has arrived
-/// alone 42 would be provided for; with the rise carried on it is 56.
+/// Guards against provisioning only for what has arrived while a burst builds up, which takes
+/// longer than a move. Arrivals rise by 40 per second each second and need over 100 cores two
+/// seconds later; 42 cores would be provided without extrapolation, 56 with it.
 #[test]
 fn a_rise_is_carried_on() {
     let name: ServiceName = Arc::from("s");
@@ -47,7 +47,8 @@
     assert!(foreseen > 50.0, "{foreseen}");
 }
 
-/// One large job isn't the beginning of a turn. Taken for one it would move half of the fleet.
+/// Guards against taking one large job for the start of a burst, which would move half of the
+/// fleet.
 #[test]
 fn one_large_job_is_no_rise() {
     let name: ServiceName = Arc::from("s");
@@ -57,8 +58,8 @@
     assert!(foreseen <= 20.0, "{foreseen}");
 }
 
-/// Turns that come every 16 s: after one and a half rounds the next is foreseen before it begins,
-/// and a lull is known to last.
+/// Bursts come every 16 s. After one and a half periods the next burst is forecast before it
+/// begins, and a pause between bursts is known to last.
 #[test]
 fn a_turn_is_foreseen_by_its_period() {
     let name: ServiceName = Arc::from("s");
@@ -77,8 +78,9 @@
     assert!(cores(&demand, &other, 30_500, AHEAD) < 5.0);
 }
 
-/// A turn ends, and the jobs of its last second go on for two more. By what they still want the end
-/// shows only when they are done, and for as long hundreds of instances stay in a pool without work.
+/// Guards against noticing the end of a burst too late. The last jobs run for two more seconds;
+/// judged by outstanding work, hundreds of instances would stay in a pool without work for that
+/// time.
 #[test]
 fn the_end_of_a_turn_shows_when_nothing_arrives_any_more() {
     let name: ServiceName = Arc::from("quotes");
@@ -95,8 +97,8 @@
     assert!(later < 90.0, "{later} cores for what 120 were in use for");
 }
 
-/// Callers stop in the middle of the day. What the period foretells doesn't come any more, and
-/// instances would be kept, and switched on again and again, for turns of which nobody asks anything.
+/// Guards against scaling for a period that is over: when callers stop, instances would be kept,
+/// and switched on again and again, for bursts that do not come.
 #[test]
 fn a_period_that_does_not_come_true_is_not_trusted() {
     let mut demand = Demand::default();
--- a/crates/pomelohitch-sched/tests/flow.rs
+++ b/crates/pomelohitch-sched/tests/flow.rs
@@ -1,10 +1,10 @@
-//! How many starts may be on their way.
+//! Tests of the window on starts.
 
 use std::time::Duration;
 
 use pomelohitch_sched::flow::Flow;
 
-/// Decides as many starts as may be.
+/// Decides starts until the window is full.
 fn fill(flow: &mut Flow) -> usize {
     let mut decided = 0;
     while flow.has_room() {
@@ -14,8 +14,8 @@
     decided
 }
 
-/// A new leader finds three thousand tasks waiting. Ordered all at once, half of them would be too
-/// old when their turn to be sent came.
+/// Guards against sending the starts of 3000 waiting tasks at once after a change of leader: half
+/// of them would be void before their turn to be sent.
 #[test]
 fn a_new_leader_does_not_order_all_at_once() {
     let mut flow = Flow::default();
@@ -24,7 +24,7 @@
     assert!(fill(&mut flow) <= 2);
 }
 
-/// Where starts are answered quickly, many may be under way.
+/// The window grows while starts are answered promptly.
 #[test]
 fn what_is_answered_quickly_may_be_more() {
     let mut flow = Flow::default();
@@ -42,7 +42,7 @@
     assert!(more <= 2_000, "{more}");
 }
 
-/// Guards against starts that wait behind each other on a full link until they are void.
+/// Guards against starts that queue up on an overloaded link until they are void.
 #[test]
 fn late_answers_shrink_the_window() {
     let mut flow = Flow::default();
@@ -59,7 +59,7 @@
     assert!(fill(&mut flow) <= 8, "the smallest window");
 }
 
-/// Guards against idling a pool because single endpoints leave starts unanswered.
+/// Guards against an idle pool because single endpoints leave starts unanswered.
 #[test]
 fn a_lost_answer_in_twenty_leaves_the_window() {
     let mut flow = Flow::default();
@@ -76,7 +76,7 @@
     assert!(fill(&mut flow) >= 160);
 }
 
-/// Guards against a first burst that takes a slow link longer than a start may take.
+/// Guards against a first burst that takes longer on a slow link than a start is valid.
 #[test]
 fn the_first_window_fits_the_link() {
     let mut flow = Flow::of_link(250_000.0);
--- a/crates/pomelohitch-sched/tests/forwarding.rs
+++ b/crates/pomelohitch-sched/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! The window on requests that a member passes on.
+//! Tests of the window on forwarded requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,20 +7,21 @@
 
 const STEP: Duration = Duration::from_millis(10);
 const STEPS_PER_S: usize = 100;
-/// A request is given up when its answer takes longer.
+/// Timeout of a forwarded request.
 const WITHIN: Duration = Duration::from_millis(1200);
 
-/// What became of the requests of some members whose leader answers so many a second.
+/// Outcome of the requests.
 #[derive(Debug, Default)]
 struct Outcome {
     answered: usize,
     refused: usize,
-    /// Passed on, and given up before its answer came.
+    /// Timed out after they were forwarded.
     given_up: usize,
 }
 
-/// Plays `members`, each with `per_s` new requests a second, for `seconds`. Refused and given up
-/// requests come again a second later.
+/// Simulates `members` that each submit `per_s` new requests per second for `seconds`, and a leader
+/// that answers `served_per_s`. Refused requests are retried after `retry_after`, timed-out ones
+/// after a second.
 fn play(members: usize, per_s: usize, served_per_s: usize, seconds: u32) -> Outcome {
     let mut windows = vec![Window::default(); members];
     let mut queue: VecDeque<(Duration, usize, bool)> = VecDeque::new();
@@ -68,7 +69,7 @@
     outcome
 }
 
-/// Guards against members that fill a full leader's link with requests they have given up.
+/// Guards against members that overload the leader's link with requests that have timed out.
 #[test]
 fn a_leader_that_is_full_answers_what_it_can() {
     let outcome = play(16, 8, 80, 30);
@@ -78,14 +79,14 @@
     assert!(outcome.given_up * 20 <= outcome.answered, "{outcome:?}");
 }
 
-/// Guards against requests that are refused while the leader has room.
+/// Guards against refusals while the leader has free capacity.
 #[test]
 fn nothing_is_refused_while_the_leader_answers() {
     let outcome = play(16, 8, 400, 20);
     assert_eq!((outcome.refused, outcome.given_up), (0, 0));
 }
 
-/// Guards against a window that stays small after the leader was silent for a while.
+/// Guards against a window that stays small after the leader did not answer for a while.
 #[test]
 fn a_window_grows_again_after_a_silence() {
     let mut window = Window::default();
--- a/crates/pomelohitch-sched/tests/progress.rs
+++ b/crates/pomelohitch-sched/tests/progress.rs
@@ -1,4 +1,4 @@
-//! Records of jobs.
+//! Tests of job records.
 
 use pomelohitch_sched::progress::{
     self, Backoff, Entry, JobState, Occurrence, Progress, Run, RunView, Task,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Guards against a successor that knows other runs than its former leader recorded.
+/// Guards against a new leader that restores other runs than its predecessor recorded.
 #[test]
 fn what_is_recorded_is_read_back() {
     pomelohitch_property::check(|(state, steps): &(u8, Vec<Vec<Facts>>)| {
@@ -77,7 +77,7 @@
     });
 }
 
-/// Guards against records that fill the link of a busy leader.
+/// Guards against records so large that they fill the link of a busy leader.
 #[test]
 fn a_run_takes_a_few_bytes() {
     let run = |at: u32| Task {
@@ -105,7 +105,7 @@
     assert!(waiting <= 48, "{waiting}");
 }
 
-/// Guards against a run that is at no endpoint of its record.
+/// Guards against restoring a run whose endpoint is missing from the record.
 #[test]
 fn any_bytes_are_read_or_refused() {
     pomelohitch_property::check(|bytes: &Vec<u8>| {
--- a/crates/pomelohitch-sched/tests/rate.rs
+++ b/crates/pomelohitch-sched/tests/rate.rs
@@ -1,4 +1,4 @@
-//! Calls go out no faster than they may.
+//! Tests of the rate limit for calls.
 
 use std::time::Duration;
 
--- a/crates/pomelohitch-sched/tests/relaying.rs
+++ b/crates/pomelohitch-sched/tests/relaying.rs
@@ -1,4 +1,4 @@
-//! Which member carries calls to which endpoints.
+//! Tests of the assignment of endpoints to members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -40,7 +40,7 @@
     assert!(members.len() >= 9, "{members:?}");
 }
 
-/// Guards against polls that all change their way when one member goes.
+/// Guards against moving the calls to all endpoints when one member leaves.
 #[test]
 fn only_the_endpoints_of_a_lost_member_go_elsewhere() {
     let layout = Layout::of(120, 4, Some(250_000.0));
@@ -52,7 +52,7 @@
     }
 }
 
-/// Guards against endpoints that all go to other members whenever one comes or goes.
+/// Guards against moving all endpoints to other members whenever an endpoint joins or leaves.
 #[test]
 fn endpoints_that_come_and_go_leave_the_others_where_they_are() {
     let mut layout = Layout::default();
@@ -70,7 +70,7 @@
     insta::assert_debug_snapshot!(changes);
 }
 
-/// Guards against more shards that leave no endpoint at its member.
+/// Guards against moving all endpoints to other members when the number of shards grows.
 #[test]
 fn half_of_the_endpoints_stay_when_the_shards_double() {
     let [few, many] = [4, 8].map(|shards| carried(Layout { shards }, &MEMBERS));
--- a/crates/pomelohitch-sched/tests/rto.rs
+++ b/crates/pomelohitch-sched/tests/rto.rs
@@ -1,4 +1,4 @@
-//! How long an answer is waited for.
+//! Tests of the adaptive timeout.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     assert_eq!(after([3; 50]), LIMITS.shortest);
 }
 
-/// Guards against giving up every call of a link that is full.
+/// Guards against timing out every call on an overloaded link.
 #[test]
 fn late_answers_are_waited_for() {
     let timeout = after(std::iter::repeat_n(3, 50).chain([180; 20]));
--- a/crates/pomelohitch-sched/tests/urgency.rs
+++ b/crates/pomelohitch-sched/tests/urgency.rs
@@ -1,4 +1,4 @@
-//! Which jobs go first when not all can be in time.
+//! Tests of the ordering of waiting jobs.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const NOW: u64 = 1_000_000;
 
-/// A job that came now: `work` is in seconds of a core, and its chain takes a second.
+/// A job accepted at `NOW`; `work` is in core seconds, and its critical path takes one second.
 fn candidate(job: u64, work: f64) -> Candidate {
     Candidate {
         job,
@@ -26,7 +26,7 @@
     }
 }
 
-/// So many cores, which nothing uses.
+/// A pool with this many idle cores.
 fn cores(count: f64) -> Room {
     Room {
         cpu: count * 1000.0,
@@ -46,8 +46,8 @@
     assert_eq!(ordered(&candidates, &cores(100.0)), [1, 3, 2]);
 }
 
-/// Five jobs come at once, and the pool can do a little more than half of their work in time. By
-/// the latest start alone the large one would be served first, and all others would be late.
+/// The pool can do little more than half of the work of five jobs in time. Ordered by latest start
+/// alone, the largest job would go first and make all others late.
 #[test]
 fn the_job_waits_whose_work_frees_most() {
     let mut candidates = [4.0, 2.0, 2.0, 12.0, 2.0].map(|work| candidate(0, work));
@@ -58,8 +58,8 @@
     assert_eq!(ordered(&candidates, &cores(3.0)), [1, 2, 3, 5, 4]);
 }
 
-/// One workspace sends six times what the others send. Its own jobs wait, though each of them is
-/// smaller than those of the others.
+/// One workspace submits three times as many jobs as another. Its own jobs wait, although each of
+/// them is smaller.
 #[test]
 fn a_workspace_that_presses_waits_itself() {
     let mut candidates: Vec<Candidate> = (1..=16).map(|job| candidate(job, 1.0)).collect();
@@ -76,7 +76,7 @@
     assert_eq!(calm, 4, "{first:?}");
 }
 
-/// A workspace of four times the weight may ask for four times as much.
+/// Under overload a workspace with four times the weight gets four times the share.
 #[test]
 fn what_a_workspace_may_ask_goes_by_its_weight() {
     let mut candidates: Vec<Candidate> = (1..=15).map(|job| candidate(job, 1.0)).collect();
@@ -92,7 +92,7 @@
     assert!((1..=2).contains(&small), "{order:?}");
 }
 
-/// What has begun isn't put off: what was done of it would be for nothing.
+/// Deferring a job that has begun would waste the work already done.
 #[test]
 fn a_job_that_has_begun_is_not_deferred() {
     let mut candidates = [candidate(1, 12.0), candidate(2, 2.0), candidate(3, 2.0)];
@@ -101,8 +101,8 @@
     assert_eq!(order.iter().position(|job| *job == 1), Some(0));
 }
 
-/// Jobs that can't be in time any more wait for those that can, and those that are too late to be
-/// of use for both.
+/// Jobs that can still meet their objective go first, then late jobs, then those whose result is of
+/// no use any more.
 #[test]
 fn late_jobs_wait() {
     let mut candidates = [candidate(1, 1.0), candidate(2, 1.0), candidate(3, 1.0)];
@@ -111,7 +111,7 @@
     assert_eq!(ordered(&candidates, &cores(100.0)), [3, 2, 1]);
 }
 
-/// Estimates are rough: a job that will be a little late by them may well be in time.
+/// Estimates are rough: a job that is slightly late by its estimates may still meet its objective.
 #[test]
 fn a_job_that_is_a_little_behind_is_not_given_up() {
     let mut candidates = [candidate(1, 1.0), candidate(2, 1.0)];
@@ -119,7 +119,8 @@
     assert_eq!(ordered(&candidates, &cores(100.0)), [1, 2]);
 }
 
-/// Instances that are on their way to the pool count for what is due after they have come.
+/// Instances that are being moved to the pool count as capacity for jobs that are due after they
+/// arrive.
 #[test]
 fn instances_on_their_way_count() {
     let mut candidates = [candidate(1, 3.0), candidate(2, 3.0), candidate(3, 3.0)];
@@ -133,8 +134,8 @@
     assert_eq!(ordered(&candidates, &cores(1.0)), [1, 3, 2]);
 }
 
-/// A lasting task has to come back. Its job came long ago; taken for a late one it would wait behind
-/// all others for as long as the pool is full.
+/// Guards against lasting tasks that wait behind all other jobs while the pool is full: their job
+/// was accepted long ago and would count as late.
 #[test]
 fn lasting_tasks_come_first() {
     let mut candidates = [candidate(1, 1.0), candidate(2, 1.0)];
@@ -143,8 +144,8 @@
     assert_eq!(ordered(&candidates, &cores(0.1)), [2, 1]);
 }
 
-/// A late job would be too late to be of use to its caller in a moment, while others that can be in
-/// time keep coming. Left behind them it is never served.
+/// Guards against starvation of late jobs by a continuous stream of jobs that can meet their
+/// objective: a job about to expire goes first.
 #[test]
 fn a_late_job_has_its_last_chance() {
     let mut candidates = [candidate(1, 1.0), candidate(2, 1.0), candidate(3, 1.0)];
@@ -153,8 +154,8 @@
     assert_eq!(ordered(&candidates, &cores(100.0)), [2, 1, 3]);
 }
 
-/// Most jobs are late. Were each given its last chance, all would be served just before it is too
-/// late, and none in time.
+/// Guards against an overload in which each job is promoted and served just before it expires, so
+/// that none meets its objective.
 #[test]
 fn last_chances_take_a_part_of_the_room() {
     let mut candidates: Vec<Candidate> = (1..=40).map(|job| candidate(job, 1.0)).collect();
@@ -166,7 +167,7 @@
     assert!(first.is_some_and(|at| at <= 4), "{order:?}");
 }
 
-/// Guards against lasting tasks of a less urgent queue that wait for as long as urgent jobs come.
+/// Guards against lasting tasks of a low-priority queue that wait while urgent jobs keep arriving.
 #[test]
 fn lasting_tasks_come_first_whatever_their_priority() {
     let mut candidates: Vec<Candidate> = (1..=10).map(|job| candidate(job, 1.0)).collect();
