--- a/crates/pomelohitch-sched/examples/cost.rs
+++ b/crates/pomelohitch-sched/examples/cost.rs
@@ -21,9 +21,9 @@
 /// Simulated time in seconds.
 const SECONDS: u32 = 24;
 /// Length of a queue's burst in seconds.
-const TURN: u32 = 4;
+const BURST_SECONDS: u32 = 4;
 /// Steps of virtual time per second.
-const STEPS: u32 = 100;
+const STEPS_PER_SECOND: u32 = 100;
 /// Number of queues without jobs.
 const IDLE_QUEUES: usize = 1_400;
 /// Name, instances, jobs per second during a burst, tasks per step, and for each task thousandths
@@ -48,7 +48,7 @@
         ..Queue::default()
     };
     let idle = (0..IDLE_QUEUES).map(|n| queue(format!("idle-{n}"), "pricing"));
-    let used = POOLS.iter().map(|(name, ..)| queue((*name).into(), name));
+    let busy = POOLS.iter().map(|(name, ..)| queue((*name).into(), name));
     let pools = POOLS.iter().map(|(name, ..)| *name);
     let spare = Service {
         is_spare: true,
@@ -56,7 +56,7 @@
     };
     FleetConfig {
         version: 2,
-        queues: idle.chain(used).collect(),
+        queues: idle.chain(busy).collect(),
         services: pools
             .map(|name| (name.into(), Service::default()))
             .chain([(SPARE.0.into(), spare)])
@@ -70,7 +70,7 @@
     }
 }
 
-fn whole_fleet() -> Fleet {
+fn build_fleet() -> Fleet {
     let mut fleet = Fleet::new(0);
     fleet.capacity = Resources {
         cpu: 16_000,
@@ -89,11 +89,11 @@
     fleet.cfg = Arc::new(config());
     fleet.cell.configure(fleet.cfg.clone());
     fleet.list();
-    fleet.pass(6 * STEPS);
+    fleet.pass(6 * STEPS_PER_SECOND);
     fleet
 }
 
-fn lasting(cpu: u64) -> Draft {
+fn lasting_job(cpu: u64) -> Draft {
     fleet::job(vec![StepSpec {
         is_lasting: true,
         per_endpoint: 4,
@@ -102,7 +102,7 @@
     }])
 }
 
-fn short(count: u32, cpu: u64, millis: u64) -> Draft {
+fn two_step_job(count: u32, cpu: u64, millis: u64) -> Draft {
     let second = StepSpec {
         after: vec![0],
         ..fleet::step(count, cpu, millis)
@@ -111,30 +111,30 @@
 }
 
 /// Submits the jobs of one step of virtual time.
-fn arrive(fleet: &mut Fleet, second: u32, step: u32, next_id: &mut u64) {
-    for (turn, &(name, _, rate, count, cpu, millis)) in (0..).zip(&POOLS) {
-        let is_its_turn = second / TURN % 4 == turn;
-        let rate = if is_its_turn { rate } else { rate / 80 };
-        let due = (step + 1) * rate / STEPS - step * rate / STEPS;
+fn submit_jobs(fleet: &mut Fleet, second: u32, step: u32, next_id: &mut u64) {
+    for (slot, &(name, _, rate, count, cpu, millis)) in (0..).zip(&POOLS) {
+        let is_bursting = second / BURST_SECONDS % 4 == slot;
+        let rate = if is_bursting { rate } else { rate / 80 };
+        let due = (step + 1) * rate / STEPS_PER_SECOND - step * rate / STEPS_PER_SECOND;
         for _ in 0..due {
             *next_id += 1;
-            let verb = Verb::Submit(Ok(short(count, cpu, millis)));
+            let verb = Verb::Submit(Ok(two_step_job(count, cpu, millis)));
             fleet.call(&format!("/{name}/{next_id:016x}"), verb);
         }
     }
 }
 
 fn main() {
-    let mut fleet = whole_fleet();
+    let mut fleet = build_fleet();
     let mut next_id = 0;
     for (name, ..) in POOLS {
         for _ in 0..4 {
             next_id += 1;
-            let verb = Verb::Submit(Ok(lasting(2_300)));
+            let verb = Verb::Submit(Ok(lasting_job(2_300)));
             fleet.call(&format!("/{name}/{next_id:016x}"), verb);
         }
     }
-    fleet.pass(2 * STEPS);
+    fleet.pass(2 * STEPS_PER_SECOND);
     let due = fleet.instances.keys().step_by(2).cloned();
     let wave = Wave {
         number: 1,
@@ -143,13 +143,13 @@
         at_once: 58,
     };
     fleet.cell.wave(wave);
-    println!("second  starts  jobs held  moves  looks  decided in, ms");
+    println!("second  starts  jobs held  moves  polls    decision, ms");
     for second in 0..SECONDS {
         let starts = fleet.starts.len();
         let moves = fleet.operations.len();
-        let (spent, looks) = (fleet.spent, fleet.looks_sent);
-        for step in 0..STEPS {
-            arrive(&mut fleet, second, step, &mut next_id);
+        let (spent, polls) = (fleet.spent, fleet.looks_sent);
+        for step in 0..STEPS_PER_SECOND {
+            submit_jobs(&mut fleet, second, step, &mut next_id);
             fleet.pass(1);
         }
         println!(
@@ -157,7 +157,7 @@
             fleet.starts.len() - starts,
             fleet.cell.job_count(),
             fleet.operations.len() - moves,
-            fleet.looks_sent - looks,
+            fleet.looks_sent - polls,
             fleet.spent.saturating_sub(spent).as_secs_f64() * 1000.0,
         );
     }
--- a/crates/pomelohitch-sched/src/demand.rs
+++ b/crates/pomelohitch-sched/src/demand.rs
@@ -16,37 +16,37 @@
 /// Length of a bucket of the time series, milliseconds. A job's steps take two or more buckets.
 const BUCKET_MS: u64 = 250;
 /// Number of buckets kept: three times the longest detectable period.
-const KEPT: u64 = 360;
+const KEPT_BUCKETS: u64 = 360;
 /// Shortest and longest detectable period in buckets: 6 s to 30 s.
 const PERIODS: std::ops::RangeInclusive<u64> = 24..=120;
 /// Buckets beyond a whole period that have to be observed before the period can be detected.
-const OVERLAP: u64 = 12;
+const PERIOD_MARGIN: u64 = 12;
 /// Smallest autocorrelation, 0 to 1, of a lag to be taken for the period.
 const MIN_AUTOCORRELATION: f64 = 0.6;
 /// A longer lag needs an autocorrelation higher by this much, because multiples of the true period
 /// reach the same value.
 const LONGER_BONUS: f64 = 0.05;
 /// A burst of a service is over when the largest arrival rate was this many times the present one,
-/// and above `TURN_PEAK`, thousandths of a core, which a few tasks do not reach.
-const TURN_RATIO: f64 = 4.0;
-const TURN_PEAK: f64 = 30_000.0;
+/// and above `BURST_PEAK`, thousandths of a core, which a few tasks do not reach.
+const BURST_END_RATIO: f64 = 4.0;
+const BURST_PEAK: f64 = 30_000.0;
 /// Number of neighbouring buckets, on both sides together, averaged with a bucket: about the time
 /// for which jobs may wait.
 const SMOOTHING_BUCKETS: u64 = 4;
 /// Buckets over which the forecast is compared with actual demand.
-const CHECKED: u64 = 4;
+const CHECKED_BUCKETS: u64 = 4;
 /// Share of the forecast demand that has to occur for the period to be trusted.
-const MIN_FORECAST_HIT: f64 = 0.3;
+const MIN_FORECAST_SHARE: f64 = 0.3;
 /// Arrivals count as steady up to this ratio between one span and the one before.
 const STEADY_GROWTH: f64 = 1.1;
 /// Number of buckets over which the arrival rate is computed.
 const RATE_BUCKETS: u64 = 3;
 /// `RATE_BUCKETS` as the length of a sliding window.
-const WINDOW: usize = 3;
+const RATE_WINDOW: usize = 3;
 /// A rise is extrapolated for at most the time that a move takes.
-const TREND_AHEAD: Duration = Duration::from_secs(2);
+const MAX_EXTRAPOLATION: Duration = Duration::from_secs(2);
 /// Safety margin for random arrivals, in standard deviations of their count.
-const STANDARD_DEVIATIONS: f64 = 1.0;
+const MARGIN_DEVIATIONS: f64 = 1.0;
 
 /// Work that arrived in a bucket.
 #[derive(Debug, Clone, Copy, Default)]
@@ -58,8 +58,8 @@
 
 impl Arrivals {
     /// Relative uncertainty of the arrival rate, from the number of jobs (Poisson arrivals).
-    fn doubt(&self) -> f64 {
-        STANDARD_DEVIATIONS / f64::from(self.jobs.max(1)).sqrt()
+    fn relative_error(&self) -> f64 {
+        MARGIN_DEVIATIONS / f64::from(self.jobs.max(1)).sqrt()
     }
 }
 
@@ -70,10 +70,10 @@
     /// bucket.
     wanted: BTreeMap<ServiceName, BTreeMap<u64, f64>>,
     arrived: BTreeMap<ServiceName, BTreeMap<u64, Arrivals>>,
-    first: Option<u64>,
+    first_bucket: Option<u64>,
     last: u64,
     period: Option<u64>,
-    looked_at: u64,
+    period_checked_at: u64,
     foresight: Foresight,
     margins: Margins,
 }
@@ -92,7 +92,10 @@
     /// Adds the work of a job that arrived at `at_ms`.
     pub fn add(&mut self, service: &ServiceName, steps: &[StepSpec], at_ms: UnixMs) {
         let bucket = at_ms / BUCKET_MS;
-        self.first = Some(self.first.map_or(bucket, |first| first.min(bucket)));
+        self.first_bucket = Some(
+            self.first_bucket
+                .map_or(bucket, |first_bucket| first_bucket.min(bucket)),
+        );
         self.last = self.last.max(bucket);
         let wanted = self.wanted.entry(service.clone()).or_default();
         let mut work = 0.0;
@@ -122,7 +125,7 @@
     #[must_use]
     pub fn most(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
         let now = now_ms / BUCKET_MS;
-        let look_ahead = ahead.min(TREND_AHEAD);
+        let trend_ahead = ahead.min(MAX_EXTRAPOLATION);
         let ahead = u64::try_from(ahead.as_millis()).unwrap_or(0) / BUCKET_MS;
         let series = self.wanted.get(service);
         let at = |bucket: u64| series.and_then(|s| s.get(&bucket)).copied().unwrap_or(0.0);
@@ -131,7 +134,7 @@
             .fold(0.0, f64::max);
         let Some(period) = self.trusted_period(now) else {
             let rising = self.foresight.uses_rise;
-            let trend = || self.trend(service, now_ms, look_ahead);
+            let trend = || self.trend(service, now_ms, trend_ahead);
             return known.max(if rising { trend() } else { 0.0 });
         };
         let before = (now..=now + ahead)
@@ -150,37 +153,37 @@
         if !self.foresight.uses_height {
             return is_periodic.then_some(most);
         }
-        if is_periodic || self.has_had_turn(service, now_ms) {
+        if is_periodic || self.is_burst_over(service, now_ms) {
             return Some(most);
         }
-        self.is_at_height(service, now_ms)
+        self.is_at_peak(service, now_ms)
             .then_some(most * self.margins.height)
     }
 
     /// Whether a service is in a burst whose arrival rate has stopped rising. The rise has been
     /// extrapolated before, and the instances provided beyond the peak would stay idle for the rest
     /// of the burst.
-    fn is_at_height(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
+    fn is_at_peak(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
         let now = now_ms / BUCKET_MS;
         let span = as_f64(RATE_BUCKETS * BUCKET_MS);
-        let lately = span + as_f64(now_ms % BUCKET_MS);
+        let recent = span + as_f64(now_ms % BUCKET_MS);
         let rate = self
             .arrivals(service, now.saturating_sub(RATE_BUCKETS)..now + 1)
             .work
-            / lately;
-        let before = self.arrivals(service, earlier(now));
-        rate > TURN_PEAK && rate <= STEADY_GROWTH * before.work / span
+            / recent;
+        let before = self.arrivals(service, previous_span(now));
+        rate > BURST_PEAK && rate <= STEADY_GROWTH * before.work / span
     }
 
     /// Whether the arrival rate of a service has dropped far below its past peak. Outstanding work
     /// would show the end of a burst only two seconds later, because jobs still run after the last
     /// one has arrived.
-    fn has_had_turn(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
+    fn is_burst_over(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
         let now = now_ms / BUCKET_MS;
         let Some(arrived) = self.arrived.get(service) else {
             return false;
         };
-        let mut windows = std::collections::VecDeque::from([0.0; WINDOW]);
+        let mut windows = std::collections::VecDeque::from([0.0; RATE_WINDOW]);
         let mut peak: f64 = 0.0;
         for bucket in arrived.keys().next().copied().unwrap_or(now)..=now {
             windows.pop_front();
@@ -188,10 +191,10 @@
             peak = peak.max(windows.iter().sum::<f64>());
         }
         let span = as_f64(RATE_BUCKETS * BUCKET_MS);
-        let lately = self
+        let recent = self
             .arrivals(service, now.saturating_sub(RATE_BUCKETS)..now + 1)
             .work;
-        peak / span > TURN_PEAK && peak > TURN_RATIO * lately
+        peak / span > BURST_PEAK && peak > BURST_END_RATIO * recent
     }
 
     /// Expected demand `ahead` from now, thousandths of a core: the recent arrival rate with its
@@ -202,14 +205,15 @@
     fn trend(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
         let now = now_ms / BUCKET_MS;
         let span = RATE_BUCKETS * BUCKET_MS;
-        let lately = span + now_ms % BUCKET_MS;
+        let recent = span + now_ms % BUCKET_MS;
         let rate = self.arrivals(service, now.saturating_sub(RATE_BUCKETS)..now + 1);
-        let before = self.arrivals(service, earlier(now));
-        let least = rate.work * (1.0 - rate.doubt()) / as_f64(lately);
-        let most_before = before.work * (1.0 + before.doubt()) / as_f64(span);
-        let rise = (least - most_before).max(0.0) / as_f64(u64::midpoint(lately, span));
-        let carried = rise * (ahead.as_secs_f64() * 1000.0);
-        least + carried.min(least * self.margins.most_rise)
+        let before = self.arrivals(service, previous_span(now));
+        let rate_lower_bound = rate.work * (1.0 - rate.relative_error()) / as_f64(recent);
+        let before_upper_bound = before.work * (1.0 + before.relative_error()) / as_f64(span);
+        let rise =
+            (rate_lower_bound - before_upper_bound).max(0.0) / as_f64(u64::midpoint(recent, span));
+        let extrapolated = rise * (ahead.as_secs_f64() * 1000.0);
+        rate_lower_bound + extrapolated.min(rate_lower_bound * self.margins.most_rise)
     }
 
     fn arrivals(&self, service: &ServiceName, buckets: std::ops::Range<u64>) -> Arrivals {
@@ -233,9 +237,9 @@
                 .map(|(_, wanted)| wanted)
                 .sum()
         };
-        let lately = now.saturating_sub(CHECKED)..now;
-        let before = lately.start.saturating_sub(period)..lately.end.saturating_sub(period);
-        (sum(lately) >= sum(before) * MIN_FORECAST_HIT).then_some(period)
+        let recent = now.saturating_sub(CHECKED_BUCKETS)..now;
+        let before = recent.start.saturating_sub(period)..recent.end.saturating_sub(period);
+        (sum(recent) >= sum(before) * MIN_FORECAST_SHARE).then_some(period)
     }
 
     /// Period of the bursts; `None` until it is detected.
@@ -246,20 +250,22 @@
 
     /// Drops old buckets and detects the period again, about once a second.
     pub fn tend(&mut self, now_ms: UnixMs) {
-        const EVERY: u64 = 4;
+        const EVERY_BUCKETS: u64 = 4;
         let now = now_ms / BUCKET_MS;
-        if now < self.looked_at + EVERY {
+        if now < self.period_checked_at + EVERY_BUCKETS {
             return;
         }
-        self.looked_at = now;
-        let oldest = now.saturating_sub(KEPT);
+        self.period_checked_at = now;
+        let oldest = now.saturating_sub(KEPT_BUCKETS);
         for series in self.wanted.values_mut() {
             *series = series.split_off(&oldest);
         }
         for series in self.arrived.values_mut() {
             *series = series.split_off(&oldest);
         }
-        self.first = self.first.map(|first| first.max(oldest));
+        self.first_bucket = self
+            .first_bucket
+            .map(|first_bucket| first_bucket.max(oldest));
         self.period = self
             .foresight
             .uses_period
@@ -268,21 +274,21 @@
     }
 
     fn find_period(&self, now: u64) -> Option<u64> {
-        let seen = now.saturating_sub(self.first?);
+        let seen = now.saturating_sub(self.first_bucket?);
         let mut best: Option<(u64, f64)> = None;
-        for lag in PERIODS.take_while(|lag| lag + OVERLAP <= seen) {
-            let likeness = self.likeness(now, lag);
-            let bar = best.map_or(MIN_AUTOCORRELATION, |(_, best)| best + LONGER_BONUS);
-            if likeness > bar {
-                best = Some((lag, likeness));
+        for lag in PERIODS.take_while(|lag| lag + PERIOD_MARGIN <= seen) {
+            let autocorrelation = self.autocorrelation(now, lag);
+            let threshold = best.map_or(MIN_AUTOCORRELATION, |(_, best)| best + LONGER_BONUS);
+            if autocorrelation > threshold {
+                best = Some((lag, autocorrelation));
             }
         }
         best.map(|(lag, _)| lag)
     }
 
     /// Autocorrelation of the series at `lag` buckets, 0 to 1.
-    fn likeness(&self, now: u64, lag: u64) -> f64 {
-        let from = self.first.unwrap_or(now) + lag;
+    fn autocorrelation(&self, now: u64, lag: u64) -> f64 {
+        let from = self.first_bucket.unwrap_or(now) + lag;
         let (mut product, mut newer, mut older) = (0.0, 0.0, 0.0);
         for series in self.wanted.values() {
             let at = |bucket: u64| series.get(&bucket).copied().unwrap_or(0.0);
@@ -316,6 +322,6 @@
 }
 
 /// The span of buckets before the one over which the present rate is computed.
-fn earlier(now: u64) -> std::ops::Range<u64> {
+fn previous_span(now: u64) -> std::ops::Range<u64> {
     now.saturating_sub(2 * RATE_BUCKETS)..now.saturating_sub(RATE_BUCKETS)
 }
--- a/crates/pomelohitch-sched/src/endpoint.rs
+++ b/crates/pomelohitch-sched/src/endpoint.rs
@@ -12,13 +12,13 @@
 
 /// Largest fraction by which an endpoint's clock may run slower than ours, as specified by the
 /// platform.
-const SLOW_CLOCK: f64 = 0.02;
+const MAX_CLOCK_SLOWDOWN: f64 = 0.02;
 /// A lease counts as lapsed only this long after its end, to allow for the endpoint's own timers.
-const LAPSE_MARGIN: Duration = Duration::from_millis(200);
+const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(200);
 
 /// An endpoint that answered within this time cannot have restarted, run a task and ended it since:
 /// tasks take hundreds of milliseconds, and a record of completions is durable within 40 ms.
-const SURE_FOR: Duration = Duration::from_millis(80);
+const SAME_INCARNATION_WINDOW: Duration = Duration::from_millis(80);
 
 /// An endpoint's entry in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -109,7 +109,7 @@
 
 /// A reading of the endpoint's clock, with our time before and after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Reading {
+struct ClockReading {
     clock: Duration,
     sent_at: Steady,
     answered_at: Steady,
@@ -192,7 +192,7 @@
     pub paced_at: Steady,
     /// Schedule of polls.
     pub look: LookPlan,
-    reading: Option<Reading>,
+    reading: Option<ClockReading>,
     /// Latest end of any lease that was requested, on the endpoint's clock.
     lease_end: Duration,
 }
@@ -230,7 +230,7 @@
 
     /// Stores the clock reading of a poll's answer.
     pub fn read_clock(&mut self, look: &Look) {
-        self.reading = Some(Reading {
+        self.reading = Some(ClockReading {
             clock: look.clock,
             sent_at: look.sent_at,
             answered_at: look.answered_at,
@@ -246,8 +246,9 @@
     /// incarnation does not end that soon.
     #[must_use]
     pub fn acknowledges(&self, now: Steady) -> u64 {
-        let is_sure = self.look.failures == 0 && self.is_heard(now, SURE_FOR);
-        if self.lists_ends && is_sure {
+        let is_same_incarnation =
+            self.look.failures == 0 && self.is_heard(now, SAME_INCARNATION_WINDOW);
+        if self.lists_ends && is_same_incarnation {
             self.noted_durably
         } else {
             0
@@ -259,15 +260,15 @@
     pub fn clock_at_least(&self, now: Steady) -> Option<Duration> {
         let reading = self.reading?;
         let passed = now.saturating_sub(reading.answered_at);
-        Some(reading.clock + passed.mul_f64(1.0 - SLOW_CLOCK))
+        Some(reading.clock + passed.mul_f64(1.0 - MAX_CLOCK_SLOWDOWN))
     }
 
     /// Best estimate of the endpoint's clock at `now` plus `ahead`; `None` if it was never read.
     #[must_use]
     pub fn clock_ahead(&self, now: Steady, ahead: Duration) -> Option<Duration> {
         let reading = self.reading?;
-        let middle = reading.sent_at + reading.answered_at.saturating_sub(reading.sent_at) / 2;
-        Some(reading.clock + now.saturating_sub(middle) + ahead)
+        let read_at = reading.sent_at + reading.answered_at.saturating_sub(reading.sent_at) / 2;
+        Some(reading.clock + now.saturating_sub(read_at) + ahead)
     }
 
     /// Records that a lease until `end` may be in force, whether or not the call is answered.
@@ -282,7 +283,7 @@
     #[must_use]
     pub fn is_lapsed(&self, now: Steady, unread_until: Steady) -> bool {
         match self.clock_at_least(now) {
-            Some(clock) => clock > self.lease_end + LAPSE_MARGIN,
+            Some(clock) => clock > self.lease_end + LEASE_EXPIRY_MARGIN,
             None => now > unread_until,
         }
     }
--- a/crates/pomelohitch-sched/src/forwarding.rs
+++ b/crates/pomelohitch-sched/src/forwarding.rs
@@ -12,26 +12,26 @@
 use crate::Steady;
 
 /// Initial window.
-const INITIAL: f64 = 16.0;
+const INITIAL_WINDOW: f64 = 16.0;
 /// Smallest window.
-const FEWEST: f64 = 4.0;
+const MIN_WINDOW: f64 = 4.0;
 /// Largest window.
-const MOST: f64 = 1024.0;
+const MAX_WINDOW: f64 = 1024.0;
 /// Answers that take less than this let the window grow.
-const PROMPT: Duration = Duration::from_millis(250);
+const GROW_BELOW: Duration = Duration::from_millis(250);
 /// Answers that take more than this shrink the window.
-const LATE: Duration = Duration::from_millis(600);
+const SHRINK_ABOVE: Duration = Duration::from_millis(600);
 /// The window grows by this much for each window of prompt answers.
-const INCREASE: f64 = 4.0;
+const WINDOW_INCREASE: f64 = 4.0;
 /// Factor by which the window shrinks.
-const DECREASE: f64 = 0.5;
+const SHRINK_FACTOR: f64 = 0.5;
 /// Weight of a new answer in the moving average.
-const WEIGHT: f64 = 0.125;
+const SAMPLE_WEIGHT: f64 = 0.125;
 /// `Retry-After` of requests beyond the window: this multiple of the average answer time, within
 /// the limits below.
-const RETRY_ANSWERS: u32 = 4;
-const SOONEST_RETRY: Duration = Duration::from_secs(1);
-const LATEST_RETRY: Duration = Duration::from_secs(5);
+const RETRY_FACTOR: u32 = 4;
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Window on the requests forwarded to one leader.
 #[derive(Debug, Clone)]
@@ -47,7 +47,7 @@
     fn default() -> Window {
         Window {
             in_flight: 0,
-            size: INITIAL,
+            size: INITIAL_WINDOW,
             delay: Duration::ZERO,
             shrunk_at: None,
         }
@@ -63,25 +63,25 @@
 
     /// Adds a request to those in flight; returns false if the window is full.
     pub fn take(&mut self) -> bool {
-        let has_place = float(self.in_flight) < self.size;
-        self.in_flight += usize::from(has_place);
-        has_place
+        let has_capacity = as_f64(self.in_flight) < self.size;
+        self.in_flight += usize::from(has_capacity);
+        has_capacity
     }
 
     /// Records that a request was answered `took` after it was forwarded.
     pub fn answered(&mut self, now: Steady, took: Duration) {
-        let is_used = float(self.in_flight) * 2.0 >= self.size;
-        self.free(took);
-        if took > LATE {
+        let is_used = as_f64(self.in_flight) * 2.0 >= self.size;
+        self.release(took);
+        if took > SHRINK_ABOVE {
             self.shrink(now, took);
-        } else if took < PROMPT && is_used {
-            self.size = (self.size + INCREASE / self.size).min(MOST);
+        } else if took < GROW_BELOW && is_used {
+            self.size = (self.size + WINDOW_INCREASE / self.size).min(MAX_WINDOW);
         }
     }
 
     /// Records that a request timed out `waited` after it was forwarded.
     pub fn gave_up(&mut self, now: Steady, waited: Duration) {
-        self.free(waited);
+        self.release(waited);
         self.shrink(now, waited);
     }
 
@@ -93,19 +93,19 @@
     /// When the caller of a request beyond the window should retry.
     #[must_use]
     pub fn retry_after(&self) -> Duration {
-        (self.delay * RETRY_ANSWERS).clamp(SOONEST_RETRY, LATEST_RETRY)
+        (self.delay * RETRY_FACTOR).clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    fn free(&mut self, took: Duration) {
+    fn release(&mut self, took: Duration) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        self.delay = self.delay.mul_f64(1.0 - WEIGHT) + took.mul_f64(WEIGHT);
+        self.delay = self.delay.mul_f64(1.0 - SAMPLE_WEIGHT) + took.mul_f64(SAMPLE_WEIGHT);
     }
 
     /// Shrinks the window, once for all requests that were in flight at the same time.
     fn shrink(&mut self, now: Steady, took: Duration) {
         let sent_at = now.saturating_sub(took);
         if self.shrunk_at.is_none_or(|at| sent_at >= at) {
-            self.size = (self.size * DECREASE).max(FEWEST);
+            self.size = (self.size * SHRINK_FACTOR).max(MIN_WINDOW);
             self.shrunk_at = Some(now);
         }
     }
@@ -115,6 +115,6 @@
     clippy::cast_precision_loss,
     reason = "a count of some thousand at most"
 )]
-fn float(count: usize) -> f64 {
+fn as_f64(count: usize) -> f64 {
     count as f64
 }
--- a/crates/pomelohitch-sched/src/id.rs
+++ b/crates/pomelohitch-sched/src/id.rs
@@ -9,7 +9,7 @@
 
 /// Job id, chosen by the caller; written as 16 hexadecimal digits.
 pub type JobId = u64;
-/// Endpoint id. An endpoint is a process on an instance that runs tasks.
+/// Endpoint id. An endpoint is a back end that runs tasks on an instance.
 pub type EndpointId = Arc<str>;
 /// Instance id. An instance is a machine of the platform.
 pub type InstanceId = Arc<str>;
--- a/crates/pomelohitch-sched/src/instances.rs
+++ b/crates/pomelohitch-sched/src/instances.rs
@@ -80,7 +80,7 @@
 struct WaveState {
     wave: Wave,
     seen_at: Steady,
-    told: Option<bool>,
+    reported: Option<bool>,
 }
 
 /// An instance with an operation that is not known to be over.
@@ -111,13 +111,13 @@
 /// yet.
 const LIST_LAG: Duration = Duration::from_millis(300);
 /// An operation that was not accepted, or not answered, is ordered again after this time.
-const UNANSWERED_AFTER: Duration = Duration::from_millis(1500);
+const RETRY_AFTER: Duration = Duration::from_millis(1500);
 /// An instance that is missing from the list for longer than this is gone; a crashed instance is
 /// missing for at most 10 s.
-const GONE_AFTER: Duration = Duration::from_secs(16);
+const CRASHED_GONE_AFTER: Duration = Duration::from_secs(16);
 /// The same if its endpoint had announced that it leaves. An instance whose endpoint is only
 /// replaced is back within three seconds.
-const LEFT_AFTER: Duration = Duration::from_secs(5);
+const LEAVING_GONE_AFTER: Duration = Duration::from_secs(5);
 
 impl Instances {
     /// Restores what a former leader recorded of a wave or an operation.
@@ -145,7 +145,7 @@
         self.waves.entry(wave.number).or_insert(WaveState {
             wave,
             seen_at: now,
-            told: None,
+            reported: None,
         });
     }
 
@@ -161,12 +161,12 @@
         });
         let replaced = replaced.collect();
         self.list = list;
-        self.note_absent(asked_at);
+        self.record_absences(asked_at);
         self.listed_at = Some(asked_at);
         self.asked_at = None;
         let list = &self.list;
         self.under_way
-            .retain(|id, u| !is_back(list.get(id), u, asked_at));
+            .retain(|id, u| !is_operation_over(list.get(id), u, asked_at));
         replaced
     }
 
@@ -364,7 +364,7 @@
                 }
                 wave.map(|w| self.confirm(w, id)).transpose()
             }
-            // Ordered again after `UNANSWERED_AFTER`. This includes refusals because the instance
+            // Ordered again after `RETRY_AFTER`. This includes refusals because the instance
             // does not exist: it may have crashed and come back.
             OperationOutcome::Refused
             | OperationOutcome::Busy
@@ -383,7 +383,7 @@
     /// out, the repeated order is confirmed.
     pub fn forget_unanswered(&mut self, now: Steady) {
         self.under_way
-            .retain(|_, u| u.is_answered || now <= u.since + UNANSWERED_AFTER);
+            .retain(|_, u| u.is_answered || now <= u.since + RETRY_AFTER);
     }
 
     /// Whether an instance is missing from the list and will not come back: it was about to leave,
@@ -393,14 +393,14 @@
         let listed_at = self.listed_at.unwrap_or_default();
         let was_leaving = |c: &Confirmed| c.leaving.contains(id);
         let gone_after = if self.leaving.contains(id) || self.confirmed.values().any(was_leaving) {
-            LEFT_AFTER
+            LEAVING_GONE_AFTER
         } else {
-            GONE_AFTER
+            CRASHED_GONE_AFTER
         };
         since.is_some_and(|&since| listed_at.saturating_sub(since) > gone_after)
     }
 
-    fn note_absent(&mut self, asked_at: Steady) {
+    fn record_absences(&mut self, asked_at: Steady) {
         let due = self.waves.values().flat_map(|w| &w.wave.instances);
         for id in due {
             if self.list.contains_key(id) {
@@ -415,7 +415,7 @@
     ///
     /// A maintained instance may already be moving to another pool: pools are scaled all the time,
     /// and a large wave would hardly ever find all of its instances at rest.
-    fn is_over(&self, number: u64) -> bool {
+    fn is_wave_over(&self, number: u64) -> bool {
         let Some(state) = self.waves.get(&number) else {
             return false;
         };
@@ -441,7 +441,7 @@
         let numbers: Vec<u64> = self.waves.keys().copied().collect();
         for number in numbers {
             let was_completed = self.is_completed(number);
-            let is_completed = was_completed || self.is_over(number);
+            let is_completed = was_completed || self.is_wave_over(number);
             let mut record = None;
             if is_completed && !was_completed {
                 let confirmed = self.confirmed.entry(number).or_default();
@@ -449,9 +449,9 @@
                 record = Some(wave_record(number, confirmed)?);
             }
             if let Some(state) = self.waves.get_mut(&number)
-                && state.told != Some(is_completed)
+                && state.reported != Some(is_completed)
             {
-                state.told = Some(is_completed);
+                state.reported = Some(is_completed);
                 changed.push((number, is_completed, record));
             }
         }
@@ -492,7 +492,7 @@
     progress::encode(format!("w{number}").into(), confirmed)
 }
 
-fn is_back(instance: Option<&Instance>, under_way: &UnderWay, asked_at: Steady) -> bool {
+fn is_operation_over(instance: Option<&Instance>, under_way: &UnderWay, asked_at: Steady) -> bool {
     let Some(instance) = instance else {
         return under_way.is_answered && asked_at > under_way.since + LIST_LAG;
     };
--- a/crates/pomelohitch-sched/src/place.rs
+++ b/crates/pomelohitch-sched/src/place.rs
@@ -150,7 +150,7 @@
 struct Cost {
     risk: u8,
     is_far: bool,
-    avoided_by_lasting: u8,
+    lasting_penalty: u8,
     free: u64,
     siblings: u32,
 }
@@ -175,11 +175,11 @@
 
 fn cost(ask: &Ask<'_>, slot: &Slot, siblings: u32) -> Cost {
     let near = ask.step.near.as_deref();
-    let failed_before = ask.failed_at.contains(&slot.id);
+    let has_failed_there = ask.failed_at.contains(&slot.id);
     Cost {
-        risk: 2 * u8::from(failed_before) + u8::from(slot.is_doubtful),
+        risk: 2 * u8::from(has_failed_there) + u8::from(slot.is_doubtful),
         is_far: near.is_some_and(|rack| slot.rack() != Some(rack)),
-        avoided_by_lasting: avoided_by_lasting(ask.step, slot, siblings),
+        lasting_penalty: lasting_penalty(ask.step, slot, siblings),
         free: if ask.packs {
             slot.free.cpu
         } else {
@@ -190,18 +190,18 @@
 }
 
 /// Penalty of an endpoint for a lasting task, 0 for best.
-fn avoided_by_lasting(step: &StepSpec, slot: &Slot, siblings: u32) -> u8 {
+fn lasting_penalty(step: &StepSpec, slot: &Slot, siblings: u32) -> u8 {
     if !step.is_lasting {
         return 0;
     }
-    let is_crowded = siblings >= LASTING_TOGETHER * step.may_miss.max(1);
+    let is_crowded = siblings >= LASTING_PER_ENDPOINT * step.may_miss.max(1);
     4 * u8::from(slot.is_due) + 2 * u8::from(is_crowded) + u8::from(slot.lasting == 0)
 }
 
 /// Lasting tasks of a step per endpoint, for each one that may be out of service. They leave an
 /// endpoint one after another, which takes about two seconds each, before its instance can be
 /// maintained.
-const LASTING_TOGETHER: u32 = 2;
+const LASTING_PER_ENDPOINT: u32 = 2;
 
 /// Whether an endpoint is probably broken: more than half of several recent runs failed there.
 ///
@@ -209,6 +209,6 @@
 /// at the endpoint.
 #[must_use]
 pub fn is_doubtful(endpoint: &Endpoint) -> bool {
-    const FEWEST: f64 = 2.5;
-    endpoint.failures > FEWEST && endpoint.failures > endpoint.successes
+    const MIN_FAILURES: f64 = 2.5;
+    endpoint.failures > MIN_FAILURES && endpoint.failures > endpoint.successes
 }
--- a/crates/pomelohitch-sched/src/pools.rs
+++ b/crates/pomelohitch-sched/src/pools.rs
@@ -10,12 +10,11 @@
 use crate::id::{InstanceId, ServiceName};
 use crate::policy::Margins;
 
-/// Smallest size of a pool that gives instances away, because work for its service may arrive at
-/// any time.
+/// A pool keeps at least this many instances, because work for its service may arrive at any time.
 pub const KEPT: usize = 2;
 /// Shortfall of a pool that is short, thousandths of a core. Any positive value makes it ask for
 /// one instance at a time.
-const ONE_MORE: f64 = 1.0;
+const MIN_SHORTFALL: f64 = 1.0;
 
 /// Demand of a pool.
 #[derive(Debug, Clone, PartialEq)]
@@ -82,32 +81,32 @@
 /// Plans which instances should move.
 #[must_use]
 pub fn plan(pools: &[Pool], instances: &[Candidate], margins: &Margins) -> Plan {
-    let place = |name: &ServiceName| pools.iter().position(|p| p.name == *name);
-    let rows = instances.iter().map(|candidate| Row {
+    let index = |name: &ServiceName| pools.iter().position(|p| p.name == *name);
+    let entries = instances.iter().map(|candidate| PlanEntry {
         candidate,
-        balance: place(&candidate.pool),
+        balance: index(&candidate.pool),
         is_taken: false,
     });
-    let rows: Vec<_> = rows.collect();
-    let balance = |(at, pool)| Balance::new(pool, &rows, at, *margins);
-    let mut ledger = Ledger {
+    let entries: Vec<_> = entries.collect();
+    let balance = |(at, pool)| Balance::new(pool, &entries, at, *margins);
+    let mut planner = Planner {
         balances: pools.iter().enumerate().map(balance).collect(),
-        rows,
+        entries,
     };
     Plan {
-        moves: ledger.satisfy(),
-        surplus: ledger.switch_off(),
+        moves: planner.cover_shortfalls(),
+        surplus: planner.switch_off_surplus(),
     }
 }
 
 /// Capacity of each pool while moves are planned one after another.
-struct Ledger<'a> {
+struct Planner<'a> {
     balances: Vec<Balance<'a>>,
-    rows: Vec<Row<'a>>,
+    entries: Vec<PlanEntry<'a>>,
 }
 
 /// State of an instance during planning.
-struct Row<'a> {
+struct PlanEntry<'a> {
     candidate: &'a Candidate,
     /// Index of its pool's balance.
     balance: Option<usize>,
@@ -115,16 +114,16 @@
     is_taken: bool,
 }
 
-impl<'a> Ledger<'a> {
-    fn satisfy(&mut self) -> Vec<Move> {
+impl<'a> Planner<'a> {
+    fn cover_shortfalls(&mut self) -> Vec<Move> {
         let mut moves = Vec::new();
-        while let Some(needy) = self.neediest() {
-            match self.giver(needy) {
-                Some(giver) => moves.push(self.transfer(giver, needy)),
+        while let Some(recipient) = self.largest_shortfall() {
+            match self.donor(recipient) {
+                Some(donor) => moves.push(self.transfer(donor, recipient)),
                 // No instance with the needed label can be spared; any instance can still cover the
                 // remaining demand.
-                None if self.balances[needy].wanted_label().is_some() => {
-                    self.balances[needy].is_short = false;
+                None if self.balances[recipient].wanted_label().is_some() => {
+                    self.balances[recipient].is_short = false;
                 }
                 None => break,
             }
@@ -132,14 +131,14 @@
         moves
     }
 
-    fn switch_off(&mut self) -> Vec<Move> {
+    fn switch_off_surplus(&mut self) -> Vec<Move> {
         let mut moves = Vec::new();
         let Some(spare) = self.balances.iter().position(|b| b.pool.is_spare) else {
             return moves;
         };
         // The surplus of pools only shrinks, so an instance that is kept here need not be checked
         // again.
-        for at in 0..self.rows.len() {
+        for at in 0..self.entries.len() {
             if self.is_idle(at) {
                 moves.push(self.transfer(at, spare));
             }
@@ -147,37 +146,37 @@
         moves
     }
 
-    fn neediest(&self) -> Option<usize> {
+    fn largest_shortfall(&self) -> Option<usize> {
         let balances = self.balances.iter().enumerate();
-        let lacking = balances.filter(|(_, b)| b.lacks() > 0.0);
-        let most = lacking.max_by(|(_, a), (_, b)| a.lacks().total_cmp(&b.lacks()));
-        most.map(|(index, _)| index)
+        let in_need = balances.filter(|(_, b)| b.shortfall() > 0.0);
+        let largest = in_need.max_by(|(_, a), (_, b)| a.shortfall().total_cmp(&b.shortfall()));
+        largest.map(|(index, _)| index)
     }
 
-    fn giver(&self, needy: usize) -> Option<usize> {
-        let label = self.balances[needy].wanted_label();
+    fn donor(&self, recipient: usize) -> Option<usize> {
+        let label = self.balances[recipient].wanted_label();
         let suits = |i: &Candidate| label.is_none_or(|l| i.labels.iter().any(|own| **own == *l));
-        let able = self.rows.iter().enumerate().filter(|(_, row)| {
-            let is_other = row.balance != Some(needy);
-            let is_usable = row.is_free() && !row.candidate.is_evacuated;
-            let gives = self.balance(row);
+        let able = self.entries.iter().enumerate().filter(|(_, entry)| {
+            let is_other = entry.balance != Some(recipient);
+            let is_usable = entry.is_free() && !entry.candidate.is_evacuated;
+            let donor_balance = self.balance(entry);
             is_other
                 && is_usable
-                && suits(row.candidate)
-                && gives.is_some_and(|b| b.can_give(row.candidate))
+                && suits(entry.candidate)
+                && donor_balance.is_some_and(|b| b.can_give(entry.candidate))
         });
-        able.min_by_key(|(_, row)| self.effort(row))
+        able.min_by_key(|(_, entry)| self.donor_rank(entry))
             .map(|(at, _)| at)
     }
 
     /// Order in which instances are taken, lowest first: idle surplus instances, which cost money;
     /// then those that are switched off, those that are being emptied, and the least used.
-    fn effort(&self, row: &Row<'_>) -> (u8, u64) {
-        let instance = row.candidate;
-        let balance = self.balance(row);
+    fn donor_rank(&self, entry: &PlanEntry<'_>) -> (u8, u64) {
+        let instance = entry.candidate;
+        let balance = self.balance(entry);
         let is_off = balance.is_some_and(|b| b.pool.is_spare);
-        let is_missed = balance.is_none_or(|b| !b.has_over(instance));
-        let rank = match (is_off, is_missed, instance.used) {
+        let is_needed = balance.is_none_or(|b| !b.has_surplus_for(instance));
+        let rank = match (is_off, is_needed, instance.used) {
             (false, false, 0) => 0,
             (true, ..) => 1,
             (_, false, _) if instance.is_reserved => 2,
@@ -193,35 +192,36 @@
     /// The backlog of all pools counts as demand, because instances on their way may not suffice
     /// for it.
     fn is_idle(&self, at: usize) -> bool {
-        let row = &self.rows[at];
-        let Some(balance) = self.balance(row).filter(|b| !b.pool.is_spare) else {
+        let entry = &self.entries[at];
+        let Some(balance) = self.balance(entry).filter(|b| !b.pool.is_spare) else {
             return false;
         };
-        if !row.is_free() || row.candidate.used > 0 {
+        if !entry.is_free() || entry.candidate.used > 0 {
             return false;
         }
-        let over: f64 = self.balances.iter().filter_map(Balance::over).sum();
+        let surplus: f64 = self.balances.iter().filter_map(Balance::surplus).sum();
         let backlog: f64 = self.balances.iter().map(|b| b.pool.backlog).sum();
-        let is_unmissed = balance.has_over(row.candidate);
-        row.candidate.is_evacuated || (is_unmissed && over - backlog >= as_f64(row.candidate.cpu))
+        let is_surplus = balance.has_surplus_for(entry.candidate);
+        entry.candidate.is_evacuated
+            || (is_surplus && surplus - backlog >= as_f64(entry.candidate.cpu))
     }
 
-    fn balance(&self, row: &Row<'_>) -> Option<&Balance<'a>> {
-        self.balances.get(row.balance?)
+    fn balance(&self, entry: &PlanEntry<'_>) -> Option<&Balance<'a>> {
+        self.balances.get(entry.balance?)
     }
 
     fn transfer(&mut self, at: usize, to: usize) -> Move {
-        let row = &mut self.rows[at];
-        row.is_taken = true;
-        let instance = row.candidate;
-        let from = row.balance.and_then(|at| self.balances.get_mut(at));
+        let entry = &mut self.entries[at];
+        entry.is_taken = true;
+        let instance = entry.candidate;
+        let from = entry.balance.and_then(|at| self.balances.get_mut(at));
         if let Some(from) = from.filter(|_| !instance.is_evacuated) {
-            from.have -= as_f64(instance.cpu);
+            from.capacity -= as_f64(instance.cpu);
             from.count -= 1;
         }
         let to = &mut self.balances[to];
         if !instance.is_evacuated {
-            to.have += as_f64(instance.cpu);
+            to.capacity += as_f64(instance.cpu);
             to.count += 1;
             to.is_short = false;
         }
@@ -232,7 +232,7 @@
     }
 }
 
-impl Row<'_> {
+impl PlanEntry<'_> {
     fn is_free(&self) -> bool {
         self.candidate.is_movable && !self.is_taken
     }
@@ -242,31 +242,36 @@
 struct Balance<'a> {
     pool: &'a Pool,
     margins: Margins,
-    have: f64,
+    capacity: f64,
     count: usize,
     is_short: bool,
 }
 
 impl Balance<'_> {
-    fn new<'a>(pool: &'a Pool, rows: &[Row<'_>], place: usize, margins: Margins) -> Balance<'a> {
-        let own = rows.iter().filter(|row| row.balance == Some(place));
-        let own = own.map(|row| row.candidate).filter(|i| !i.is_evacuated);
+    fn new<'a>(
+        pool: &'a Pool,
+        entries: &[PlanEntry<'_>],
+        index: usize,
+        margins: Margins,
+    ) -> Balance<'a> {
+        let own = entries.iter().filter(|entry| entry.balance == Some(index));
+        let own = own.map(|entry| entry.candidate).filter(|i| !i.is_evacuated);
         Balance {
             pool,
             margins,
-            have: own.clone().map(|i| as_f64(i.cpu)).sum(),
+            capacity: own.clone().map(|i| as_f64(i.cpu)).sum(),
             count: own.count(),
             is_short: pool.is_short,
         }
     }
 
     /// Missing thousandths of a core; 0 for the spare pool.
-    fn lacks(&self) -> f64 {
+    fn shortfall(&self) -> f64 {
         if self.pool.is_spare {
             return 0.0;
         }
-        let short = if self.is_short { ONE_MORE } else { 0.0 };
-        (self.wanted() / self.margins.fill - self.have).max(short)
+        let short = if self.is_short { MIN_SHORTFALL } else { 0.0 };
+        (self.wanted() / self.margins.fill - self.capacity).max(short)
     }
 
     fn wanted_label(&self) -> Option<&str> {
@@ -282,21 +287,23 @@
     }
 
     fn can_give(&self, instance: &Candidate) -> bool {
-        let left = self.have - as_f64(instance.cpu);
+        let left = self.capacity - as_f64(instance.cpu);
         let is_enough = self.count > KEPT && left >= self.wanted() / self.margins.fill;
         self.pool.is_spare || (is_enough && !self.pool.is_short)
     }
 
     /// Thousandths of a core beyond the demand that is expected soon; negative for a shortfall.
     /// `None` if that demand is unknown, and for the spare pool.
-    fn over(&self) -> Option<f64> {
+    fn surplus(&self) -> Option<f64> {
         let soon = self.pool.soon.filter(|_| !self.pool.is_spare)?;
-        Some(self.have - soon.max(self.wanted()) / self.margins.fill)
+        Some(self.capacity - soon.max(self.wanted()) / self.margins.fill)
     }
 
-    fn has_over(&self, instance: &Candidate) -> bool {
-        let is_over = self.over().is_some_and(|over| over >= as_f64(instance.cpu));
-        is_over && self.can_give(instance)
+    fn has_surplus_for(&self, instance: &Candidate) -> bool {
+        let has_enough = self
+            .surplus()
+            .is_some_and(|surplus| surplus >= as_f64(instance.cpu));
+        has_enough && self.can_give(instance)
     }
 }
 
--- a/crates/pomelohitch-sched/src/progress.rs
+++ b/crates/pomelohitch-sched/src/progress.rs
@@ -94,27 +94,28 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backoff {
     /// Number of consecutive refused starts.
-    refused: u32,
+    consecutive_refusals: u32,
     /// Time before which the task is not started.
-    until: Steady,
+    not_before: Steady,
 }
 
 /// Backoff after the first refused start; it doubles with each further one.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
 /// The backoff doubles at most this many times.
-const BACKOFF_DOUBLINGS: u32 = 5;
+const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 
 impl Backoff {
     /// Records a refused start.
     pub fn refused(&mut self, now: Steady) {
-        self.until = now + FIRST_BACKOFF * 2_u32.pow(self.refused.min(BACKOFF_DOUBLINGS));
-        self.refused += 1;
+        self.not_before =
+            now + FIRST_BACKOFF * 2_u32.pow(self.consecutive_refusals.min(MAX_BACKOFF_DOUBLINGS));
+        self.consecutive_refusals += 1;
     }
 
     /// Whether the next start still has to wait.
     #[must_use]
     pub fn holds(&self, now: Steady) -> bool {
-        now < self.until
+        now < self.not_before
     }
 }
 
--- a/crates/pomelohitch-sched/src/progress/stored.rs
+++ b/crates/pomelohitch-sched/src/progress/stored.rs
@@ -12,7 +12,7 @@
 use crate::suspicion::Suspicion;
 
 /// Index into [`Stored::endpoints`].
-type Place = u32;
+type EndpointIndex = u32;
 
 /// Value of a progress record.
 #[derive(Debug, Serialize, Deserialize)]
@@ -34,7 +34,7 @@
     /// Done, without any remaining run.
     Done(RunNumber),
     /// The newest run is the only one; no earlier run failed, was lost or left a checkpoint.
-    Running(RunNumber, Place),
+    Running(RunNumber, EndpointIndex),
     /// Any other state.
     Other {
         is_done: bool,
@@ -50,7 +50,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredRun {
     number: RunNumber,
-    at: Place,
+    at: EndpointIndex,
     is_leaving: bool,
 }
 
@@ -96,22 +96,22 @@
 }
 
 fn store(task: &Task, endpoints: &mut Vec<(EndpointId, u64)>) -> StoredTask {
-    let mut place = |run: &Run| {
-        let is_there = |(id, born): &(EndpointId, u64)| *id == run.endpoint && *born == run.born;
-        let place = endpoints.iter().position(is_there).unwrap_or_else(|| {
+    let mut index = |run: &Run| {
+        let is_same = |(id, born): &(EndpointId, u64)| *id == run.endpoint && *born == run.born;
+        let index = endpoints.iter().position(is_same).unwrap_or_else(|| {
             endpoints.push((run.endpoint.clone(), run.born));
             endpoints.len() - 1
         });
-        Place::try_from(place).unwrap_or(Place::MAX)
+        EndpointIndex::try_from(index).unwrap_or(EndpointIndex::MAX)
     };
     match &task.runs[..] {
         [] if task.is_done => StoredTask::Done(task.last_run),
         [] if task.last_run == 0 => StoredTask::Waiting,
-        [run] if is_plain(task, run) => StoredTask::Running(run.number, place(run)),
+        [run] if is_first_run(task, run) => StoredTask::Running(run.number, index(run)),
         runs => {
             let runs = runs.iter().map(|run| StoredRun {
                 number: run.number,
-                at: place(run),
+                at: index(run),
                 is_leaving: run.is_leaving,
             });
             StoredTask::Other {
@@ -126,14 +126,14 @@
     }
 }
 
-fn is_plain(task: &Task, run: &Run) -> bool {
-    let is_untried = task.failures == 0 && task.suspicion == Suspicion::default();
-    let is_first_try = is_untried && task.checkpoint.is_empty();
-    is_first_try && !task.is_done && !run.is_leaving && run.number == task.last_run
+fn is_first_run(task: &Task, run: &Run) -> bool {
+    let has_no_setback = task.failures == 0 && task.suspicion == Suspicion::default();
+    let starts_fresh = has_no_setback && task.checkpoint.is_empty();
+    starts_fresh && !task.is_done && !run.is_leaving && run.number == task.last_run
 }
 
 fn restore(task: StoredTask, endpoints: &[(EndpointId, u64)]) -> Option<Task> {
-    let run = |number, at: Place, is_leaving| {
+    let run = |number, at: EndpointIndex, is_leaving| {
         let (endpoint, born) = endpoints.get(usize::try_from(at).ok()?)?;
         Some(Run {
             number,
--- a/crates/pomelohitch-sched/src/relaying.rs
+++ b/crates/pomelohitch-sched/src/relaying.rs
@@ -10,13 +10,13 @@
 use crate::id::{EndpointId, ServiceName};
 
 /// Target number of endpoints per shard, few enough for a small member on a slow link.
-const SHARD: usize = 5;
+const SHARD_ENDPOINTS: usize = 5;
 /// With fewer endpoints than this, the leader calls them directly: a hop costs a few milliseconds.
-const RELAYED_FROM: usize = 600;
+const MIN_RELAYED_ENDPOINTS: usize = 600;
 /// Traffic of the calls to a busy endpoint, bytes per second in both directions together.
 const ENDPOINT_BYTES_PER_S: f64 = 3_000.0;
 /// The number of shards is kept until it is this many times the wanted number.
-const MOST_OVER: u64 = 4;
+const SHRINK_RATIO: u64 = 4;
 /// Share of the leader's link that calls to endpoints may use.
 const LINK_SHARE: f64 = 0.25;
 
@@ -35,10 +35,10 @@
         let count = u32::try_from(endpoints).unwrap_or(u32::MAX);
         let wanted = f64::from(count) * ENDPOINT_BYTES_PER_S;
         let is_link_slow = link_bytes_per_s.is_some_and(|rate| wanted > rate * LINK_SHARE);
-        if services == 0 || (endpoints < RELAYED_FROM && !is_link_slow) {
+        if services == 0 || (endpoints < MIN_RELAYED_ENDPOINTS && !is_link_slow) {
             return Layout::default();
         }
-        let shards = (endpoints / services).div_ceil(SHARD).max(1);
+        let shards = (endpoints / services).div_ceil(SHARD_ENDPOINTS).max(1);
         Layout {
             shards: nearest_power(shards as u64),
         }
@@ -52,7 +52,7 @@
     #[must_use]
     pub fn followed_by(self, wanted: Layout) -> Layout {
         let grows = wanted.shards > self.shards;
-        let shrinks = wanted.shards > 0 && wanted.shards * MOST_OVER <= self.shards;
+        let shrinks = wanted.shards > 0 && wanted.shards * SHRINK_RATIO <= self.shards;
         if grows || shrinks { wanted } else { self }
     }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// Hash that is stable within one process, which suffices because a layout is not shared.
+/// Hash that is stable within one process, which suffices because no other process uses the layout.
 fn hash(key: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     key.hash(&mut hasher);
--- a/crates/pomelohitch-sched/src/suspicion.rs
+++ b/crates/pomelohitch-sched/src/suspicion.rs
@@ -101,9 +101,9 @@
     /// Whether the task has to be given up.
     #[must_use]
     pub fn is_over(&self, limits: &CrashLimits) -> bool {
-        let is_alone = self.alone >= limits.alone && self.lost >= limits.lost_alone;
+        let is_only_cause = self.alone >= limits.alone && self.lost >= limits.lost_alone;
         let is_certain = self.certain >= limits.certain && self.lost >= limits.lost_certain;
-        is_alone || is_certain || self.lost >= limits.lost
+        is_only_cause || is_certain || self.lost >= limits.lost
     }
 
     /// Whether a run of the task that has been running for `worked` is not blamed for a crash.
--- a/crates/pomelohitch-sched/src/urgency.rs
+++ b/crates/pomelohitch-sched/src/urgency.rs
@@ -14,14 +14,14 @@
 use crate::policy::Policy;
 
 /// A job's result is useful until this multiple of its objective.
-const LATE_TIMES: f64 = 3.0;
+const USEFUL_MULTIPLE: f64 = 3.0;
 /// Jobs are deferred when the work due exceeds this multiple of what can be done. Above 1 because
 /// estimates are rough.
-const OVERLOAD: f64 = 1.6;
+const OVERLOAD_RATIO: f64 = 1.6;
 /// A late job is about to expire if its latest useful start time is within this time.
 const EXPIRING_WITHIN: Duration = Duration::from_millis(500);
 /// Largest share of a pool's capacity for promoted jobs.
-const PROMOTED_PART: f64 = 0.2;
+const PROMOTED_SHARE: f64 = 0.2;
 /// Time that a step takes beyond its work: recording and sending starts, polling and recording
 /// completions.
 const STEP_OVERHEAD: Duration = Duration::from_millis(80);
@@ -71,11 +71,11 @@
 
 impl Room {
     /// Average time until an instance being moved arrives; a move takes 1.5 s.
-    const AWAITED_AFTER_MS: f64 = 900.0;
+    const ARRIVAL_MS: f64 = 900.0;
 
     /// Work that can be done within `millis`.
-    fn within(&self, millis: f64) -> f64 {
-        let later = (millis - Self::AWAITED_AFTER_MS).max(0.0);
+    fn work_within(&self, millis: f64) -> f64 {
+        let later = (millis - Self::ARRIVAL_MS).max(0.0);
         self.cpu * millis + self.awaited * later - self.under_way
     }
 }
@@ -108,9 +108,9 @@
         self.chain.mul_f64(self.stretch.max(0.0)) + self.slack
     }
 
-    /// Latest start time of the next step for the job to be done within `times` its objective.
-    fn start_by_ms(&self, times: f64) -> UnixMs {
-        let allowed = millis(self.allowed().mul_f64(times));
+    /// Latest start time of the next step for the job to be done within `multiple` its objective.
+    fn start_by_ms(&self, multiple: f64) -> UnixMs {
+        let allowed = millis(self.allowed().mul_f64(multiple));
         let takes = self.chain_left + STEP_OVERHEAD * self.steps_left;
         let end_by = self.from_ms.saturating_add(allowed);
         end_by.saturating_sub(millis(takes))
@@ -142,22 +142,22 @@
 impl Ranked<'_> {
     /// Sort key, lowest first. Among late jobs, those that have begun go before the others.
     fn key(&self) -> (Feasibility, u32, bool, UnixMs, JobId) {
-        let waits = self.feasibility >= Feasibility::Late && !self.candidate.has_begun;
+        let goes_last = self.feasibility >= Feasibility::Late && !self.candidate.has_begun;
         let (priority, job) = (self.candidate.priority, self.candidate.job);
-        (self.feasibility, priority, waits, self.start_by_ms, job)
+        (self.feasibility, priority, goes_last, self.start_by_ms, job)
     }
 }
 
 fn rank<'a>(candidate: &'a Candidate, now_ms: UnixMs, policy: &Policy) -> Ranked<'a> {
-    let in_time = candidate.start_by_ms(1.0);
-    let of_use = candidate.start_by_ms(LATE_TIMES);
+    let start_by_ms_in_time = candidate.start_by_ms(1.0);
+    let useful_start_by_ms = candidate.start_by_ms(USEFUL_MULTIPLE);
     let is_feasible = now_ms <= candidate.start_by_ms(policy.late_after);
     let (feasibility, start_by_ms) = if candidate.is_lasting {
         (Feasibility::Lasting, candidate.from_ms)
     } else if is_feasible || !policy.late_last {
-        (Feasibility::Feasible, in_time)
-    } else if now_ms <= of_use {
-        (Feasibility::Late, of_use)
+        (Feasibility::Feasible, start_by_ms_in_time)
+    } else if now_ms <= useful_start_by_ms {
+        (Feasibility::Late, useful_start_by_ms)
     } else {
         (Feasibility::Expired, candidate.from_ms)
     };
@@ -183,25 +183,25 @@
         .iter()
         .enumerate()
         .filter(|(_, p)| p.feasibility == Feasibility::Feasible);
-    let mut by_end: Vec<usize> = feasible.map(|(at, _)| at).collect();
-    by_end.sort_by_key(|&at| {
+    let mut by_due_time: Vec<usize> = feasible.map(|(index, _)| index).collect();
+    by_due_time.sort_by_key(|&index| {
         (
-            ranked[at].candidate.objective_ms(),
-            ranked[at].candidate.job,
+            ranked[index].candidate.objective_ms(),
+            ranked[index].candidate.job,
         )
     });
     let mut due = 0.0;
-    let mut owners: BTreeMap<u32, Owner> = BTreeMap::new();
-    for at in by_end {
-        let candidate = ranked[at].candidate;
+    let mut workspaces: BTreeMap<u32, WorkspaceLoad> = BTreeMap::new();
+    for index in by_due_time {
+        let candidate = ranked[index].candidate;
         due += candidate.work_left;
-        owners
+        workspaces
             .entry(candidate.owner)
             .or_default()
-            .add(candidate, at);
+            .add(candidate, index);
         let left = as_f64(candidate.objective_ms().saturating_sub(now_ms));
-        while due > room.within(left) * OVERLOAD {
-            let Some(deferred) = next_deferred(&mut owners) else {
+        while due > room.work_within(left) * OVERLOAD_RATIO {
+            let Some(deferred) = next_deferred(&mut workspaces) else {
                 break;
             };
             due -= ranked[deferred].candidate.work_left;
@@ -214,76 +214,76 @@
 /// Without this limit, an overload would have every job served just before it expires, and none in
 /// time.
 fn promote_expiring(ranked: &mut [Ranked<'_>], room: &Room, now_ms: UnixMs) {
-    let is_last = |p: &Ranked<'_>| {
+    let is_expiring = |p: &Ranked<'_>| {
         p.feasibility == Feasibility::Late
             && p.start_by_ms <= now_ms.saturating_add(millis(EXPIRING_WITHIN))
     };
-    let late = ranked.iter().enumerate().filter(|(_, p)| is_last(p));
-    let mut by_start: Vec<usize> = late.map(|(at, _)| at).collect();
-    by_start.sort_by_key(|&at| (ranked[at].start_by_ms, ranked[at].candidate.job));
-    let mut left = room.cpu * EXPIRING_WITHIN.as_secs_f64() * 1000.0 * PROMOTED_PART;
-    for at in by_start {
-        left -= ranked[at].candidate.work_left;
+    let late = ranked.iter().enumerate().filter(|(_, p)| is_expiring(p));
+    let mut by_start: Vec<usize> = late.map(|(index, _)| index).collect();
+    by_start.sort_by_key(|&index| (ranked[index].start_by_ms, ranked[index].candidate.job));
+    let mut left = room.cpu * EXPIRING_WITHIN.as_secs_f64() * 1000.0 * PROMOTED_SHARE;
+    for index in by_start {
+        left -= ranked[index].candidate.work_left;
         if left < 0.0 {
             return;
         }
-        ranked[at].feasibility = Feasibility::Expiring;
+        ranked[index].feasibility = Feasibility::Expiring;
     }
 }
 
 /// Removes and returns the index of the job to defer next.
-fn next_deferred(owners: &mut BTreeMap<u32, Owner>) -> Option<usize> {
-    let asking = owners.values_mut().filter(|o| !o.fresh.is_empty());
-    let most = asking.max_by(|a, b| a.compare(b))?;
-    let fresh = most.fresh.pop()?;
-    most.work -= fresh.work();
-    Some(fresh.at)
+fn next_deferred(workspaces: &mut BTreeMap<u32, WorkspaceLoad>) -> Option<usize> {
+    let with_deferrable = workspaces.values_mut().filter(|o| !o.deferrable.is_empty());
+    let heaviest = with_deferrable.max_by(|a, b| a.compare(b))?;
+    let deferrable = heaviest.deferrable.pop()?;
+    heaviest.work -= deferrable.work();
+    Some(deferrable.index)
 }
 
 /// Work requested by one workspace.
 #[derive(Debug, Default)]
-struct Owner {
+struct WorkspaceLoad {
     work: f64,
     weight: f64,
-    fresh: BinaryHeap<Fresh>,
+    deferrable: BinaryHeap<Deferrable>,
 }
 
 /// A job that has not begun. The greatest is deferred first: lowest priority, then most work.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Fresh {
+struct Deferrable {
     priority: u32,
     work: u64,
-    at: usize,
+    index: usize,
 }
 
-impl Owner {
-    fn add(&mut self, candidate: &Candidate, at: usize) {
+impl WorkspaceLoad {
+    fn add(&mut self, candidate: &Candidate, index: usize) {
         self.work += candidate.work_left;
         self.weight = as_f64(candidate.weight.max(1));
         if !candidate.has_begun && !candidate.is_lasting {
-            self.fresh.push(Fresh::new(candidate, at));
+            self.deferrable.push(Deferrable::new(candidate, index));
         }
     }
 
-    fn compare(&self, other: &Owner) -> Ordering {
-        let priority = |o: &Owner| o.fresh.peek().map(|f| f.priority);
-        let asked = |o: &Owner| o.work / o.weight;
+    fn compare(&self, other: &WorkspaceLoad) -> Ordering {
+        let priority = |o: &WorkspaceLoad| o.deferrable.peek().map(|f| f.priority);
+        let weighted_work = |o: &WorkspaceLoad| o.work / o.weight;
         let by_priority = priority(self).cmp(&priority(other));
-        by_priority.then(asked(self).total_cmp(&asked(other)))
+        by_priority.then(weighted_work(self).total_cmp(&weighted_work(other)))
     }
 }
 
-impl Fresh {
+impl Deferrable {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "work is positive, and a fraction of its unit doesn't matter"
     )]
-    fn new(candidate: &Candidate, at: usize) -> Fresh {
-        Fresh {
+    fn new(candidate: &Candidate, index: usize) -> Deferrable {
+        Deferrable {
             priority: candidate.priority,
             work: candidate.work_left as u64,
-            at,
+            index,
         }
     }
 
