--- a/crates/pomelohitch-sched/tests/demand.rs
+++ b/crates/pomelohitch-sched/tests/demand.rs
@@ -23,7 +23,12 @@
 }
 
 /// Adds jobs of one core for 0.8 s until `until_ms`, at the rate `per_second` of the time.
-fn arrive(demand: &mut Demand, name: &ServiceName, until_ms: u64, per_second: impl Fn(u64) -> u64) {
+fn add_jobs(
+    demand: &mut Demand,
+    name: &ServiceName,
+    until_ms: u64,
+    per_second: impl Fn(u64) -> u64,
+) {
     for at in (0..until_ms).step_by(100) {
         for _ in 0..per_second(at) / 10 {
             demand.add(name, &steps(1000, 800), at);
@@ -39,10 +44,10 @@
 /// longer than a move. Arrivals rise by 40 per second each second and need over 100 cores two
 /// seconds later; 42 cores would be provided without extrapolation, 56 with it.
 #[test]
-fn a_rise_is_carried_on() {
+fn rising_arrivals_are_extrapolated() {
     let name: ServiceName = Arc::from("s");
     let mut demand = Demand::default();
-    arrive(&mut demand, &name, 2_000, |at| at * 40 / 1000);
+    add_jobs(&mut demand, &name, 2_000, |at| at * 40 / 1000);
     let foreseen = cores(&demand, &name, 2_000, AHEAD);
     assert!(foreseen > 50.0, "{foreseen}");
 }
@@ -50,7 +55,7 @@
 /// Guards against taking one large job for the start of a burst, which would move half of the
 /// fleet.
 #[test]
-fn one_large_job_is_no_rise() {
+fn one_large_job_is_not_extrapolated() {
     let name: ServiceName = Arc::from("s");
     let mut demand = Demand::default();
     demand.add(&name, &steps(20_000, 2_000), 10_000);
@@ -61,16 +66,16 @@
 /// Bursts come every 16 s. After one and a half periods the next burst is forecast before it
 /// begins, and a pause between bursts is known to last.
 #[test]
-fn a_turn_is_foreseen_by_its_period() {
+fn bursts_are_forecast_by_their_period() {
     let name: ServiceName = Arc::from("s");
     let other: ServiceName = Arc::from("other");
     let mut demand = Demand::default();
-    let is_turn = |at: u64| at % 16_000 < 4_000;
-    arrive(&mut demand, &name, 30_500, |at| {
-        if is_turn(at) { 100 } else { 0 }
+    let is_burst = |at: u64| at % 16_000 < 4_000;
+    add_jobs(&mut demand, &name, 30_500, |at| {
+        if is_burst(at) { 100 } else { 0 }
     });
-    arrive(&mut demand, &other, 30_500, |at| {
-        if is_turn(at + 8_000) { 100 } else { 0 }
+    add_jobs(&mut demand, &other, 30_500, |at| {
+        if is_burst(at + 8_000) { 100 } else { 0 }
     });
     demand.tend(30_500);
     assert_eq!(demand.period(), Some(Duration::from_secs(16)));
@@ -82,7 +87,7 @@
 /// judged by outstanding work, hundreds of instances would stay in a pool without work for that
 /// time.
 #[test]
-fn the_end_of_a_turn_shows_when_nothing_arrives_any_more() {
+fn the_end_of_a_burst_is_detected_when_arrivals_stop() {
     let name: ServiceName = Arc::from("quotes");
     let mut demand = Demand::default();
     for at in (0..8_000).step_by(100) {
@@ -92,15 +97,18 @@
         }
     }
     let foreseen = |at| demand.foreseen(&name, at, AHEAD).map(|f| f / 1000.0);
-    assert_eq!(foreseen(500), None, "it has just begun");
-    let later = foreseen(5_000).expect("nothing has arrived for a second");
-    assert!(later < 90.0, "{later} cores for what 120 were in use for");
+    assert_eq!(foreseen(500), None, "the burst has just begun");
+    let after_burst = foreseen(5_000).expect("forecast, since arrivals stopped a second ago");
+    assert!(
+        after_burst < 90.0,
+        "{after_burst} cores, after 120 were in use"
+    );
 }
 
 /// Guards against scaling for a period that is over: when callers stop, instances would be kept,
 /// and switched on again and again, for bursts that do not come.
 #[test]
-fn a_period_that_does_not_come_true_is_not_trusted() {
+fn a_period_whose_bursts_stop_is_not_trusted() {
     let mut demand = Demand::default();
     let service: ServiceName = "one".into();
     let step = StepSpec {
@@ -113,17 +121,17 @@
         ..StepSpec::default()
     };
     let second = 1_000;
-    let turn = |at_ms: u64| at_ms % (8 * second) < 2 * second;
-    for at_ms in (0..32 * second).step_by(100).filter(|at| turn(*at)) {
+    let is_burst = |at_ms: u64| at_ms % (8 * second) < 2 * second;
+    for at_ms in (0..32 * second).step_by(100).filter(|at| is_burst(*at)) {
         demand.add(&service, std::slice::from_ref(&step), at_ms);
         demand.tend(at_ms);
     }
     let ahead = Duration::from_secs(2);
     demand.tend(32 * second);
     assert!(demand.period().is_some());
-    let before_turn = demand.most(&service, 31 * second, ahead);
+    let before_burst = demand.most(&service, 31 * second, ahead);
     demand.tend(33 * second + 500);
-    let in_turn = demand.most(&service, 33 * second + 500, ahead);
-    assert!(before_turn > 100_000.0, "{before_turn}");
-    assert!(in_turn < 0.1 * before_turn, "{in_turn}");
+    let during_burst = demand.most(&service, 33 * second + 500, ahead);
+    assert!(before_burst > 100_000.0, "{before_burst}");
+    assert!(during_burst < 0.1 * before_burst, "{during_burst}");
 }
--- a/crates/pomelohitch-sched/tests/flow.rs
+++ b/crates/pomelohitch-sched/tests/flow.rs
@@ -17,7 +17,7 @@
 /// Guards against sending the starts of 3000 waiting tasks at once after a change of leader: half
 /// of them would be void before their turn to be sent.
 #[test]
-fn a_new_leader_does_not_order_all_at_once() {
+fn a_new_leader_does_not_send_all_starts_at_once() {
     let mut flow = Flow::default();
     assert_eq!(fill(&mut flow), 160);
     flow.answered(Duration::from_secs(1), Duration::from_millis(5));
@@ -26,7 +26,7 @@
 
 /// The window grows while starts are answered promptly.
 #[test]
-fn what_is_answered_quickly_may_be_more() {
+fn prompt_answers_grow_the_window() {
     let mut flow = Flow::default();
     let mut now = Duration::from_secs(1);
     let mut decided = 0;
@@ -52,16 +52,16 @@
         now += Duration::from_millis(30);
         flow.answered(now, Duration::from_millis(200));
     }
-    let under_way = 160 - 100;
-    for _ in 0..under_way {
+    let in_flight = 160 - 100;
+    for _ in 0..in_flight {
         flow.unsent();
     }
-    assert!(fill(&mut flow) <= 8, "the smallest window");
+    assert!(fill(&mut flow) <= 8, "window is not the smallest");
 }
 
 /// Guards against an idle pool because single endpoints leave starts unanswered.
 #[test]
-fn a_lost_answer_in_twenty_leaves_the_window() {
+fn one_lost_answer_in_twenty_does_not_shrink_the_window() {
     let mut flow = Flow::default();
     let mut now = Duration::from_secs(1);
     for round in 0..2_000 {
@@ -78,7 +78,7 @@
 
 /// Guards against a first burst that takes longer on a slow link than a start is valid.
 #[test]
-fn the_first_window_fits_the_link() {
+fn the_initial_window_fits_the_link() {
     let mut flow = Flow::of_link(250_000.0);
     assert!((8..=20).contains(&fill(&mut flow)));
     assert_eq!(fill(&mut Flow::of_link(1e9)), 160);
--- a/crates/pomelohitch-sched/tests/forwarding.rs
+++ b/crates/pomelohitch-sched/tests/forwarding.rs
@@ -8,7 +8,7 @@
 const STEP: Duration = Duration::from_millis(10);
 const STEPS_PER_S: usize = 100;
 /// Timeout of a forwarded request.
-const WITHIN: Duration = Duration::from_millis(1200);
+const TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Outcome of the requests.
 #[derive(Debug, Default)]
@@ -22,10 +22,10 @@
 /// Simulates `members` that each submit `per_s` new requests per second for `seconds`, and a leader
 /// that answers `served_per_s`. Refused requests are retried after `retry_after`, timed-out ones
 /// after a second.
-fn play(members: usize, per_s: usize, served_per_s: usize, seconds: u32) -> Outcome {
+fn simulate(members: usize, per_s: usize, served_per_s: usize, seconds: u32) -> Outcome {
     let mut windows = vec![Window::default(); members];
     let mut queue: VecDeque<(Duration, usize, bool)> = VecDeque::new();
-    let mut again: VecDeque<(Duration, usize)> = VecDeque::new();
+    let mut retries: VecDeque<(Duration, usize)> = VecDeque::new();
     let mut outcome = Outcome::default();
     let (mut due, mut served) = (0, 0);
     let steps = seconds * 100;
@@ -36,7 +36,7 @@
             due -= STEPS_PER_S;
             arrivals.extend(0..members);
         }
-        while let Some((_, member)) = again.pop_front_if(|(at, _)| *at <= now) {
+        while let Some((_, member)) = retries.pop_front_if(|(at, _)| *at <= now) {
             arrivals.push(member);
         }
         for member in arrivals {
@@ -44,23 +44,23 @@
                 queue.push_back((now, member, true));
             } else {
                 outcome.refused += 1;
-                again.push_back((now + windows[member].retry_after(), member));
+                retries.push_back((now + windows[member].retry_after(), member));
             }
         }
-        for (sent_at, member, is_waited_for) in &mut queue {
-            if *is_waited_for && now >= *sent_at + WITHIN {
-                *is_waited_for = false;
-                windows[*member].gave_up(now, WITHIN);
+        for (sent_at, member, is_pending) in &mut queue {
+            if *is_pending && now >= *sent_at + TIMEOUT {
+                *is_pending = false;
+                windows[*member].gave_up(now, TIMEOUT);
                 outcome.given_up += 1;
-                again.push_back((now + Duration::from_secs(1), *member));
+                retries.push_back((now + Duration::from_secs(1), *member));
             }
         }
         served = (served + served_per_s).min(served_per_s * STEPS_PER_S);
         while served >= STEPS_PER_S
-            && let Some((sent_at, member, is_waited_for)) = queue.pop_front()
+            && let Some((sent_at, member, is_pending)) = queue.pop_front()
         {
             served -= STEPS_PER_S;
-            if is_waited_for {
+            if is_pending {
                 windows[member].answered(now, now.saturating_sub(sent_at));
                 outcome.answered += 1;
             }
@@ -71,30 +71,30 @@
 
 /// Guards against members that overload the leader's link with requests that have timed out.
 #[test]
-fn a_leader_that_is_full_answers_what_it_can() {
-    let outcome = play(16, 8, 80, 30);
+fn an_overloaded_leader_answers_at_its_capacity() {
+    let outcome = simulate(16, 8, 80, 30);
     insta::assert_debug_snapshot!(outcome);
-    let could = 80 * 30;
-    assert!(outcome.answered * 10 >= could * 8, "{outcome:?}");
+    let capacity = 80 * 30;
+    assert!(outcome.answered * 10 >= capacity * 8, "{outcome:?}");
     assert!(outcome.given_up * 20 <= outcome.answered, "{outcome:?}");
 }
 
 /// Guards against refusals while the leader has free capacity.
 #[test]
-fn nothing_is_refused_while_the_leader_answers() {
-    let outcome = play(16, 8, 400, 20);
+fn nothing_is_refused_while_the_leader_answers_promptly() {
+    let outcome = simulate(16, 8, 400, 20);
     assert_eq!((outcome.refused, outcome.given_up), (0, 0));
 }
 
 /// Guards against a window that stays small after the leader did not answer for a while.
 #[test]
-fn a_window_grows_again_after_a_silence() {
+fn the_window_grows_again_after_timeouts() {
     let mut window = Window::default();
     let second = Duration::from_secs(1);
     for n in 0..8 {
         while window.take() {}
         for _ in 0..64 {
-            window.gave_up(second * (10 + 2 * n), WITHIN);
+            window.gave_up(second * (10 + 2 * n), TIMEOUT);
         }
     }
     let smallest = std::iter::repeat_with(|| window.take()).take_while(|is_taken| *is_taken);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn callers_are_told_to_come_back_later_the_longer_answers_take() {
+fn retry_after_grows_with_the_answer_time() {
     let mut window = Window::default();
     assert_eq!(window.retry_after(), Duration::from_secs(1));
     for n in 0..40 {
--- a/crates/pomelohitch-sched/tests/progress.rs
+++ b/crates/pomelohitch-sched/tests/progress.rs
@@ -5,9 +5,9 @@
 };
 use pomelohitch_sched::suspicion::Suspicion;
 
-type Facts = (bool, u8, u8, u8, Vec<(u8, u8, bool)>);
+type RawTask = (bool, u8, u8, u8, Vec<(u8, u8, bool)>);
 
-fn task((is_done, last_run, failures, checkpoint, runs): &Facts) -> Task {
+fn task((is_done, last_run, failures, checkpoint, runs): &RawTask) -> Task {
     let run = |&(number, at, is_leaving): &(u8, u8, bool)| Run {
         number: number.into(),
         endpoint: format!("i-{}", at % 3).into(),
@@ -16,16 +16,16 @@
         view: RunView::default(),
     };
     let runs: Vec<Run> = runs.iter().take(2).map(run).collect();
-    let is_plainly_done = *is_done && runs.is_empty();
+    let is_done_without_runs = *is_done && runs.is_empty();
     Task {
         is_done: *is_done,
         last_run: (*last_run % 4).into(),
-        failures: if is_plainly_done {
+        failures: if is_done_without_runs {
             0
         } else {
             (*failures % 2).into()
         },
-        suspicion: if is_plainly_done {
+        suspicion: if is_done_without_runs {
             Suspicion::default()
         } else {
             Suspicion {
@@ -36,7 +36,7 @@
             }
         },
         checkpoint: match checkpoint % 3 {
-            0 if !is_plainly_done => "c".into(),
+            0 if !is_done_without_runs => "c".into(),
             _ => Box::default(),
         },
         runs,
@@ -45,8 +45,11 @@
     }
 }
 
-fn read(record: &progress::Record) -> Progress {
-    let value = record.value.as_ref().expect("it has a value");
+fn decode_progress(record: &progress::Record) -> Progress {
+    let value = record
+        .value
+        .as_ref()
+        .expect("records of progress have a value");
     match progress::decode(&record.key, value) {
         Ok(Entry::Progress(1, progress)) => progress,
         other => panic!("{other:?}"),
@@ -55,11 +58,11 @@
 
 /// Guards against a new leader that restores other runs than its predecessor recorded.
 #[test]
-fn what_is_recorded_is_read_back() {
-    pomelohitch_property::check(|(state, steps): &(u8, Vec<Vec<Facts>>)| {
+fn records_round_trip() {
+    pomelohitch_property::check(|(state, steps): &(u8, Vec<Vec<RawTask>>)| {
         let never_ran = |t: &Task| t.last_run == 0 && t.runs.is_empty() && !t.is_done;
-        let tasks = |facts: &Vec<Facts>| -> Vec<Task> {
-            let tasks = facts.iter().take(4).map(task);
+        let tasks = |raw: &Vec<RawTask>| -> Vec<Task> {
+            let tasks = raw.iter().take(4).map(task);
             tasks
                 .filter(|t| !never_ran(t) || *t == Task::default())
                 .collect()
@@ -72,14 +75,15 @@
             open: [(u32::from(*state), Occurrence { steps })].into(),
             next: u32::from(*state) + 1,
         };
-        let record = progress::encode_progress(1, &progress).expect("it can be encoded");
-        assert_eq!(read(&record), progress);
+        let record =
+            progress::encode_progress(1, &progress).expect("encoding progress does not fail");
+        assert_eq!(decode_progress(&record), progress);
     });
 }
 
 /// Guards against records so large that they fill the link of a busy leader.
 #[test]
-fn a_run_takes_a_few_bytes() {
+fn runs_are_encoded_in_few_bytes() {
     let run = |at: u32| Task {
         last_run: 1,
         runs: vec![Run {
@@ -96,7 +100,8 @@
         ..Progress::default()
     };
     let bytes = |tasks| {
-        let record = progress::encode_progress(1, &progress(tasks)).expect("it can be encoded");
+        let record = progress::encode_progress(1, &progress(tasks))
+            .expect("encoding progress does not fail");
         record.value.map_or(0, |v| v.len())
     };
     let runs = bytes((0..32).map(run).collect());
@@ -107,7 +112,7 @@
 
 /// Guards against restoring a run whose endpoint is missing from the record.
 #[test]
-fn any_bytes_are_read_or_refused() {
+fn arbitrary_bytes_are_decoded_or_refused() {
     pomelohitch_property::check(|bytes: &Vec<u8>| {
         let key = progress::progress_key(1);
         let _ = progress::decode(&key, bytes);
--- a/crates/pomelohitch-sched/tests/rate.rs
+++ b/crates/pomelohitch-sched/tests/rate.rs
@@ -4,7 +4,7 @@
 
 use pomelohitch_sched::rate::Rate;
 
-fn taken(rate: &mut Rate, from_ms: u64, until_ms: u64) -> usize {
+fn count_calls(rate: &mut Rate, from_ms: u64, until_ms: u64) -> usize {
     let times = (from_ms..until_ms).map(Duration::from_millis);
     times.filter(|&now| rate.take(now)).count()
 }
@@ -13,15 +13,15 @@
 fn no_second_has_more_calls_than_allowed() {
     let mut rate = Rate::new(64.0);
     for second in 0..5 {
-        let count = taken(&mut rate, second * 1_000, (second + 1) * 1_000);
+        let count = count_calls(&mut rate, second * 1_000, (second + 1) * 1_000);
         assert!((48..=64).contains(&count), "{count} in second {second}");
     }
 }
 
 #[test]
-fn after_a_pause_no_more_come_at_once_than_the_burst() {
+fn calls_after_a_pause_are_limited_to_the_burst() {
     let mut rate = Rate::new(50.0);
-    taken(&mut rate, 0, 1_000);
+    count_calls(&mut rate, 0, 1_000);
     let at_once = (0..100).filter(|_| rate.take(Duration::from_mins(1)));
     assert_eq!(at_once.count(), 12);
 }
--- a/crates/pomelohitch-sched/tests/relaying.rs
+++ b/crates/pomelohitch-sched/tests/relaying.rs
@@ -14,7 +14,7 @@
     ["a", "b", "c", "d"].into_iter().flat_map(of).collect()
 }
 
-fn carried(layout: Layout, members: &[u32]) -> BTreeMap<EndpointId, u32> {
+fn assign(layout: Layout, members: &[u32]) -> BTreeMap<EndpointId, u32> {
     let of = |(service, id): (ServiceName, EndpointId)| {
         let member = layout.member(&service, &id, members.iter().copied());
         Some((id, member?))
@@ -23,30 +23,30 @@
 }
 
 #[test]
-fn a_fast_link_and_few_endpoints_need_nobody() {
+fn few_endpoints_on_a_fast_link_are_called_directly() {
     let direct = Layout::of(372, 5, Some(25e6));
     assert_eq!(direct, Layout::default());
-    assert!(carried(direct, &MEMBERS).is_empty());
+    assert!(assign(direct, &MEMBERS).is_empty());
     assert_eq!(Layout::of(0, 0, Some(1.0)), Layout::default());
 }
 
 /// Guards against a leader whose slow link carries all polls and starts of the fleet.
 #[test]
-fn a_slow_link_is_relieved_by_most_members() {
+fn most_members_share_the_calls_of_a_slow_link() {
     let layout = Layout::of(120, 4, Some(250_000.0));
-    let carried = carried(layout, &MEMBERS);
-    assert_eq!(carried.len(), 120);
-    let members: BTreeSet<_> = carried.values().collect();
+    let assign = assign(layout, &MEMBERS);
+    assert_eq!(assign.len(), 120);
+    let members: BTreeSet<_> = assign.values().collect();
     assert!(members.len() >= 9, "{members:?}");
 }
 
 /// Guards against moving the calls to all endpoints when one member leaves.
 #[test]
-fn only_the_endpoints_of_a_lost_member_go_elsewhere() {
+fn only_the_endpoints_of_a_lost_member_move() {
     let layout = Layout::of(120, 4, Some(250_000.0));
-    let before = carried(layout, &MEMBERS);
+    let before = assign(layout, &MEMBERS);
     let others: Vec<u32> = MEMBERS.into_iter().filter(|m| *m != 3).collect();
-    let after = carried(layout, &others);
+    let after = assign(layout, &others);
     for (id, member) in before {
         assert!(member == 3 || after[&id] == member, "{id}");
     }
@@ -54,7 +54,7 @@
 
 /// Guards against moving all endpoints to other members whenever an endpoint joins or leaves.
 #[test]
-fn endpoints_that_come_and_go_leave_the_others_where_they_are() {
+fn the_layout_is_stable_while_endpoints_come_and_go() {
     let mut layout = Layout::default();
     let mut changes = Vec::new();
     for endpoints in (600..3000)
@@ -73,7 +73,7 @@
 /// Guards against moving all endpoints to other members when the number of shards grows.
 #[test]
 fn half_of_the_endpoints_stay_when_the_shards_double() {
-    let [few, many] = [4, 8].map(|shards| carried(Layout { shards }, &MEMBERS));
+    let [few, many] = [4, 8].map(|shards| assign(Layout { shards }, &MEMBERS));
     let stayed = few.iter().filter(|(id, member)| many[*id] == **member);
-    assert!(stayed.count() >= 40, "of 120");
+    assert!(stayed.count() >= 40, "fewer than 40 of 120 stayed");
 }
--- a/crates/pomelohitch-sched/tests/rto.rs
+++ b/crates/pomelohitch-sched/tests/rto.rs
@@ -9,7 +9,7 @@
     longest: Duration::from_millis(600),
 };
 
-fn after(samples: impl IntoIterator<Item = u64>) -> Duration {
+fn timeout_after(samples: impl IntoIterator<Item = u64>) -> Duration {
     let mut rto = Rto::new(LIMITS);
     for millis in samples {
         rto.took(Duration::from_millis(millis));
@@ -19,20 +19,20 @@
 
 #[test]
 fn prompt_answers_give_the_shortest_timeout() {
-    assert_eq!(after([]), LIMITS.shortest);
-    assert_eq!(after([3; 50]), LIMITS.shortest);
+    assert_eq!(timeout_after([]), LIMITS.shortest);
+    assert_eq!(timeout_after([3; 50]), LIMITS.shortest);
 }
 
 /// Guards against timing out every call on an overloaded link.
 #[test]
-fn late_answers_are_waited_for() {
-    let timeout = after(std::iter::repeat_n(3, 50).chain([180; 20]));
+fn late_answers_extend_the_timeout() {
+    let timeout = timeout_after(std::iter::repeat_n(3, 50).chain([180; 20]));
     assert!(timeout > Duration::from_millis(200), "{timeout:?}");
-    assert!(after([5_000; 20]) == LIMITS.longest);
+    assert!(timeout_after([5_000; 20]) == LIMITS.longest);
 }
 
 #[test]
 fn one_lost_answer_in_twenty_changes_little() {
     let samples = (0..200).map(|n| if n % 20 == 0 { 150 } else { 4 });
-    assert!(after(samples) < Duration::from_millis(200));
+    assert!(timeout_after(samples) < Duration::from_millis(200));
 }
--- a/crates/pomelohitch-sched/tests/urgency.rs
+++ b/crates/pomelohitch-sched/tests/urgency.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn with_room_for_all_the_latest_start_decides() {
+fn with_capacity_for_all_jobs_go_by_latest_start() {
     let mut candidates = [candidate(1, 8.0), candidate(2, 1.0), candidate(3, 1.0)];
     candidates[0].from_ms -= 300;
     candidates[2].from_ms -= 200;
@@ -49,7 +49,7 @@
 /// The pool can do little more than half of the work of five jobs in time. Ordered by latest start
 /// alone, the largest job would go first and make all others late.
 #[test]
-fn the_job_waits_whose_work_frees_most() {
+fn the_job_with_the_most_work_is_deferred() {
     let mut candidates = [4.0, 2.0, 2.0, 12.0, 2.0].map(|work| candidate(0, work));
     for (job, candidate) in (1..).zip(&mut candidates) {
         candidate.job = job;
@@ -61,27 +61,31 @@
 /// One workspace submits three times as many jobs as another. Its own jobs wait, although each of
 /// them is smaller.
 #[test]
-fn a_workspace_that_presses_waits_itself() {
+fn jobs_of_an_overloading_workspace_are_deferred() {
     let mut candidates: Vec<Candidate> = (1..=16).map(|job| candidate(job, 1.0)).collect();
-    for (place, candidate) in candidates.iter_mut().enumerate() {
-        let is_pressing = place >= 4;
-        candidate.owner = u32::from(is_pressing);
-        candidate.work_left = if is_pressing { 900_000.0 } else { 1_000_000.0 };
+    for (index, candidate) in candidates.iter_mut().enumerate() {
+        let is_overloading = index >= 4;
+        candidate.owner = u32::from(is_overloading);
+        candidate.work_left = if is_overloading {
+            900_000.0
+        } else {
+            1_000_000.0
+        };
     }
     let first: Vec<u64> = ordered(&candidates, &cores(2.0))
         .into_iter()
         .take(8)
         .collect();
-    let calm = first.iter().filter(|job| **job <= 4).count();
-    assert_eq!(calm, 4, "{first:?}");
+    let of_other = first.iter().filter(|job| **job <= 4).count();
+    assert_eq!(of_other, 4, "{first:?}");
 }
 
 /// Under overload a workspace with four times the weight gets four times the share.
 #[test]
-fn what_a_workspace_may_ask_goes_by_its_weight() {
+fn shares_of_workspaces_follow_their_weights() {
     let mut candidates: Vec<Candidate> = (1..=15).map(|job| candidate(job, 1.0)).collect();
-    for (place, candidate) in candidates.iter_mut().enumerate() {
-        let is_large = place < 12;
+    for (index, candidate) in candidates.iter_mut().enumerate() {
+        let is_large = index < 12;
         candidate.owner = u32::from(is_large);
         candidate.weight = if is_large { 4 } else { 1 };
     }
@@ -104,7 +108,7 @@
 /// Jobs that can still meet their objective go first, then late jobs, then those whose result is of
 /// no use any more.
 #[test]
-fn late_jobs_wait() {
+fn late_jobs_go_last() {
     let mut candidates = [candidate(1, 1.0), candidate(2, 1.0), candidate(3, 1.0)];
     candidates[0].from_ms -= 9_000;
     candidates[1].from_ms -= 3_500;
@@ -113,7 +117,7 @@
 
 /// Estimates are rough: a job that is slightly late by its estimates may still meet its objective.
 #[test]
-fn a_job_that_is_a_little_behind_is_not_given_up() {
+fn a_slightly_late_job_counts_as_feasible() {
     let mut candidates = [candidate(1, 1.0), candidate(2, 1.0)];
     candidates[0].from_ms -= 1_400;
     assert_eq!(ordered(&candidates, &cores(100.0)), [1, 2]);
@@ -122,7 +126,7 @@
 /// Instances that are being moved to the pool count as capacity for jobs that are due after they
 /// arrive.
 #[test]
-fn instances_on_their_way_count() {
+fn instances_being_moved_count_as_capacity() {
     let mut candidates = [candidate(1, 3.0), candidate(2, 3.0), candidate(3, 3.0)];
     candidates[2].work_left = 4_000_000.0;
     candidates[2].from_ms -= 100;
@@ -147,7 +151,7 @@
 /// Guards against starvation of late jobs by a continuous stream of jobs that can meet their
 /// objective: a job about to expire goes first.
 #[test]
-fn a_late_job_has_its_last_chance() {
+fn a_late_job_about_to_expire_goes_first() {
     let mut candidates = [candidate(1, 1.0), candidate(2, 1.0), candidate(3, 1.0)];
     candidates[1].from_ms -= 5_400;
     candidates[2].from_ms -= 3_500;
@@ -157,7 +161,7 @@
 /// Guards against an overload in which each job is promoted and served just before it expires, so
 /// that none meets its objective.
 #[test]
-fn last_chances_take_a_part_of_the_room() {
+fn promoted_jobs_get_a_limited_share_of_capacity() {
     let mut candidates: Vec<Candidate> = (1..=40).map(|job| candidate(job, 1.0)).collect();
     for candidate in &mut candidates[..30] {
         candidate.from_ms -= 5_400;
