--- a/crates/pomelohitch-sched/src/endpoint.rs
+++ b/crates/pomelohitch-sched/src/endpoint.rs
@@ -143,7 +143,7 @@
 }
 
 /// State of an endpoint.
-#[expect(clippy::struct_excessive_bools, reason = "independent facts")]
+#[expect(clippy::struct_excessive_bools, reason = "independent flags")]
 #[derive(Debug, Clone)]
 pub struct Endpoint {
     /// Newest entry in the platform's list, if there ever was one.
--- a/crates/pomelohitch-sched/src/job.rs
+++ b/crates/pomelohitch-sched/src/job.rs
@@ -44,7 +44,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "independent traits, each of which a caller sets or not"
+    reason = "independent options set by the caller"
 )]
 pub struct StepSpec {
     /// Number of tasks.
--- a/crates/pomelohitch-sched/src/lib.rs
+++ b/crates/pomelohitch-sched/src/lib.rs
@@ -22,7 +22,7 @@
 //! * [`urgency`]: ordering of waiting jobs.
 //! * [`instances`]: moves of instances, and maintenance in waves.
 //! * [`rate`]: rate limit for calls.
-//! * [`relaying`]: assignment of endpoints to the members that carry the leader's calls.
+//! * [`relaying`]: assignment of endpoints to the members that relay the leader's calls.
 //! * [`rto`]: adaptive timeouts of calls.
 //! * [`pools`]: planning of moves between pools.
 //! * [`cell`]: the scheduler's state, which combines all of these.
--- a/crates/pomelohitch-sched/src/policy.rs
+++ b/crates/pomelohitch-sched/src/policy.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 #[expect(
     clippy::struct_excessive_bools,
-    reason = "independent mechanisms, each of which decides or doesn't"
+    reason = "independent switches"
 )]
 pub struct Policy {
     /// Jobs that cannot meet their objective wait for those that still can.
--- a/crates/pomelohitch-sched/src/relaying.rs
+++ b/crates/pomelohitch-sched/src/relaying.rs
@@ -1,4 +1,4 @@
-//! Assignment of endpoints to the members that carry the leader's calls to them.
+//! Assignment of endpoints to the members that relay the leader's calls to them.
 //!
 //! Polls and starts of hundreds of endpoints exceed the link or the processor of one member.
 //! Endpoints are divided into shards. A shard belongs to one service, so that a job's specification
@@ -56,7 +56,7 @@
         if grows || shrinks { wanted } else { self }
     }
 
-    /// The one of `members` that carries calls to an endpoint; `None` if the leader calls it
+    /// The one of `members` that relays calls to an endpoint; `None` if the leader calls it
     /// directly.
     pub fn member<'a, M: Hash + Copy + 'a>(
         &self,
--- a/crates/pomelohitch-sched/src/urgency.rs
+++ b/crates/pomelohitch-sched/src/urgency.rs
@@ -277,7 +277,7 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "work is positive, and a fraction of its unit doesn't matter"
+        reason = "work is positive, and fractions of its unit are negligible"
     )]
     fn new(candidate: &Candidate, index: usize) -> Deferrable {
         Deferrable {
