--- a/crates/pomelohitch-sched/src/policy.rs
+++ b/crates/pomelohitch-sched/src/policy.rs
@@ -7,10 +7,7 @@
 
 /// Enabled scheduling mechanisms and their parameters.
 #[derive(Debug, Clone, Copy, PartialEq)]
-#[expect(
-    clippy::struct_excessive_bools,
-    reason = "independent switches"
-)]
+#[expect(clippy::struct_excessive_bools, reason = "independent switches")]
 pub struct Policy {
     /// Jobs that cannot meet their objective wait for those that still can.
     pub late_last: bool,
--- a/crates/pomelohitch-sched/src/pools.rs
+++ b/crates/pomelohitch-sched/src/pools.rs
@@ -11,7 +11,7 @@
 use crate::policy::Margins;
 
 /// A pool keeps at least this many instances, because work for its service may arrive at any time.
-pub const KEPT: usize = 2;
+pub const MIN_INSTANCES: usize = 2;
 /// Shortfall of a pool that is short, thousandths of a core. Any positive value makes it ask for
 /// one instance at a time.
 const MIN_SHORTFALL: f64 = 1.0;
@@ -85,7 +85,7 @@
     let entries = instances.iter().map(|candidate| PlanEntry {
         candidate,
         balance: index(&candidate.pool),
-        is_taken: false,
+        is_planned: false,
     });
     let entries: Vec<_> = entries.collect();
     let balance = |(at, pool)| Balance::new(pool, &entries, at, *margins);
@@ -111,7 +111,7 @@
     /// Index of its pool's balance.
     balance: Option<usize>,
     /// Whether a move of it is planned already.
-    is_taken: bool,
+    is_planned: bool,
 }
 
 impl<'a> Planner<'a> {
@@ -212,7 +212,7 @@
 
     fn transfer(&mut self, at: usize, to: usize) -> Move {
         let entry = &mut self.entries[at];
-        entry.is_taken = true;
+        entry.is_planned = true;
         let instance = entry.candidate;
         let from = entry.balance.and_then(|at| self.balances.get_mut(at));
         if let Some(from) = from.filter(|_| !instance.is_evacuated) {
@@ -234,7 +234,7 @@
 
 impl PlanEntry<'_> {
     fn is_free(&self) -> bool {
-        self.candidate.is_movable && !self.is_taken
+        self.candidate.is_movable && !self.is_planned
     }
 }
 
@@ -288,7 +288,7 @@
 
     fn can_give(&self, instance: &Candidate) -> bool {
         let left = self.capacity - as_f64(instance.cpu);
-        let is_enough = self.count > KEPT && left >= self.wanted() / self.margins.fill;
+        let is_enough = self.count > MIN_INSTANCES && left >= self.wanted() / self.margins.fill;
         self.pool.is_spare || (is_enough && !self.pool.is_short)
     }
 
--- a/crates/pomelohitch-sched/src/urgency.rs
+++ b/crates/pomelohitch-sched/src/urgency.rs
@@ -174,10 +174,10 @@
 
 /// Defers jobs until all others can meet their objectives, following the Moore-Hodgson algorithm
 /// for the least number of late jobs: goes through the jobs by due time, and whenever the work due
-/// exceeds what can be done by then, removes one job. The removed job belongs to the workspace with
-/// the most work in relation to its weight, and is the one with the most work of that workspace, so
-/// that a workspace that overloads a pool is held to its weighted fair share. Jobs that have begun
-/// are not deferred.
+/// exceeds what can be done by then, removes one job. The removed job has the lowest priority;
+/// among these, it belongs to the workspace with the most work in relation to its weight, and is
+/// the one with the most work there, so that a workspace that overloads a pool is held to its
+/// weighted fair share. Jobs that have begun are not deferred.
 fn defer(ranked: &mut [Ranked<'_>], room: &Room, now_ms: UnixMs) {
     let feasible = ranked
         .iter()
--- a/crates/pomelohitch-sched/tests/demand.rs
+++ b/crates/pomelohitch-sched/tests/demand.rs
@@ -48,8 +48,8 @@
     let name: ServiceName = Arc::from("s");
     let mut demand = Demand::default();
     add_jobs(&mut demand, &name, 2_000, |at| at * 40 / 1000);
-    let foreseen = cores(&demand, &name, 2_000, AHEAD);
-    assert!(foreseen > 50.0, "{foreseen}");
+    let forecast = cores(&demand, &name, 2_000, AHEAD);
+    assert!(forecast > 50.0, "{forecast}");
 }
 
 /// Guards against taking one large job for the start of a burst, which would move half of the
@@ -59,8 +59,8 @@
     let name: ServiceName = Arc::from("s");
     let mut demand = Demand::default();
     demand.add(&name, &steps(20_000, 2_000), 10_000);
-    let foreseen = cores(&demand, &name, 10_100, AHEAD);
-    assert!(foreseen <= 20.0, "{foreseen}");
+    let forecast = cores(&demand, &name, 10_100, AHEAD);
+    assert!(forecast <= 20.0, "{forecast}");
 }
 
 /// Bursts come every 16 s. After one and a half periods the next burst is forecast before it
@@ -96,9 +96,9 @@
             demand.add(&name, &steps(1000, 2_000), at);
         }
     }
-    let foreseen = |at| demand.foreseen(&name, at, AHEAD).map(|f| f / 1000.0);
-    assert_eq!(foreseen(500), None, "the burst has just begun");
-    let after_burst = foreseen(5_000).expect("forecast, since arrivals stopped a second ago");
+    let forecast = |at| demand.foreseen(&name, at, AHEAD).map(|f| f / 1000.0);
+    assert_eq!(forecast(500), None, "the burst has just begun");
+    let after_burst = forecast(5_000).expect("forecast, since arrivals stopped a second ago");
     assert!(
         after_burst < 90.0,
         "{after_burst} cores, after 120 were in use"
