--- a/crates/pomelohitch-emulator/src/fleet.rs
+++ b/crates/pomelohitch-emulator/src/fleet.rs
@@ -10,10 +10,10 @@
 use pomelohitch_sched::cell::Batch;
 use pomelohitch_sched::cell::calls::{Call, Draft, Verb};
 use pomelohitch_sched::config::{FleetConfig, Queue, Service, Workspace};
-use pomelohitch_sched::endpoint::{How, Look, Report};
+use pomelohitch_sched::endpoint::{EndReason, PollReply, Report};
 use pomelohitch_sched::instances::{Instance, InstanceState};
 use pomelohitch_sched::job::StepSpec;
-use pomelohitch_sched::order::{Answer, LookFailure, LookOrder, Operation};
+use pomelohitch_sched::order::{Answer, Operation, PollFailure, PollOrder};
 use pomelohitch_sched::{Cell, EndpointId, Now, Resources, Settings, Steady, TaskId, ZoneName};
 
 pub use self::crashes::Crashes;
@@ -49,13 +49,13 @@
 #[derive(Debug)]
 struct WaitingLook {
     sent_at: Duration,
-    order: LookOrder,
+    order: PollOrder,
     /// Where it ends on the link.
     end: link::Place,
     gives_up_at: Duration,
     arrived_at: Option<Duration>,
     /// Its answer, and where that ends on the link.
-    answer: Option<(link::Place, Result<Look, LookFailure>)>,
+    answer: Option<(link::Place, Result<PollReply, PollFailure>)>,
     /// It has no effect and no answer.
     is_lost: bool,
 }
@@ -329,7 +329,7 @@
             .extract_if(.., |look| &*look.order.target.id == id);
         for look in broken.collect::<Vec<_>>() {
             let target = &look.order.target;
-            self.cell.looked(target, Err(LookFailure::Failed));
+            self.cell.looked(target, Err(PollFailure::Failed));
         }
     }
 
@@ -460,7 +460,7 @@
     }
 
     /// How the runs ended that the living endpoints have had.
-    pub fn ends(&self) -> impl Iterator<Item = How> {
+    pub fn ends(&self) -> impl Iterator<Item = EndReason> {
         self.endpoints.values().flat_map(|e| &e.history).copied()
     }
 
--- a/crates/pomelohitch-emulator/src/fleet/endpoint.rs
+++ b/crates/pomelohitch-emulator/src/fleet/endpoint.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use pomelohitch_sched::endpoint::{Ended, How, Look, Report, Running};
+use pomelohitch_sched::endpoint::{EndReason, Ended, PollReply, Report, Running};
 use pomelohitch_sched::job::StepSpec;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Refusal};
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Refusal};
 use pomelohitch_sched::{Resources, Steady, TaskId};
 
 /// One endpoint, with the faults that it has.
@@ -44,7 +44,7 @@
     lapsed_end: u64,
     over: BTreeMap<TaskId, u32>,
     /// How each run ended, in order.
-    pub(super) history: Vec<How>,
+    pub(super) history: Vec<EndReason>,
 }
 
 /// One run of a task.
@@ -102,7 +102,7 @@
         self.ended.len()
     }
 
-    fn end(&mut self, key: (TaskId, u32), how: How) {
+    fn end(&mut self, key: (TaskId, u32), how: EndReason) {
         self.runs.remove(&key);
         let (task, run) = key;
         let over = self.over.entry(task).or_default();
@@ -125,7 +125,7 @@
             self.lapsed_end = self.next_end - 1;
             let lapsed: Vec<_> = self.runs.keys().copied().collect();
             for key in lapsed {
-                self.end(key, How::Lapsed);
+                self.end(key, EndReason::Lapsed);
             }
         }
         let clock = self.clock;
@@ -134,9 +134,13 @@
             .extract_if(.., |_, run| run.stops_at.is_some_and(|at| at <= clock));
         let stopped: Vec<_> = stopped.map(|(key, _)| key).collect();
         for key in stopped {
-            self.end(key, How::Stopped);
+            self.end(key, EndReason::Stopped);
         }
-        let how = if self.fails { How::Failed } else { How::Done };
+        let how = if self.fails {
+            EndReason::Failed
+        } else {
+            EndReason::Done
+        };
         let mut over = Vec::new();
         for (key, run) in &mut self.runs {
             if !self.stands_still {
@@ -158,7 +162,7 @@
             .partition(|e| e.number <= noted);
         self.ended = listed;
         let old: Vec<Ended> = old;
-        let counts = |e: &Ended| e.how == How::Done && e.number > self.lapsed_end;
+        let counts = |e: &Ended| e.how == EndReason::Done && e.number > self.lapsed_end;
         let done = old.into_iter().filter(counts);
         done.map(|e| e.task).collect()
     }
@@ -223,19 +227,19 @@
         if let Some(running) = self.runs.get_mut(&key) {
             running.stops_at.get_or_insert(stops_at);
             if self.stop_grace.is_zero() {
-                self.end(key, How::Stopped);
+                self.end(key, EndReason::Stopped);
             }
         }
     }
 
     /// Answers a look.
-    pub(super) fn look(&mut self, look: &LookOrder) -> Result<Look, LookFailure> {
+    pub(super) fn look(&mut self, look: &PollOrder) -> Result<PollReply, PollFailure> {
         if look.epoch < self.epoch {
-            return Err(LookFailure::Fenced);
+            return Err(PollFailure::Fenced);
         }
         self.epoch = look.epoch;
         self.lease = self.lease.max(look.lease.unwrap_or_default());
-        Ok(Look {
+        Ok(PollReply {
             born: self.report.born,
             clock: self.clock,
             running: self
@@ -244,8 +248,8 @@
                 .map(|(key, run)| running(key, run))
                 .collect(),
             ended: self.ended.clone(),
-            renewed: look.lease.is_some(),
-            ..Look::default()
+            lease_requested: look.lease.is_some(),
+            ..PollReply::default()
         })
     }
 }
--- a/crates/pomelohitch-emulator/src/fleet/looks.rs
+++ b/crates/pomelohitch-emulator/src/fleet/looks.rs
@@ -1,11 +1,11 @@
 //! Looks on their way to endpoints.
 
-use pomelohitch_sched::order::{LookFailure, LookOrder};
+use pomelohitch_sched::order::{PollFailure, PollOrder};
 
 use super::{Fleet, LOOK_MARGIN, WaitingLook};
 
 impl Fleet {
-    pub(super) fn send_look(&mut self, order: LookOrder) {
+    pub(super) fn send_look(&mut self, order: PollOrder) {
         let now = self.now.steady;
         let (end, margin) = match &mut self.link {
             Some(link) => link.look(),
@@ -50,7 +50,7 @@
         }
         if now >= look.gives_up_at {
             self.cell
-                .looked(&look.order.target, Err(LookFailure::Failed));
+                .looked(&look.order.target, Err(PollFailure::Failed));
             return true;
         }
         false
--- a/crates/pomelohitch-emulator/src/fleet/orders.rs
+++ b/crates/pomelohitch-emulator/src/fleet/orders.rs
@@ -13,7 +13,7 @@
     pub(super) fn carry_out(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Look(look) => self.send_look(look),
+                Action::Poll(look) => self.send_look(look),
                 Action::Order {
                     target,
                     order,
--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -508,7 +508,9 @@
         }
         for id in std::mem::take(&mut self.noted) {
             if let Some(endpoint) = self.endpoints.get(&id) {
-                batch.noted.push((id, endpoint.born, endpoint.noted));
+                batch
+                    .noted
+                    .push((id, endpoint.born, endpoint.last_processed));
             }
         }
         let is_empty =
--- a/crates/pomelohitch-sched/src/cell/books.rs
+++ b/crates/pomelohitch-sched/src/cell/books.rs
@@ -6,7 +6,7 @@
 use tracing::info;
 
 use super::{Cell, Job};
-use crate::endpoint::{Booked, Endpoint};
+use crate::endpoint::{Allocation, Endpoint};
 use crate::id::{EndpointId, JobId, RunNumber, ServiceName, TaskId};
 use crate::job::{JobSpec, StepSpec};
 use crate::order::{Action, Due, Order};
@@ -162,7 +162,14 @@
         self.endpoints
             .entry(endpoint.clone())
             .or_insert_with(|| Endpoint::new(born))
-            .occupy(task, number, Booked { room, is_lasting });
+            .allocate(
+                task,
+                number,
+                Allocation {
+                    resources: room,
+                    is_lasting,
+                },
+            );
         if let Some(workspace) = self.workspace_of(task.job) {
             *self.used.entry(workspace).or_default() += &need;
         }
@@ -206,7 +213,7 @@
             view: RunView {
                 phase: Phase::Ordered,
                 ordered_at: now,
-                moved_at: now,
+                progressed_at: now,
                 ..RunView::default()
             },
         });
@@ -316,7 +323,7 @@
         };
         let gone = t.runs.remove(at);
         if let Some(endpoint) = self.endpoints.get_mut(&gone.endpoint) {
-            endpoint.vacate(task, run);
+            endpoint.release(task, run);
         }
         if let Some(used) = workspace.and_then(|w| self.used.get_mut(&w)) {
             *used -= &need;
--- a/crates/pomelohitch-sched/src/cell/commits.rs
+++ b/crates/pomelohitch-sched/src/cell/commits.rs
@@ -20,10 +20,10 @@
             if let Some(endpoint) = self.endpoints.get_mut(&id)
                 && endpoint.born == born
             {
-                endpoint.noted_durably = endpoint.noted_durably.max(noted);
-                let heard_at = endpoint.heard_at.unwrap_or_default();
+                endpoint.last_durable = endpoint.last_durable.max(noted);
+                let heard_at = endpoint.answered_at.unwrap_or_default();
                 let due = heard_at + gap;
-                endpoint.look.hurry(due.max(self.now.steady));
+                endpoint.poll.expedite(due.max(self.now.steady));
             }
         }
         let mut actions = batch.actions;
@@ -102,7 +102,7 @@
         let Some(until) = endpoint.clock_ahead(now, valid) else {
             return false;
         };
-        endpoint.lease_asked(until);
+        endpoint.lease_requested(until);
         *deadline = until;
         if let Some(r) = self.run_mut(*task, *run) {
             r.view.void_after = Some(until);
@@ -148,7 +148,8 @@
                 ..
             } => {
                 let endpoint = self.endpoints.get(&target.id);
-                let is_taken_away = endpoint.is_some_and(|e| self.is_evacuated(e) || e.is_over());
+                let is_taken_away =
+                    endpoint.is_some_and(|e| self.is_evacuated(e) || e.is_overcommitted());
                 is_old(*at)
                     || is_taken_away
                     || !self.knows_written()
--- a/crates/pomelohitch-sched/src/cell/ends.rs
+++ b/crates/pomelohitch-sched/src/cell/ends.rs
@@ -3,7 +3,7 @@
 use tracing::{info, warn};
 
 use super::Cell;
-use crate::endpoint::How;
+use crate::endpoint::EndReason;
 use crate::id::{EndpointId, JobId, RunNumber, TaskId, job_text};
 use crate::job::StepSpec;
 use crate::order::Due;
@@ -18,7 +18,7 @@
         &mut self,
         task: TaskId,
         run: RunNumber,
-        how: How,
+        how: EndReason,
         checkpoint: &str,
         endpoint: &EndpointId,
     ) {
@@ -32,15 +32,15 @@
         };
         let spec = job.spec.clone();
         let step = &spec.steps[usize::from(task.step)];
-        if how == How::Done && step.is_gang {
+        if how == EndReason::Done && step.is_gang {
             self.gang_done(task);
         } else if let Some(t) = job.progress.task_mut(task) {
             if !checkpoint.is_empty() {
                 t.checkpoint = checkpoint.into();
             }
             match how {
-                How::Done if !step.is_lasting => t.is_done = true,
-                How::Failed => {
+                EndReason::Done if !step.is_lasting => t.is_done = true,
+                EndReason::Failed => {
                     t.failures += 1;
                     t.failed_at.push(endpoint.clone());
                 }
@@ -74,13 +74,13 @@
         self.after_end(task, step);
     }
 
-    fn count_end(&mut self, how: How, endpoint: &EndpointId) {
+    fn count_end(&mut self, how: EndReason, endpoint: &EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return;
         };
         let (failed, done) = match how {
-            How::Failed => (1.0, 0.0),
-            How::Done => (0.0, 1.0),
+            EndReason::Failed => (1.0, 0.0),
+            EndReason::Done => (0.0, 1.0),
             _ => return,
         };
         endpoint.failures = endpoint.failures * COUNT_FADE + failed;
--- a/crates/pomelohitch-sched/src/cell/evict.rs
+++ b/crates/pomelohitch-sched/src/cell/evict.rs
@@ -7,7 +7,7 @@
 
 use super::Cell;
 use crate::Steady;
-use crate::endpoint::{Endpoint, Look};
+use crate::endpoint::{Endpoint, PollReply};
 use crate::id::{EndpointId, RunNumber, ServiceName, TaskId};
 use crate::job::StepSpec;
 use crate::order::{Action, Order};
@@ -37,10 +37,10 @@
     /// evacuated zone, no faster than their steps allow and only while there is room elsewhere.
     pub(super) fn tend_lasting(&mut self) {
         let is_draining = |e: &Endpoint| e.report.as_ref().is_some_and(|r| r.is_draining);
-        let with_lasting = self.endpoints.iter().filter(|(_, e)| e.lasting > 0);
+        let with_lasting = self.endpoints.iter().filter(|(_, e)| e.lasting_runs > 0);
         let (leaving, rest): (Vec<_>, Vec<_>) = with_lasting
             .partition(|(_, e)| is_draining(e) || e.is_reserved || self.is_evacuated(e));
-        let due = rest.into_iter().filter(|(_, e)| e.is_due);
+        let due = rest.into_iter().filter(|(_, e)| e.is_maintenance_due);
         let due: Vec<EndpointId> = due.map(|(id, _)| id.clone()).collect();
         let leaving: Vec<EndpointId> = leaving.into_iter().map(|(id, _)| id.clone()).collect();
         self.is_evicting = !leaving.is_empty() || !due.is_empty();
@@ -125,7 +125,7 @@
         let now = self.now.steady;
         task.runs.iter().any(|r| {
             let endpoint = self.endpoints.get(&r.endpoint);
-            let is_heard = endpoint.is_some_and(|e| e.is_heard(now, HEARD_WITHIN));
+            let is_heard = endpoint.is_some_and(|e| e.has_answered_within(now, HEARD_WITHIN));
             is_heard && r.view.percent >= AT_WORK && !is_ending(r)
         })
     }
@@ -160,7 +160,7 @@
     }
 
     /// Paces the fillers at an endpoint so that the serving tasks beside them keep their targets.
-    pub(super) fn pace(&mut self, id: &EndpointId, look: &Look) {
+    pub(super) fn pace(&mut self, id: &EndpointId, look: &PollReply) {
         let mut worst: Option<f64> = None;
         let mut fillers = Vec::new();
         for running in &look.running {
@@ -185,10 +185,10 @@
             return;
         };
         let pace = endpoint.filler_pace;
-        let wanted = next_pace(pace, worst, now.saturating_sub(endpoint.paced_at));
+        let wanted = next_pace(pace, worst, now.saturating_sub(endpoint.pace_set_at));
         if wanted != pace {
             endpoint.filler_pace = wanted;
-            endpoint.paced_at = now;
+            endpoint.pace_set_at = now;
             info!(endpoint = %id, pace, wanted, worst, fillers = fillers.len(), "fillers paced");
         }
         for (task, run) in fillers {
--- a/crates/pomelohitch-sched/src/cell/follow.rs
+++ b/crates/pomelohitch-sched/src/cell/follow.rs
@@ -121,7 +121,10 @@
             report.is_some_and(|r| r.service == *service)
         });
         let booked = of_service.flat_map(|e| e.runs.values());
-        let cpu: u64 = booked.filter(|b| b.is_lasting).map(|b| b.room.cpu).sum();
+        let cpu: u64 = booked
+            .filter(|b| b.is_lasting)
+            .map(|b| b.resources.cpu)
+            .sum();
         f64::from(u32::try_from(cpu).unwrap_or(u32::MAX))
     }
 
@@ -139,7 +142,7 @@
     fn candidate(&self, instance: &Instance, is_due: &BTreeSet<InstanceId>) -> Candidate {
         let endpoint = instance.endpoint.as_ref();
         let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
-        let has_lasting = endpoint.is_some_and(|e| e.lasting > 0);
+        let has_lasting = endpoint.is_some_and(|e| e.lasting_runs > 0);
         let is_free = instance.state == InstanceState::Up
             && !self.instances.is_under_way(&instance.id)
             && !is_due.contains(&instance.id);
--- a/crates/pomelohitch-sched/src/cell/isolation.rs
+++ b/crates/pomelohitch-sched/src/cell/isolation.rs
@@ -234,7 +234,7 @@
         let age = endpoint.clock_at_least(self.now.steady);
         Rank {
             has_unproven: self.has_unproven(endpoint),
-            has_lasting: endpoint.lasting > 0,
+            has_lasting: endpoint.lasting_runs > 0,
             is_young: age.is_none_or(|age| age < YOUNG),
             runs: endpoint.runs.len(),
         }
--- a/crates/pomelohitch-sched/src/cell/lives.rs
+++ b/crates/pomelohitch-sched/src/cell/lives.rs
@@ -113,8 +113,8 @@
         fresh.is_listed = endpoint.is_listed;
         fresh.runs = std::mem::take(&mut endpoint.runs);
         fresh.used = endpoint.used;
-        fresh.lasting = endpoint.lasting;
-        fresh.look = endpoint.look;
+        fresh.lasting_runs = endpoint.lasting_runs;
+        fresh.poll = endpoint.poll;
         *endpoint = fresh;
         for (task, run, loss) in losses {
             if let Some(r) = self.run_mut(task, run) {
@@ -147,7 +147,7 @@
         let lapsed: Vec<_> = self
             .endpoints
             .iter()
-            .filter(|(_, e)| !e.is_fresh(now, fresh) && e.is_lapsed(now, unread_until))
+            .filter(|(_, e)| !e.is_polled_within(now, fresh) && e.is_lapsed(now, unread_until))
             .map(|(id, e)| (id.clone(), e.is_listed))
             .collect();
         for (id, is_listed) in lapsed {
--- a/crates/pomelohitch-sched/src/cell/looks.rs
+++ b/crates/pomelohitch-sched/src/cell/looks.rs
@@ -7,10 +7,10 @@
 
 use super::Cell;
 use crate::Steady;
-use crate::endpoint::{Endpoint, How, Look, Running};
+use crate::endpoint::{EndReason, Endpoint, PollReply, Running};
 use crate::id::{EndpointId, RunNumber, TaskId};
 use crate::loss::LossCause;
-use crate::order::{Action, LookFailure, LookOrder, Order, Target};
+use crate::order::{Action, Order, PollFailure, PollOrder, Target};
 use crate::progress::{Phase, Run, RunView};
 
 /// The most ends that an endpoint lists at once; the platform's own limit. A longer list may
@@ -33,7 +33,7 @@
     /// Orders the looks that are due.
     pub(super) fn plan_looks(&mut self) {
         let now = self.now.steady;
-        let is_due = |e: &Endpoint| !e.look.is_under_way && e.look.due <= now;
+        let is_due = |e: &Endpoint| !e.poll.is_in_flight && e.poll.due <= now;
         let ids: Vec<EndpointId> = self
             .endpoints
             .iter()
@@ -69,17 +69,17 @@
         };
         // A poll of an endpoint that fell silent asks for no lease, so that the last one is known to
         // run out and what ran there can be started elsewhere.
-        let lease = if endpoint.look.failures == 0 {
+        let lease = if endpoint.poll.failures == 0 {
             endpoint.clock_ahead(now, lease_for)
         } else {
             None
         };
         if let Some(end) = lease {
-            endpoint.lease_asked(end);
+            endpoint.lease_requested(end);
         }
-        let noted = endpoint.acknowledges(now);
-        endpoint.look.is_under_way = true;
-        self.outbox.push(Action::Look(LookOrder {
+        let noted = endpoint.acknowledgeable(now);
+        endpoint.poll.is_in_flight = true;
+        self.outbox.push(Action::Poll(PollOrder {
             target,
             epoch: self.epoch,
             noted,
@@ -109,7 +109,7 @@
             self.run(task, run)
                 .is_some_and(|r| matches!(r.view.phase, Phase::Unanswered | Phase::Recorded))
         });
-        if endpoint.looked_at.is_none() || !endpoint.lease_confirmed || is_unsettled {
+        if endpoint.polled_at.is_none() || !endpoint.lease_confirmed || is_unsettled {
             Duration::ZERO
         } else if endpoint.runs.values().any(|booked| !booked.is_lasting) {
             self.settings.look_wait_ends
@@ -122,7 +122,7 @@
 
     /// Whether lasting tasks there decide if others of their steps may be stopped.
     fn has_news_to_come(&self, endpoint: &Endpoint) -> bool {
-        if endpoint.lasting == 0 {
+        if endpoint.lasting_runs == 0 {
             return false;
         }
         self.is_evicting
@@ -137,19 +137,19 @@
     }
 
     /// Takes in how a look went.
-    pub fn looked(&mut self, target: &Target, result: Result<Look, LookFailure>) {
+    pub fn looked(&mut self, target: &Target, result: Result<PollReply, PollFailure>) {
         let now = self.now.steady;
         match &result {
             Ok(look) => self.note_lag(now.saturating_sub(look.answered_at)),
-            Err(failure) => self.is_fenced |= *failure == LookFailure::Fenced,
+            Err(failure) => self.is_fenced |= *failure == PollFailure::Fenced,
         }
         let gap = self.look_gap();
         let is_congested = self.flow.delay(now) > USUAL_DELAY;
         let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
             return;
         };
-        let plan = &mut endpoint.look;
-        plan.is_under_way = false;
+        let plan = &mut endpoint.poll;
+        plan.is_in_flight = false;
         match result {
             Ok(look) => {
                 plan.failures = 0;
@@ -169,7 +169,7 @@
         }
     }
 
-    fn take_look(&mut self, id: &EndpointId, look: &Look) {
+    fn take_look(&mut self, id: &EndpointId, look: &PollReply) {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
@@ -182,15 +182,15 @@
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
-        endpoint.read_clock(look);
-        if endpoint.looked_at.is_none() {
+        endpoint.update_clock(look);
+        if endpoint.polled_at.is_none() {
             info!(endpoint = %id, running = look.running.len(), ended = look.ended.len(), "first look");
         }
-        endpoint.is_doubted = false;
-        endpoint.looked_at = Some(look.sent_at);
-        endpoint.heard_at = Some(look.answered_at);
-        endpoint.lease_confirmed |= look.renewed;
-        endpoint.lists_ends = !look.ended.is_empty();
+        endpoint.is_unresponsive = false;
+        endpoint.polled_at = Some(look.sent_at);
+        endpoint.answered_at = Some(look.answered_at);
+        endpoint.lease_confirmed |= look.lease_requested;
+        endpoint.lists_completions = !look.ended.is_empty();
         self.retract_losses(id);
         self.take_ends(id, look);
         for running in &look.running {
@@ -201,18 +201,18 @@
         self.pace(id, look);
     }
 
-    fn take_ends(&mut self, id: &EndpointId, look: &Look) {
+    fn take_ends(&mut self, id: &EndpointId, look: &PollReply) {
         let mut ends: Vec<_> = look.ended.iter().collect();
         ends.sort_by_key(|e| e.number);
-        let noted = self.endpoints.get(id).map_or(0, |e| e.noted);
+        let noted = self.endpoints.get(id).map_or(0, |e| e.last_processed);
         for end in ends.iter().filter(|e| e.number > noted) {
             if self.run(end.task, end.run).is_some() {
                 self.run_ended(end.task, end.run, end.how, &end.checkpoint, id);
-            } else if end.how == How::Done {
+            } else if end.how == EndReason::Done {
                 self.done_after_all(end.task, end.run, id);
             }
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                endpoint.noted = end.number;
+                endpoint.last_processed = end.number;
             }
             self.noted.insert(id.clone());
         }
@@ -222,8 +222,8 @@
         {
             // What is listed again hasn't been acknowledged yet: the next look would be answered
             // at once, again and again, until the ends are durably noted.
-            if last.number > endpoint.noted_durably {
-                endpoint.look.due = retry;
+            if last.number > endpoint.last_durable {
+                endpoint.poll.due = retry;
             }
         }
     }
@@ -249,7 +249,7 @@
         let seen_at = *run.view.seen_at.get_or_insert(at);
         if is_first || run.view.percent != running.percent {
             run.view.percent = running.percent;
-            run.view.moved_at = at;
+            run.view.progressed_at = at;
         }
         let is_stopping = run.view.is_stopping();
         let job = self.jobs.get_mut(&task.job);
@@ -309,7 +309,7 @@
     }
 
     /// Settles runs that a look doesn't list.
-    fn settle_missing(&mut self, id: &EndpointId, look: &Look) {
+    fn settle_missing(&mut self, id: &EndpointId, look: &PollReply) {
         if look.ended.len() >= ENDS_LISTED {
             return;
         }
@@ -328,7 +328,7 @@
         }
     }
 
-    fn settle(&mut self, task: TaskId, number: RunNumber, look: &Look) {
+    fn settle(&mut self, task: TaskId, number: RunNumber, look: &PollReply) {
         let Some(run) = self.run(task, number) else {
             return;
         };
@@ -369,7 +369,7 @@
     pub(super) fn hurry_look(&mut self, id: &EndpointId) {
         let now = self.now.steady;
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.look.hurry(now);
+            endpoint.poll.expedite(now);
         }
     }
 }
--- a/crates/pomelohitch-sched/src/cell/losses.rs
+++ b/crates/pomelohitch-sched/src/cell/losses.rs
@@ -194,7 +194,7 @@
     /// Whether a run has begun and can't have ended by itself since its endpoint was last heard, by its
     /// estimate.
     fn was_at_work(&self, task: TaskId, run: &Run, endpoint: &Endpoint) -> bool {
-        let heard_at = endpoint.heard_at.unwrap_or_default();
+        let heard_at = endpoint.answered_at.unwrap_or_default();
         let unheard = self.now.steady.saturating_sub(heard_at);
         let has_begun = matches!(run.view.phase, Phase::Taken { .. });
         let goes_on = |s: &StepSpec| s.is_lasting || worked(run, endpoint) + unheard < s.estimate;
@@ -237,7 +237,7 @@
 
 /// For how long a run had been seen at work when its endpoint was last heard.
 fn worked(run: &Run, endpoint: &Endpoint) -> Duration {
-    let (seen, heard) = (run.view.seen_at, endpoint.heard_at);
+    let (seen, heard) = (run.view.seen_at, endpoint.answered_at);
     let worked = seen
         .zip(heard)
         .map(|(seen, heard)| heard.saturating_sub(seen));
--- a/crates/pomelohitch-sched/src/cell/orders.rs
+++ b/crates/pomelohitch-sched/src/cell/orders.rs
@@ -26,7 +26,7 @@
         if is_answer(outcome)
             && let Some(endpoint) = self.endpoints.get_mut(&target.id)
         {
-            endpoint.is_doubted = false;
+            endpoint.is_unresponsive = false;
         }
         match order {
             Order::Start { task, run, .. } => self.started(target, *task, *run, outcome),
@@ -60,7 +60,7 @@
                     r.view.phase = Phase::Unanswered;
                 }
                 if let Some(endpoint) = self.endpoints.get_mut(&target.id) {
-                    endpoint.is_doubted = true;
+                    endpoint.is_unresponsive = true;
                 }
             }
             Outcome::Refused(refusal) => {
@@ -87,7 +87,7 @@
     fn back_off(&mut self, task: TaskId) {
         let now = self.now.steady;
         if let Some(t) = self.task_mut(task) {
-            t.backoff.refused(now);
+            t.backoff.record_refusal(now);
         }
     }
 
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -152,12 +152,12 @@
         let report = endpoint.report.as_ref();
         endpoint.is_listed
             && !endpoint.is_reserved
-            && !endpoint.is_over()
+            && !endpoint.is_overcommitted()
             && !self.is_evacuated(endpoint)
             && endpoint.lease_confirmed
-            && (!endpoint.is_doubted || !self.settings.policy.doubts_silent)
+            && (!endpoint.is_unresponsive || !self.settings.policy.doubts_silent)
             && endpoint.avoided_until <= now
-            && endpoint.is_fresh(now, self.settings.fresh)
+            && endpoint.is_polled_within(now, self.settings.fresh)
             && report.is_some_and(|r| r.service == *service && !r.is_draining)
     }
 
@@ -181,7 +181,7 @@
         let (mut cpu, mut used) = (0, 0);
         for endpoint in endpoints {
             let lasting = endpoint.runs.values().filter(|b| b.is_lasting);
-            let lasting: u64 = lasting.map(|b| b.room.cpu).sum();
+            let lasting: u64 = lasting.map(|b| b.resources.cpu).sum();
             let capacity = endpoint.report.as_ref().map_or(0, |r| r.capacity.cpu);
             cpu += capacity.saturating_sub(lasting);
             used += endpoint.used.cpu.saturating_sub(lasting);
@@ -317,7 +317,7 @@
             return Vec::new();
         };
         let now = self.now.steady;
-        let may_start = |t: &Task| !t.is_done && t.runs.is_empty() && !t.backoff.holds(now);
+        let may_start = |t: &Task| !t.is_done && t.runs.is_empty() && !t.backoff.is_waiting(now);
         let waiting = tasks.iter().enumerate().filter(|(_, t)| may_start(t));
         waiting
             .map(|(index, _)| TaskId {
--- a/crates/pomelohitch-sched/src/cell/stalls.rs
+++ b/crates/pomelohitch-sched/src/cell/stalls.rs
@@ -9,7 +9,7 @@
 use tracing::warn;
 
 use super::Cell;
-use crate::endpoint::Look;
+use crate::endpoint::PollReply;
 use crate::id::{EndpointId, RunNumber, TaskId};
 
 /// A run without progress for so long stands still. A resumed one restores its checkpoint first,
@@ -24,7 +24,7 @@
 
 impl Cell {
     /// Stops runs at an endpoint that stand still, so that they start elsewhere.
-    pub(super) fn stop_stalled(&mut self, id: &EndpointId, look: &Look) {
+    pub(super) fn stop_stalled(&mut self, id: &EndpointId, look: &PollReply) {
         let listed = look.running.iter().map(|r| (r.task, r.number));
         let stalled: Vec<_> = listed
             .filter(|&(task, run)| self.is_stalled(task, run, look))
@@ -41,14 +41,14 @@
 
     /// Lasting tasks have no progress to show, members of a gang wait for one another, and fillers
     /// are halted by pacing.
-    fn is_stalled(&self, task: TaskId, run: RunNumber, look: &Look) -> bool {
+    fn is_stalled(&self, task: TaskId, run: RunNumber, look: &PollReply) -> bool {
         let Some(step) = self.step(task) else {
             return false;
         };
         let is_plain = !step.is_lasting && !step.is_gang && !step.is_filler;
         let run = self.run(task, run).filter(|_| is_plain);
         run.is_some_and(|r| {
-            let since = r.view.moved_at.max(r.view.seen_at.unwrap_or_default());
+            let since = r.view.progressed_at.max(r.view.seen_at.unwrap_or_default());
             r.view.seen_at.is_some() && look.answered_at.saturating_sub(since) >= STALLED_AFTER
         })
     }
--- a/crates/pomelohitch-sched/src/cell/upkeep.rs
+++ b/crates/pomelohitch-sched/src/cell/upkeep.rs
@@ -68,8 +68,8 @@
         let list = self.instances.list().values();
         let alive: BTreeSet<_> = list.filter_map(|i| i.endpoint.as_ref()).collect();
         let is_silent = |e: &Endpoint| {
-            let was_silent = e.heard_at.is_none_or(|at| at + SILENT_FOR < asked_at);
-            was_silent && e.look.failures > 0 && asked_at > self.began + SILENT_FOR
+            let was_silent = e.answered_at.is_none_or(|at| at + SILENT_FOR < asked_at);
+            was_silent && e.poll.failures > 0 && asked_at > self.began + SILENT_FOR
         };
         let used = self.endpoints.iter().filter(|(_, e)| !e.runs.is_empty());
         let gone = used.filter(|(id, e)| is_silent(e) && !alive.contains(*id));
@@ -80,7 +80,7 @@
     fn has_silent(&self) -> bool {
         let now = self.now.steady;
         let mut used = self.endpoints.values().filter(|e| !e.runs.is_empty());
-        used.any(|e| e.look.failures > 0 || !e.is_heard(now, self.settings.fresh))
+        used.any(|e| e.poll.failures > 0 || !e.has_answered_within(now, self.settings.fresh))
     }
 
     /// Takes in that the list couldn't be read.
@@ -151,7 +151,7 @@
     fn mark(&mut self, reserved: &BTreeSet<EndpointId>, due: &BTreeSet<EndpointId>) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.is_reserved = false;
-            endpoint.is_due = false;
+            endpoint.is_maintenance_due = false;
         }
         for id in reserved {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
@@ -160,7 +160,7 @@
         }
         for id in due {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                endpoint.is_due = true;
+                endpoint.is_maintenance_due = true;
             }
         }
     }
--- a/crates/pomelohitch-sched/src/cell/waves.rs
+++ b/crates/pomelohitch-sched/src/cell/waves.rs
@@ -139,6 +139,6 @@
     fn emptying_effort(&self, id: &InstanceId) -> (usize, u64) {
         let endpoint = self.endpoint_on(id);
         let endpoint = endpoint.and_then(|e| self.endpoints.get(&e));
-        endpoint.map_or((0, 0), |e| (e.lasting, e.used.cpu))
+        endpoint.map_or((0, 0), |e| (e.lasting_runs, e.used.cpu))
     }
 }
--- a/crates/pomelohitch-sched/src/endpoint.rs
+++ b/crates/pomelohitch-sched/src/endpoint.rs
@@ -43,7 +43,7 @@
 
 /// An endpoint's answer to a poll.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Look {
+pub struct PollReply {
     /// Incarnation that answered.
     pub born: u64,
     /// Endpoint's clock at the time of the answer.
@@ -57,7 +57,7 @@
     /// When the answer arrived.
     pub answered_at: Steady,
     /// Whether the poll requested a lease.
-    pub renewed: bool,
+    pub lease_requested: bool,
 }
 
 /// A run that an endpoint lists as running.
@@ -85,14 +85,14 @@
     /// Run number.
     pub run: RunNumber,
     /// Why it ended.
-    pub how: How,
+    pub how: EndReason,
     /// Checkpoint from which the next run can resume.
     pub checkpoint: Box<str>,
 }
 
 /// Why a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
+pub enum EndReason {
     /// Completed successfully.
     Done,
     /// Failed because of the task or of the endpoint.
@@ -117,27 +117,27 @@
 
 /// When an endpoint is polled next.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LookPlan {
+pub struct PollSchedule {
     /// Earliest time of the next poll.
     pub due: Steady,
     /// Whether a poll is in flight.
-    pub is_under_way: bool,
+    pub is_in_flight: bool,
     /// Polls that failed since the last successful one.
     pub failures: u32,
 }
 
-impl LookPlan {
+impl PollSchedule {
     /// Makes the next poll due at `now` if it is due later.
-    pub fn hurry(&mut self, now: Steady) {
+    pub fn expedite(&mut self, now: Steady) {
         self.due = self.due.min(now);
     }
 }
 
 /// Resources that a run takes on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Booked {
+pub struct Allocation {
     /// Allocated amounts.
-    pub room: Resources,
+    pub resources: Resources,
     /// Whether the run belongs to a lasting task.
     pub is_lasting: bool,
 }
@@ -155,19 +155,19 @@
     /// Allocated resources, including those of runs that are being stopped or may be running.
     pub used: Resources,
     /// Number of runs of lasting tasks.
-    pub lasting: usize,
+    pub lasting_runs: usize,
     /// Runs that may exist there, with their allocations.
-    pub runs: BTreeMap<(TaskId, RunNumber), Booked>,
+    pub runs: BTreeMap<(TaskId, RunNumber), Allocation>,
     /// Sequence number of the last completion that was processed.
-    pub noted: u64,
+    pub last_processed: u64,
     /// Sequence number of the last completion that is durably recorded and may be acknowledged.
-    pub noted_durably: u64,
+    pub last_durable: u64,
     /// Whether the last answered poll listed completions, which have to be acknowledged.
-    pub lists_ends: bool,
+    pub lists_completions: bool,
     /// When the newest answered poll was sent.
-    pub looked_at: Option<Steady>,
+    pub polled_at: Option<Steady>,
     /// When it last answered a poll.
-    pub heard_at: Option<Steady>,
+    pub answered_at: Option<Steady>,
     /// Whether a poll that requested a lease was answered. Before that, only starts hold a lease,
     /// and a short one.
     pub lease_confirmed: bool,
@@ -176,7 +176,7 @@
     /// Whether it has answered nothing since it left a start unanswered. Such an endpoint may be
     /// gone and gets no new work until it answers again. Excluding it for a fixed time instead
     /// would idle most of a busy pool when a fraction of the orders is lost.
-    pub is_doubted: bool,
+    pub is_unresponsive: bool,
     /// Failed runs, decaying over time; used to detect a broken endpoint.
     pub failures: f64,
     /// Successful runs, decaying over time.
@@ -185,13 +185,13 @@
     pub is_reserved: bool,
     /// Whether its instance is due for maintenance, so that lasting tasks should be placed
     /// elsewhere.
-    pub is_due: bool,
+    pub is_maintenance_due: bool,
     /// Speed of filler tasks there, percent.
     pub filler_pace: u32,
     /// When `filler_pace` last changed.
-    pub paced_at: Steady,
+    pub pace_set_at: Steady,
     /// Schedule of polls.
-    pub look: LookPlan,
+    pub poll: PollSchedule,
     reading: Option<ClockReading>,
     /// Latest end of any lease that was requested, on the endpoint's clock.
     lease_end: Duration,
@@ -206,34 +206,34 @@
             born,
             is_listed: false,
             used: Resources::default(),
-            lasting: 0,
+            lasting_runs: 0,
             runs: BTreeMap::new(),
-            noted: 0,
-            noted_durably: 0,
-            lists_ends: false,
-            looked_at: None,
-            heard_at: None,
+            last_processed: 0,
+            last_durable: 0,
+            lists_completions: false,
+            polled_at: None,
+            answered_at: None,
             lease_confirmed: false,
             avoided_until: Steady::ZERO,
-            is_doubted: false,
+            is_unresponsive: false,
             failures: 0.0,
             successes: 0.0,
             is_reserved: false,
-            is_due: false,
+            is_maintenance_due: false,
             filler_pace: 100,
-            paced_at: Steady::ZERO,
-            look: LookPlan::default(),
+            pace_set_at: Steady::ZERO,
+            poll: PollSchedule::default(),
             reading: None,
             lease_end: Duration::ZERO,
         }
     }
 
     /// Stores the clock reading of a poll's answer.
-    pub fn read_clock(&mut self, look: &Look) {
+    pub fn update_clock(&mut self, reply: &PollReply) {
         self.reading = Some(ClockReading {
-            clock: look.clock,
-            sent_at: look.sent_at,
-            answered_at: look.answered_at,
+            clock: reply.clock,
+            sent_at: reply.sent_at,
+            answered_at: reply.answered_at,
         });
     }
 
@@ -245,11 +245,11 @@
     /// shortly after the same incarnation has listed completions: a run that starts in a new
     /// incarnation does not end that soon.
     #[must_use]
-    pub fn acknowledges(&self, now: Steady) -> u64 {
+    pub fn acknowledgeable(&self, now: Steady) -> u64 {
         let is_same_incarnation =
-            self.look.failures == 0 && self.is_heard(now, SAME_INCARNATION_WINDOW);
-        if self.lists_ends && is_same_incarnation {
-            self.noted_durably
+            self.poll.failures == 0 && self.has_answered_within(now, SAME_INCARNATION_WINDOW);
+        if self.lists_completions && is_same_incarnation {
+            self.last_durable
         } else {
             0
         }
@@ -272,7 +272,7 @@
     }
 
     /// Records that a lease until `end` may be in force, whether or not the call is answered.
-    pub fn lease_asked(&mut self, end: Duration) {
+    pub fn lease_requested(&mut self, end: Duration) {
         self.lease_end = self.lease_end.max(end);
     }
 
@@ -290,15 +290,15 @@
 
     /// Whether a poll that was sent within the last `window` was answered.
     #[must_use]
-    pub fn is_fresh(&self, now: Steady, window: Duration) -> bool {
-        self.looked_at
+    pub fn is_polled_within(&self, now: Steady, window: Duration) -> bool {
+        self.polled_at
             .is_some_and(|at| now.saturating_sub(at) <= window)
     }
 
     /// Whether an answer to a poll arrived within the last `window`.
     #[must_use]
-    pub fn is_heard(&self, now: Steady, window: Duration) -> bool {
-        self.heard_at
+    pub fn has_answered_within(&self, now: Steady, window: Duration) -> bool {
+        self.answered_at
             .is_some_and(|at| now.saturating_sub(at) <= window)
     }
 
@@ -326,26 +326,26 @@
 
     /// Whether more is allocated than the capacity, which can shrink.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_overcommitted(&self) -> bool {
         let capacity = self.report.as_ref().map(|r| r.capacity);
         capacity.is_some_and(|c| !c.holds(&self.used))
     }
 
     /// Allocates resources for a run; no effect if it has them already.
-    pub fn occupy(&mut self, task: TaskId, number: RunNumber, booked: Booked) {
-        if self.runs.insert((task, number), booked).is_none() {
-            self.used += &booked.room;
-            self.lasting += usize::from(booked.is_lasting);
+    pub fn allocate(&mut self, task: TaskId, number: RunNumber, allocation: Allocation) {
+        if self.runs.insert((task, number), allocation).is_none() {
+            self.used += &allocation.resources;
+            self.lasting_runs += usize::from(allocation.is_lasting);
         }
     }
 
     /// Releases a run's resources; returns whether it had any.
-    pub fn vacate(&mut self, task: TaskId, number: RunNumber) -> bool {
-        let Some(booked) = self.runs.remove(&(task, number)) else {
+    pub fn release(&mut self, task: TaskId, number: RunNumber) -> bool {
+        let Some(allocation) = self.runs.remove(&(task, number)) else {
             return false;
         };
-        self.used -= &booked.room;
-        self.lasting -= usize::from(booked.is_lasting);
+        self.used -= &allocation.resources;
+        self.lasting_runs -= usize::from(allocation.is_lasting);
         true
     }
 }
--- a/crates/pomelohitch-sched/src/order.rs
+++ b/crates/pomelohitch-sched/src/order.rs
@@ -175,7 +175,7 @@
         at: Steady,
     },
     /// Polls an endpoint.
-    Look(LookOrder),
+    Poll(PollOrder),
     /// Performs an operation on an instance.
     Operate {
         /// Instance to operate on.
@@ -212,7 +212,7 @@
 
 /// A poll of an endpoint, which also renews its lease and acknowledges completions.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LookOrder {
+pub struct PollOrder {
     /// Endpoint to poll.
     pub target: Target,
     /// Epoch that it carries.
@@ -227,7 +227,7 @@
 
 /// Why a poll failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LookFailure {
+pub enum PollFailure {
     /// The endpoint has seen a higher epoch.
     Fenced,
     /// Nothing listens at the address, or another endpoint does.
--- a/crates/pomelohitch-sched/src/place.rs
+++ b/crates/pomelohitch-sched/src/place.rs
@@ -33,8 +33,8 @@
         Slot {
             id: id.clone(),
             free: endpoint.free(),
-            lasting: endpoint.lasting,
-            is_due: endpoint.is_due,
+            lasting: endpoint.lasting_runs,
+            is_due: endpoint.is_maintenance_due,
             is_doubtful: is_doubtful(endpoint),
             labels: labels.unwrap_or_default(),
         }
--- a/crates/pomelohitch-sched/src/progress.rs
+++ b/crates/pomelohitch-sched/src/progress.rs
@@ -106,7 +106,7 @@
 
 impl Backoff {
     /// Records a refused start.
-    pub fn refused(&mut self, now: Steady) {
+    pub fn record_refusal(&mut self, now: Steady) {
         self.not_before =
             now + FIRST_BACKOFF * 2_u32.pow(self.consecutive_refusals.min(MAX_BACKOFF_DOUBLINGS));
         self.consecutive_refusals += 1;
@@ -114,7 +114,7 @@
 
     /// Whether the next start still has to wait.
     #[must_use]
-    pub fn holds(&self, now: Steady) -> bool {
+    pub fn is_waiting(&self, now: Steady) -> bool {
         now < self.not_before
     }
 }
@@ -149,7 +149,7 @@
     /// Last percentage that the endpoint reported.
     pub percent: u32,
     /// When that percentage last changed.
-    pub moved_at: Steady,
+    pub progressed_at: Steady,
     /// When a stop was last ordered.
     pub stop_sent_at: Option<Steady>,
     /// When a stop was last acknowledged.
--- a/crates/pomelohitch-sched/tests/cell/links.rs
+++ b/crates/pomelohitch-sched/tests/cell/links.rs
@@ -5,7 +5,7 @@
 
 use pomelohitch_sched::Settings;
 use pomelohitch_sched::cell::calls::{Draft, Verb};
-use pomelohitch_sched::endpoint::How;
+use pomelohitch_sched::endpoint::EndReason;
 use pomelohitch_sched::job::StepSpec;
 use pomelohitch_sched::order::Answer;
 use pomelohitch_sched::progress::JobState;
@@ -67,7 +67,7 @@
 }
 
 fn lapsed(fleet: &Fleet) -> usize {
-    fleet.ends().filter(|how| *how == How::Lapsed).count()
+    fleet.ends().filter(|how| *how == EndReason::Lapsed).count()
 }
 
 /// Jobs that were accepted, beside the one that lasts.
@@ -139,7 +139,7 @@
     fleet.pass(3 * SECOND);
     let tasks: BTreeSet<_> = fleet.starts.iter().map(|(task, ..)| *task).collect();
     assert_eq!(fleet.starts.len(), tasks.len(), "each begins once");
-    assert!(!fleet.ends().any(|how| how == How::Stopped));
+    assert!(!fleet.ends().any(|how| how == EndReason::Stopped));
     fleet.assert_sound();
 }
 
--- a/pomelohitchd/src/fleet/calls.rs
+++ b/pomelohitchd/src/fleet/calls.rs
@@ -13,8 +13,8 @@
 
 use pomelohitch_adapter::connections::Connections;
 use pomelohitch_adapter::endpoints;
-use pomelohitch_sched::endpoint::Look;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Refusal, Target};
+use pomelohitch_sched::endpoint::PollReply;
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Refusal, Target};
 use pomelohitch_sched::rto::{Limits, Rto};
 use pomelohitch_sched::{EndpointId, Epoch, Steady};
 use tokio::sync::Semaphore;
@@ -113,7 +113,7 @@
     ///
     /// # Errors
     /// If that endpoint doesn't answer in time, or its answer can't be read.
-    pub async fn poll(&self, order: &LookOrder) -> Result<Look, LookFailure> {
+    pub async fn poll(&self, order: &PollOrder) -> Result<PollReply, PollFailure> {
         let client = self.client(&order.target);
         let timeout = self.rto.borrow().timeout();
         let extra = timeout.saturating_sub(ORDER_TIMEOUT.shortest);
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -10,10 +10,10 @@
 use pomelohitch_sched::cell::Batch;
 use pomelohitch_sched::cell::calls::{Call, Verb};
 use pomelohitch_sched::config::FleetConfig;
-use pomelohitch_sched::endpoint::{Look, Report};
+use pomelohitch_sched::endpoint::{PollReply, Report};
 use pomelohitch_sched::instances::{Instance, Wave};
 use pomelohitch_sched::order::{
-    Action, Answer, CallId, LookFailure, Operation, OperationOutcome, Order, Outcome, Target,
+    Action, Answer, CallId, Operation, OperationOutcome, Order, Outcome, PollFailure, Target,
 };
 use pomelohitch_sched::{Cell, EndpointId, Epoch, InstanceId, Steady, TaskId, ZoneName};
 use tracing::{error, info, warn};
@@ -77,7 +77,7 @@
     /// All was read that operators had written by then.
     OperatorsAsOf(Steady),
     /// A look ended.
-    Looked(Target, Result<Look, LookFailure>),
+    Looked(Target, Result<PollReply, PollFailure>),
     /// An order ended.
     Ordered(Target, Order, Outcome),
     /// The list of instances was read, asked for at that time.
@@ -381,7 +381,7 @@
                     epoch,
                     at,
                 } => self.lanes.order(target, order, epoch, at),
-                Action::Look(look) => self.lanes.look(look),
+                Action::Poll(look) => self.lanes.look(look),
                 Action::ListInstances => self.duties.list(),
                 Action::Operate {
                     instance,
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/lanes.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pomelohitch_sched::endpoint::Endpoint;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Refusal, Target};
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Refusal, Target};
 use pomelohitch_sched::relaying::Layout;
 use pomelohitch_sched::{EndpointId, Epoch, Steady};
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 enum Command {
     Order(OutgoingOrder),
-    Look(LookOrder),
+    Look(PollOrder),
     /// The endpoint isn't known any more.
     Forget(EndpointId),
     /// What is called.
@@ -113,12 +113,12 @@
     }
 
     /// Looks at an endpoint.
-    pub fn look(&mut self, look: LookOrder) {
+    pub fn look(&mut self, look: PollOrder) {
         self.known.insert(look.target.id.clone());
         if let Err(mpsc::error::SendError(Command::Look(unsent))) =
             self.commands.send(Command::Look(look))
         {
-            let failed = Err(LookFailure::Failed);
+            let failed = Err(PollFailure::Failed);
             let _ = self.events.send(Event::Looked(unsent.target, failed));
         }
     }
@@ -257,7 +257,7 @@
         });
     }
 
-    fn look(&mut self, look: LookOrder) {
+    fn look(&mut self, look: PollOrder) {
         let look = match self.link(&look.target) {
             Some(link) => link.poll(look),
             None => Some(look),
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -7,8 +7,8 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-use pomelohitch_sched::endpoint::Look;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Refusal};
+use pomelohitch_sched::endpoint::PollReply;
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Refusal};
 use pomelohitch_sched::rto::{Limits, Rto};
 use pomelohitch_sched::{EndpointId, Epoch, Steady};
 use tokio::net::TcpStream;
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 enum Call {
     Order(OutgoingOrder),
-    Poll(LookOrder),
+    Poll(PollOrder),
 }
 
 /// A call that awaits its reply.
@@ -130,7 +130,7 @@
 
     /// Queues a poll for sending; returns it if the connection has ended.
     #[must_use]
-    pub fn poll(&self, poll: LookOrder) -> Option<LookOrder> {
+    pub fn poll(&self, poll: PollOrder) -> Option<PollOrder> {
         match self.commands.send(Command::Call(Call::Poll(poll))) {
             Err(mpsc::error::SendError(Command::Call(Call::Poll(poll)))) => Some(poll),
             _ => None,
@@ -293,8 +293,8 @@
                     return;
                 };
                 let answer = self.decode(&order.target.id, delta);
-                let answer = answer.ok_or(LookFailure::Failed);
-                let answer = answer.map(|answer| Look {
+                let answer = answer.ok_or(PollFailure::Failed);
+                let answer = answer.map(|answer| PollReply {
                     sent_at,
                     answered_at: now,
                     ..answer
@@ -310,7 +310,7 @@
         }
     }
 
-    fn decode(&self, id: &EndpointId, delta: Delta) -> Option<Look> {
+    fn decode(&self, id: &EndpointId, delta: Delta) -> Option<PollReply> {
         let mut listings = self.listings.borrow_mut();
         listings.entry(id.clone()).or_default().decode(delta)
     }
@@ -368,7 +368,7 @@
             Call::Order(OutgoingOrder { target, order, .. }) => {
                 Event::Ordered(target, order, Outcome::Unanswered)
             }
-            Call::Poll(poll) => Event::Looked(poll.target, Err(LookFailure::Failed)),
+            Call::Poll(poll) => Event::Looked(poll.target, Err(PollFailure::Failed)),
         });
     }
 
--- a/pomelohitchd/src/fleet/relay/listing.rs
+++ b/pomelohitchd/src/fleet/relay/listing.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use pomelohitch_sched::endpoint::{Ended, Look, Running};
+use pomelohitch_sched::endpoint::{Ended, PollReply, Running};
 use pomelohitch_sched::id::RunNumber;
 use pomelohitch_sched::{Steady, TaskId};
 use serde::{Deserialize, Serialize};
@@ -42,7 +42,7 @@
 
 impl Listing {
     /// Stores an answer and returns its difference from the previous one.
-    pub fn encode(&mut self, reply: Look) -> Delta {
+    pub fn encode(&mut self, reply: PollReply) -> Delta {
         let base = self.version;
         self.version += 1;
         let mut listed: BTreeMap<_, _> = reply
@@ -69,7 +69,7 @@
             base,
             born: reply.born,
             clock: reply.clock,
-            renewed: reply.renewed,
+            renewed: reply.lease_requested,
             ended: reply.ended,
             gone,
             changed,
@@ -79,7 +79,7 @@
 
     /// Applies a difference and returns the whole answer; `None` if the difference is based on
     /// another answer than the last one.
-    pub fn decode(&mut self, delta: Delta) -> Option<Look> {
+    pub fn decode(&mut self, delta: Delta) -> Option<PollReply> {
         if delta.base == 0 {
             self.runs.clear();
         } else if delta.base != self.version {
@@ -98,13 +98,13 @@
                 run.percent = percent;
             }
         }
-        Some(Look {
+        Some(PollReply {
             born: delta.born,
             clock: delta.clock,
-            renewed: delta.renewed,
+            lease_requested: delta.renewed,
             ended: delta.ended,
             running: self.runs.values().cloned().collect(),
-            ..Look::default()
+            ..PollReply::default()
         })
     }
 }
--- a/pomelohitchd/src/fleet/relay/message.rs
+++ b/pomelohitchd/src/fleet/relay/message.rs
@@ -9,7 +9,7 @@
 use futures::{SinkExt, StreamExt};
 use pomelohitch_sched::id::RunNumber;
 use pomelohitch_sched::job::JobSpec;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Target};
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Target};
 use pomelohitch_sched::{EndpointId, Epoch, Steady, TaskId};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -69,7 +69,7 @@
     Order(CallNumber, Target, Instruction),
     /// Poll an endpoint.
     #[serde(rename = "Look")]
-    Poll(CallNumber, LookOrder),
+    Poll(CallNumber, PollOrder),
     /// Drop the state of an endpoint that no longer exists.
     Forget(EndpointId),
 }
@@ -154,7 +154,7 @@
     Ordered(CallNumber, Outcome),
     /// Answer to a poll, or why there is none.
     #[serde(rename = "Looked")]
-    Polled(CallNumber, std::result::Result<Delta, LookFailure>),
+    Polled(CallNumber, std::result::Result<Delta, PollFailure>),
 }
 
 /// Sends frames.
--- a/pomelohitchd/src/fleet/relay/server.rs
+++ b/pomelohitchd/src/fleet/relay/server.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use pomelohitch_sched::order::{LookOrder, Order, Outcome, Refusal, Target};
+use pomelohitch_sched::order::{Order, Outcome, PollOrder, Refusal, Target};
 use pomelohitch_sched::{EndpointId, Epoch, Steady};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -247,7 +247,7 @@
         });
     }
 
-    fn poll(&self, number: CallNumber, mut poll: LookOrder, sent_at: Steady) {
+    fn poll(&self, number: CallNumber, mut poll: PollOrder, sent_at: Steady) {
         let (shared, tx) = (self.shared.clone(), self.tx.clone());
         let listings = self.listings.clone();
         task::spawn_local(async move {
--- a/pomelohitchd/tests/fleet/relays.rs
+++ b/pomelohitchd/tests/fleet/relays.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use pomelohitch_adapter_standin::recorder::{Recorder, Start};
-use pomelohitch_sched::endpoint::{Ended, Endpoint, How, Look, Report, Running};
+use pomelohitch_sched::endpoint::{EndReason, Ended, Endpoint, PollReply, Report, Running};
 use pomelohitch_sched::id::RunNumber;
 use pomelohitch_sched::job::JobSpec;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Target};
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Target};
 use pomelohitch_sched::{Resources, TaskId};
 use pomelohitchd::fleet::clock;
 use pomelohitchd::fleet::leader::core::Event;
@@ -102,8 +102,12 @@
     }
 }
 
-fn poll(lanes: &mut Lanes, rx: &Receiver<Event>, addr: SocketAddr) -> Result<Look, LookFailure> {
-    lanes.look(LookOrder {
+fn poll(
+    lanes: &mut Lanes,
+    rx: &Receiver<Event>,
+    addr: SocketAddr,
+) -> Result<PollReply, PollFailure> {
+    lanes.look(PollOrder {
         target: target(addr),
         epoch: 1,
         noted: 0,
@@ -260,7 +264,7 @@
             std::thread::sleep(Duration::from_millis(pause));
             let answers = requests.into_iter().filter_map(|request| match request {
                 Request::Poll(number, _) => {
-                    let delta = listing.encode(Look::default());
+                    let delta = listing.encode(PollReply::default());
                     Some(Reply::Polled(number, Ok(delta)))
                 }
                 _ => None,
@@ -343,16 +347,16 @@
                 number: 1,
                 task: task(9),
                 run: 1,
-                how: How::Done,
+                how: EndReason::Done,
                 checkpoint: "".into(),
             };
-            let look = Look {
+            let look = PollReply {
                 born: 7,
                 clock: Duration::from_millis(5),
                 running: running.clone(),
                 ended: vec![ended],
-                renewed: true,
-                ..Look::default()
+                lease_requested: true,
+                ..PollReply::default()
             };
             let mut read = receiver
                 .decode(sender.encode(look.clone()))
@@ -373,12 +377,20 @@
 #[test]
 fn a_delta_without_its_base_is_rejected() {
     let (mut sender, mut receiver) = (Listing::default(), Listing::default());
-    assert!(receiver.decode(sender.encode(Look::default())).is_some());
-    let _lost = sender.encode(Look::default());
-    assert!(receiver.decode(sender.encode(Look::default())).is_none());
     assert!(
         receiver
-            .decode(Listing::default().encode(Look::default()))
+            .decode(sender.encode(PollReply::default()))
+            .is_some()
+    );
+    let _lost = sender.encode(PollReply::default());
+    assert!(
+        receiver
+            .decode(sender.encode(PollReply::default()))
+            .is_none()
+    );
+    assert!(
+        receiver
+            .decode(Listing::default().encode(PollReply::default()))
             .is_some()
     );
 }
