--- a/crates/pomelohitch-emulator/src/fleet/endpoint.rs
+++ b/crates/pomelohitch-emulator/src/fleet/endpoint.rs
@@ -212,7 +212,7 @@
         let run = Run {
             whole,
             left: whole,
-            room: step.room(),
+            room: step.task_resources(),
             is_lasting: step.is_lasting,
             stops_at: None,
         };
--- a/crates/pomelohitch-emulator/src/fleet/link.rs
+++ b/crates/pomelohitch-emulator/src/fleet/link.rs
@@ -188,7 +188,7 @@
     fn tell(&mut self, on_link: &OnLink, outcome: &Outcome) {
         if let Some(link) = &mut self.link {
             let took = self.now.steady.saturating_sub(on_link.sent_at);
-            link.rto.took(took);
+            link.rto.add_sample(took);
         }
         let OnLink { target, order, .. } = on_link;
         let is_start = matches!(order, Order::Start { .. });
--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -32,7 +32,7 @@
 use crate::demand::Demand;
 use crate::endpoint::Endpoint;
 use crate::evacuations::Evacuations;
-use crate::flow::Flow;
+use crate::flow::StartWindow;
 use crate::id::{EndpointId, Epoch, JobId, QueueName, ServiceName, WorkspaceName};
 use crate::instances::Instances;
 use crate::job::JobSpec;
@@ -40,7 +40,7 @@
 use crate::order::{Action, Due, Target};
 use crate::policy::Policy;
 use crate::progress::{self, Entry, JobState, Progress, Record};
-use crate::rate::Rate;
+use crate::rate::RateLimiter;
 use crate::resources::Resources;
 use crate::urgency::Candidate;
 use crate::{Now, Steady, UnixMs};
@@ -220,11 +220,11 @@
     ended: BTreeSet<Due>,
     instances: Instances,
     evacuations: Evacuations,
-    operations: Rate,
+    operations: RateLimiter,
     /// From then on the former leader surely sends no more orders for instances.
     operates_from: Steady,
     demand: Demand,
-    flow: Flow,
+    flow: StartWindow,
     /// Moving average of the time from an endpoint's answer to its taking in.
     lag: Duration,
     emptying: BTreeSet<EndpointId>,
@@ -317,7 +317,7 @@
 
     fn new(settings: Settings, epoch: Epoch, now: Now) -> Cell {
         Cell {
-            operations: Rate::new(settings.operations_per_s),
+            operations: RateLimiter::new(settings.operations_per_s),
             operates_from: now.steady + settings.former_holder,
             demand: Demand::new(settings.policy.demand, settings.policy.margins),
             epoch,
@@ -342,7 +342,7 @@
             evacuations: Evacuations::default(),
             flow: settings
                 .link_bytes_per_s
-                .map_or_else(Flow::default, Flow::of_link),
+                .map_or_else(StartWindow::default, StartWindow::for_link),
             lag: Duration::ZERO,
             settings,
             emptying: BTreeSet::new(),
@@ -426,10 +426,10 @@
         if now.steady >= self.scheduled_at + SCHEDULE_EVERY.max(gap) {
             self.scheduled_at = now.steady;
             self.note_held_back();
-            if self.flow.has_room() && self.held_back_since.is_none() {
+            if self.flow.has_capacity() && self.held_back_since.is_none() {
                 self.schedule();
             }
-            self.flow.passed(now.steady);
+            self.flow.pass_ended(now.steady);
         }
         self.plan_looks();
         std::mem::take(&mut self.outbox)
--- a/crates/pomelohitch-sched/src/cell/books.rs
+++ b/crates/pomelohitch-sched/src/cell/books.rs
@@ -154,7 +154,7 @@
         born: u64,
         number: RunNumber,
     ) {
-        let Some(room) = self.step(task).map(StepSpec::room) else {
+        let Some(room) = self.step(task).map(StepSpec::task_resources) else {
             return;
         };
         let need = self.step(task).map(|s| s.need).unwrap_or_default();
@@ -187,7 +187,7 @@
         let bound = self.cfg.as_ref().and_then(|c| c.workspace(workspace));
         let mut total = self.used.get(workspace).copied().unwrap_or_default();
         total += need;
-        bound.is_none_or(|w| w.bound.bounds(&total))
+        bound.is_none_or(|w| w.bound.allows(&total))
     }
 
     /// Decides a start: it is recorded first and ordered after.
@@ -222,7 +222,7 @@
             waited_ms = fleet_ms.saturating_sub(spec.accepted_ms),
             resumed = !checkpoint.is_empty(), "start decided");
         self.dirty.insert(task.job);
-        self.flow.decided();
+        self.flow.start_decided();
         self.occupy(task, endpoint, target.born, run);
         self.gated.push(Action::Order {
             target,
--- a/crates/pomelohitch-sched/src/cell/calls.rs
+++ b/crates/pomelohitch-sched/src/cell/calls.rs
@@ -183,7 +183,7 @@
         }
         let wait = self
             .flow
-            .wait_of(self.now.steady, self.waiting_count())
+            .wait_time(self.now.steady, self.waiting_count())
             .filter(|wait| *wait > LONGEST_WAIT)?;
         Some(Answer::Refused {
             retry_after: (wait.saturating_sub(LONGEST_WAIT)).clamp(SOONEST_RETRY, LATEST_RETRY),
--- a/crates/pomelohitch-sched/src/cell/evict.rs
+++ b/crates/pomelohitch-sched/src/cell/evict.rs
@@ -137,7 +137,7 @@
 
     /// Whether it could start on one that it needn't leave soon.
     fn has_lasting_room(&self, task: TaskId, step: &StepSpec) -> bool {
-        self.has_room(task, step, |slot| !slot.is_due)
+        self.has_room(task, step, |slot| !slot.is_maintenance_due)
     }
 
     fn has_room(&self, task: TaskId, step: &StepSpec, is_good: impl Fn(&Slot) -> bool) -> bool {
--- a/crates/pomelohitch-sched/src/cell/follow.rs
+++ b/crates/pomelohitch-sched/src/cell/follow.rs
@@ -111,7 +111,7 @@
         let blocked = self.blocked.get(service).copied();
         let since = unplaced.into_iter().chain(blocked).min();
         let is_old = since.is_some_and(|s| self.now.steady.saturating_sub(s) > SHORT_AFTER);
-        is_old && !self.instances.is_awaited(service)
+        is_old && !self.instances.has_arriving(service)
     }
 
     /// Thousandths of a core that lasting tasks of a service take up.
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -11,10 +11,10 @@
 use crate::endpoint::Endpoint;
 use crate::id::{EndpointId, JobId, ServiceName, TaskId, WorkspaceName};
 use crate::job::{self, JobSpec, StepSpec};
-use crate::place::{self, Allowed, Ask, Slot, Slots};
+use crate::place::{self, Allowed, PlacementRequest, Slot, Slots};
 use crate::progress::Task;
 use crate::resources::Resources;
-use crate::urgency::{self, Candidate, Room};
+use crate::urgency::{self, Candidate, Capacity};
 
 /// Needs that found no room in this pass: what is larger finds none either.
 #[derive(Debug, Default)]
@@ -58,7 +58,7 @@
     fn add(&mut self, step: &StepSpec) {
         let is_plain = step.requires.is_none() && step.per_endpoint == 0;
         if is_plain {
-            self.rooms.push(step.room());
+            self.rooms.push(step.task_resources());
         }
     }
 }
@@ -174,7 +174,7 @@
     }
 
     /// What the endpoints of a service can take on, beside what they run.
-    fn room(&self, service: &ServiceName, slots: &Slots, candidates: &[Candidate]) -> Room {
+    fn room(&self, service: &ServiceName, slots: &Slots, candidates: &[Candidate]) -> Capacity {
         /// What runs has this part of its time still to go, on average.
         const LEFT: f64 = 0.5;
         let endpoints = slots.list.iter().filter_map(|s| self.endpoints.get(&s.id));
@@ -189,10 +189,10 @@
         let steps: u32 = candidates.iter().map(|c| c.steps_left).sum();
         let chains: Duration = candidates.iter().map(|c| c.chain_left).sum();
         let task = chains.checked_div(steps).unwrap_or_default();
-        Room {
+        Capacity {
             cpu: as_f64(cpu),
-            under_way: as_f64(used) * LEFT * task.as_secs_f64() * 1000.0,
-            awaited: as_f64(self.instances.awaited_cpu(service, &self.evacuations)),
+            running_work: as_f64(used) * LEFT * task.as_secs_f64() * 1000.0,
+            arriving: as_f64(self.instances.arriving_cpu(service, &self.evacuations)),
         }
     }
 
@@ -246,7 +246,7 @@
         misfits: &mut Misfits,
     ) {
         let step = &spec.steps[usize::from(first.step)];
-        if misfits.covers(&step.room()) {
+        if misfits.covers(&step.task_resources()) {
             return;
         }
         let Some(allowed) = self.advised(spec, first, &slots.list) else {
@@ -256,12 +256,12 @@
             let may_run: Vec<_> = slots.list.iter().filter(|s| allowed.has(&s.id)).collect();
             let is_placed = self.start_together(spec, first, &may_run);
             misfits.find(step, !is_placed && self.fits_somewhere(step));
-            slots.read_again(&self.endpoints);
+            slots.refresh(&self.endpoints);
             return;
         }
         let mut siblings = slots.siblings(&self.siblings(first));
         for task in self.waiting_tasks(first) {
-            if !self.is_within_bound(spec, &step.need) || !self.flow.has_room() {
+            if !self.is_within_bound(spec, &step.need) || !self.flow.has_capacity() {
                 return;
             }
             let place = self.place(step, task, &allowed, slots, &siblings);
@@ -272,7 +272,7 @@
             };
             siblings[place] += 1;
             let slot = &mut slots.list[place];
-            slot.take(step);
+            slot.allocate(step);
             let endpoint = slot.id.clone();
             let ticket = self.ticket(first, &endpoint);
             self.start(task, &endpoint, ticket);
@@ -288,7 +288,7 @@
         siblings: &[u32],
     ) -> Option<usize> {
         let t = self.jobs.get(&task.job)?.progress.task(task)?;
-        let ask = Ask {
+        let ask = PlacementRequest {
             step,
             allowed,
             siblings,
@@ -329,7 +329,7 @@
 
     /// Whether some endpoint of the fleet, were it empty, could take a task of the step.
     pub(super) fn fits_somewhere(&self, step: &StepSpec) -> bool {
-        let room = step.room();
+        let room = step.task_resources();
         self.endpoints.values().any(|e| {
             let has_label = step.requires.as_deref().is_none_or(|l| e.has_label(l));
             has_label && e.report.as_ref().is_some_and(|r| r.capacity.holds(&room))
@@ -364,7 +364,7 @@
     let steps = ready_steps(job).into_iter().map(|(step, occurrence)| {
         let tasks = &job.progress.open[&occurrence].steps[usize::from(step)];
         let waiting = tasks.iter().filter(|t| !t.is_done && t.runs.is_empty());
-        job.spec.steps[usize::from(step)].room().cpu * waiting.count() as u64
+        job.spec.steps[usize::from(step)].task_resources().cpu * waiting.count() as u64
     });
     steps.sum()
 }
--- a/crates/pomelohitch-sched/src/cell/together.rs
+++ b/crates/pomelohitch-sched/src/cell/together.rs
@@ -90,14 +90,14 @@
         waiting: &[TaskId],
         slots: &[&Slot],
     ) -> Option<Vec<EndpointId>> {
-        let room = step.room();
+        let room = step.task_resources();
         let mut siblings = self.siblings(first);
         let mut places = Vec::with_capacity(waiting.len());
         for &slot in slots {
             let mut slot = slot.clone();
             let count = siblings.entry(slot.id.clone()).or_default();
             while places.len() < waiting.len() && slot.may_take(step, *count) {
-                slot.free = slot.free.less(&room);
+                slot.free = slot.free.saturating_sub(&room);
                 *count += 1;
                 places.push(slot.id.clone());
             }
--- a/crates/pomelohitch-sched/src/cell/upkeep.rs
+++ b/crates/pomelohitch-sched/src/cell/upkeep.rs
@@ -207,7 +207,7 @@
     /// and ordered after, so that a leader that takes over knows which instances to leave alone.
     pub(super) fn operate(&mut self, id: &InstanceId, operation: Operation) -> bool {
         let now = self.now.steady;
-        if !self.operations.take(now) {
+        if !self.operations.try_acquire(now) {
             return false;
         }
         info!(instance = %id, ?operation, period_ms = self.demand.period().map(|p| p.as_millis()),
--- a/crates/pomelohitch-sched/src/config.rs
+++ b/crates/pomelohitch-sched/src/config.rs
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Service {
     /// Whether its endpoints themselves refuse tasks that exceed their free capacity.
-    pub guards_room: bool,
+    pub enforces_capacity: bool,
     /// Whether its instances are switched off and cost nothing (spare pool).
     pub is_spare: bool,
 }
--- a/crates/pomelohitch-sched/src/endpoint.rs
+++ b/crates/pomelohitch-sched/src/endpoint.rs
@@ -319,9 +319,9 @@
     /// Free capacity.
     #[must_use]
     pub fn free(&self) -> Resources {
-        self.report
-            .as_ref()
-            .map_or_else(Resources::default, |r| r.capacity.less(&self.used))
+        self.report.as_ref().map_or_else(Resources::default, |r| {
+            r.capacity.saturating_sub(&self.used)
+        })
     }
 
     /// Whether more is allocated than the capacity, which can shrink.
--- a/crates/pomelohitch-sched/src/flow.rs
+++ b/crates/pomelohitch-sched/src/flow.rs
@@ -42,7 +42,7 @@
 
 /// Window on the starts in flight.
 #[derive(Debug, Clone)]
-pub struct Flow {
+pub struct StartWindow {
     in_flight: usize,
     window: f64,
     /// Average time from sending a start to its answer.
@@ -57,9 +57,9 @@
     rate: f64,
 }
 
-impl Default for Flow {
-    fn default() -> Flow {
-        Flow {
+impl Default for StartWindow {
+    fn default() -> StartWindow {
+        StartWindow {
             in_flight: 0,
             window: INITIAL_WINDOW,
             delay: Duration::ZERO,
@@ -73,29 +73,29 @@
     }
 }
 
-impl Flow {
+impl StartWindow {
     /// Creates a window for a link with this rate, bytes per second.
     #[must_use]
-    pub fn of_link(bytes_per_s: f64) -> Flow {
+    pub fn for_link(bytes_per_s: f64) -> StartWindow {
         let carried = bytes_per_s * INITIAL_TIME.as_secs_f64() / START_BYTES;
-        Flow {
+        StartWindow {
             window: carried.clamp(MIN_WINDOW, INITIAL_WINDOW),
-            ..Flow::default()
+            ..StartWindow::default()
         }
     }
 
     /// Records that a start was decided.
-    pub fn decided(&mut self) {
+    pub fn start_decided(&mut self) {
         self.in_flight += 1;
     }
 
     /// Records that a start was dropped before it was sent.
-    pub fn unsent(&mut self) {
+    pub fn start_dropped(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
     /// Records that a start was answered, or timed out, `took` after it was sent.
-    pub fn answered(&mut self, now: Steady, took: Duration) {
+    pub fn start_answered(&mut self, now: Steady, took: Duration) {
         let is_used = as_f64(self.in_flight) * 2.0 >= self.window;
         self.in_flight = self.in_flight.saturating_sub(1);
         self.delay = if self.is_idle(now) {
@@ -125,8 +125,8 @@
     }
 
     /// Records the end of a scheduling pass over the waiting tasks.
-    pub fn passed(&mut self, now: Steady) {
-        if self.has_room() {
+    pub fn pass_ended(&mut self, now: Steady) {
+        if self.has_capacity() {
             self.full_since = None;
         } else {
             self.full_since.get_or_insert(now);
@@ -135,7 +135,7 @@
 
     /// Time needed to start `tasks` waiting tasks; `None` unless they wait for the window.
     #[must_use]
-    pub fn wait_of(&self, now: Steady, tasks: usize) -> Option<Duration> {
+    pub fn wait_time(&self, now: Steady, tasks: usize) -> Option<Duration> {
         let full_for = now.saturating_sub(self.full_since?);
         if full_for < SATURATED_AFTER || self.rate <= 0.0 {
             return None;
@@ -155,7 +155,7 @@
 
     /// Whether another start may be sent.
     #[must_use]
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         as_f64(self.in_flight) < self.window
     }
 
--- a/crates/pomelohitch-sched/src/forwarding.rs
+++ b/crates/pomelohitch-sched/src/forwarding.rs
@@ -62,7 +62,7 @@
     }
 
     /// Adds a request to those in flight; returns false if the window is full.
-    pub fn take(&mut self) -> bool {
+    pub fn try_acquire(&mut self) -> bool {
         let has_capacity = as_f64(self.in_flight) < self.size;
         self.in_flight += usize::from(has_capacity);
         has_capacity
@@ -80,13 +80,13 @@
     }
 
     /// Records that a request timed out `waited` after it was forwarded.
-    pub fn gave_up(&mut self, now: Steady, waited: Duration) {
+    pub fn timed_out(&mut self, now: Steady, waited: Duration) {
         self.release(waited);
         self.shrink(now, waited);
     }
 
     /// Records that a request was not sent after all.
-    pub fn unsent(&mut self) {
+    pub fn cancelled(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
--- a/crates/pomelohitch-sched/src/instances.rs
+++ b/crates/pomelohitch-sched/src/instances.rs
@@ -298,7 +298,7 @@
     /// Thousandths of a core of the instances that are being moved to the pool and whose zone is
     /// not being evacuated.
     #[must_use]
-    pub fn awaited_cpu(&self, pool: &ServiceName, evacuations: &Evacuations) -> u64 {
+    pub fn arriving_cpu(&self, pool: &ServiceName, evacuations: &Evacuations) -> u64 {
         let is_coming = |i: &&Instance| match self.under_way.get(&i.id) {
             Some(under_way) => under_way.to.as_ref() == Some(pool),
             None => i.state == InstanceState::Moving && i.pool == *pool,
@@ -310,7 +310,7 @@
 
     /// Whether any instance is being moved to the pool.
     #[must_use]
-    pub fn is_awaited(&self, pool: &ServiceName) -> bool {
+    pub fn has_arriving(&self, pool: &ServiceName) -> bool {
         let is_moving = |i: &Instance| i.state == InstanceState::Moving && i.pool == *pool;
         self.under_way.values().any(|u| u.to.as_ref() == Some(pool))
             || self.list.values().any(is_moving)
--- a/crates/pomelohitch-sched/src/job.rs
+++ b/crates/pomelohitch-sched/src/job.rs
@@ -187,7 +187,7 @@
 impl StepSpec {
     /// Resources that one task allocates on an endpoint. A filler task allocates no processors.
     #[must_use]
-    pub fn room(&self) -> Resources {
+    pub fn task_resources(&self) -> Resources {
         Resources {
             cpu: if self.is_filler { 0 } else { self.need.cpu },
             ..self.need
--- a/crates/pomelohitch-sched/src/place.rs
+++ b/crates/pomelohitch-sched/src/place.rs
@@ -16,9 +16,9 @@
     /// Free capacity.
     pub free: Resources,
     /// Number of lasting tasks there.
-    pub lasting: usize,
+    pub lasting_runs: usize,
     /// Whether its instance is due for maintenance.
-    pub is_due: bool,
+    pub is_maintenance_due: bool,
     /// Whether most runs fail there, see [`is_doubtful`].
     pub is_doubtful: bool,
     /// Machine kind and rack, in this order.
@@ -33,8 +33,8 @@
         Slot {
             id: id.clone(),
             free: endpoint.free(),
-            lasting: endpoint.lasting_runs,
-            is_due: endpoint.is_maintenance_due,
+            lasting_runs: endpoint.lasting_runs,
+            is_maintenance_due: endpoint.is_maintenance_due,
             is_doubtful: is_doubtful(endpoint),
             labels: labels.unwrap_or_default(),
         }
@@ -51,13 +51,15 @@
     pub fn may_take(&self, step: &StepSpec, siblings: u32) -> bool {
         let is_spread = step.per_endpoint == 0 || siblings < step.per_endpoint;
         let has_label = |l: &str| self.labels.iter().any(|own| &**own == l);
-        is_spread && self.free.holds(&step.room()) && step.requires.as_deref().is_none_or(has_label)
+        is_spread
+            && self.free.holds(&step.task_resources())
+            && step.requires.as_deref().is_none_or(has_label)
     }
 
     /// Allocates capacity for a task.
-    pub fn take(&mut self, step: &StepSpec) {
-        self.free = self.free.less(&step.room());
-        self.lasting += usize::from(step.is_lasting);
+    pub fn allocate(&mut self, step: &StepSpec) {
+        self.free = self.free.saturating_sub(&step.task_resources());
+        self.lasting_runs += usize::from(step.is_lasting);
     }
 }
 
@@ -101,7 +103,7 @@
     }
 
     /// Rebuilds each slot from the present state of its endpoint.
-    pub fn read_again(&mut self, endpoints: &BTreeMap<EndpointId, Endpoint>) {
+    pub fn refresh(&mut self, endpoints: &BTreeMap<EndpointId, Endpoint>) {
         for slot in &mut self.list {
             if let Some(endpoint) = endpoints.get(&slot.id) {
                 *slot = Slot::new(&slot.id, endpoint);
@@ -132,7 +134,7 @@
 
 /// A task to be placed.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct PlacementRequest<'a> {
     /// Step of the task.
     pub step: &'a StepSpec,
     /// Endpoints that may run it.
@@ -161,26 +163,26 @@
 /// some and are not due for maintenance. This keeps other endpoints empty, so that their instances
 /// can be moved or maintained.
 #[must_use]
-pub fn choose(slots: &[Slot], ask: &Ask<'_>) -> Option<usize> {
+pub fn choose(slots: &[Slot], request: &PlacementRequest<'_>) -> Option<usize> {
     slots
         .iter()
-        .zip(ask.siblings)
+        .zip(request.siblings)
         .enumerate()
         .filter(|(_, (slot, siblings))| {
-            slot.may_take(ask.step, **siblings) && ask.allowed.has(&slot.id)
+            slot.may_take(request.step, **siblings) && request.allowed.has(&slot.id)
         })
-        .min_by_key(|(_, (slot, siblings))| cost(ask, slot, **siblings))
+        .min_by_key(|(_, (slot, siblings))| cost(request, slot, **siblings))
         .map(|(at, _)| at)
 }
 
-fn cost(ask: &Ask<'_>, slot: &Slot, siblings: u32) -> Cost {
-    let near = ask.step.near.as_deref();
-    let has_failed_there = ask.failed_at.contains(&slot.id);
+fn cost(request: &PlacementRequest<'_>, slot: &Slot, siblings: u32) -> Cost {
+    let near = request.step.near.as_deref();
+    let has_failed_there = request.failed_at.contains(&slot.id);
     Cost {
         risk: 2 * u8::from(has_failed_there) + u8::from(slot.is_doubtful),
         is_far: near.is_some_and(|rack| slot.rack() != Some(rack)),
-        lasting_penalty: lasting_penalty(ask.step, slot, siblings),
-        free: if ask.packs {
+        lasting_penalty: lasting_penalty(request.step, slot, siblings),
+        free: if request.packs {
             slot.free.cpu
         } else {
             u64::MAX - slot.free.cpu
@@ -195,7 +197,9 @@
         return 0;
     }
     let is_crowded = siblings >= LASTING_PER_ENDPOINT * step.may_miss.max(1);
-    4 * u8::from(slot.is_due) + 2 * u8::from(is_crowded) + u8::from(slot.lasting == 0)
+    4 * u8::from(slot.is_maintenance_due)
+        + 2 * u8::from(is_crowded)
+        + u8::from(slot.lasting_runs == 0)
 }
 
 /// Lasting tasks of a step per endpoint, for each one that may be out of service. They leave an
--- a/crates/pomelohitch-sched/src/progress.rs
+++ b/crates/pomelohitch-sched/src/progress.rs
@@ -232,7 +232,7 @@
         let work = self.steps.iter().zip(steps).map(|(tasks, step)| {
             let waiting = tasks.iter().filter(|t| !t.is_done && t.runs.is_empty());
             let count = u32::try_from(waiting.count()).unwrap_or(u32::MAX);
-            let cpu = u32::try_from(step.room().cpu).unwrap_or(u32::MAX);
+            let cpu = u32::try_from(step.task_resources().cpu).unwrap_or(u32::MAX);
             f64::from(count) * f64::from(cpu) * step.estimate.as_secs_f64() * 1000.0
         });
         work.sum()
--- a/crates/pomelohitch-sched/src/rate.rs
+++ b/crates/pomelohitch-sched/src/rate.rs
@@ -14,19 +14,19 @@
 
 /// A token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rate {
+pub struct RateLimiter {
     per_second: f64,
     burst: f64,
     tokens: f64,
     refilled_at: Steady,
 }
 
-impl Rate {
+impl RateLimiter {
     /// Creates a limiter for at most `per_second` calls in any second.
     #[must_use]
-    pub fn new(per_second: f64) -> Rate {
+    pub fn new(per_second: f64) -> RateLimiter {
         let burst = (per_second * (1.0 - REFILL_SHARE)).max(1.0);
-        Rate {
+        RateLimiter {
             per_second: per_second * REFILL_SHARE,
             burst,
             tokens: burst,
@@ -35,7 +35,7 @@
     }
 
     /// Takes a token; returns false if no call may be sent at `now`.
-    pub fn take(&mut self, now: Steady) -> bool {
+    pub fn try_acquire(&mut self, now: Steady) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at);
         self.tokens = (self.tokens + elapsed.as_secs_f64() * self.per_second).min(self.burst);
         self.refilled_at = now;
--- a/crates/pomelohitch-sched/src/relaying.rs
+++ b/crates/pomelohitch-sched/src/relaying.rs
@@ -50,7 +50,7 @@
     /// them to other members, which need new connections. The number therefore grows at once,
     /// shrinks only by a large factor, and does not go back to 0.
     #[must_use]
-    pub fn followed_by(self, wanted: Layout) -> Layout {
+    pub fn successor(self, wanted: Layout) -> Layout {
         let grows = wanted.shards > self.shards;
         let shrinks = wanted.shards > 0 && wanted.shards * SHRINK_RATIO <= self.shards;
         if grows || shrinks { wanted } else { self }
--- a/crates/pomelohitch-sched/src/resources.rs
+++ b/crates/pomelohitch-sched/src/resources.rs
@@ -24,7 +24,7 @@
 
     /// This amount without `used`, saturating at zero.
     #[must_use]
-    pub fn less(&self, used: &Resources) -> Resources {
+    pub fn saturating_sub(&self, used: &Resources) -> Resources {
         Resources {
             cpu: self.cpu.saturating_sub(used.cpu),
             mem_mb: self.mem_mb.saturating_sub(used.mem_mb),
@@ -53,7 +53,7 @@
 
     /// Whether `total` is within this limit; an amount of 0 means no limit.
     #[must_use]
-    pub fn bounds(&self, total: &Resources) -> bool {
+    pub fn allows(&self, total: &Resources) -> bool {
         let within = |bound: u64, total: u64| bound == 0 || total <= bound;
         within(self.cpu, total.cpu)
             && within(self.mem_mb, total.mem_mb)
@@ -71,6 +71,6 @@
 
 impl SubAssign<&Resources> for Resources {
     fn sub_assign(&mut self, other: &Resources) {
-        *self = self.less(other);
+        *self = self.saturating_sub(other);
     }
 }
--- a/crates/pomelohitch-sched/src/rto.rs
+++ b/crates/pomelohitch-sched/src/rto.rs
@@ -42,7 +42,7 @@
     }
 
     /// Adds a sample: the time an answer took, or the time after which a call timed out.
-    pub fn took(&mut self, took: Duration) {
+    pub fn add_sample(&mut self, took: Duration) {
         let Some(smoothed) = self.smoothed else {
             self.smoothed = Some(took);
             self.variation = took / 2;
--- a/crates/pomelohitch-sched/src/urgency.rs
+++ b/crates/pomelohitch-sched/src/urgency.rs
@@ -60,23 +60,23 @@
 
 /// Capacity of a service's endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Thousandths of a core that lasting tasks do not use.
     pub cpu: f64,
     /// Remaining work of the runs there, thousandths of a core times milliseconds.
-    pub under_way: f64,
+    pub running_work: f64,
     /// Thousandths of a core of instances that are being moved to the pool.
-    pub awaited: f64,
+    pub arriving: f64,
 }
 
-impl Room {
+impl Capacity {
     /// Average time until an instance being moved arrives; a move takes 1.5 s.
     const ARRIVAL_MS: f64 = 900.0;
 
     /// Work that can be done within `millis`.
     fn work_within(&self, millis: f64) -> f64 {
         let later = (millis - Self::ARRIVAL_MS).max(0.0);
-        self.cpu * millis + self.awaited * later - self.under_way
+        self.cpu * millis + self.arriving * later - self.running_work
     }
 }
 
@@ -119,13 +119,18 @@
 
 /// Sorts jobs in the order in which they should get capacity.
 #[must_use]
-pub fn order(candidates: &[Candidate], room: &Room, now_ms: UnixMs, policy: &Policy) -> Vec<JobId> {
+pub fn order(
+    candidates: &[Candidate],
+    capacity: &Capacity,
+    now_ms: UnixMs,
+    policy: &Policy,
+) -> Vec<JobId> {
     let mut ranked: Vec<Ranked<'_>> = candidates.iter().map(|c| rank(c, now_ms, policy)).collect();
     if policy.defers {
-        defer(&mut ranked, room, now_ms);
+        defer(&mut ranked, capacity, now_ms);
     }
     if policy.promotes_expiring {
-        promote_expiring(&mut ranked, room, now_ms);
+        promote_expiring(&mut ranked, capacity, now_ms);
     }
     ranked.sort_unstable_by_key(Ranked::key);
     ranked.into_iter().map(|p| p.candidate.job).collect()
@@ -178,7 +183,7 @@
 /// among these, it belongs to the workspace with the most work in relation to its weight, and is
 /// the one with the most work there, so that a workspace that overloads a pool is held to its
 /// weighted fair share. Jobs that have begun are not deferred.
-fn defer(ranked: &mut [Ranked<'_>], room: &Room, now_ms: UnixMs) {
+fn defer(ranked: &mut [Ranked<'_>], capacity: &Capacity, now_ms: UnixMs) {
     let feasible = ranked
         .iter()
         .enumerate()
@@ -200,7 +205,7 @@
             .or_default()
             .add(candidate, index);
         let left = as_f64(candidate.objective_ms().saturating_sub(now_ms));
-        while due > room.work_within(left) * OVERLOAD_RATIO {
+        while due > capacity.work_within(left) * OVERLOAD_RATIO {
             let Some(deferred) = next_deferred(&mut workspaces) else {
                 break;
             };
@@ -213,7 +218,7 @@
 /// Promotes late jobs that are of no use unless they start now, up to a share of the capacity.
 /// Without this limit, an overload would have every job served just before it expires, and none in
 /// time.
-fn promote_expiring(ranked: &mut [Ranked<'_>], room: &Room, now_ms: UnixMs) {
+fn promote_expiring(ranked: &mut [Ranked<'_>], capacity: &Capacity, now_ms: UnixMs) {
     let is_expiring = |p: &Ranked<'_>| {
         p.feasibility == Feasibility::Late
             && p.start_by_ms <= now_ms.saturating_add(millis(EXPIRING_WITHIN))
@@ -221,7 +226,7 @@
     let late = ranked.iter().enumerate().filter(|(_, p)| is_expiring(p));
     let mut by_start: Vec<usize> = late.map(|(index, _)| index).collect();
     by_start.sort_by_key(|&index| (ranked[index].start_by_ms, ranked[index].candidate.job));
-    let mut left = room.cpu * EXPIRING_WITHIN.as_secs_f64() * 1000.0 * PROMOTED_SHARE;
+    let mut left = capacity.cpu * EXPIRING_WITHIN.as_secs_f64() * 1000.0 * PROMOTED_SHARE;
     for index in by_start {
         left -= ranked[index].candidate.work_left;
         if left < 0.0 {
--- a/crates/pomelohitch-sched/tests/forwarding.rs
+++ b/crates/pomelohitch-sched/tests/forwarding.rs
@@ -40,7 +40,7 @@
             arrivals.push(member);
         }
         for member in arrivals {
-            if windows[member].take() {
+            if windows[member].try_acquire() {
                 queue.push_back((now, member, true));
             } else {
                 outcome.refused += 1;
@@ -50,7 +50,7 @@
         for (sent_at, member, is_pending) in &mut queue {
             if *is_pending && now >= *sent_at + TIMEOUT {
                 *is_pending = false;
-                windows[*member].gave_up(now, TIMEOUT);
+                windows[*member].timed_out(now, TIMEOUT);
                 outcome.given_up += 1;
                 retries.push_back((now + Duration::from_secs(1), *member));
             }
@@ -92,21 +92,21 @@
     let mut window = Window::default();
     let second = Duration::from_secs(1);
     for n in 0..8 {
-        while window.take() {}
+        while window.try_acquire() {}
         for _ in 0..64 {
-            window.gave_up(second * (10 + 2 * n), TIMEOUT);
+            window.timed_out(second * (10 + 2 * n), TIMEOUT);
         }
     }
-    let smallest = std::iter::repeat_with(|| window.take()).take_while(|is_taken| *is_taken);
+    let smallest = std::iter::repeat_with(|| window.try_acquire()).take_while(|is_taken| *is_taken);
     let smallest = smallest.count();
     assert_eq!(smallest, 4);
     for _ in 0..smallest {
-        window.unsent();
+        window.cancelled();
     }
     let mut answered = 0;
     for n in 0..400 {
         let mut taken = 0;
-        while window.take() {
+        while window.try_acquire() {
             taken += 1;
         }
         for _ in 0..taken {
@@ -122,7 +122,7 @@
     let mut window = Window::default();
     assert_eq!(window.retry_after(), Duration::from_secs(1));
     for n in 0..40 {
-        assert!(window.take());
+        assert!(window.try_acquire());
         window.answered(Duration::from_secs(n), Duration::from_millis(580));
     }
     assert!(window.retry_after() > Duration::from_secs(2));
--- a/crates/pomelohitch-sched/tests/relaying.rs
+++ b/crates/pomelohitch-sched/tests/relaying.rs
@@ -61,7 +61,7 @@
         .step_by(40)
         .chain([2900, 2400, 2950, 2380, 590, 30])
     {
-        let next = layout.followed_by(Layout::of(endpoints, 5, Some(25e6)));
+        let next = layout.successor(Layout::of(endpoints, 5, Some(25e6)));
         if next != layout {
             changes.push((endpoints, next.shards));
         }
--- a/crates/pomelohitch-sched/tests/rto.rs
+++ b/crates/pomelohitch-sched/tests/rto.rs
@@ -12,7 +12,7 @@
 fn timeout_after(samples: impl IntoIterator<Item = u64>) -> Duration {
     let mut rto = Rto::new(LIMITS);
     for millis in samples {
-        rto.took(Duration::from_millis(millis));
+        rto.add_sample(Duration::from_millis(millis));
     }
     rto.timeout()
 }
--- a/crates/pomelohitch-sched/tests/urgency.rs
+++ b/crates/pomelohitch-sched/tests/urgency.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use pomelohitch_sched::policy::Policy;
-use pomelohitch_sched::urgency::{Candidate, Room, order};
+use pomelohitch_sched::urgency::{Candidate, Capacity, order};
 
 const NOW: u64 = 1_000_000;
 
@@ -27,15 +27,15 @@
 }
 
 /// A pool with this many idle cores.
-fn cores(count: f64) -> Room {
-    Room {
+fn cores(count: f64) -> Capacity {
+    Capacity {
         cpu: count * 1000.0,
-        ..Room::default()
+        ..Capacity::default()
     }
 }
 
-fn ordered(candidates: &[Candidate], room: &Room) -> Vec<u64> {
-    order(candidates, room, NOW, &Policy::default())
+fn ordered(candidates: &[Candidate], capacity: &Capacity) -> Vec<u64> {
+    order(candidates, capacity, NOW, &Policy::default())
 }
 
 #[test]
@@ -89,8 +89,8 @@
         candidate.owner = u32::from(is_large);
         candidate.weight = if is_large { 4 } else { 1 };
     }
-    let room = cores(2.0);
-    let order = ordered(&candidates, &room);
+    let capacity = cores(2.0);
+    let order = ordered(&candidates, &capacity);
     let in_time = 7;
     let small = order[..in_time].iter().filter(|job| **job > 12).count();
     assert!((1..=2).contains(&small), "{order:?}");
@@ -130,11 +130,11 @@
     let mut candidates = [candidate(1, 3.0), candidate(2, 3.0), candidate(3, 3.0)];
     candidates[2].work_left = 4_000_000.0;
     candidates[2].from_ms -= 100;
-    let room = Room {
-        awaited: 8_000.0,
+    let capacity = Capacity {
+        arriving: 8_000.0,
         ..cores(1.0)
     };
-    assert_eq!(ordered(&candidates, &room), [3, 1, 2]);
+    assert_eq!(ordered(&candidates, &capacity), [3, 1, 2]);
     assert_eq!(ordered(&candidates, &cores(1.0)), [1, 3, 2]);
 }
 
--- a/pomelohitchd/src/fleet/calls.rs
+++ b/pomelohitchd/src/fleet/calls.rs
@@ -105,7 +105,7 @@
         let timeout = self.rto.borrow().timeout();
         let outcome = endpoints::order(&client.connections, target, order, *epoch, timeout).await;
         let took = clock::steady().saturating_sub(sent_at);
-        self.rto.borrow_mut().took(took);
+        self.rto.borrow_mut().add_sample(took);
         outcome
     }
 
--- a/pomelohitchd/src/fleet/forwarding.rs
+++ b/pomelohitchd/src/fleet/forwarding.rs
@@ -62,7 +62,7 @@
                 ..State::default()
             };
         }
-        let is_full = |state: &mut State| !state.window.take();
+        let is_full = |state: &mut State| !state.window.try_acquire();
         let waited = self
             .slot_released
             .wait_timeout_while(state, timeout, is_full);
@@ -147,9 +147,9 @@
             }
             slot.release(Window::answered);
         }
-        Attempt::Unknown(_) => slot.release(Window::gave_up),
+        Attempt::Unknown(_) => slot.release(Window::timed_out),
         Attempt::NotExecuted | Attempt::Overloaded(_) => {
-            slot.release(|window, _, _| window.unsent());
+            slot.release(|window, _, _| window.cancelled());
         }
     }
     match (refused_for, attempt) {
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/lanes.rs
@@ -210,7 +210,7 @@
             services,
         } = self.size;
         let wanted = Layout::of(endpoints, services, self.options.link_bytes_per_s);
-        let layout = self.layout.followed_by(wanted);
+        let layout = self.layout.successor(wanted);
         if layout != self.layout {
             info!(shards = layout.shards, endpoints, "calls divided");
             self.layout = layout;
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -282,7 +282,9 @@
                 if let Some((Call::Order(outgoing), sent_at)) =
                     in_flight.map(|c| (c.call, c.sent_at))
                 {
-                    self.rto.borrow_mut().took(now.saturating_sub(sent_at));
+                    self.rto
+                        .borrow_mut()
+                        .add_sample(now.saturating_sub(sent_at));
                     self.emit(Event::Ordered(outgoing.target, outgoing.order, outcome));
                 }
             }
@@ -336,7 +338,9 @@
                     let id = poll.target.id.clone();
                     self.expired_polls.borrow_mut().insert(number, id);
                 }
-                self.rto.borrow_mut().took(now.saturating_sub(sent_at));
+                self.rto
+                    .borrow_mut()
+                    .add_sample(now.saturating_sub(sent_at));
                 self.fail(call);
             }
             if now.saturating_sub(self.last_frame_at.get()) > MAX_SILENCE {
