--- a/crates/pomelohitch-emulator/src/policies.rs
+++ b/crates/pomelohitch-emulator/src/policies.rs
@@ -9,18 +9,20 @@
 
 /// Every mechanism that can be switched off, by what is missing then.
 pub const SWITCHES: [Switch; 13] = [
-    ("late-last", |p| p.late_last = false),
+    ("late-last", |p| p.ranks_late_last = false),
     ("latest-start", |p| p.by_latest_start = false),
-    ("deferral", |p| p.defers = false),
+    ("deferral", |p| p.defers_on_overload = false),
     ("promotion", |p| p.promotes_expiring = false),
     ("period", |p| p.demand.uses_period = false),
-    ("rise", |p| p.demand.uses_rise = false),
-    ("height", |p| p.demand.uses_height = false),
-    ("backlog", |p| p.provides_backlog = false),
+    ("rise", |p| p.demand.uses_trend = false),
+    ("height", |p| p.demand.uses_peak = false),
+    ("backlog", |p| p.provisions_backlog = false),
     ("switch-off", |p| p.switches_off = false),
-    ("surplus-delay", |p| p.margins.surplus_for = Duration::ZERO),
+    ("surplus-delay", |p| {
+        p.margins.surplus_delay = Duration::ZERO;
+    }),
     ("packing", |p| p.packs = false),
-    ("doubt", |p| p.doubts_silent = false),
+    ("doubt", |p| p.avoids_unresponsive = false),
     ("isolation", |p| p.crashes.isolates = false),
 ];
 
@@ -29,24 +31,28 @@
 
 /// Every number that can be set.
 pub const NUMBERS: [Number; 14] = [
-    ("late-after", |p, n| p.late_after = n),
-    ("fill", |p, n| p.margins.fill = n),
-    ("most-backlog", |p, n| p.margins.most_backlog = n),
-    ("height", |p, n| p.margins.height = n),
-    ("most-rise", |p, n| p.margins.most_rise = n),
-    ("soon-ms", |p, n| p.margins.soon = millis(n)),
-    ("surplus-ms", |p, n| p.margins.surplus_for = millis(n)),
-    ("lost-alone", |p, n| p.crashes.lost_alone = whole(n)),
-    ("alone", |p, n| p.crashes.alone = whole(n)),
+    ("late-after", |p, n| p.late_factor = n),
+    ("fill", |p, n| p.margins.target_utilization = n),
+    ("most-backlog", |p, n| p.margins.max_backlog = n),
+    ("height", |p, n| p.margins.peak_factor = n),
+    ("most-rise", |p, n| p.margins.max_rise = n),
+    ("soon-ms", |p, n| p.margins.keep_within = millis(n)),
+    ("surplus-ms", |p, n| p.margins.surplus_delay = millis(n)),
+    ("lost-alone", |p, n| {
+        p.crashes.max_lost_sole_cause = whole(n);
+    }),
+    ("alone", |p, n| p.crashes.min_sole_cause = whole(n)),
     ("proven-ms", |p, n| p.crashes.proven_after = millis(n)),
     ("proven-again-ms", |p, n| {
         p.crashes.proven_again_after = millis(n);
     }),
-    ("most-isolated", |p, n| p.crashes.most_isolated = n),
+    ("most-isolated", |p, n| p.crashes.max_isolated_share = n),
     ("busy-patience-ms", |p, n| {
-        p.crashes.busy_patience = millis(n);
+        p.crashes.busy_isolation_timeout = millis(n);
+    }),
+    ("patience-ms", |p, n| {
+        p.crashes.isolation_timeout = millis(n);
     }),
-    ("patience-ms", |p, n| p.crashes.patience = millis(n)),
 ];
 
 #[expect(
--- a/crates/pomelohitch-emulator/tests/loads.rs
+++ b/crates/pomelohitch-emulator/tests/loads.rs
@@ -131,7 +131,7 @@
     assert!(policies::without("nothing-like-it").is_none());
     let policy = policies::without("promotion,late-after=2").expect("both are known");
     assert!(!policy.promotes_expiring);
-    assert!((policy.late_after - 2.0).abs() < f64::EPSILON);
+    assert!((policy.late_factor - 2.0).abs() < f64::EPSILON);
 }
 
 /// The log takes a quarter of a second for an append. With one at a time each record waits for up to
--- a/crates/pomelohitch-sched/examples/cost.rs
+++ b/crates/pomelohitch-sched/examples/cost.rs
@@ -140,7 +140,7 @@
         number: 1,
         instances: due.collect(),
         within: Duration::from_secs(27),
-        at_once: 58,
+        max_down: 58,
     };
     fleet.cell.wave(wave);
     println!("second  starts  jobs held  moves  polls    decision, ms");
--- a/crates/pomelohitch-sched/src/cell/commits.rs
+++ b/crates/pomelohitch-sched/src/cell/commits.rs
@@ -61,7 +61,7 @@
             Action::Order { target, order, .. } => {
                 self.ordered(&target, &order, &Outcome::Refused(Refusal::Unsent));
             }
-            Action::Operate { instance, at, .. } => self.instances.unsent(&instance, at),
+            Action::Operate { instance, at, .. } => self.instances.operation_dropped(&instance, at),
             _ => {}
         }
     }
--- a/crates/pomelohitch-sched/src/cell/follow.rs
+++ b/crates/pomelohitch-sched/src/cell/follow.rs
@@ -22,7 +22,7 @@
     /// Moves instances to the pools that want them, and returns the endpoints that are being
     /// emptied for it.
     pub(super) fn follow_demand(&mut self, is_due: &BTreeSet<InstanceId>) -> BTreeSet<EndpointId> {
-        self.demand.tend(self.fleet_ms());
+        self.demand.refresh(self.fleet_ms());
         if !self.may_operate() {
             return BTreeSet::new();
         }
@@ -57,7 +57,7 @@
             return;
         }
         let since = *self.surplus_since.get_or_insert(now);
-        if now.saturating_sub(since) < self.settings.policy.margins.surplus_for {
+        if now.saturating_sub(since) < self.settings.policy.margins.surplus_delay {
             return;
         }
         for Move { instance, to } in surplus {
@@ -77,15 +77,19 @@
             is_spare: service.is_spare,
             is_short: self.is_short(name),
             label: self.unplaced.get(name).and_then(|u| u.wanted.label.clone()),
-            backlog: if self.settings.policy.provides_backlog {
+            backlog: if self.settings.policy.provisions_backlog {
                 self.backlog(name)
             } else {
                 0.0
             },
-            wanted: self.demand.most(name, self.fleet_ms(), AHEAD) + self.lasting_need(name),
-            soon: self
+            wanted: self.demand.peak(name, self.fleet_ms(), AHEAD) + self.lasting_need(name),
+            peak_soon: self
                 .demand
-                .foreseen(name, self.fleet_ms(), self.settings.policy.margins.soon)
+                .forecast(
+                    name,
+                    self.fleet_ms(),
+                    self.settings.policy.margins.keep_within,
+                )
                 .map(|soon| soon + self.lasting_need(name)),
         };
         cfg.services.iter().map(pool).collect()
--- a/crates/pomelohitch-sched/src/cell/isolation.rs
+++ b/crates/pomelohitch-sched/src/cell/isolation.rs
@@ -89,7 +89,7 @@
         let at_risk: BTreeSet<JobId> = isolated.into_values().collect();
         let all = slots.list.len() + kept;
         let most = if load.others_wait {
-            part_of(all, self.settings.policy.crashes.most_isolated).max(1)
+            part_of(all, self.settings.policy.crashes.max_isolated_share).max(1)
         } else {
             all
         };
@@ -115,9 +115,9 @@
             all += endpoint.report.as_ref().map_or(0, |r| r.capacity.cpu);
         }
         if used * 2 > all {
-            limits.busy_patience
+            limits.busy_isolation_timeout
         } else {
-            limits.patience
+            limits.isolation_timeout
         }
     }
 
--- a/crates/pomelohitch-sched/src/cell/losses.rs
+++ b/crates/pomelohitch-sched/src/cell/losses.rs
@@ -26,8 +26,8 @@
             cause, why, born, ..
         } = loss;
         let suspicion = self.suspect(task, &loss);
-        warn!(%task, run, endpoint = %endpoint, born, ?cause, why, beside = loss.beside,
-            is_sole = loss.is_sole, worked_ms = loss.worked.as_millis(), lost = suspicion.lost,
+        warn!(%task, run, endpoint = %endpoint, born, ?cause, why, beside = loss.other_runs,
+            is_sole = loss.is_sole, worked_ms = loss.ran_for.as_millis(), lost = suspicion.lost,
             certain = suspicion.certain, alone = suspicion.alone, "run lost");
         *self.loss_counts.entry(cause).or_default() += 1;
         if cause == LossCause::Silence {
@@ -55,7 +55,7 @@
         let Some(t) = self.task_mut(task) else {
             return Suspicion::default();
         };
-        let counts = !t.is_done && t.suspicion.note(loss);
+        let counts = !t.is_done && t.suspicion.record_loss(loss);
         let suspicion = t.suspicion;
         if counts {
             self.dirty.insert(task.job);
@@ -65,7 +65,7 @@
 
     /// Fails the job of a task under which too many endpoints crashed.
     fn give_up(&mut self, task: TaskId, suspicion: Suspicion) {
-        let is_over = suspicion.is_over(&self.settings.policy.crashes);
+        let is_over = suspicion.is_conclusive(&self.settings.policy.crashes);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -94,7 +94,7 @@
         }
         for task in tasks {
             if let Some(t) = self.task_mut(task) {
-                t.suspicion.retract();
+                t.suspicion.withdraw_loss();
                 info!(%task, endpoint = %id, born, lost = t.suspicion.lost, "loss retracted");
                 self.dirty.insert(task.job);
                 self.index_suspected(task.job);
@@ -180,9 +180,9 @@
                 cause,
                 why,
                 born: endpoint.born,
-                worked: worked(run, endpoint),
-                beside,
-                was_at_work: self.was_at_work(task, run, endpoint),
+                ran_for: worked(run, endpoint),
+                other_runs: beside,
+                was_running: self.was_at_work(task, run, endpoint),
                 is_proven: self.is_proven(task, run, endpoint),
                 is_sole: unproven.iter().all(|job| *job == task.job),
             };
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -155,7 +155,7 @@
             && !endpoint.is_overcommitted()
             && !self.is_evacuated(endpoint)
             && endpoint.lease_confirmed
-            && (!endpoint.is_unresponsive || !self.settings.policy.doubts_silent)
+            && (!endpoint.is_unresponsive || !self.settings.policy.avoids_unresponsive)
             && endpoint.avoided_until <= now
             && endpoint.is_polled_within(now, self.settings.fresh)
             && report.is_some_and(|r| r.service == *service && !r.is_draining)
@@ -187,7 +187,7 @@
             used += endpoint.used.cpu.saturating_sub(lasting);
         }
         let steps: u32 = candidates.iter().map(|c| c.steps_left).sum();
-        let chains: Duration = candidates.iter().map(|c| c.chain_left).sum();
+        let chains: Duration = candidates.iter().map(|c| c.remaining_critical_path).sum();
         let task = chains.checked_div(steps).unwrap_or_default();
         Capacity {
             cpu: as_f64(cpu),
@@ -205,8 +205,8 @@
         Some(Candidate {
             job: job.spec.id,
             from_ms: self.wanted_since_ms(&job.spec, *occurrence),
-            chain: job::chain(&job.spec.steps, |_| true),
-            chain_left: open.chain_left(&job.spec.steps),
+            critical_path: job::critical_path(&job.spec.steps, |_| true),
+            remaining_critical_path: open.remaining_critical_path(&job.spec.steps),
             steps_left: open.steps_left(),
             work_left: open.waiting_work(&job.spec.steps),
             has_begun: open.has_begun(),
--- a/crates/pomelohitch-sched/src/cell/upkeep.rs
+++ b/crates/pomelohitch-sched/src/cell/upkeep.rs
@@ -37,8 +37,8 @@
                     ?before, endpoint = ?instance.endpoint, "instance state");
             }
         }
-        let replaced = self.instances.listed(list, asked_at);
-        match self.instances.leaving(self.draining_instances()) {
+        let replaced = self.instances.update_list(list, asked_at);
+        match self.instances.record_leaving(self.draining_instances()) {
             Ok(records) => self.extra_records.extend(records),
             Err(error) => warn!(%error, "leaving instances can't be recorded"),
         }
@@ -101,7 +101,10 @@
             Operation::Maintain { wave } => Some(*wave),
             Operation::Move { .. } => None,
         };
-        match self.instances.operated(id, wave, outcome, self.now.steady) {
+        match self
+            .instances
+            .operation_ended(id, wave, outcome, self.now.steady)
+        {
             Ok(record) => self.extra_records.extend(record),
             Err(error) => warn!(%error, "maintenance can't be recorded"),
         }
@@ -137,7 +140,7 @@
         for wave in remaining {
             self.tend_wave(&wave, &mut reserved);
         }
-        let is_due = self.instances.due();
+        let is_due = self.instances.due_for_maintenance();
         reserved.extend(self.follow_demand(&is_due));
         // Until an operation shows, its endpoint looks free: a start would meet its end.
         reserved.extend(self.instances.endpoints_under_way());
@@ -216,7 +219,7 @@
             Operation::Move { pool } => Some(pool.clone()),
             Operation::Maintain { .. } => None,
         };
-        self.instances.set_under_way(id, now, to);
+        self.instances.operation_started(id, now, to);
         match instances::operation_record(id, self.fleet_ms()) {
             Ok(record) => self.extra_records.push(record),
             Err(error) => warn!(%error, "operation can't be recorded"),
--- a/crates/pomelohitch-sched/src/cell/waves.rs
+++ b/crates/pomelohitch-sched/src/cell/waves.rs
@@ -24,15 +24,15 @@
         info!(
             wave = wave.number,
             instances = wave.instances.len(),
-            at_once = wave.at_once,
+            at_once = wave.max_down,
             within_s = wave.within.as_secs(),
             "wave asked for"
         );
-        self.instances.wave(wave, self.now.steady);
+        self.instances.add_wave(wave, self.now.steady);
     }
 
     pub(super) fn tell_waves(&mut self) {
-        let statuses = match self.instances.statuses() {
+        let statuses = match self.instances.take_status_changes() {
             Ok(statuses) => statuses,
             Err(error) => {
                 warn!(%error, "status of waves can't be recorded");
@@ -124,9 +124,9 @@
         let passed = self.now.steady.saturating_sub(wave.since);
         let left = wave.within.mul_f64(TIME_USED).saturating_sub(passed);
         let work = ROUND * u32::try_from(wave.left.len()).unwrap_or(u32::MAX);
-        let at_once = wave.at_once.max(1);
+        let at_once = wave.max_down.max(1);
         let needed = (1..at_once).find(|&n| left * u32::try_from(n).unwrap_or(1) >= work);
-        let under_way = wave.at_once.saturating_sub(wave.may_begin);
+        let under_way = wave.max_down.saturating_sub(wave.may_begin);
         needed.unwrap_or(at_once).saturating_sub(under_way).max(1)
     }
 
--- a/crates/pomelohitch-sched/src/config.rs
+++ b/crates/pomelohitch-sched/src/config.rs
@@ -41,12 +41,12 @@
     /// Whether callers need no key.
     pub is_public: bool,
     /// Set if a placement policy restricts the endpoints.
-    pub advice: Option<AdviceTerms>,
+    pub advice: Option<AdviceSettings>,
 }
 
 /// Latency of the placement policy's answers, and validity of its tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct AdviceTerms {
+pub struct AdviceSettings {
     /// Time for each answer.
     pub decide: Duration,
     /// Additional time for each endpoint in the question.
--- a/crates/pomelohitch-sched/src/demand.rs
+++ b/crates/pomelohitch-sched/src/demand.rs
@@ -11,7 +11,7 @@
 use crate::UnixMs;
 use crate::id::ServiceName;
 use crate::job::StepSpec;
-use crate::policy::{Foresight, Margins};
+use crate::policy::{ForecastMethods, Margins};
 
 /// Length of a bucket of the time series, milliseconds. A job's steps take two or more buckets.
 const BUCKET_MS: u64 = 250;
@@ -74,16 +74,16 @@
     last: u64,
     period: Option<u64>,
     period_checked_at: u64,
-    foresight: Foresight,
+    methods: ForecastMethods,
     margins: Margins,
 }
 
 impl Demand {
     /// Creates a forecast without any history.
     #[must_use]
-    pub fn new(foresight: Foresight, margins: Margins) -> Demand {
+    pub fn new(methods: ForecastMethods, margins: Margins) -> Demand {
         Demand {
-            foresight,
+            methods,
             margins,
             ..Demand::default()
         }
@@ -123,7 +123,7 @@
 
     /// Peak demand of a service from now until `ahead` from now, thousandths of a core.
     #[must_use]
-    pub fn most(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
+    pub fn peak(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
         let now = now_ms / BUCKET_MS;
         let trend_ahead = ahead.min(MAX_EXTRAPOLATION);
         let ahead = u64::try_from(ahead.as_millis()).unwrap_or(0) / BUCKET_MS;
@@ -133,7 +133,7 @@
             .map(|b| smooth(&at, b))
             .fold(0.0, f64::max);
         let Some(period) = self.trusted_period(now) else {
-            let rising = self.foresight.uses_rise;
+            let rising = self.methods.uses_trend;
             let trend = || self.trend(service, now_ms, trend_ahead);
             return known.max(if rising { trend() } else { 0.0 });
         };
@@ -143,21 +143,21 @@
         known.max(before)
     }
 
-    /// Peak demand of a service as [`Demand::most`] gives it, if it can be relied on for scaling
+    /// Peak demand of a service as [`Demand::peak`] gives it, if it can be relied on for scaling
     /// down: the period is known, a burst has just ended, or a burst has stopped rising. `None` if
     /// a burst may come at any time.
     #[must_use]
-    pub fn foreseen(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> Option<f64> {
-        let most = self.most(service, now_ms, ahead);
+    pub fn forecast(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> Option<f64> {
+        let most = self.peak(service, now_ms, ahead);
         let is_periodic = self.trusted_period(now_ms / BUCKET_MS).is_some();
-        if !self.foresight.uses_height {
+        if !self.methods.uses_peak {
             return is_periodic.then_some(most);
         }
         if is_periodic || self.is_burst_over(service, now_ms) {
             return Some(most);
         }
         self.is_at_peak(service, now_ms)
-            .then_some(most * self.margins.height)
+            .then_some(most * self.margins.peak_factor)
     }
 
     /// Whether a service is in a burst whose arrival rate has stopped rising. The rise has been
@@ -213,7 +213,7 @@
         let rise =
             (rate_lower_bound - before_upper_bound).max(0.0) / as_f64(u64::midpoint(recent, span));
         let extrapolated = rise * (ahead.as_secs_f64() * 1000.0);
-        rate_lower_bound + extrapolated.min(rate_lower_bound * self.margins.most_rise)
+        rate_lower_bound + extrapolated.min(rate_lower_bound * self.margins.max_rise)
     }
 
     fn arrivals(&self, service: &ServiceName, buckets: std::ops::Range<u64>) -> Arrivals {
@@ -249,7 +249,7 @@
     }
 
     /// Drops old buckets and detects the period again, about once a second.
-    pub fn tend(&mut self, now_ms: UnixMs) {
+    pub fn refresh(&mut self, now_ms: UnixMs) {
         const EVERY_BUCKETS: u64 = 4;
         let now = now_ms / BUCKET_MS;
         if now < self.period_checked_at + EVERY_BUCKETS {
@@ -267,7 +267,7 @@
             .first_bucket
             .map(|first_bucket| first_bucket.max(oldest));
         self.period = self
-            .foresight
+            .methods
             .uses_period
             .then(|| self.find_period(now))
             .flatten();
--- a/crates/pomelohitch-sched/src/instances.rs
+++ b/crates/pomelohitch-sched/src/instances.rs
@@ -59,7 +59,7 @@
     /// Time limit for the whole wave.
     pub within: Duration,
     /// Largest number of instances that may be down at the same time.
-    pub at_once: usize,
+    pub max_down: usize,
 }
 
 /// Durable state of a wave: only what the platform has confirmed. An order that was in flight when
@@ -141,7 +141,7 @@
     }
 
     /// Adds a wave requested by operators. The first definition of a wave number stays in force.
-    pub fn wave(&mut self, wave: Wave, now: Steady) {
+    pub fn add_wave(&mut self, wave: Wave, now: Steady) {
         self.waves.entry(wave.number).or_insert(WaveState {
             wave,
             seen_at: now,
@@ -152,7 +152,7 @@
     /// Processes the platform's list, which was requested at `asked_at`.
     ///
     /// Returns the endpoints that have ended, because other endpoints now run on their instances.
-    pub fn listed(&mut self, list: Vec<Instance>, asked_at: Steady) -> Vec<EndpointId> {
+    pub fn update_list(&mut self, list: Vec<Instance>, asked_at: Steady) -> Vec<EndpointId> {
         let list: BTreeMap<_, _> = list.into_iter().map(|i| (i.id.clone(), i)).collect();
         let replaced = self.list.values().filter_map(|before| {
             let now = list.get(&before.id)?.endpoint.as_ref()?;
@@ -176,7 +176,10 @@
     /// # Errors
     ///
     /// If a record cannot be encoded, which does not happen for these types.
-    pub fn leaving(&mut self, leaving: BTreeSet<InstanceId>) -> progress::Result<Vec<Record>> {
+    pub fn record_leaving(
+        &mut self,
+        leaving: BTreeSet<InstanceId>,
+    ) -> progress::Result<Vec<Record>> {
         let list = &self.list;
         self.leaving.retain(|id| !list.contains_key(id));
         self.leaving.extend(leaving);
@@ -241,7 +244,7 @@
 
     /// Instances that are still to be maintained in some open wave.
     #[must_use]
-    pub fn due(&self) -> BTreeSet<InstanceId> {
+    pub fn due_for_maintenance(&self) -> BTreeSet<InstanceId> {
         let remaining = self.remaining();
         remaining.into_iter().flat_map(|r| r.left).collect()
     }
@@ -280,8 +283,8 @@
             Remaining {
                 wave: number,
                 left: left.cloned().collect(),
-                may_begin: state.wave.at_once.saturating_sub(down),
-                at_once: state.wave.at_once,
+                may_begin: state.wave.max_down.saturating_sub(down),
+                max_down: state.wave.max_down,
                 since: state.seen_at,
                 within: state.wave.within,
             }
@@ -317,7 +320,7 @@
     }
 
     /// Records an order to maintain an instance, or to move it to the pool `to`.
-    pub fn set_under_way(&mut self, id: &InstanceId, now: Steady, to: Option<ServiceName>) {
+    pub fn operation_started(&mut self, id: &InstanceId, now: Steady, to: Option<ServiceName>) {
         let endpoint = self.list.get(id).and_then(|i| i.endpoint.clone());
         self.under_way.insert(
             id.clone(),
@@ -332,7 +335,7 @@
 
     /// Withdraws the operation decided at `at`, which was dropped before it was sent. A newer
     /// operation on the instance stays.
-    pub fn unsent(&mut self, id: &InstanceId, at: Steady) {
+    pub fn operation_dropped(&mut self, id: &InstanceId, at: Steady) {
         if self.under_way.get(id).is_some_and(|u| u.since == at) {
             self.under_way.remove(id);
         }
@@ -349,7 +352,7 @@
     /// # Errors
     ///
     /// If the record cannot be encoded, which does not happen for these types.
-    pub fn operated(
+    pub fn operation_ended(
         &mut self,
         id: &InstanceId,
         wave: Option<u64>,
@@ -436,7 +439,7 @@
     /// # Errors
     ///
     /// If a record cannot be encoded, which does not happen for these types.
-    pub fn statuses(&mut self) -> progress::Result<Vec<(u64, bool, Option<Record>)>> {
+    pub fn take_status_changes(&mut self) -> progress::Result<Vec<(u64, bool, Option<Record>)>> {
         let mut changed = Vec::new();
         let numbers: Vec<u64> = self.waves.keys().copied().collect();
         for number in numbers {
@@ -469,7 +472,7 @@
     /// Number of instances that may be taken down now.
     pub may_begin: usize,
     /// Largest number of instances that may be down at the same time.
-    pub at_once: usize,
+    pub max_down: usize,
     /// When the wave was first seen.
     pub since: Steady,
     /// Time limit for the whole wave.
--- a/crates/pomelohitch-sched/src/job.rs
+++ b/crates/pomelohitch-sched/src/job.rs
@@ -170,7 +170,7 @@
 
 /// Length of the critical path, by estimates, over the steps for which `is_left` holds.
 #[must_use]
-pub fn chain(steps: &[StepSpec], is_left: impl Fn(usize) -> bool) -> Duration {
+pub fn critical_path(steps: &[StepSpec], is_left: impl Fn(usize) -> bool) -> Duration {
     let mut ends: Vec<Duration> = Vec::with_capacity(steps.len());
     for (index, step) in steps.iter().enumerate() {
         let begins = step.after.iter().map(|&a| ends[usize::from(a)]).max();
--- a/crates/pomelohitch-sched/src/loss.rs
+++ b/crates/pomelohitch-sched/src/loss.rs
@@ -43,11 +43,11 @@
     /// Incarnation of the endpoint that the run was started at.
     pub born: u64,
     /// How long polls had listed the run as running when the endpoint last answered.
-    pub worked: Duration,
+    pub ran_for: Duration,
     /// Number of other runs at the endpoint.
-    pub beside: usize,
+    pub other_runs: usize,
     /// Whether the run had certainly begun and cannot have completed before its endpoint ended.
-    pub was_at_work: bool,
+    pub was_running: bool,
     /// Whether the run had been running for long enough not to be blamed for a crash.
     pub is_proven: bool,
     /// Whether every run of another job at the endpoint had been running for that long, which
@@ -63,9 +63,9 @@
             cause,
             why,
             born,
-            worked: Duration::ZERO,
-            beside: 0,
-            was_at_work: false,
+            ran_for: Duration::ZERO,
+            other_runs: 0,
+            was_running: false,
             is_proven: false,
             is_sole: false,
         }
--- a/crates/pomelohitch-sched/src/policy.rs
+++ b/crates/pomelohitch-sched/src/policy.rs
@@ -10,29 +10,29 @@
 #[expect(clippy::struct_excessive_bools, reason = "independent switches")]
 pub struct Policy {
     /// Jobs that cannot meet their objective wait for those that still can.
-    pub late_last: bool,
+    pub ranks_late_last: bool,
     /// Multiple of the objective beyond which a job counts as late. Above 1 because estimates are
     /// rough and would otherwise hold back jobs that can still meet their objective.
-    pub late_after: f64,
+    pub late_factor: f64,
     /// Jobs are ordered by latest start time instead of arrival time.
     pub by_latest_start: bool,
     /// Under overload, defers the jobs with the most work, so that the others can meet their
     /// objectives.
-    pub defers: bool,
+    pub defers_on_overload: bool,
     /// Late jobs are promoted shortly before their result becomes useless to the caller.
     pub promotes_expiring: bool,
     /// Methods used to forecast demand.
-    pub demand: Foresight,
+    pub demand: ForecastMethods,
     /// Headroom that pools get beyond the forecast demand.
     pub margins: Margins,
     /// Tasks waiting for capacity count towards a pool's demand.
-    pub provides_backlog: bool,
+    pub provisions_backlog: bool,
     /// Instances that no pool will need soon are switched off.
     pub switches_off: bool,
     /// Tasks are packed onto the fullest endpoints to keep others empty.
     pub packs: bool,
     /// An endpoint that left a start unanswered gets no new work until it answers a call.
-    pub doubts_silent: bool,
+    pub avoids_unresponsive: bool,
     /// Limits for tasks whose endpoints crash.
     pub crashes: CrashLimits,
 }
@@ -42,71 +42,71 @@
 pub struct Margins {
     /// Target utilization of a pool's processors, 0 to 1. Below 1 because tasks do not pack exactly
     /// and arrivals vary around the forecast.
-    pub fill: f64,
+    pub target_utilization: f64,
     /// Largest backlog that is provisioned for, as a multiple of the other demand. A backlog drains
     /// within two seconds, which is also the time that an instance takes to arrive.
-    pub most_backlog: f64,
+    pub max_backlog: f64,
     /// Factor on the demand that is kept during the peak of a burst, to cover random arrivals.
-    pub height: f64,
+    pub peak_factor: f64,
     /// A rising rate is extrapolated by at most this many times the rate itself, because a few
     /// large jobs that arrive together look like a steep rise.
-    pub most_rise: f64,
+    pub max_rise: f64,
     /// An instance that will be needed within this time is kept: switching it off and on again
     /// costs two moves.
-    pub soon: Duration,
+    pub keep_within: Duration,
     /// A surplus has to last this long before instances are switched off.
-    pub surplus_for: Duration,
+    pub surplus_delay: Duration,
 }
 
 impl Default for Margins {
     fn default() -> Self {
         Margins {
-            fill: 0.85,
-            most_backlog: 0.5,
-            height: 1.25,
-            most_rise: 1.0,
-            soon: Duration::from_millis(4500),
-            surplus_for: Duration::from_millis(800),
+            target_utilization: 0.85,
+            max_backlog: 0.5,
+            peak_factor: 1.25,
+            max_rise: 1.0,
+            keep_within: Duration::from_millis(4500),
+            surplus_delay: Duration::from_millis(800),
         }
     }
 }
 
 /// Methods used to forecast demand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Foresight {
+pub struct ForecastMethods {
     /// Forecasts by the period of the demand.
     pub uses_period: bool,
     /// Extrapolates the recent trend.
-    pub uses_rise: bool,
+    pub uses_trend: bool,
     /// Detects from the arrival rate that a burst has reached its peak or is over.
-    pub uses_height: bool,
+    pub uses_peak: bool,
 }
 
 impl Default for Policy {
     fn default() -> Self {
         Policy {
-            late_last: true,
-            late_after: 1.4,
+            ranks_late_last: true,
+            late_factor: 1.4,
             by_latest_start: true,
-            defers: true,
+            defers_on_overload: true,
             promotes_expiring: true,
-            demand: Foresight::default(),
+            demand: ForecastMethods::default(),
             margins: Margins::default(),
-            provides_backlog: true,
+            provisions_backlog: true,
             switches_off: true,
             packs: true,
-            doubts_silent: true,
+            avoids_unresponsive: true,
             crashes: CrashLimits::default(),
         }
     }
 }
 
-impl Default for Foresight {
+impl Default for ForecastMethods {
     fn default() -> Self {
-        Foresight {
+        ForecastMethods {
             uses_period: true,
-            uses_rise: true,
-            uses_height: true,
+            uses_trend: true,
+            uses_peak: true,
         }
     }
 }
--- a/crates/pomelohitch-sched/src/pools.rs
+++ b/crates/pomelohitch-sched/src/pools.rs
@@ -27,7 +27,7 @@
     pub wanted: f64,
     /// Peak demand within the time for which switching off pays off, thousandths of a core; `None`
     /// if it is unknown.
-    pub soon: Option<f64>,
+    pub peak_soon: Option<f64>,
     /// Processors of the tasks that wait for capacity now, thousandths of a core.
     pub backlog: f64,
     /// Whether a task cannot be placed however many processors are free, because memory is short or
@@ -271,7 +271,7 @@
             return 0.0;
         }
         let short = if self.is_short { MIN_SHORTFALL } else { 0.0 };
-        (self.wanted() / self.margins.fill - self.capacity).max(short)
+        (self.wanted() / self.margins.target_utilization - self.capacity).max(short)
     }
 
     fn wanted_label(&self) -> Option<&str> {
@@ -283,20 +283,21 @@
             + self
                 .pool
                 .backlog
-                .min(self.pool.wanted * self.margins.most_backlog)
+                .min(self.pool.wanted * self.margins.max_backlog)
     }
 
     fn can_give(&self, instance: &Candidate) -> bool {
         let left = self.capacity - as_f64(instance.cpu);
-        let is_enough = self.count > MIN_INSTANCES && left >= self.wanted() / self.margins.fill;
+        let is_enough =
+            self.count > MIN_INSTANCES && left >= self.wanted() / self.margins.target_utilization;
         self.pool.is_spare || (is_enough && !self.pool.is_short)
     }
 
     /// Thousandths of a core beyond the demand that is expected soon; negative for a shortfall.
     /// `None` if that demand is unknown, and for the spare pool.
     fn surplus(&self) -> Option<f64> {
-        let soon = self.pool.soon.filter(|_| !self.pool.is_spare)?;
-        Some(self.capacity - soon.max(self.wanted()) / self.margins.fill)
+        let soon = self.pool.peak_soon.filter(|_| !self.pool.is_spare)?;
+        Some(self.capacity - soon.max(self.wanted()) / self.margins.target_utilization)
     }
 
     fn has_surplus_for(&self, instance: &Candidate) -> bool {
--- a/crates/pomelohitch-sched/src/progress.rs
+++ b/crates/pomelohitch-sched/src/progress.rs
@@ -246,8 +246,8 @@
 
     /// Length of the critical path, by estimates, over the steps that are not done.
     #[must_use]
-    pub fn chain_left(&self, steps: &[StepSpec]) -> Duration {
-        job::chain(steps, |step| self.steps[step].iter().any(|t| !t.is_done))
+    pub fn remaining_critical_path(&self, steps: &[StepSpec]) -> Duration {
+        job::critical_path(steps, |step| self.steps[step].iter().any(|t| !t.is_done))
     }
 }
 
--- a/crates/pomelohitch-sched/src/suspicion.rs
+++ b/crates/pomelohitch-sched/src/suspicion.rs
@@ -15,15 +15,15 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrashLimits {
     /// Number of endpoints lost under a task at which it is given up, if its job is the only
-    /// possible cause of at least `alone` of the crashes.
-    pub lost_alone: u32,
-    /// See [`CrashLimits::lost_alone`].
-    pub alone: u32,
-    /// Number of endpoints lost under a task at which it is given up, if at least `certain` of them
-    /// certainly crashed under it, whatever else ran there.
-    pub lost_certain: u32,
-    /// See [`CrashLimits::lost_certain`].
-    pub certain: u32,
+    /// possible cause of at least `min_sole_cause` of the crashes.
+    pub max_lost_sole_cause: u32,
+    /// See [`CrashLimits::max_lost_sole_cause`].
+    pub min_sole_cause: u32,
+    /// Number of endpoints lost under a task at which it is given up, if at least `min_certain` of
+    /// them certainly crashed under it, whatever else ran there.
+    pub max_lost_certain: u32,
+    /// See [`CrashLimits::max_lost_certain`].
+    pub min_certain: u32,
     /// Number of endpoints lost under a task at which it is given up in any case; the platform
     /// allows no more.
     pub lost: u32,
@@ -37,28 +37,28 @@
     pub isolates: bool,
     /// Largest share of a service's endpoints that are reserved for suspected jobs while other jobs
     /// wait; at least one endpoint.
-    pub most_isolated: f64,
+    pub max_isolated_share: f64,
     /// A suspected job that has waited this long for an isolated endpoint starts beside other jobs.
-    pub patience: Duration,
+    pub isolation_timeout: Duration,
     /// The same while more than half of the service's processors are in use.
-    pub busy_patience: Duration,
+    pub busy_isolation_timeout: Duration,
 }
 
 impl Default for CrashLimits {
     fn default() -> Self {
         CrashLimits {
-            lost_alone: 3,
-            alone: 2,
-            lost_certain: 4,
-            certain: 2,
+            max_lost_sole_cause: 3,
+            min_sole_cause: 2,
+            max_lost_certain: 4,
+            min_certain: 2,
             lost: 5,
             proven_after: Duration::from_millis(150),
             proven_again_after: Duration::from_secs(2),
             cleared_after: Duration::from_secs(10),
             isolates: true,
-            most_isolated: 0.2,
-            patience: Duration::from_millis(1500),
-            busy_patience: Duration::from_secs(4),
+            max_isolated_share: 0.2,
+            isolation_timeout: Duration::from_millis(1500),
+            busy_isolation_timeout: Duration::from_secs(4),
         }
     }
 }
@@ -78,20 +78,20 @@
 
 impl Suspicion {
     /// Records the loss of a run of the task; returns whether the loss counts as evidence.
-    pub fn note(&mut self, loss: &Loss) -> bool {
+    pub fn record_loss(&mut self, loss: &Loss) -> bool {
         if !matches!(loss.cause, LossCause::Crash | LossCause::Silence) {
             return false;
         }
         self.lost += 1;
         self.is_suspect |= !loss.is_proven || self.lost > 1;
-        let is_certain = loss.cause == LossCause::Crash && loss.was_at_work;
+        let is_certain = loss.cause == LossCause::Crash && loss.was_running;
         self.certain += u32::from(is_certain);
         self.alone += u32::from(is_certain && loss.is_sole && !loss.is_proven);
         true
     }
 
     /// Withdraws a loss, because the endpoint had only been disconnected.
-    pub fn retract(&mut self) {
+    pub fn withdraw_loss(&mut self) {
         self.lost = self.lost.saturating_sub(1);
         if self.lost == 0 {
             *self = Suspicion::default();
@@ -100,9 +100,10 @@
 
     /// Whether the task has to be given up.
     #[must_use]
-    pub fn is_over(&self, limits: &CrashLimits) -> bool {
-        let is_only_cause = self.alone >= limits.alone && self.lost >= limits.lost_alone;
-        let is_certain = self.certain >= limits.certain && self.lost >= limits.lost_certain;
+    pub fn is_conclusive(&self, limits: &CrashLimits) -> bool {
+        let is_only_cause =
+            self.alone >= limits.min_sole_cause && self.lost >= limits.max_lost_sole_cause;
+        let is_certain = self.certain >= limits.min_certain && self.lost >= limits.max_lost_certain;
         is_only_cause || is_certain || self.lost >= limits.lost
     }
 
--- a/crates/pomelohitch-sched/src/urgency.rs
+++ b/crates/pomelohitch-sched/src/urgency.rs
@@ -34,9 +34,9 @@
     /// When the job was accepted or became due.
     pub from_ms: UnixMs,
     /// Length of its whole critical path, by estimates.
-    pub chain: Duration,
+    pub critical_path: Duration,
     /// Length of the remaining critical path.
-    pub chain_left: Duration,
+    pub remaining_critical_path: Duration,
     /// Number of remaining steps, an upper bound on the steps in sequence.
     pub steps_left: u32,
     /// Estimated work of its tasks that have not begun: thousandths of a core times milliseconds.
@@ -105,13 +105,13 @@
     }
 
     fn allowed(&self) -> Duration {
-        self.chain.mul_f64(self.stretch.max(0.0)) + self.slack
+        self.critical_path.mul_f64(self.stretch.max(0.0)) + self.slack
     }
 
     /// Latest start time of the next step for the job to be done within `multiple` its objective.
     fn start_by_ms(&self, multiple: f64) -> UnixMs {
         let allowed = millis(self.allowed().mul_f64(multiple));
-        let takes = self.chain_left + STEP_OVERHEAD * self.steps_left;
+        let takes = self.remaining_critical_path + STEP_OVERHEAD * self.steps_left;
         let end_by = self.from_ms.saturating_add(allowed);
         end_by.saturating_sub(millis(takes))
     }
@@ -126,7 +126,7 @@
     policy: &Policy,
 ) -> Vec<JobId> {
     let mut ranked: Vec<Ranked<'_>> = candidates.iter().map(|c| rank(c, now_ms, policy)).collect();
-    if policy.defers {
+    if policy.defers_on_overload {
         defer(&mut ranked, capacity, now_ms);
     }
     if policy.promotes_expiring {
@@ -156,10 +156,10 @@
 fn rank<'a>(candidate: &'a Candidate, now_ms: UnixMs, policy: &Policy) -> Ranked<'a> {
     let start_by_ms_in_time = candidate.start_by_ms(1.0);
     let useful_start_by_ms = candidate.start_by_ms(USEFUL_MULTIPLE);
-    let is_feasible = now_ms <= candidate.start_by_ms(policy.late_after);
+    let is_feasible = now_ms <= candidate.start_by_ms(policy.late_factor);
     let (feasibility, start_by_ms) = if candidate.is_lasting {
         (Feasibility::Lasting, candidate.from_ms)
-    } else if is_feasible || !policy.late_last {
+    } else if is_feasible || !policy.ranks_late_last {
         (Feasibility::Feasible, start_by_ms_in_time)
     } else if now_ms <= useful_start_by_ms {
         (Feasibility::Late, useful_start_by_ms)
--- a/crates/pomelohitch-sched/tests/cell/evacuation.rs
+++ b/crates/pomelohitch-sched/tests/cell/evacuation.rs
@@ -276,7 +276,7 @@
         number: 1,
         instances: (0..9).map(|n| format!("m{n}").into()).collect(),
         within: Duration::from_secs(30),
-        at_once: 3,
+        max_down: 3,
     });
     fleet.pass(400);
     let first: Vec<_> = fleet.operations.iter().take(3).collect();
--- a/crates/pomelohitch-sched/tests/cell/pools.rs
+++ b/crates/pomelohitch-sched/tests/cell/pools.rs
@@ -112,7 +112,7 @@
         number: 1,
         instances: vec!["m0".into(), "m1".into()],
         within: Duration::from_secs(20),
-        at_once: 1,
+        max_down: 1,
     });
     fleet.pass(1_600);
     assert!(fleet.statuses.contains(&(1, true)));
--- a/crates/pomelohitch-sched/tests/cell/waves.rs
+++ b/crates/pomelohitch-sched/tests/cell/waves.rs
@@ -14,7 +14,7 @@
         number: 1,
         instances: instances.iter().map(|i| Arc::from(*i)).collect(),
         within: Duration::from_secs(20),
-        at_once,
+        max_down: at_once,
     }
 }
 
@@ -304,24 +304,24 @@
     let mut instances = Instances::default();
     let list: Vec<Instance> = (0..3).map(|n| instance(n, InstanceState::Up)).collect();
     let second = Duration::from_secs(1);
-    instances.listed(list.clone(), second);
-    instances.wave(
+    instances.update_list(list.clone(), second);
+    instances.add_wave(
         Wave {
             number: 1,
             instances: list.iter().map(|i| i.id.clone()).collect(),
             within: Duration::from_secs(20),
-            at_once: 3,
+            max_down: 3,
         },
         second,
     );
     for i in &list {
-        instances.set_under_way(&i.id, second, None);
-        let recorded = instances.operated(&i.id, Some(1), OperationOutcome::Taken, second);
+        instances.operation_started(&i.id, second, None);
+        let recorded = instances.operation_ended(&i.id, Some(1), OperationOutcome::Taken, second);
         assert!(recorded.is_ok_and(|record| record.is_some()));
     }
     assert_eq!(told(&mut instances), [(1, false)], "they are down");
-    instances.listed(list.clone(), 5 * second);
-    instances.set_under_way(&list[0].id, 5 * second, Some("issuing".into()));
+    instances.update_list(list.clone(), 5 * second);
+    instances.operation_started(&list[0].id, 5 * second, Some("issuing".into()));
     assert_eq!(told(&mut instances), [(1, true)]);
 }
 
@@ -330,17 +330,17 @@
 fn a_wave_is_not_done_before_all_of_it_was_maintained() {
     let mut instances = Instances::default();
     let second = Duration::from_secs(1);
-    instances.listed(vec![instance(0, InstanceState::Up)], second);
-    instances.wave(
+    instances.update_list(vec![instance(0, InstanceState::Up)], second);
+    instances.add_wave(
         Wave {
             number: 1,
             instances: vec!["m0".into()],
             within: Duration::from_secs(20),
-            at_once: 3,
+            max_down: 3,
         },
         second,
     );
-    instances.set_under_way(&"m0".into(), second, Some("issuing".into()));
+    instances.operation_started(&"m0".into(), second, Some("issuing".into()));
     assert_eq!(told(&mut instances), [(1, false)]);
 }
 
@@ -358,7 +358,9 @@
 
 /// What is said of waves now: number, and whether it is done.
 fn told(instances: &mut Instances) -> Vec<(u64, bool)> {
-    let statuses = instances.statuses().expect("records can be encoded");
+    let statuses = instances
+        .take_status_changes()
+        .expect("records can be encoded");
     statuses
         .into_iter()
         .map(|(number, is_done, _)| (number, is_done))
--- a/crates/pomelohitch-sched/tests/demand.rs
+++ b/crates/pomelohitch-sched/tests/demand.rs
@@ -37,7 +37,7 @@
 }
 
 fn cores(demand: &Demand, name: &ServiceName, now_ms: u64, ahead: Duration) -> f64 {
-    demand.most(name, now_ms, ahead) / 1000.0
+    demand.peak(name, now_ms, ahead) / 1000.0
 }
 
 /// Guards against provisioning only for what has arrived while a burst builds up, which takes
@@ -77,7 +77,7 @@
     add_jobs(&mut demand, &other, 30_500, |at| {
         if is_burst(at + 8_000) { 100 } else { 0 }
     });
-    demand.tend(30_500);
+    demand.refresh(30_500);
     assert_eq!(demand.period(), Some(Duration::from_secs(16)));
     assert!(cores(&demand, &name, 30_500, AHEAD) > 40.0);
     assert!(cores(&demand, &other, 30_500, AHEAD) < 5.0);
@@ -96,7 +96,7 @@
             demand.add(&name, &steps(1000, 2_000), at);
         }
     }
-    let forecast = |at| demand.foreseen(&name, at, AHEAD).map(|f| f / 1000.0);
+    let forecast = |at| demand.forecast(&name, at, AHEAD).map(|f| f / 1000.0);
     assert_eq!(forecast(500), None, "the burst has just begun");
     let after_burst = forecast(5_000).expect("forecast, since arrivals stopped a second ago");
     assert!(
@@ -124,14 +124,14 @@
     let is_burst = |at_ms: u64| at_ms % (8 * second) < 2 * second;
     for at_ms in (0..32 * second).step_by(100).filter(|at| is_burst(*at)) {
         demand.add(&service, std::slice::from_ref(&step), at_ms);
-        demand.tend(at_ms);
+        demand.refresh(at_ms);
     }
     let ahead = Duration::from_secs(2);
-    demand.tend(32 * second);
+    demand.refresh(32 * second);
     assert!(demand.period().is_some());
-    let before_burst = demand.most(&service, 31 * second, ahead);
-    demand.tend(33 * second + 500);
-    let during_burst = demand.most(&service, 33 * second + 500, ahead);
+    let before_burst = demand.peak(&service, 31 * second, ahead);
+    demand.refresh(33 * second + 500);
+    let during_burst = demand.peak(&service, 33 * second + 500, ahead);
     assert!(before_burst > 100_000.0, "{before_burst}");
     assert!(during_burst < 0.1 * before_burst, "{during_burst}");
 }
--- a/crates/pomelohitch-sched/tests/urgency.rs
+++ b/crates/pomelohitch-sched/tests/urgency.rs
@@ -12,8 +12,8 @@
     Candidate {
         job,
         from_ms: NOW,
-        chain: Duration::from_secs(1),
-        chain_left: Duration::from_secs(1),
+        critical_path: Duration::from_secs(1),
+        remaining_critical_path: Duration::from_secs(1),
         steps_left: 1,
         work_left: work * 1_000_000.0,
         has_begun: false,
