--- a/crates/pomelohitch-sched/src/cell/books.rs
+++ b/crates/pomelohitch-sched/src/cell/books.rs
@@ -6,7 +6,7 @@
 use tracing::info;
 
 use super::{Cell, Job};
-use crate::endpoint::{Booked, Endpoint};
+use crate::endpoint::{Allocation, Endpoint};
 use crate::id::{EndpointId, JobId, RunNumber, ServiceName, TaskId};
 use crate::job::{JobSpec, StepSpec};
 use crate::order::{Action, Due, Order};
@@ -154,7 +154,7 @@
         born: u64,
         number: RunNumber,
     ) {
-        let Some(room) = self.step(task).map(StepSpec::room) else {
+        let Some(room) = self.step(task).map(StepSpec::task_resources) else {
             return;
         };
         let need = self.step(task).map(|s| s.need).unwrap_or_default();
@@ -162,7 +162,14 @@
         self.endpoints
             .entry(endpoint.clone())
             .or_insert_with(|| Endpoint::new(born))
-            .occupy(task, number, Booked { room, is_lasting });
+            .allocate(
+                task,
+                number,
+                Allocation {
+                    resources: room,
+                    is_lasting,
+                },
+            );
         if let Some(workspace) = self.workspace_of(task.job) {
             *self.used.entry(workspace).or_default() += &need;
         }
@@ -180,7 +187,7 @@
         let bound = self.cfg.as_ref().and_then(|c| c.workspace(workspace));
         let mut total = self.used.get(workspace).copied().unwrap_or_default();
         total += need;
-        bound.is_none_or(|w| w.bound.bounds(&total))
+        bound.is_none_or(|w| w.bound.allows(&total))
     }
 
     /// Decides a start: it is recorded first and ordered after.
@@ -206,7 +213,7 @@
             view: RunView {
                 phase: Phase::Ordered,
                 ordered_at: now,
-                moved_at: now,
+                progressed_at: now,
                 ..RunView::default()
             },
         });
@@ -215,7 +222,7 @@
             waited_ms = fleet_ms.saturating_sub(spec.accepted_ms),
             resumed = !checkpoint.is_empty(), "start decided");
         self.dirty.insert(task.job);
-        self.flow.decided();
+        self.flow.start_decided();
         self.occupy(task, endpoint, target.born, run);
         self.gated.push(Action::Order {
             target,
@@ -316,7 +323,7 @@
         };
         let gone = t.runs.remove(at);
         if let Some(endpoint) = self.endpoints.get_mut(&gone.endpoint) {
-            endpoint.vacate(task, run);
+            endpoint.release(task, run);
         }
         if let Some(used) = workspace.and_then(|w| self.used.get_mut(&w)) {
             *used -= &need;
--- a/crates/pomelohitch-sched/src/demand.rs
+++ b/crates/pomelohitch-sched/src/demand.rs
@@ -1,9 +1,9 @@
-//! How many processors each service will want.
+//! Forecast of the processors that each service needs.
 //!
-//! The load that this answers: queues have their turns, in which each asks about five times its
-//! mean for some seconds and a twentieth in between. An instance takes about two seconds to move,
-//! half a turn, so that pools have to follow what is about to be wanted. Turns come in the same
-//! order again and again, which shows as a period in what was wanted so far.
+//! Queues have bursts: for some seconds a queue submits about five times its mean load, and a
+//! twentieth of it in between. Moving an instance takes about two seconds, half the length of a
+//! burst, so pools have to be scaled ahead of the demand. Bursts come in the same order again and
+//! again, so past demand has a period.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,43 +11,44 @@
 use crate::UnixMs;
 use crate::id::ServiceName;
 use crate::job::StepSpec;
-use crate::policy::{Foresight, Margins};
+use crate::policy::{ForecastMethods, Margins};
 
-/// Length of one bucket of the series, milliseconds: a job's steps take two or more.
+/// Length of a bucket of the time series, milliseconds. A job's steps take two or more buckets.
 const BUCKET_MS: u64 = 250;
-/// Buckets that are kept: three periods of the longest that is looked for.
-const KEPT: u64 = 360;
-/// The shortest and longest period that is looked for, buckets: 6 s to 30 s.
+/// Number of buckets kept: three times the longest detectable period.
+const KEPT_BUCKETS: u64 = 360;
+/// Shortest and longest detectable period in buckets: 6 s to 30 s.
 const PERIODS: std::ops::RangeInclusive<u64> = 24..=120;
-/// Buckets beyond a whole period that have to be seen before it counts.
-const OVERLAP: u64 = 12;
-/// Autocorrelation, 0 to 1, above which a lag is taken for the period.
+/// Buckets beyond a whole period that have to be observed before the period can be detected.
+const PERIOD_MARGIN: u64 = 12;
+/// Smallest autocorrelation, 0 to 1, of a lag to be taken for the period.
 const MIN_AUTOCORRELATION: f64 = 0.6;
-/// How much larger the autocorrelation of a longer period has to be: multiples of the true period
-/// reach the same.
+/// A longer lag needs an autocorrelation higher by this much, because multiples of the true period
+/// reach the same value.
 const LONGER_BONUS: f64 = 0.05;
-/// A service has its turn behind it when this many times what arrives now once arrived, and more than
-/// a few tasks take, thousandths of a core.
-const TURN_RATIO: f64 = 4.0;
-const TURN_PEAK: f64 = 30_000.0;
-/// Neighbours, on both sides together, of the mean around a bucket: jobs may wait about so long.
+/// A burst of a service is over when the largest arrival rate was this many times the present one,
+/// and above `BURST_PEAK`, thousandths of a core, which a few tasks do not reach.
+const BURST_END_RATIO: f64 = 4.0;
+const BURST_PEAK: f64 = 30_000.0;
+/// Number of neighbouring buckets, on both sides together, averaged with a bucket: about the time
+/// for which jobs may wait.
 const SMOOTHING_BUCKETS: u64 = 4;
-/// Buckets over which the forecast is compared with arrivals.
-const CHECKED: u64 = 4;
-/// Share of the forecast that has to have arrived for the period to be trusted.
-const MIN_FORECAST_HIT: f64 = 0.3;
-/// Growth from one span to the next, as a ratio, up to which arrivals count as steady.
+/// Buckets over which the forecast is compared with actual demand.
+const CHECKED_BUCKETS: u64 = 4;
+/// Share of the forecast demand that has to occur for the period to be trusted.
+const MIN_FORECAST_SHARE: f64 = 0.3;
+/// Arrivals count as steady up to this ratio between one span and the one before.
 const STEADY_GROWTH: f64 = 1.1;
-/// The rate of arriving work is taken over so many buckets.
+/// Number of buckets over which the arrival rate is computed.
 const RATE_BUCKETS: u64 = 3;
-/// The same number, as the length of a sliding window.
-const WINDOW: usize = 3;
-/// A rise is carried on for no longer than a move takes.
-const TREND_AHEAD: Duration = Duration::from_secs(2);
-/// Standard deviations of a count of random arrivals that are allowed for.
-const STANDARD_DEVIATIONS: f64 = 1.0;
+/// `RATE_BUCKETS` as the length of a sliding window.
+const RATE_WINDOW: usize = 3;
+/// A rise is extrapolated for at most the time that a move takes.
+const MAX_EXTRAPOLATION: Duration = Duration::from_secs(2);
+/// Safety margin for random arrivals, in standard deviations of their count.
+const MARGIN_DEVIATIONS: f64 = 1.0;
 
-/// What arrived in a bucket.
+/// Work that arrived in a bucket.
 #[derive(Debug, Clone, Copy, Default)]
 struct Arrivals {
     /// Thousandths of a core times milliseconds.
@@ -56,41 +57,45 @@
 }
 
 impl Arrivals {
-    /// How far off the work may be as a measure of what arrives, as a part of it.
-    fn doubt(&self) -> f64 {
-        STANDARD_DEVIATIONS / f64::from(self.jobs.max(1)).sqrt()
+    /// Relative uncertainty of the arrival rate, from the number of jobs (Poisson arrivals).
+    fn relative_error(&self) -> f64 {
+        MARGIN_DEVIATIONS / f64::from(self.jobs.max(1)).sqrt()
     }
 }
 
-/// What each service wanted, and will want.
+/// Past and forecast demand of each service.
 #[derive(Debug, Clone, Default)]
 pub struct Demand {
-    /// Thousandths of a core that would be in use if every task started at once.
+    /// Thousandths of a core that would be in use if every task started at once, by service and
+    /// bucket.
     wanted: BTreeMap<ServiceName, BTreeMap<u64, f64>>,
     arrived: BTreeMap<ServiceName, BTreeMap<u64, Arrivals>>,
-    first: Option<u64>,
+    first_bucket: Option<u64>,
     last: u64,
     period: Option<u64>,
-    looked_at: u64,
-    foresight: Foresight,
+    period_checked_at: u64,
+    methods: ForecastMethods,
     margins: Margins,
 }
 
 impl Demand {
-    /// Nothing is known yet.
+    /// Creates a forecast without any history.
     #[must_use]
-    pub fn new(foresight: Foresight, margins: Margins) -> Demand {
+    pub fn new(methods: ForecastMethods, margins: Margins) -> Demand {
         Demand {
-            foresight,
+            methods,
             margins,
             ..Demand::default()
         }
     }
 
-    /// Takes in that work came at `at_ms`.
+    /// Adds the work of a job that arrived at `at_ms`.
     pub fn add(&mut self, service: &ServiceName, steps: &[StepSpec], at_ms: UnixMs) {
         let bucket = at_ms / BUCKET_MS;
-        self.first = Some(self.first.map_or(bucket, |first| first.min(bucket)));
+        self.first_bucket = Some(
+            self.first_bucket
+                .map_or(bucket, |first_bucket| first_bucket.min(bucket)),
+        );
         self.last = self.last.max(bucket);
         let wanted = self.wanted.entry(service.clone()).or_default();
         let mut work = 0.0;
@@ -116,11 +121,11 @@
         arrivals.jobs += 1;
     }
 
-    /// The most that a service will want from now until `ahead` from now, thousandths of a core.
+    /// Peak demand of a service from now until `ahead` from now, thousandths of a core.
     #[must_use]
-    pub fn most(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
+    pub fn peak(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
         let now = now_ms / BUCKET_MS;
-        let look_ahead = ahead.min(TREND_AHEAD);
+        let trend_ahead = ahead.min(MAX_EXTRAPOLATION);
         let ahead = u64::try_from(ahead.as_millis()).unwrap_or(0) / BUCKET_MS;
         let series = self.wanted.get(service);
         let at = |bucket: u64| series.and_then(|s| s.get(&bucket)).copied().unwrap_or(0.0);
@@ -128,8 +133,8 @@
             .map(|b| smooth(&at, b))
             .fold(0.0, f64::max);
         let Some(period) = self.trusted_period(now) else {
-            let rising = self.foresight.uses_rise;
-            let trend = || self.trend(service, now_ms, look_ahead);
+            let rising = self.methods.uses_trend;
+            let trend = || self.trend(service, now_ms, trend_ahead);
             return known.max(if rising { trend() } else { 0.0 });
         };
         let before = (now..=now + ahead)
@@ -138,45 +143,47 @@
         known.max(before)
     }
 
-    /// The same for as long as it can be foreseen: by the period, or, before that is known, for a
-    /// service that has just had its turn, or whose turn doesn't rise any more. `None` if a turn may
-    /// come at any time.
+    /// Peak demand of a service as [`Demand::peak`] gives it, if it can be relied on for scaling
+    /// down: the period is known, a burst has just ended, or a burst has stopped rising. `None` if
+    /// a burst may come at any time.
     #[must_use]
-    pub fn foreseen(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> Option<f64> {
-        let most = self.most(service, now_ms, ahead);
+    pub fn forecast(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> Option<f64> {
+        let most = self.peak(service, now_ms, ahead);
         let is_periodic = self.trusted_period(now_ms / BUCKET_MS).is_some();
-        if !self.foresight.uses_height {
+        if !self.methods.uses_peak {
             return is_periodic.then_some(most);
         }
-        if is_periodic || self.has_had_turn(service, now_ms) {
+        if is_periodic || self.is_burst_over(service, now_ms) {
             return Some(most);
         }
-        self.is_at_height(service, now_ms)
-            .then_some(most * self.margins.height)
+        self.is_at_peak(service, now_ms)
+            .then_some(most * self.margins.peak_factor)
     }
 
-    /// Whether a service has its turn, and what arrives has stopped rising. The rise before was
-    /// carried on, and what it brought beyond the height would stay idle for the rest of the turn.
-    fn is_at_height(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
+    /// Whether a service is in a burst whose arrival rate has stopped rising. The rise has been
+    /// extrapolated before, and the instances provided beyond the peak would stay idle for the rest
+    /// of the burst.
+    fn is_at_peak(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
         let now = now_ms / BUCKET_MS;
         let span = as_f64(RATE_BUCKETS * BUCKET_MS);
-        let lately = span + as_f64(now_ms % BUCKET_MS);
+        let recent = span + as_f64(now_ms % BUCKET_MS);
         let rate = self
             .arrivals(service, now.saturating_sub(RATE_BUCKETS)..now + 1)
             .work
-            / lately;
-        let before = self.arrivals(service, earlier(now));
-        rate > TURN_PEAK && rate <= STEADY_GROWTH * before.work / span
+            / recent;
+        let before = self.arrivals(service, previous_span(now));
+        rate > BURST_PEAK && rate <= STEADY_GROWTH * before.work / span
     }
 
-    /// Whether much more has arrived for a service than arrives now. By what is still wanted the end of
-    /// a turn would show two seconds later, since jobs go on after the last has arrived.
-    fn has_had_turn(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
+    /// Whether the arrival rate of a service has dropped far below its past peak. Outstanding work
+    /// would show the end of a burst only two seconds later, because jobs still run after the last
+    /// one has arrived.
+    fn is_burst_over(&self, service: &ServiceName, now_ms: UnixMs) -> bool {
         let now = now_ms / BUCKET_MS;
         let Some(arrived) = self.arrived.get(service) else {
             return false;
         };
-        let mut windows = std::collections::VecDeque::from([0.0; WINDOW]);
+        let mut windows = std::collections::VecDeque::from([0.0; RATE_WINDOW]);
         let mut peak: f64 = 0.0;
         for bucket in arrived.keys().next().copied().unwrap_or(now)..=now {
             windows.pop_front();
@@ -184,28 +191,29 @@
             peak = peak.max(windows.iter().sum::<f64>());
         }
         let span = as_f64(RATE_BUCKETS * BUCKET_MS);
-        let lately = self
+        let recent = self
             .arrivals(service, now.saturating_sub(RATE_BUCKETS)..now + 1)
             .work;
-        peak / span > TURN_PEAK && peak > TURN_RATIO * lately
+        peak / span > BURST_PEAK && peak > BURST_END_RATIO * recent
     }
 
-    /// What arriving work will take `ahead` from now, thousandths of a core: the rate of the last
-    /// moments, and its rise carried on, since a turn begins over some seconds.
+    /// Expected demand `ahead` from now, thousandths of a core: the recent arrival rate with its
+    /// rise extrapolated, because a burst builds up over some seconds.
     ///
-    /// Both by what they are at least, given how few jobs they are known from: one large job would
-    /// look like the beginning of a turn otherwise.
+    /// Uses the lower confidence bounds of rate and rise, given the number of jobs that they are
+    /// computed from; otherwise one large job would look like the start of a burst.
     fn trend(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> f64 {
         let now = now_ms / BUCKET_MS;
         let span = RATE_BUCKETS * BUCKET_MS;
-        let lately = span + now_ms % BUCKET_MS;
+        let recent = span + now_ms % BUCKET_MS;
         let rate = self.arrivals(service, now.saturating_sub(RATE_BUCKETS)..now + 1);
-        let before = self.arrivals(service, earlier(now));
-        let least = rate.work * (1.0 - rate.doubt()) / as_f64(lately);
-        let most_before = before.work * (1.0 + before.doubt()) / as_f64(span);
-        let rise = (least - most_before).max(0.0) / as_f64(u64::midpoint(lately, span));
-        let carried = rise * (ahead.as_secs_f64() * 1000.0);
-        least + carried.min(least * self.margins.most_rise)
+        let before = self.arrivals(service, previous_span(now));
+        let rate_lower_bound = rate.work * (1.0 - rate.relative_error()) / as_f64(recent);
+        let before_upper_bound = before.work * (1.0 + before.relative_error()) / as_f64(span);
+        let rise =
+            (rate_lower_bound - before_upper_bound).max(0.0) / as_f64(u64::midpoint(recent, span));
+        let extrapolated = rise * (ahead.as_secs_f64() * 1000.0);
+        rate_lower_bound + extrapolated.min(rate_lower_bound * self.margins.max_rise)
     }
 
     fn arrivals(&self, service: &ServiceName, buckets: std::ops::Range<u64>) -> Arrivals {
@@ -218,8 +226,8 @@
         sum
     }
 
-    /// The period, unless what it foretold for the last moments has not come: callers may have
-    /// stopped, and pools would be kept for turns that nobody asks for.
+    /// The period, unless the demand that it predicted for the last buckets has not occurred:
+    /// callers may have stopped, and instances would be kept for bursts that do not come.
     fn trusted_period(&self, now: u64) -> Option<u64> {
         let period = self.period?;
         let sum = |buckets: std::ops::Range<u64>| -> f64 {
@@ -229,56 +237,58 @@
                 .map(|(_, wanted)| wanted)
                 .sum()
         };
-        let lately = now.saturating_sub(CHECKED)..now;
-        let before = lately.start.saturating_sub(period)..lately.end.saturating_sub(period);
-        (sum(lately) >= sum(before) * MIN_FORECAST_HIT).then_some(period)
+        let recent = now.saturating_sub(CHECKED_BUCKETS)..now;
+        let before = recent.start.saturating_sub(period)..recent.end.saturating_sub(period);
+        (sum(recent) >= sum(before) * MIN_FORECAST_SHARE).then_some(period)
     }
 
-    /// The period in which turns repeat, once it is known.
+    /// Period of the bursts; `None` until it is detected.
     #[must_use]
     pub fn period(&self) -> Option<Duration> {
         self.period.map(|p| Duration::from_millis(p * BUCKET_MS))
     }
 
-    /// Drops what is old, and looks for the period, about once a second.
-    pub fn tend(&mut self, now_ms: UnixMs) {
-        const EVERY: u64 = 4;
+    /// Drops old buckets and detects the period again, about once a second.
+    pub fn refresh(&mut self, now_ms: UnixMs) {
+        const EVERY_BUCKETS: u64 = 4;
         let now = now_ms / BUCKET_MS;
-        if now < self.looked_at + EVERY {
+        if now < self.period_checked_at + EVERY_BUCKETS {
             return;
         }
-        self.looked_at = now;
-        let oldest = now.saturating_sub(KEPT);
+        self.period_checked_at = now;
+        let oldest = now.saturating_sub(KEPT_BUCKETS);
         for series in self.wanted.values_mut() {
             *series = series.split_off(&oldest);
         }
         for series in self.arrived.values_mut() {
             *series = series.split_off(&oldest);
         }
-        self.first = self.first.map(|first| first.max(oldest));
+        self.first_bucket = self
+            .first_bucket
+            .map(|first_bucket| first_bucket.max(oldest));
         self.period = self
-            .foresight
+            .methods
             .uses_period
             .then(|| self.find_period(now))
             .flatten();
     }
 
     fn find_period(&self, now: u64) -> Option<u64> {
-        let seen = now.saturating_sub(self.first?);
+        let seen = now.saturating_sub(self.first_bucket?);
         let mut best: Option<(u64, f64)> = None;
-        for lag in PERIODS.take_while(|lag| lag + OVERLAP <= seen) {
-            let likeness = self.likeness(now, lag);
-            let bar = best.map_or(MIN_AUTOCORRELATION, |(_, best)| best + LONGER_BONUS);
-            if likeness > bar {
-                best = Some((lag, likeness));
+        for lag in PERIODS.take_while(|lag| lag + PERIOD_MARGIN <= seen) {
+            let autocorrelation = self.autocorrelation(now, lag);
+            let threshold = best.map_or(MIN_AUTOCORRELATION, |(_, best)| best + LONGER_BONUS);
+            if autocorrelation > threshold {
+                best = Some((lag, autocorrelation));
             }
         }
         best.map(|(lag, _)| lag)
     }
 
-    /// How like the series is to itself `lag` buckets ago, 0 to 1.
-    fn likeness(&self, now: u64, lag: u64) -> f64 {
-        let from = self.first.unwrap_or(now) + lag;
+    /// Autocorrelation of the series at `lag` buckets, 0 to 1.
+    fn autocorrelation(&self, now: u64, lag: u64) -> f64 {
+        let from = self.first_bucket.unwrap_or(now) + lag;
         let (mut product, mut newer, mut older) = (0.0, 0.0, 0.0);
         for series in self.wanted.values() {
             let at = |bucket: u64| series.get(&bucket).copied().unwrap_or(0.0);
@@ -296,8 +306,8 @@
     }
 }
 
-/// The mean around a bucket: single large jobs don't come again at the same time, and what comes
-/// together can wait for as long.
+/// Moving average around a bucket: single large jobs do not recur at the same time, and jobs that
+/// arrive together may wait for about that long.
 fn smooth(at: &impl Fn(u64) -> f64, bucket: u64) -> f64 {
     let around = bucket.saturating_sub(SMOOTHING_BUCKETS / 2)..=bucket + SMOOTHING_BUCKETS / 2;
     #[expect(clippy::cast_precision_loss, reason = "a few buckets")]
@@ -305,13 +315,13 @@
     around.map(at).sum::<f64>() / count
 }
 
-/// Amounts of resources and times are far below the numbers that a float can't hold.
+/// Amounts of resources and times are small enough to be exact in an `f64`.
 #[expect(clippy::cast_precision_loss)]
 fn as_f64(number: u64) -> f64 {
     number as f64
 }
 
-/// The buckets before those that the rate is taken over.
-fn earlier(now: u64) -> std::ops::Range<u64> {
+/// The span of buckets before the one over which the present rate is computed.
+fn previous_span(now: u64) -> std::ops::Range<u64> {
     now.saturating_sub(2 * RATE_BUCKETS)..now.saturating_sub(RATE_BUCKETS)
 }
--- a/crates/pomelohitch-sched/src/endpoint.rs
+++ b/crates/pomelohitch-sched/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! What is known of one endpoint, its clock and its lease.
+//! State of an endpoint as the leader knows it: clock, lease and allocated resources.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,193 +10,195 @@
 use crate::id::{EndpointId, RunNumber, ServiceName, TaskId, ZoneName};
 use crate::resources::Resources;
 
-/// How much slower than ours an endpoint's clock may run; the platform's own bound.
-const SLOW_CLOCK: f64 = 0.02;
-/// A lease counts as lapsed only so long after its end, for the endpoint's own timers.
-const LAPSE_MARGIN: Duration = Duration::from_millis(200);
+/// Largest fraction by which an endpoint's clock may run slower than ours, as specified by the
+/// platform.
+const MAX_CLOCK_SLOWDOWN: f64 = 0.02;
+/// A lease counts as lapsed only this long after its end, to allow for the endpoint's own timers.
+const LEASE_EXPIRY_MARGIN: Duration = Duration::from_millis(200);
 
-/// An endpoint that answered within this time hasn't restarted, run a task and ended it since.
-/// Tasks take some hundred milliseconds, and a record of ends is durable within 40.
-const SURE_FOR: Duration = Duration::from_millis(80);
+/// An endpoint that answered within this time cannot have restarted, run a task and ended it since:
+/// tasks take hundreds of milliseconds, and a record of completions is durable within 40 ms.
+const SAME_INCARNATION_WINDOW: Duration = Duration::from_millis(80);
 
-/// What an endpoint says of itself in the platform's list.
+/// An endpoint's entry in the platform's list.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
-    /// Which endpoint.
+    /// Endpoint id.
     pub id: EndpointId,
-    /// Which life of it, milliseconds since 1970.
+    /// Incarnation: start time in milliseconds since 1970.
     pub born: u64,
-    /// Its service.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Where it takes calls, IP:PORT.
+    /// Address for calls.
     pub addr: std::net::SocketAddr,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
     /// Whether it is about to leave.
     pub is_draining: bool,
-    /// Room for tasks.
+    /// Total capacity for tasks.
     pub capacity: Resources,
-    /// Its kind and its rack.
+    /// Machine kind and rack, in this order.
     pub labels: Arc<[Box<str>]>,
 }
 
-/// What an endpoint answered to a look.
+/// An endpoint's answer to a poll.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Look {
-    /// Which life of it answered.
+pub struct PollReply {
+    /// Incarnation that answered.
     pub born: u64,
-    /// Its clock.
+    /// Endpoint's clock at the time of the answer.
     pub clock: Duration,
-    /// What runs.
+    /// Runs that are running.
     pub running: Vec<Running>,
-    /// What has ended and isn't acknowledged yet.
+    /// Completions that are not acknowledged yet.
     pub ended: Vec<Ended>,
-    /// When the call went out.
+    /// When the poll was sent.
     pub sent_at: Steady,
-    /// When the answer came.
+    /// When the answer arrived.
     pub answered_at: Steady,
-    /// Whether the look asked for a lease.
-    pub renewed: bool,
+    /// Whether the poll requested a lease.
+    pub lease_requested: bool,
 }
 
-/// A run that is at work.
+/// A run that an endpoint lists as running.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Running {
-    /// Whose run.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which run.
+    /// Run number.
     pub number: RunNumber,
-    /// The newest checkpoint.
+    /// Newest checkpoint.
     pub checkpoint: Box<str>,
-    /// How far it is; a lasting task is at work at 100.
+    /// Progress in percent; a lasting task is in service at 100.
     pub percent: u32,
-    /// Of a task with a target its tail latency in milliseconds, of others the processors in use.
+    /// Tail latency in milliseconds for tasks with a latency target, processors in use for others.
     pub load: u32,
 }
 
-/// A run that ended.
+/// A completed run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// Counts the ends of this life of the endpoint.
+    /// Sequence number of the completion within this incarnation of the endpoint.
     pub number: u64,
-    /// Whose run.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which run.
+    /// Run number.
     pub run: RunNumber,
-    /// How it ended.
-    pub how: How,
-    /// Where a next run can go on.
+    /// Why it ended.
+    pub how: EndReason,
+    /// Checkpoint from which the next run can resume.
     pub checkpoint: Box<str>,
 }
 
-/// How a run ended.
+/// Why a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum How {
-    /// Well.
+pub enum EndReason {
+    /// Completed successfully.
     Done,
-    /// By its own fault or the endpoint's.
+    /// Failed because of the task or of the endpoint.
     Failed,
-    /// By an order.
+    /// Stopped by an order.
     Stopped,
-    /// The lease ran out.
+    /// The lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang didn't come.
+    /// The other members of its gang did not arrive.
     Alone,
 }
 
-/// A reading of the endpoint's clock.
+/// A reading of the endpoint's clock, with our time before and after it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Reading {
+struct ClockReading {
     clock: Duration,
     sent_at: Steady,
     answered_at: Steady,
 }
 
-/// When an endpoint is looked at next.
+/// When an endpoint is polled next.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LookPlan {
-    /// Not before then.
+pub struct PollSchedule {
+    /// Earliest time of the next poll.
     pub due: Steady,
-    /// Whether a look hasn't ended yet.
-    pub is_under_way: bool,
-    /// How many looks have failed since the last that was answered.
+    /// Whether a poll is in flight.
+    pub is_in_flight: bool,
+    /// Polls that failed since the last successful one.
     pub failures: u32,
 }
 
-impl LookPlan {
-    /// Brings the next look forward to `now`.
-    pub fn hurry(&mut self, now: Steady) {
+impl PollSchedule {
+    /// Makes the next poll due at `now` if it is due later.
+    pub fn expedite(&mut self, now: Steady) {
         self.due = self.due.min(now);
     }
 }
 
-/// What a run takes up.
+/// Resources that a run takes on an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Booked {
-    /// Room.
-    pub room: Resources,
-    /// Whether its task lasts.
+pub struct Allocation {
+    /// Allocated amounts.
+    pub resources: Resources,
+    /// Whether the run belongs to a lasting task.
     pub is_lasting: bool,
 }
 
-/// One endpoint.
-#[expect(clippy::struct_excessive_bools, reason = "independent facts")]
+/// State of an endpoint.
+#[expect(clippy::struct_excessive_bools, reason = "independent flags")]
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Its newest entry in the platform's list, if it ever had one.
+    /// Newest entry in the platform's list, if there ever was one.
     pub report: Option<Report>,
-    /// Which life of it is meant.
+    /// Current incarnation.
     pub born: u64,
-    /// Whether the list holds it now.
+    /// Whether the platform's list contains it now.
     pub is_listed: bool,
-    /// Room taken, also by what is being stopped or may be running.
+    /// Allocated resources, including those of runs that are being stopped or may be running.
     pub used: Resources,
-    /// How many runs are of lasting tasks.
-    pub lasting: usize,
-    /// Runs that may be there, with what each takes up.
-    pub runs: BTreeMap<(TaskId, RunNumber), Booked>,
-    /// The last end that was taken in.
-    pub noted: u64,
-    /// The last end that is durably noted, and so may be acknowledged.
-    pub noted_durably: u64,
-    /// Whether the last look that was answered listed ends, which are to be acknowledged.
-    pub lists_ends: bool,
-    /// When the newest look that was answered went out.
-    pub looked_at: Option<Steady>,
-    /// When it last answered a look.
-    pub heard_at: Option<Steady>,
-    /// Whether a look that asked for a lease was answered: until then only starts hold one, and a
-    /// short one.
+    /// Number of runs of lasting tasks.
+    pub lasting_runs: usize,
+    /// Runs that may exist there, with their allocations.
+    pub runs: BTreeMap<(TaskId, RunNumber), Allocation>,
+    /// Sequence number of the last completion that was processed.
+    pub last_processed: u64,
+    /// Sequence number of the last completion that is durably recorded and may be acknowledged.
+    pub last_durable: u64,
+    /// Whether the last answered poll listed completions, which have to be acknowledged.
+    pub lists_completions: bool,
+    /// When the newest answered poll was sent.
+    pub polled_at: Option<Steady>,
+    /// When it last answered a poll.
+    pub answered_at: Option<Steady>,
+    /// Whether a poll that requested a lease was answered. Before that, only starts hold a lease,
+    /// and a short one.
     pub lease_confirmed: bool,
-    /// Not used for new work until then.
+    /// Gets no new work before this time.
     pub avoided_until: Steady,
-    /// Whether it has answered nothing since it left a start unanswered. Such an endpoint gets no
-    /// work: it may be gone. One that has answered since only lost that order, and where one order
-    /// in some is lost, leaving it out for a fixed time would idle most of a busy pool.
-    pub is_doubted: bool,
-    /// Failed and done runs of late, for telling a broken endpoint; fades.
+    /// Whether it has answered nothing since it left a start unanswered. Such an endpoint may be
+    /// gone and gets no new work until it answers again. Excluding it for a fixed time instead
+    /// would idle most of a busy pool when a fraction of the orders is lost.
+    pub is_unresponsive: bool,
+    /// Failed runs, decaying over time; used to detect a broken endpoint.
     pub failures: f64,
-    /// Runs that ended well of late; fades.
+    /// Successful runs, decaying over time.
     pub successes: f64,
-    /// Kept free because its instance is to move or to be maintained.
+    /// Gets no new work because its instance is to be moved or maintained.
     pub is_reserved: bool,
-    /// Whether its instance is due for maintenance, so that what lasts had better be elsewhere.
-    pub is_due: bool,
-    /// The share that fillers work at there, percent.
+    /// Whether its instance is due for maintenance, so that lasting tasks should be placed
+    /// elsewhere.
+    pub is_maintenance_due: bool,
+    /// Speed of filler tasks there, percent.
     pub filler_pace: u32,
-    /// When that share was last changed.
-    pub paced_at: Steady,
-    /// When it is looked at next.
-    pub look: LookPlan,
-    reading: Option<Reading>,
-    /// The latest end of a lease that was ever asked for, on the endpoint's clock.
+    /// When `filler_pace` last changed.
+    pub pace_set_at: Steady,
+    /// Schedule of polls.
+    pub poll: PollSchedule,
+    reading: Option<ClockReading>,
+    /// Latest end of any lease that was requested, on the endpoint's clock.
     lease_end: Duration,
 }
 
 impl Endpoint {
-    /// An endpoint of which only its id and life are known.
+    /// Creates an endpoint of which only the incarnation is known.
     #[must_use]
     pub fn new(born: u64) -> Endpoint {
         Endpoint {
@@ -204,107 +206,109 @@
             born,
             is_listed: false,
             used: Resources::default(),
-            lasting: 0,
+            lasting_runs: 0,
             runs: BTreeMap::new(),
-            noted: 0,
-            noted_durably: 0,
-            lists_ends: false,
-            looked_at: None,
-            heard_at: None,
+            last_processed: 0,
+            last_durable: 0,
+            lists_completions: false,
+            polled_at: None,
+            answered_at: None,
             lease_confirmed: false,
             avoided_until: Steady::ZERO,
-            is_doubted: false,
+            is_unresponsive: false,
             failures: 0.0,
             successes: 0.0,
             is_reserved: false,
-            is_due: false,
+            is_maintenance_due: false,
             filler_pace: 100,
-            paced_at: Steady::ZERO,
-            look: LookPlan::default(),
+            pace_set_at: Steady::ZERO,
+            poll: PollSchedule::default(),
             reading: None,
             lease_end: Duration::ZERO,
         }
     }
 
-    /// Takes in a reading of the endpoint's clock.
-    pub fn read_clock(&mut self, look: &Look) {
-        self.reading = Some(Reading {
-            clock: look.clock,
-            sent_at: look.sent_at,
-            answered_at: look.answered_at,
+    /// Stores the clock reading of a poll's answer.
+    pub fn update_clock(&mut self, reply: &PollReply) {
+        self.reading = Some(ClockReading {
+            clock: reply.clock,
+            sent_at: reply.sent_at,
+            answered_at: reply.answered_at,
         });
     }
 
-    /// The end up to which a look acknowledges that goes out at `now`; 0 for none.
+    /// The last completion that a poll sent at `now` may acknowledge; 0 for none.
     ///
-    /// Numbers of ends begin anew when the endpoint restarts under its id. A look that carries one
-    /// of the former life would make the new one forget ends that nobody has read, and their tasks
-    /// would run again. It is therefore sent only right after the same life has listed ends: what
-    /// starts in a new life doesn't end so soon.
+    /// Completions are numbered from the start again when the endpoint restarts under its id.
+    /// Acknowledging a number of the previous incarnation would make the new one drop completions
+    /// that were never read, and their tasks would run again. The number is therefore sent only
+    /// shortly after the same incarnation has listed completions: a run that starts in a new
+    /// incarnation does not end that soon.
     #[must_use]
-    pub fn acknowledges(&self, now: Steady) -> u64 {
-        let is_sure = self.look.failures == 0 && self.is_heard(now, SURE_FOR);
-        if self.lists_ends && is_sure {
-            self.noted_durably
+    pub fn acknowledgeable(&self, now: Steady) -> u64 {
+        let is_same_incarnation =
+            self.poll.failures == 0 && self.has_answered_within(now, SAME_INCARNATION_WINDOW);
+        if self.lists_completions && is_same_incarnation {
+            self.last_durable
         } else {
             0
         }
     }
 
-    /// The least that the endpoint's clock can show by now.
+    /// Lower bound of the endpoint's clock at `now`; `None` if it was never read.
     #[must_use]
     pub fn clock_at_least(&self, now: Steady) -> Option<Duration> {
         let reading = self.reading?;
         let passed = now.saturating_sub(reading.answered_at);
-        Some(reading.clock + passed.mul_f64(1.0 - SLOW_CLOCK))
+        Some(reading.clock + passed.mul_f64(1.0 - MAX_CLOCK_SLOWDOWN))
     }
 
-    /// A point `ahead` of the endpoint's clock, by the best guess.
+    /// Best estimate of the endpoint's clock at `now` plus `ahead`; `None` if it was never read.
     #[must_use]
     pub fn clock_ahead(&self, now: Steady, ahead: Duration) -> Option<Duration> {
         let reading = self.reading?;
-        let middle = reading.sent_at + reading.answered_at.saturating_sub(reading.sent_at) / 2;
-        Some(reading.clock + now.saturating_sub(middle) + ahead)
+        let read_at = reading.sent_at + reading.answered_at.saturating_sub(reading.sent_at) / 2;
+        Some(reading.clock + now.saturating_sub(read_at) + ahead)
     }
 
-    /// Remembers that a lease up to `end` may be in force, whether the call is answered or not.
-    pub fn lease_asked(&mut self, end: Duration) {
+    /// Records that a lease until `end` may be in force, whether or not the call is answered.
+    pub fn lease_requested(&mut self, end: Duration) {
         self.lease_end = self.lease_end.max(end);
     }
 
-    /// Whether every lease has surely run out, so that nothing runs there.
+    /// Whether every lease has certainly expired, so that nothing runs there.
     ///
-    /// `unread_until` stands in where the clock was never read: a former leader may have asked
-    /// for leases that this one doesn't know.
+    /// `unread_until` is the limit if the clock was never read: a former leader may have requested
+    /// leases that are unknown to this one.
     #[must_use]
     pub fn is_lapsed(&self, now: Steady, unread_until: Steady) -> bool {
         match self.clock_at_least(now) {
-            Some(clock) => clock > self.lease_end + LAPSE_MARGIN,
+            Some(clock) => clock > self.lease_end + LEASE_EXPIRY_MARGIN,
             None => now > unread_until,
         }
     }
 
-    /// Whether a look was answered within `window`.
+    /// Whether a poll that was sent within the last `window` was answered.
     #[must_use]
-    pub fn is_fresh(&self, now: Steady, window: Duration) -> bool {
-        self.looked_at
+    pub fn is_polled_within(&self, now: Steady, window: Duration) -> bool {
+        self.polled_at
             .is_some_and(|at| now.saturating_sub(at) <= window)
     }
 
-    /// Whether a look was answered within the last `window`.
+    /// Whether an answer to a poll arrived within the last `window`.
     #[must_use]
-    pub fn is_heard(&self, now: Steady, window: Duration) -> bool {
-        self.heard_at
+    pub fn has_answered_within(&self, now: Steady, window: Duration) -> bool {
+        self.answered_at
             .is_some_and(|at| now.saturating_sub(at) <= window)
     }
 
-    /// Its rack: the label that isn't its kind.
+    /// Rack, the second label.
     #[must_use]
     pub fn rack(&self) -> Option<&str> {
         self.report.as_ref()?.labels.get(1).map(|l| &**l)
     }
 
-    /// Whether it carries `label`.
+    /// Whether one of the labels is `label`.
     #[must_use]
     pub fn has_label(&self, label: &str) -> bool {
         self.report
@@ -312,36 +316,36 @@
             .is_some_and(|r| r.labels.iter().any(|l| &**l == label))
     }
 
-    /// Room that is left.
+    /// Free capacity.
     #[must_use]
     pub fn free(&self) -> Resources {
-        self.report
-            .as_ref()
-            .map_or_else(Resources::default, |r| r.capacity.less(&self.used))
+        self.report.as_ref().map_or_else(Resources::default, |r| {
+            r.capacity.saturating_sub(&self.used)
+        })
     }
 
-    /// Whether more is taken than there is: its room has shrunk.
+    /// Whether more is allocated than the capacity, which can shrink.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_overcommitted(&self) -> bool {
         let capacity = self.report.as_ref().map(|r| r.capacity);
         capacity.is_some_and(|c| !c.holds(&self.used))
     }
 
-    /// Takes room for a run.
-    pub fn occupy(&mut self, task: TaskId, number: RunNumber, booked: Booked) {
-        if self.runs.insert((task, number), booked).is_none() {
-            self.used += &booked.room;
-            self.lasting += usize::from(booked.is_lasting);
+    /// Allocates resources for a run; no effect if it has them already.
+    pub fn allocate(&mut self, task: TaskId, number: RunNumber, allocation: Allocation) {
+        if self.runs.insert((task, number), allocation).is_none() {
+            self.used += &allocation.resources;
+            self.lasting_runs += usize::from(allocation.is_lasting);
         }
     }
 
-    /// Gives back a run's room; whether there was such a run.
-    pub fn vacate(&mut self, task: TaskId, number: RunNumber) -> bool {
-        let Some(booked) = self.runs.remove(&(task, number)) else {
+    /// Releases a run's resources; returns whether it had any.
+    pub fn release(&mut self, task: TaskId, number: RunNumber) -> bool {
+        let Some(allocation) = self.runs.remove(&(task, number)) else {
             return false;
         };
-        self.used -= &booked.room;
-        self.lasting -= usize::from(booked.is_lasting);
+        self.used -= &allocation.resources;
+        self.lasting_runs -= usize::from(allocation.is_lasting);
         true
     }
 }
