--- a/crates/pomelohitch-sched/src/cell/follow.rs
+++ b/crates/pomelohitch-sched/src/cell/follow.rs
@@ -22,7 +22,7 @@
     /// Moves instances to the pools that want them, and returns the endpoints that are being
     /// emptied for it.
     pub(super) fn follow_demand(&mut self, is_due: &BTreeSet<InstanceId>) -> BTreeSet<EndpointId> {
-        self.demand.tend(self.fleet_ms());
+        self.demand.refresh(self.fleet_ms());
         if !self.may_operate() {
             return BTreeSet::new();
         }
@@ -57,7 +57,7 @@
             return;
         }
         let since = *self.surplus_since.get_or_insert(now);
-        if now.saturating_sub(since) < self.settings.policy.margins.surplus_for {
+        if now.saturating_sub(since) < self.settings.policy.margins.surplus_delay {
             return;
         }
         for Move { instance, to } in surplus {
@@ -77,15 +77,19 @@
             is_spare: service.is_spare,
             is_short: self.is_short(name),
             label: self.unplaced.get(name).and_then(|u| u.wanted.label.clone()),
-            backlog: if self.settings.policy.provides_backlog {
+            backlog: if self.settings.policy.provisions_backlog {
                 self.backlog(name)
             } else {
                 0.0
             },
-            wanted: self.demand.most(name, self.fleet_ms(), AHEAD) + self.lasting_need(name),
-            soon: self
+            wanted: self.demand.peak(name, self.fleet_ms(), AHEAD) + self.lasting_need(name),
+            peak_soon: self
                 .demand
-                .foreseen(name, self.fleet_ms(), self.settings.policy.margins.soon)
+                .forecast(
+                    name,
+                    self.fleet_ms(),
+                    self.settings.policy.margins.keep_within,
+                )
                 .map(|soon| soon + self.lasting_need(name)),
         };
         cfg.services.iter().map(pool).collect()
@@ -111,7 +115,7 @@
         let blocked = self.blocked.get(service).copied();
         let since = unplaced.into_iter().chain(blocked).min();
         let is_old = since.is_some_and(|s| self.now.steady.saturating_sub(s) > SHORT_AFTER);
-        is_old && !self.instances.is_awaited(service)
+        is_old && !self.instances.has_arriving(service)
     }
 
     /// Thousandths of a core that lasting tasks of a service take up.
@@ -121,7 +125,10 @@
             report.is_some_and(|r| r.service == *service)
         });
         let booked = of_service.flat_map(|e| e.runs.values());
-        let cpu: u64 = booked.filter(|b| b.is_lasting).map(|b| b.room.cpu).sum();
+        let cpu: u64 = booked
+            .filter(|b| b.is_lasting)
+            .map(|b| b.resources.cpu)
+            .sum();
         f64::from(u32::try_from(cpu).unwrap_or(u32::MAX))
     }
 
@@ -139,7 +146,7 @@
     fn candidate(&self, instance: &Instance, is_due: &BTreeSet<InstanceId>) -> Candidate {
         let endpoint = instance.endpoint.as_ref();
         let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
-        let has_lasting = endpoint.is_some_and(|e| e.lasting > 0);
+        let has_lasting = endpoint.is_some_and(|e| e.lasting_runs > 0);
         let is_free = instance.state == InstanceState::Up
             && !self.instances.is_under_way(&instance.id)
             && !is_due.contains(&instance.id);
--- a/crates/pomelohitch-sched/src/cell/isolation.rs
+++ b/crates/pomelohitch-sched/src/cell/isolation.rs
@@ -89,7 +89,7 @@
         let at_risk: BTreeSet<JobId> = isolated.into_values().collect();
         let all = slots.list.len() + kept;
         let most = if load.others_wait {
-            part_of(all, self.settings.policy.crashes.most_isolated).max(1)
+            part_of(all, self.settings.policy.crashes.max_isolated_share).max(1)
         } else {
             all
         };
@@ -115,9 +115,9 @@
             all += endpoint.report.as_ref().map_or(0, |r| r.capacity.cpu);
         }
         if used * 2 > all {
-            limits.busy_patience
+            limits.busy_isolation_timeout
         } else {
-            limits.patience
+            limits.isolation_timeout
         }
     }
 
@@ -234,7 +234,7 @@
         let age = endpoint.clock_at_least(self.now.steady);
         Rank {
             has_unproven: self.has_unproven(endpoint),
-            has_lasting: endpoint.lasting > 0,
+            has_lasting: endpoint.lasting_runs > 0,
             is_young: age.is_none_or(|age| age < YOUNG),
             runs: endpoint.runs.len(),
         }
--- a/crates/pomelohitch-sched/src/cell/upkeep.rs
+++ b/crates/pomelohitch-sched/src/cell/upkeep.rs
@@ -37,8 +37,8 @@
                     ?before, endpoint = ?instance.endpoint, "instance state");
             }
         }
-        let replaced = self.instances.listed(list, asked_at);
-        match self.instances.leaving(self.draining_instances()) {
+        let replaced = self.instances.update_list(list, asked_at);
+        match self.instances.record_leaving(self.draining_instances()) {
             Ok(records) => self.extra_records.extend(records),
             Err(error) => warn!(%error, "leaving instances can't be recorded"),
         }
@@ -68,8 +68,8 @@
         let list = self.instances.list().values();
         let alive: BTreeSet<_> = list.filter_map(|i| i.endpoint.as_ref()).collect();
         let is_silent = |e: &Endpoint| {
-            let was_silent = e.heard_at.is_none_or(|at| at + SILENT_FOR < asked_at);
-            was_silent && e.look.failures > 0 && asked_at > self.began + SILENT_FOR
+            let was_silent = e.answered_at.is_none_or(|at| at + SILENT_FOR < asked_at);
+            was_silent && e.poll.failures > 0 && asked_at > self.began + SILENT_FOR
         };
         let used = self.endpoints.iter().filter(|(_, e)| !e.runs.is_empty());
         let gone = used.filter(|(id, e)| is_silent(e) && !alive.contains(*id));
@@ -80,7 +80,7 @@
     fn has_silent(&self) -> bool {
         let now = self.now.steady;
         let mut used = self.endpoints.values().filter(|e| !e.runs.is_empty());
-        used.any(|e| e.look.failures > 0 || !e.is_heard(now, self.settings.fresh))
+        used.any(|e| e.poll.failures > 0 || !e.has_answered_within(now, self.settings.fresh))
     }
 
     /// Takes in that the list couldn't be read.
@@ -101,7 +101,10 @@
             Operation::Maintain { wave } => Some(*wave),
             Operation::Move { .. } => None,
         };
-        match self.instances.operated(id, wave, outcome, self.now.steady) {
+        match self
+            .instances
+            .operation_ended(id, wave, outcome, self.now.steady)
+        {
             Ok(record) => self.extra_records.extend(record),
             Err(error) => warn!(%error, "maintenance can't be recorded"),
         }
@@ -137,7 +140,7 @@
         for wave in remaining {
             self.tend_wave(&wave, &mut reserved);
         }
-        let is_due = self.instances.due();
+        let is_due = self.instances.due_for_maintenance();
         reserved.extend(self.follow_demand(&is_due));
         // Until an operation shows, its endpoint looks free: a start would meet its end.
         reserved.extend(self.instances.endpoints_under_way());
@@ -151,7 +154,7 @@
     fn mark(&mut self, reserved: &BTreeSet<EndpointId>, due: &BTreeSet<EndpointId>) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.is_reserved = false;
-            endpoint.is_due = false;
+            endpoint.is_maintenance_due = false;
         }
         for id in reserved {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
@@ -160,7 +163,7 @@
         }
         for id in due {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                endpoint.is_due = true;
+                endpoint.is_maintenance_due = true;
             }
         }
     }
@@ -207,7 +210,7 @@
     /// and ordered after, so that a leader that takes over knows which instances to leave alone.
     pub(super) fn operate(&mut self, id: &InstanceId, operation: Operation) -> bool {
         let now = self.now.steady;
-        if !self.operations.take(now) {
+        if !self.operations.try_acquire(now) {
             return false;
         }
         info!(instance = %id, ?operation, period_ms = self.demand.period().map(|p| p.as_millis()),
@@ -216,7 +219,7 @@
             Operation::Move { pool } => Some(pool.clone()),
             Operation::Maintain { .. } => None,
         };
-        self.instances.set_under_way(id, now, to);
+        self.instances.operation_started(id, now, to);
         match instances::operation_record(id, self.fleet_ms()) {
             Ok(record) => self.extra_records.push(record),
             Err(error) => warn!(%error, "operation can't be recorded"),
--- a/crates/pomelohitch-sched/src/progress/stored.rs
+++ b/crates/pomelohitch-sched/src/progress/stored.rs
@@ -1,8 +1,8 @@
-//! How far a job is, as its record holds it.
+//! Stored form of a job's progress.
 //!
-//! The record is written anew at each change, and with every start and end of a busy fleet. Most
-//! tasks wait, run for the first time or are done, and runs of a job share endpoints; neither is
-//! written out in full.
+//! The record is rewritten at each change, which includes every start and completion in a busy
+//! fleet, so it is kept compact: tasks that wait, run for the first time or are done have short
+//! variants, and endpoints are listed once and referred to by index.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,31 +11,31 @@
 use crate::id::{EndpointId, RunNumber};
 use crate::suspicion::Suspicion;
 
-/// A place in [`Stored::endpoints`].
-type Place = u32;
+/// Index into [`Stored::endpoints`].
+type EndpointIndex = u32;
 
-/// The value of a record.
+/// Value of a progress record.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct Stored {
     state: JobState,
     ended_ms: UnixMs,
     is_given_up: bool,
     next: u32,
-    /// Endpoints that runs are at, with the life of each that is meant.
+    /// Endpoints of the runs, with their incarnations.
     endpoints: Vec<(EndpointId, u64)>,
     open: Vec<(u32, Vec<Vec<StoredTask>>)>,
 }
 
-/// A task.
+/// State of a task.
 #[derive(Debug, Serialize, Deserialize)]
 enum StoredTask {
-    /// It has never run.
+    /// Never started.
     Waiting,
-    /// It is done, and nothing runs.
+    /// Done, without any remaining run.
     Done(RunNumber),
-    /// Its newest run is its only one, and none has failed, was lost or left a checkpoint.
-    Running(RunNumber, Place),
-    /// Anything else.
+    /// The newest run is the only one; no earlier run failed, was lost or left a checkpoint.
+    Running(RunNumber, EndpointIndex),
+    /// Any other state.
     Other {
         is_done: bool,
         last_run: RunNumber,
@@ -50,7 +50,7 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredRun {
     number: RunNumber,
-    at: Place,
+    at: EndpointIndex,
     is_leaving: bool,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// What was stored; `None` if a run is at no endpoint.
+    /// Restores the progress; `None` if a run refers to an endpoint that is not listed.
     pub(super) fn progress(self) -> Option<Progress> {
         let endpoints = self.endpoints;
         let open = self.open.into_iter().map(|(occurrence, steps)| {
@@ -96,22 +96,22 @@
 }
 
 fn store(task: &Task, endpoints: &mut Vec<(EndpointId, u64)>) -> StoredTask {
-    let mut place = |run: &Run| {
-        let is_there = |(id, born): &(EndpointId, u64)| *id == run.endpoint && *born == run.born;
-        let place = endpoints.iter().position(is_there).unwrap_or_else(|| {
+    let mut index = |run: &Run| {
+        let is_same = |(id, born): &(EndpointId, u64)| *id == run.endpoint && *born == run.born;
+        let index = endpoints.iter().position(is_same).unwrap_or_else(|| {
             endpoints.push((run.endpoint.clone(), run.born));
             endpoints.len() - 1
         });
-        Place::try_from(place).unwrap_or(Place::MAX)
+        EndpointIndex::try_from(index).unwrap_or(EndpointIndex::MAX)
     };
     match &task.runs[..] {
         [] if task.is_done => StoredTask::Done(task.last_run),
         [] if task.last_run == 0 => StoredTask::Waiting,
-        [run] if is_plain(task, run) => StoredTask::Running(run.number, place(run)),
+        [run] if is_first_run(task, run) => StoredTask::Running(run.number, index(run)),
         runs => {
             let runs = runs.iter().map(|run| StoredRun {
                 number: run.number,
-                at: place(run),
+                at: index(run),
                 is_leaving: run.is_leaving,
             });
             StoredTask::Other {
@@ -126,14 +126,14 @@
     }
 }
 
-fn is_plain(task: &Task, run: &Run) -> bool {
-    let is_untried = task.failures == 0 && task.suspicion == Suspicion::default();
-    let is_first_try = is_untried && task.checkpoint.is_empty();
-    is_first_try && !task.is_done && !run.is_leaving && run.number == task.last_run
+fn is_first_run(task: &Task, run: &Run) -> bool {
+    let has_no_setback = task.failures == 0 && task.suspicion == Suspicion::default();
+    let starts_fresh = has_no_setback && task.checkpoint.is_empty();
+    starts_fresh && !task.is_done && !run.is_leaving && run.number == task.last_run
 }
 
 fn restore(task: StoredTask, endpoints: &[(EndpointId, u64)]) -> Option<Task> {
-    let run = |number, at: Place, is_leaving| {
+    let run = |number, at: EndpointIndex, is_leaving| {
         let (endpoint, born) = endpoints.get(usize::try_from(at).ok()?)?;
         Some(Run {
             number,
