--- a/pomelohitchd/src/fleet/clock.rs
+++ b/pomelohitchd/src/fleet/clock.rs
@@ -1,7 +1,7 @@
-//! Time that also counts while the machine is suspended.
+//! Clocks, and a steady clock that keeps running while the machine is suspended.
 //!
-//! The steady clock of the standard library stands still during a suspension. A lease checked on
-//! it would still look valid after the machine wakes, long after another process took over.
+//! The steady clock of the standard library stops during a suspension. A lease checked against it
+//! would still appear valid after the machine resumes, long after another process has taken over.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -24,14 +24,14 @@
     since.map_or(0, |d| u64::try_from(d.as_millis()).unwrap_or(u64::MAX))
 }
 
-/// The fleet's time beside the steady clock here, as a leader told it.
+/// The fleet's time, as received from a leader, and the local steady clock at that moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetTime {
-    /// Whose it is.
+    /// Epoch of the leader that sent it.
     pub epoch: Epoch,
     /// The fleet's time, milliseconds since 1970.
     pub ms: UnixMs,
-    /// When it was that, on the steady clock.
+    /// The steady clock when it was received.
     pub at: Steady,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// Both clocks.
+/// Returns both clocks.
 #[must_use]
 pub fn now() -> Now {
     Now {
--- a/pomelohitchd/src/fleet/election.rs
+++ b/pomelohitchd/src/fleet/election.rs
@@ -1,9 +1,10 @@
-//! Notices that the leader is silent and takes over.
+//! Detects a silent leader and claims the leadership.
 //!
-//! Taking over needs no agreement among members: the store takes one claim for each end of its
-//! topic, and a former leader's writes and orders are fenced from then on. What is decided here
-//! is only when to try. Too early costs a needless change, and so does a member that is cut off
-//! from the others; too late leaves tasks without a scheduler.
+//! Claims need no agreement among members: the store accepts only one claim at each end offset of
+//! its topic, and from then on the former leader's writes and orders are fenced. This module only
+//! decides when to claim. A claim that comes too early costs a needless change of leader, and so
+//! does a claim by a member that is cut off from the others; one that comes too late leaves tasks
+//! without a scheduler.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +17,20 @@
 use super::wire::{self, Probe, ProbeReply};
 use super::{clock, leader, peers, succession};
 
-/// How often the leader's silence is looked at.
+/// Interval at which the time since the last heartbeat is checked.
 const TICK: Duration = Duration::from_millis(100);
-/// Silence after which the leader is suspected.
+/// Time without a heartbeat after which the leader is suspected.
 const SUSPECT_AFTER: Duration = Duration::from_millis(900);
-/// A peer that heard the leader within this time speaks for it.
+/// If a peer heard the leader within this time, the leader is not claimed to be silent.
 const HEARD_WITHIN: Duration = Duration::from_millis(700);
-/// Where no peer answers, the leader's signs of life in the store decide: one comes each second.
+/// If no peer answers, the leader counts as silent when its liveness record hasn't changed for this
+/// long; it is written every second.
 const NO_SIGN_FOR: Duration = Duration::from_millis(2500);
-/// A pause between two looks this long means that this process itself stood still, so that it
-/// can't tell how long the leader was silent.
+/// If two checks are further apart than this, this process itself was suspended, and can't tell for
+/// how long the leader was silent.
 const STOOD_STILL: Duration = Duration::from_millis(600);
-/// Members hold back for up to this long, so that they rarely claim at once.
+/// Maximum delay of a claim that depends on the member's name, so that members rarely claim at the
+/// same time.
 const STAGGER: Duration = Duration::from_millis(150);
 
 /// Watches the leader until the process shuts down.
@@ -65,8 +68,8 @@
     view.is_read && silent_for > SUSPECT_AFTER + hold_back
 }
 
-/// Whether nobody else hears the leader either. Without any leader there is nothing to be heard: the
-/// store takes one claim.
+/// Whether no other member hears the leader either. Without a known leader there is no need to ask:
+/// the store accepts only one claim.
 fn is_silent(shared: &Shared) -> bool {
     let view = shared.view();
     if view.leader.is_none() {
--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -1,14 +1,14 @@
-//! The work of the leader.
+//! The leader: takes over the leadership and starts the threads that do its work.
 //!
-//! * [`core`]: the one thread that holds the state of all jobs and decides.
-//! * [`journal`]: makes records durable.
-//! * [`in_flight`]: what waits for records that aren't durable yet.
-//! * [`patience`]: how long an append is waited for.
-//! * [`lanes`]: calls endpoints, in order for each.
-//! * [`watch`]: reads what operators and endpoints write into the store.
-//! * [`duties`]: calls of instances and policy, and the status of waves.
-//! * [`heartbeats`]: tells the other members who leads.
-//! * [`handover`]: when it ends in favour of another member.
+//! * [`core`]: event loop of the one thread that owns the state of all jobs and makes decisions.
+//! * [`journal`]: appends records to the store.
+//! * [`in_flight`]: batches whose records aren't durable yet.
+//! * [`patience`]: timeout of an append.
+//! * [`lanes`]: sends calls to endpoints, directly or through other members.
+//! * [`watch`]: reads the records that operators and endpoints write to the store.
+//! * [`duties`]: calls to the platform's instances and policy services, and the status of waves.
+//! * [`heartbeats`]: announces the leader to the other members.
+//! * [`handover`]: decides when the leadership ends in favour of another member.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -38,65 +38,67 @@
 pub mod patience;
 pub mod watch;
 
-/// Time for one call of a take-over.
+/// Timeout of an append during a takeover.
 const WITHIN: Duration = Duration::from_millis(800);
-/// A step of a take-over that fails is tried so often; the claim is made by then, and nobody
-/// else leads until another member suspects this one.
+/// Attempts at a step of a takeover. The claim is already made by then: after the last attempt
+/// there is no leader until another member suspects this one.
 const TRIES: u32 = 4;
-/// A claim is made so often while other records move the topic's end.
+/// Attempts at a claim; one fails whenever another record moves the topic's end.
 const CLAIM_TRIES: u32 = 12;
-/// Pause between tries of a step.
+/// Delay between attempts at a step.
 const AGAIN_AFTER: Duration = Duration::from_millis(60);
 
 /// Why the leadership wasn't taken over.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The store didn't do its part.
+    /// A call to the store failed.
     #[snafu(display("{source}"))]
     Store {
-        /// What went wrong.
+        /// Error of the store's client.
         source: pomelohitch_adapter::Error,
     },
     /// Another member was first.
     #[snafu(display("another member claimed the leadership first"))]
     Raced,
-    /// A larger member can lead, and was asked to.
+    /// A larger member can lead, and was asked to claim the leadership.
     #[snafu(display("left to the larger member at {peer}"))]
     Yielded {
-        /// Who was asked.
+        /// Address of the larger member.
         peer: SocketAddr,
     },
-    /// A later leader has written already.
+    /// The store refused an append because a later leader has written to the topic.
     #[snafu(display("fenced by a later leader"))]
     Fenced,
-    /// A record that can't be written.
+    /// A record could not be encoded.
     #[snafu(display("{source}"))]
     Record {
-        /// What is wrong with it.
+        /// Encoding error.
         source: progress::Error,
     },
-    /// No thread could be started.
+    /// A thread could not be started.
     #[snafu(display("start a thread: {source}"))]
     Thread {
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// The result of this module.
+/// Result type of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What a leader begins with.
+/// Newest records of the topics from which a leader restores its state.
 struct Records {
     jobs: Newest,
     operators: Newest,
     endpoints: Newest,
 }
 
-/// Tries to become the leader. Whoever fails waits for the next silence.
+/// Tries to take over the leadership. After a failure, the election tries again the next time it
+/// suspects the leader.
 ///
-/// `epoch` is that of the leader that is to be replaced: if there is a later one, another member was
-/// first. `is_handed_over` says that the former leader has ended and asked for it.
+/// `epoch` is the epoch of the leader to replace: if a later one exists, another member claimed the
+/// leadership first. `is_handed_over` says that the former leader has ended and asked this member
+/// to take over.
 pub fn claim(shared: &Arc<Shared>, epoch: Epoch, is_handed_over: bool) {
     if let Err(error) = take_over(shared, epoch, is_handed_over) {
         info!(%error, "leadership not taken over");
@@ -105,8 +107,8 @@
     }
 }
 
-/// After a failed claim the leader counts as heard so long ago, so that the next try comes soon
-/// but not at once.
+/// After a failed claim, the leader is treated as having been silent for at most this long, so that
+/// the next attempt comes soon but not at once.
 const PAUSE: Duration = Duration::from_millis(500);
 
 fn take_over(shared: &Arc<Shared>, replaced: Epoch, is_handed_over: bool) -> Result<()> {
@@ -122,7 +124,8 @@
     }
     let fenced = again(|| store.append(Topic::Jobs, &[], epoch_guard(epoch, 0), WITHIN))?;
     ensure!(matches!(fenced, Appended::Done { .. }), FencedSnafu);
-    // Not before the former leader is fenced: what it has read and acted on must be seen here too.
+    // Read only once the former leader is fenced: whatever it has read and acted on must be visible
+    // here too.
     let operators = read_aside(shared, Topic::Operators)?;
     let records = Records {
         jobs: again(|| store.newest(Topic::Jobs))?,
@@ -179,8 +182,8 @@
     running.map(drop).context(ThreadSnafu)
 }
 
-/// The larger member that should lead instead, if one can. It is asked for before the records are
-/// read: a small member takes seconds for these, in which nobody leads.
+/// Returns a larger member that can lead instead, if there is one. It is looked for before the
+/// records are read: reading takes a small member seconds, during which the fleet has no leader.
 fn larger_member(shared: &Shared) -> Option<SocketAddr> {
     let power = shared.site.load().power;
     let larger = succession::larger(power, &shared.others());
@@ -192,11 +195,12 @@
     succession::successor(&answers)
 }
 
-/// Tells the other members at once who leads: while the store is slow, reading all records takes
-/// seconds, in which they would suspect the silent leader and claim in turn.
+/// Sends heartbeats to the other members during the takeover. While the store is slow, reading all
+/// records takes seconds, and members that hear no heartbeat meanwhile would suspect the leader and
+/// claim the leadership in turn.
 ///
-/// Goes on until the returned guard is dropped, when the leader's own heartbeats have begun or the
-/// take-over has failed.
+/// Stops when the returned guard is dropped, which is when the leader's own heartbeats have started
+/// or the takeover has failed.
 fn announce(shared: &Arc<Shared>, leader: &Leader) -> Result<mpsc::Sender<()>> {
     let (guard, ended) = mpsc::channel::<()>();
     let peers = shared.peers();
@@ -223,25 +227,26 @@
     telling.map(|_| guard).context(ThreadSnafu)
 }
 
-/// Long enough to outlive a change of leader; see [`Settings::lease`].
+/// Length of a lease, long enough to outlast a change of leader; see [`Settings::lease`].
 const LEASE: Duration = Duration::from_secs(6);
-/// A leader that has handed over sends nothing more but what was just going out.
+/// [`Settings::former_holder`] after a handover: the former leader only finishes the calls that it
+/// was just sending.
 const HANDED_OVER: Duration = Duration::from_millis(300);
-/// States of jobs are kept a little longer than promised.
+/// Margin by which ended jobs are kept longer than promised.
 const KEEP_MARGIN: Duration = Duration::from_secs(20);
-/// Operations of a former holder stay away a little longer than they have to.
+/// Margin added to the required gap between the operations of two leaders.
 const HOLDER_MARGIN: Duration = Duration::from_millis(400);
 
-/// The guard of an append of the leader.
+/// Guard of an append by the leader of `epoch`.
 fn epoch_guard(epoch: Epoch, sequence: u64) -> Guard {
     Guard::Epoch { epoch, sequence }
 }
 
-/// Writes that this member leads from now on; the store takes one claim for each end of the topic.
-/// Returns who led before, too.
+/// Writes the record that makes this member the leader, and returns the new and the former leader.
+/// The store accepts only one claim at each end offset of the topic.
 ///
-/// Members that start together register in the same topic and move its end. Only another claim
-/// defeats this one; after anything else it is made again.
+/// Members that start at the same time register in the same topic and move its end. This claim
+/// fails only if another claim was first; if any other record moved the end, it is repeated.
 fn claim_record(
     shared: &Shared,
     store: &Store,
@@ -255,7 +260,7 @@
     RacedSnafu.fail()
 }
 
-/// Makes a claim once; `None` if the topic's end has moved meanwhile.
+/// Makes one attempt at a claim; returns `None` if the topic's end has moved meanwhile.
 fn try_claim(
     shared: &Shared,
     store: &Store,
@@ -284,7 +289,7 @@
     }
 }
 
-/// The answer to a claim was lost: whether it was taken stands in the store.
+/// Reads back whether the store accepted a claim whose answer was lost.
 fn confirm_claim(
     shared: &Shared,
     store: &Store,
@@ -309,13 +314,13 @@
     call().context(StoreSnafu)
 }
 
-/// Reads a topic on another thread: one after another the reads would add up to seconds while the
-/// store is slow.
+/// Reads a topic on a separate thread: while the store is slow, sequential reads would add up to
+/// seconds.
 fn read_aside(shared: &Shared, topic: Topic) -> Result<Receiver<Result<Newest>>> {
     let (tx, rx) = mpsc::channel();
     let store = shared.store();
     let reading = spawn("read aside", move || {
-        // Nobody waits any more if the claim has failed meanwhile.
+        // The receiver is gone if the takeover has failed meanwhile.
         let _ = tx.send(again(|| store.newest(topic)));
     });
     reading.map(|_| rx).context(ThreadSnafu)
@@ -325,7 +330,7 @@
     reading.recv().unwrap_or_else(|_| RacedSnafu.fail())
 }
 
-/// Tells a cell what operators and endpoints have written.
+/// Loads the records of operators and endpoints into a cell.
 fn fill(cell: &mut Cell, records: &Records) {
     for (key, value) in &records.operators.records {
         match records::operator_record(key, value) {
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -1,4 +1,4 @@
-//! The one thread that holds the state of all jobs and decides.
+//! Event loop of the leader: the one thread that owns the state of all jobs and makes decisions.
 
 use std::collections::{BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -28,118 +28,118 @@
 use super::lanes::{self, Lanes};
 use super::{handover, heartbeats, watch};
 
-/// Without any event the state is looked at this often: starts that became due, leases, waves.
+/// Interval at which the state is checked for due starts, leases and waves if no event arrives.
 const TICK: Duration = Duration::from_millis(25);
-/// Events that come within this time are decided on together, which costs a request that much
-/// latency at most and saves a pass over the queues for each event.
+/// Events that arrive within this time are handled together. This saves a pass over the queues for
+/// each event, and delays a request by this much at most.
 const GATHER: Duration = Duration::from_millis(5);
 /// Minimum interval between the starts of two batches.
 const BATCH_GAP: Duration = Duration::from_millis(15);
-/// The same while others are in flight.
+/// Minimum interval between the starts of two batches while others are in flight.
 const BATCH_GAP_BEHIND: Duration = Duration::from_millis(120);
-/// Most events taken in before the state is looked at.
+/// Maximum number of queued events handled before the next tick.
 const EVENTS_AT_ONCE: usize = 1_000;
 
-/// A caller's request, and where its answer goes.
+/// A caller's request.
 #[derive(Debug)]
 pub struct Incoming {
-    /// The host that was named.
+    /// Host that the request names.
     pub host: Box<str>,
-    /// The path, without query.
+    /// Path without its query.
     pub path: Box<str>,
-    /// The key that came along.
+    /// Bearer token of the request.
     pub key: Option<Box<str>>,
-    /// What is asked.
+    /// Requested operation.
     pub verb: Verb,
-    /// Where the answer goes.
+    /// Receives the answer.
     pub reply: SyncSender<Answer>,
 }
 
-/// What happens to a leader.
+/// Input of the leader's event loop.
 #[derive(Debug)]
 pub enum Event {
-    /// A caller asks.
+    /// A caller sent a request.
     Call(Incoming),
     /// A configuration was read.
     Config(Arc<FleetConfig>),
     /// A wave was read.
     Wave(Wave),
-    /// What operators ask of availability zones has changed.
+    /// An operator requested or withdrew the evacuation of an availability zone.
     Evacuation(EvacuationChange),
     /// An endpoint's entry was read.
     EndpointListed(Report),
     /// An endpoint's entry was removed.
     EndpointUnlisted(EndpointId),
-    /// All entries were read anew; endpoints without one aren't listed any more.
+    /// All entries of endpoints were read from the start; endpoints without an entry are no longer
+    /// listed.
     EndpointsRead(Vec<Report>),
-    /// All entries of endpoints were read that there were at that time.
+    /// All entries of endpoints that existed at this time were read.
     EndpointsAsOf(Steady),
-    /// All was read that operators had written by then.
+    /// All records that operators had written by this time were read.
     OperatorsAsOf(Steady),
-    /// A look ended.
+    /// A poll of an endpoint succeeded or failed.
     Looked(Target, Result<Look, LookFailure>),
-    /// An order ended.
+    /// An order to an endpoint has an outcome.
     Ordered(Target, Order, Outcome),
-    /// The list of instances was read, asked for at that time.
+    /// The list of instances was read, or could not be (`None`), by a request sent at this time.
     Instances(Option<Vec<Instance>>, Steady),
-    /// An operation on an instance ended.
+    /// An operation on an instance has an outcome.
     Operated(InstanceId, Operation, OperationOutcome),
-    /// The policy answered.
+    /// The policy service returned the tickets for a step and how long they are valid.
     Advised(TaskId, Vec<(EndpointId, Box<str>)>, Duration),
-    /// Everything up to this append is durable.
+    /// All appends up to this one are durable.
     Committed(Sequence),
-    /// The store answers, or doesn't, to appends.
+    /// Whether the store accepts appends.
     Appends(bool),
-    /// The store answers, or doesn't, to reads of what operators write.
+    /// Whether the store answers reads of operator records.
     Reads(bool),
-    /// What the other members answered about the store.
-    ///
-    /// Comes with whether the store answers this process at the same time.
+    /// The other members' answers on whether the store answers them, and whether it answers this
+    /// process at the same time.
     Probed(Vec<(SocketAddr, ProbeReply)>, bool),
-    /// What larger members answered that were asked whether they can lead.
+    /// The answers of larger members on whether they can lead.
     Larger(Vec<(SocketAddr, ProbeReply)>),
-    /// A later leader is known.
+    /// A later leader is known; with the reason that is logged.
     Deposed(&'static str),
-    /// The process shuts down.
+    /// The process is shutting down.
     Leave,
 }
 
-/// A change of the evacuations that operators ask for.
+/// Change to the evacuations that operators request.
 #[derive(Debug)]
 pub enum EvacuationChange {
-    /// One was asked for.
+    /// The evacuation of a zone was requested.
     Asked(ZoneName),
-    /// One was withdrawn.
+    /// The evacuation of a zone was withdrawn.
     Withdrawn(ZoneName),
-    /// All were read anew.
+    /// All evacuations were read from the start.
     Read(BTreeSet<ZoneName>),
 }
 
-/// What a leadership begins with.
+/// State from which a leader starts.
 #[derive(Debug)]
 pub struct Parts {
-    /// The state.
+    /// Restored state of all jobs.
     pub cell: Cell,
-    /// Takes events.
+    /// Sender of events to the leader's thread.
     pub tx: Sender<Event>,
-    /// Gives events.
+    /// Receiver of events.
     pub rx: Receiver<Event>,
-    /// Who leads: this process.
+    /// This process as the leader.
     pub leader: Leader,
-    /// Who led before.
+    /// Former leader, if any.
     pub former: Option<Leader>,
-    /// Where to read on from: what operators write, and what endpoints write.
+    /// Offsets from which to continue reading the topics of operators and of endpoints.
     pub offsets: (u64, u64),
 }
 
-/// How a leadership ends.
+/// Why a leadership ends, and the member to hand it over to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct End {
     why: &'static str,
     successor: Option<SocketAddr>,
 }
 
-/// The leader's one thread. What ends its leadership is in [`super::handover`].
+/// State of the leader's thread. The checks that end its leadership are in [`super::handover`].
 pub(super) struct Core<'a> {
     pub(super) shared: &'a Arc<Shared>,
     pub(super) cell: Cell,
@@ -160,8 +160,8 @@
     end: Option<End>,
 }
 
-/// Leads until a later leader is known, the store is lost to this process alone, or the process
-/// shuts down.
+/// Leads until a later leader is known, only this process has lost the store, a larger member can
+/// lead, or the process shuts down.
 pub fn run(shared: &Arc<Shared>, parts: Parts) {
     let epoch = parts.leader.epoch;
     let confirmed = Arc::new(AtomicU64::new(millis(clock::steady())));
@@ -217,7 +217,7 @@
     }
 }
 
-/// Who may carry calls for the leader.
+/// Options for relaying calls to endpoints through the other members.
 fn relaying(shared: &Arc<Shared>, epoch: Epoch) -> lanes::Options {
     let site = shared.site.load();
     let (shared, port) = (shared.clone(), site.relay.port());
@@ -231,9 +231,9 @@
     }
 }
 
-/// Asks another member to take over, so that nobody has to notice the silence first.
+/// Asks `successor` to claim the leadership at once, so that the members need not first detect the
+/// leader's silence.
 pub(super) fn hand_over(successor: SocketAddr, claim: Claim) {
-    /// Time for the request.
     const WITHIN: Duration = Duration::from_millis(300);
     let client = peers::client(successor);
     match peers::ask::<()>(&client, wire::CLAIM, &claim, WITHIN) {
@@ -359,14 +359,14 @@
         }
     }
 
-    /// Carries out what waited for records that are durable now, in the order of its decision.
+    /// Executes the batches whose records are now durable, in the order of their decisions.
     fn take_committed(&mut self, sequence: Sequence) {
         for batch in self.in_flight.committed(sequence) {
             self.act_on(batch);
         }
     }
 
-    /// Carries out what a batch has decided, whose records are durable.
+    /// Executes the actions of a batch whose records are durable.
     fn act_on(&mut self, batch: Batch) {
         let actions = self.cell.committed(batch);
         self.carry_out(actions);
@@ -399,7 +399,7 @@
 
     fn reply(&mut self, call: CallId, answer: Answer) {
         if let Some(reply) = self.calls.remove(&call) {
-            // Whoever asked may have given up; the caller asks again then.
+            // The receiver may have timed out; the caller then repeats its request.
             let _ = reply.try_send(answer);
         }
     }
@@ -446,28 +446,28 @@
     (!is_well).then(|| since.unwrap_or_else(clock::steady))
 }
 
-/// Milliseconds of a point of time.
+/// Converts a time to whole milliseconds.
 #[must_use]
 pub fn millis(time: Steady) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Records that leadership was confirmed by the store now.
+/// Notes that the store confirmed the leadership just now.
 pub fn confirm(confirmed: &AtomicU64) {
     confirmed.store(millis(clock::steady()), Ordering::Release);
 }
 
-/// How long ago the store last confirmed the leadership.
+/// Time since the store last confirmed the leadership.
 #[must_use]
 pub fn confirmed_ago(confirmed: &AtomicU64) -> Duration {
     let at = Duration::from_millis(confirmed.load(Ordering::Acquire));
     clock::steady().saturating_sub(at)
 }
 
-/// Starts a thread that ends with the leadership: by its channel, or by looking.
+/// Starts a thread that repeats `step` until the leadership of `epoch` ends.
 ///
 /// # Errors
-/// If the system has no room for another thread.
+/// If the thread can't be started.
 pub fn spawn_for(
     name: &str,
     shared: &Arc<Shared>,
--- a/pomelohitchd/src/fleet/leader/duties.rs
+++ b/pomelohitchd/src/fleet/leader/duties.rs
@@ -1,4 +1,4 @@
-//! Calls of instances and policy, and the status of waves.
+//! Calls to the platform's instances and policy services, and the status of waves.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -16,27 +16,28 @@
 use crate::fleet::clock;
 use crate::fleet::shared::{Shared, spawn};
 
-/// A connection that isn't made by then won't be.
+/// Timeout for connecting.
 const CONNECT: Duration = Duration::from_millis(400);
-/// An operation is sent only if the store confirmed the leadership within this time: a later
-/// leader waits for longer before its first operation, so that holders never take turns.
+/// An operation is sent only if the store confirmed the leadership within this time. A later leader
+/// waits for longer before its first operation, so that the operations of two leaders don't
+/// interleave.
 const CONFIRMED_WITHIN: Duration = Duration::from_millis(1500);
-/// Time for the status of a wave to be written.
+/// Timeout for appending the status of a wave.
 const STATUS_WITHIN: Duration = Duration::from_secs(1);
-/// Pause before it is tried again.
+/// Delay before the status is appended again after a failure.
 const STATUS_AGAIN: Duration = Duration::from_millis(250);
 
-/// An operation that waited so long since it was decided isn't sent: work may have been put on the
+/// Age from which a decided operation isn't sent any more: work may have been placed on the
 /// instance meanwhile.
 const STALE: Duration = Duration::from_millis(800);
-/// So many operations are under way at a time. Each takes some 10 ms, and the largest site takes 215
-/// a second.
+/// Number of threads for operations. An operation takes some 10 ms, and the largest site needs 215
+/// per second.
 const OPERATORS: usize = 4;
 
-/// An operation, and when it was decided.
+/// An operation on an instance, and when it was decided.
 type Decided = (InstanceId, Operation, Steady);
 
-/// Threads that make these calls. They end when this is dropped.
+/// Queues to the threads that make these calls. The threads end when this is dropped.
 #[derive(Debug)]
 pub struct Duties {
     lists: Sender<()>,
@@ -49,7 +50,7 @@
     /// Starts the threads.
     ///
     /// # Errors
-    /// If the system has no room for another thread.
+    /// If a thread can't be started.
     pub fn start(
         shared: &Arc<Shared>,
         epoch: Epoch,
@@ -64,7 +65,7 @@
         })
     }
 
-    /// Reads the list of instances.
+    /// Requests the list of instances; it is sent as [`Event::Instances`].
     pub fn list(&self) {
         let _ = self.lists.send(());
     }
@@ -74,12 +75,12 @@
         let _ = self.operations.send((instance, operation, at));
     }
 
-    /// Tells how a wave is.
+    /// Writes the status of a wave to the store.
     pub fn wave_status(&self, wave: u64, is_completed: bool) {
         let _ = self.statuses.send((wave, is_completed));
     }
 
-    /// Asks the policy about a step.
+    /// Requests the policy's advice on a step; it is sent as [`Event::Advised`].
     pub fn advise(&self, step: TaskId, endpoints: Vec<EndpointId>) {
         let _ = self.questions.send((step, endpoints));
     }
@@ -131,7 +132,7 @@
     rx.lock().unwrap_or_else(PoisonError::into_inner).recv()
 }
 
-/// Carries out operations, one at a time.
+/// Carries out operations one after another.
 struct Operator {
     shared: Arc<Shared>,
     epoch: Epoch,
@@ -147,14 +148,15 @@
             shared: shared.clone(),
             epoch,
             member: site.member.clone(),
-            // Fences aren't checked: an order that arrives late would be taken beside a later leader's.
+            // The instances service doesn't check epochs, so that an order that arrives late would
+            // take effect beside a later leader's.
             client: site.instances.map(|addr| Client::resetting(addr, CONNECT)),
             confirmed,
         }
     }
 
-    /// How an operation ended; `None` when the leadership has: what still waits then isn't sent,
-    /// since the next leader has begun.
+    /// Returns the outcome of an operation, or `None` if the leadership has ended. Operations that
+    /// still wait then aren't sent, since the next leader has started.
     fn operate(
         &mut self,
         id: &InstanceId,
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -1,7 +1,8 @@
-//! When a leader ends in favour of another member.
+//! Decides when the leadership ends in favour of another member.
 //!
-//! It loses the store while others have it, a much larger member can lead, or the process shuts
-//! down. What is decided is in [`succession`]; here the members are asked.
+//! A leader hands over if it loses the store while other members have it, if a much larger member
+//! can lead, or if the process shuts down. The choice of a successor is in [`succession`]; this
+//! module probes the members.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,31 +16,34 @@
 use crate::fleet::wire::{self, Probe, ProbeReply};
 use crate::fleet::{clock, internal, peers};
 
-/// The store is taken for lost after so long without an answer: the other members are asked then.
-/// What they answer decides, so that asking early costs a call for each member at most.
+/// Time without an answer after which the store counts as lost and the other members are probed.
+/// Their answers decide, so that probing early costs at most one call per member.
 const STORE_LOST_AFTER: Duration = Duration::from_millis(250);
-/// A store that answers a read now is taken to be back for all, unless appends fail for longer.
+/// If the store answers a read of this process again, it counts as available for all uses, unless
+/// it was lost for longer than this: then appends may still fail.
 const STORE_TRUSTED_FOR: Duration = Duration::from_secs(6);
-/// How often they are asked: once they have answered, which takes long while the store is silent.
+/// Minimum interval between probes about the store. Answers take long while the store is silent.
 const ASK_EVERY: Duration = Duration::from_millis(900);
-/// How often larger members are asked whether they can lead.
+/// Interval at which larger members are asked whether they can lead.
 const COMPARE_EVERY: Duration = Duration::from_secs(1);
-/// The first time is so long after a take-over, before its load has built up.
+/// Delay of the first such check after a takeover, before the load of the leadership has built up.
 const COMPARE_FIRST: Duration = Duration::from_millis(300);
-/// Their answers are waited for so long: a small leader that is out of processor time has to yield
-/// most of all, and takes long to take them in.
+/// Timeout of their answers. Long, since a small leader that is out of processor time has the most
+/// need to hand over and is slow to read the answers.
 const COMPARE_WITHIN: Duration = Duration::from_secs(2);
-/// Without the store and without any answer of other members this process stops leading: the
-/// others may have elected another leader, which counts on leases not being renewed for longer.
+/// Time without the store and without an answer of any other member after which this process stops
+/// leading. The other members may have elected another leader, which relies on leases not being
+/// renewed for longer.
 const ISOLATED_AFTER: Duration = Duration::from_secs(2);
 
-/// When larger members were last asked, as it counts at a take-over.
+/// Initial time of the last check for larger members, which puts the first check [`COMPARE_FIRST`]
+/// after the takeover.
 pub(super) fn first_comparison() -> Steady {
     (clock::steady() + COMPARE_FIRST).saturating_sub(COMPARE_EVERY)
 }
 
 impl Core<'_> {
-    /// While the store doesn't answer, asks the other members whether it answers them.
+    /// While the store doesn't answer, probes whether it answers the other members.
     pub(super) fn check_store(&mut self) {
         let now = clock::steady();
         let Some(since) = self.store_lost() else {
@@ -56,7 +60,7 @@
         let end = self.shared.view().members_end;
         let asking = spawn("ask about the store", move || {
             let probe = Probe { with_store: true };
-            // Side by side: a store that is silent takes its whole time-out to say so.
+            // Concurrently, since a call to a silent store takes its whole timeout.
             let (answers, has_store) = std::thread::scope(|scope| {
                 let own = scope.spawn(|| internal::reaches_store(&shared, end));
                 let within = wire::STORE_PROBE_WITHIN;
@@ -70,7 +74,8 @@
         }
     }
 
-    /// Notices that the former leader's process has ended, by another process of that member.
+    /// Checks whether the former leader's process has ended, which shows by another process of the
+    /// same member.
     pub(super) fn check_former(&mut self) {
         let Some(former) = &self.former else {
             return;
@@ -82,7 +87,7 @@
         }
     }
 
-    /// Asks larger members now and then whether they can lead.
+    /// Asks larger members at intervals whether they can lead.
     pub(super) fn check_size(&mut self) {
         let now = clock::steady();
         if now < self.compared_at + COMPARE_EVERY {
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Hands the leadership over to the largest member, if it can lead.
+    /// Hands the leadership over to the largest member that can lead, if any.
     pub(super) fn yield_to(&mut self, larger: &[(SocketAddr, ProbeReply)]) {
         if let Some(successor) = successor(larger) {
             self.stop("a larger member can lead", Some(successor));
@@ -137,7 +142,7 @@
         }
     }
 
-    /// Ends the leadership for a shutdown, with the first member that can take over.
+    /// Ends the leadership for a shutdown, and hands it over to a member that can lead, if any.
     pub(super) fn leave(&mut self) {
         let probe = Probe { with_store: true };
         let answers = peers::ask_all::<ProbeReply>(&self.shared.peers(), wire::PROBE, &probe);
--- a/pomelohitchd/src/fleet/leader/heartbeats.rs
+++ b/pomelohitchd/src/fleet/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Tells the other members who leads.
+//! Heartbeats to the other members, and the leader's liveness record in the store.
 
 use std::collections::HashMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -15,18 +15,18 @@
 use crate::fleet::shared::Shared;
 use crate::fleet::wire::{self, Alive, Beat, BeatReply, Leader, Member};
 
-/// How often each member is told.
+/// Interval of the heartbeats to each member.
 pub const EVERY: Duration = Duration::from_millis(250);
-/// Time for one heartbeat.
+/// Timeout of a heartbeat.
 const WITHIN: Duration = Duration::from_millis(400);
-/// An answer to a heartbeat is a number.
+/// Maximum size of a datagram that answers a heartbeat; it holds one epoch.
 const REPLY_BYTES: usize = 64;
-/// How often a sign of life is written into the store, for members that heartbeats don't reach.
+/// Interval at which the liveness record is written, for members that heartbeats don't reach.
 const SIGN_EVERY: Duration = Duration::from_secs(1);
-/// Time for that.
+/// Timeout of the append of the liveness record.
 const SIGN_WITHIN: Duration = Duration::from_millis(800);
 
-/// The heartbeat of a leader now.
+/// Builds a heartbeat of `leader` with the current time of the fleet.
 pub(super) fn beat_of(shared: &Shared, leader: &Leader) -> Beat {
     Beat {
         leader: leader.clone(),
@@ -34,8 +34,8 @@
     }
 }
 
-/// Heartbeats as datagrams. They reach members also while answers to the leader wait behind other
-/// bytes, as while it reads all records over a slow link.
+/// Sends heartbeats as datagrams. These arrive also while a connection to the leader is congested,
+/// as when it reads all records over a slow link.
 #[derive(Debug)]
 pub struct Datagrams {
     socket: UdpSocket,
@@ -44,7 +44,8 @@
 }
 
 impl Datagrams {
-    /// Heartbeats of `leader`; `None`, with a log line, if they can't be sent.
+    /// Creates the socket for the heartbeats of `leader`. Logs an error and returns `None` if that
+    /// fails.
     #[must_use]
     pub fn new(shared: &Shared, leader: &Leader) -> Option<Datagrams> {
         let site = shared.site.load();
@@ -58,7 +59,7 @@
         })
     }
 
-    /// Sends one to each peer.
+    /// Sends one heartbeat to each peer.
     pub fn send(&self, shared: &Shared, peers: &[SocketAddr]) {
         let beat = beat_of(shared, &self.leader);
         let message = match postcard::to_allocvec(&beat) {
@@ -69,12 +70,12 @@
             }
         };
         for peer in peers {
-            // One that is lost is followed by the next.
+            // A lost datagram does no harm: the next one follows.
             let _ = self.socket.send_to(&message, (peer.ip(), self.port));
         }
     }
 
-    /// Whether a member has answered that it knows a later leader.
+    /// Whether a member has replied that it knows a later leader.
     #[must_use]
     pub fn is_deposed(&self) -> bool {
         let mut buf = [0; REPLY_BYTES];
@@ -88,11 +89,11 @@
     }
 }
 
-/// Starts heartbeats to every member, and signs of life in the store; they end with the
+/// Starts the heartbeats to every member and the writes of the liveness record; they end with the
 /// leadership.
 ///
 /// # Errors
-/// If the system has no room for another thread.
+/// If a thread can't be started.
 pub fn start(shared: &Arc<Shared>, leader: &Leader, events: &Sender<Event>) -> std::io::Result<()> {
     let epoch = leader.epoch;
     let mut told = HashMap::new();
@@ -131,8 +132,8 @@
     })
 }
 
-/// Starts heartbeats to one member; they end with the leadership or when the member's address
-/// changes.
+/// Starts heartbeats to one member. They end with the leadership, and pause while the member has
+/// another address.
 fn beat(
     shared: &Arc<Shared>,
     leader: &Leader,
--- a/pomelohitchd/src/fleet/leader/in_flight.rs
+++ b/pomelohitchd/src/fleet/leader/in_flight.rs
@@ -1,4 +1,4 @@
-//! Batches whose records aren't durable yet, in the order in which they were decided.
+//! Batches whose records aren't durable yet, in the order of their decisions.
 
 use std::collections::VecDeque;
 
@@ -6,24 +6,26 @@
 
 use super::journal::Sequence;
 
-/// Batches that wait for appends.
+/// Batches that wait for their appends.
 ///
-/// The actions of a batch may rest on records of any batch before it: a caller that hands in its job
-/// a second time is told that it is accepted, which is true once the record of the first time is
-/// durable.
+/// The actions of a batch may depend on the records of any earlier batch: a caller that submits its
+/// job a second time is answered that it is accepted, which holds only once the record of the first
+/// submission is durable.
 #[derive(Debug, Default)]
 pub struct InFlight {
-    /// Each with the last append that it waits for; a confirmation of the leadership has no batch.
+    /// Each batch with the last append that it waits for. A confirmation of the leadership has no
+    /// batch.
     batches: VecDeque<(Sequence, Option<Batch>)>,
 }
 
 impl InFlight {
-    /// Adds a batch, or none, whose records went out up to the append `last`.
+    /// Adds a batch whose records are in the appends up to `last`, or `None` for a confirmation.
     pub fn append(&mut self, last: Sequence, batch: Option<Batch>) {
         self.batches.push_back((last, batch));
     }
 
-    /// Adds a batch without records behind the newest append; returns it if none is in flight.
+    /// Adds a batch without records, which waits for the newest append; returns it if no append is
+    /// in flight.
     #[must_use]
     pub fn follow(&mut self, batch: Batch) -> Option<Batch> {
         let Some(&(last, _)) = self.batches.back() else {
@@ -33,7 +35,8 @@
         None
     }
 
-    /// Takes out the batches that are durable with all appends up to `sequence`, in order.
+    /// Removes and returns, in order, the batches that are durable once all appends up to
+    /// `sequence` are.
     pub fn committed(&mut self, sequence: Sequence) -> Vec<Batch> {
         let mut durable = Vec::new();
         while let Some((_, batch)) = self.batches.pop_front_if(|(last, _)| *last <= sequence) {
@@ -48,7 +51,7 @@
         self.batches.is_empty()
     }
 
-    /// How many batches with records, or confirmations, are in flight.
+    /// Number of batches with records and of confirmations in flight.
     #[must_use]
     pub fn appends(&self) -> usize {
         let lasts = self.batches.iter().map(|(last, _)| last);
--- a/pomelohitchd/src/fleet/leader/journal.rs
+++ b/pomelohitchd/src/fleet/leader/journal.rs
@@ -1,9 +1,8 @@
-//! Makes records durable.
+//! Appends records to the store.
 //!
-//! Appends are numbered, and the store takes each only after the one before. Several may be on
-//! their way, each on a connection of its own: while the store answers slowly, one behind the other
-//! would make each record wait for up to two answers. That an append is durable says the same of all
-//! before it.
+//! Appends are numbered, and the store accepts each only after its predecessor. Several are in
+//! flight at a time, each on its own connection: sent one after another, a record would wait for up
+//! to two answers of a slow store. An append that is durable implies that all before it are.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::mpsc::{self, Receiver, Sender};
@@ -21,33 +20,34 @@
 use crate::fleet::clock;
 use crate::fleet::shared::{Shared, spawn};
 
-/// Most appends on their way. The store answers a repeat of one of the last five as it did at first.
+/// Maximum number of appends in flight. The store gives the original answer to a repeated append
+/// only for the last five.
 pub const AT_ONCE: usize = 4;
-/// Pause after a refusal; refused calls are priced too.
+/// Delay before a refused append is retried; the platform charges for refused calls too.
 const AGAIN_AFTER: Duration = Duration::from_millis(120);
-/// Pause after the store has missed the append before, which is on its way.
+/// Delay before an append is retried whose predecessor is in flight and hasn't reached the store.
 const OUT_OF_TURN: Duration = Duration::from_millis(30);
-/// Without records to write, the leadership is confirmed this often.
+/// Interval at which the leadership is confirmed while there are no records to write.
 pub const CONFIRM_EVERY: Duration = Duration::from_millis(700);
-/// Key of the record that only confirms.
+/// Key of the record that only confirms the leadership.
 const CONFIRM_KEY: &str = "lease";
-/// Most bytes of values in one append; the platform allows 2 MB.
+/// Maximum bytes of values in one append; the platform's limit is 2 MB.
 const APPEND_BYTES: usize = 1_000_000;
 
-/// Numbers the appends of one leadership, from [`FIRST`].
+/// Sequence number of an append of one leadership, counted from [`FIRST`].
 pub type Sequence = u64;
 
 /// The first append of a leadership.
 const FIRST: Sequence = 1;
 
-/// Some records, and their place among the appends.
+/// Records of one append.
 #[derive(Debug)]
 struct Numbered {
     sequence: Sequence,
     records: Vec<Record>,
 }
 
-/// Where records go.
+/// Queue to the threads that append records.
 #[derive(Debug)]
 pub struct Journal {
     appends: Sender<Numbered>,
@@ -58,7 +58,7 @@
     /// Starts the threads that append; they end when this is dropped.
     ///
     /// # Errors
-    /// If the system has no room for another thread.
+    /// If a thread can't be started.
     pub fn start(
         shared: &Arc<Shared>,
         epoch: Epoch,
@@ -86,8 +86,8 @@
         Ok(Journal { appends, last: 0 })
     }
 
-    /// Makes records durable; that those up to the returned number are comes as
-    /// [`Event::Committed`].
+    /// Queues records and returns the sequence number of their last append. [`Event::Committed`]
+    /// reports when the appends up to a number are durable.
     pub fn commit(&mut self, records: Vec<Record>) -> Sequence {
         for part in parts(records) {
             self.last += 1;
@@ -95,7 +95,7 @@
                 sequence: self.last,
                 records: part,
             };
-            // The threads end early only when the leadership does.
+            // Fails only if the threads have ended, which they do early only with the leadership.
             let _ = self.appends.send(numbered);
         }
         self.last
@@ -110,7 +110,7 @@
     }
 }
 
-/// Records in parts that one append can hold.
+/// Splits records into parts that fit into one append each.
 fn parts(records: Vec<Record>) -> Vec<Vec<Record>> {
     let mut parts = Vec::new();
     let (mut part, mut bytes) = (Vec::new(), 0);
@@ -127,15 +127,15 @@
     parts
 }
 
-/// What the writing threads share.
+/// State shared by the writer threads.
 struct Common {
     shared: Arc<Shared>,
     epoch: Epoch,
     patience: Mutex<Patience>,
     waiting: Mutex<Receiver<Numbered>>,
-    /// The last append that is known to be durable.
+    /// Last append that is known to be durable.
     durable: AtomicU64,
-    /// Whether the store takes appends.
+    /// Whether the store accepted the last append that was tried.
     is_well: AtomicBool,
     confirmed: Arc<AtomicU64>,
 }
@@ -146,11 +146,11 @@
     events: Sender<Event>,
 }
 
-/// The leadership is over.
+/// The leadership has ended.
 struct Over;
 
 impl Common {
-    /// Waits for the next append; `None` when there won't be any.
+    /// Waits for the next append; `None` once the [`Journal`] is dropped.
     fn next(&self) -> Option<Numbered> {
         lock(&self.waiting).recv().ok()
     }
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Appends until the store has taken it, or a later one.
+    /// Retries an append until the store has accepted it or a later one.
     fn append(&self, numbered: &Numbered) -> Result<(), Over> {
         let Numbered { sequence, records } = numbered;
         let guard = epoch_guard(self.common.epoch, *sequence);
@@ -182,8 +182,9 @@
             if !self.is_leader() {
                 return Err(Over);
             }
-            // The store takes any number as the first of an epoch. Nothing is sent beside it, since
-            // the first records would be lost if others were taken before them.
+            // The store accepts any number as the first of an epoch. No other append is sent until
+            // the first one is durable: if another were accepted before it, the first records would
+            // be lost.
             if *sequence > FIRST && !self.common.is_durable(FIRST) {
                 std::thread::sleep(OUT_OF_TURN);
                 continue;
@@ -201,7 +202,7 @@
                     let _ = self.events.send(Event::Deposed("fenced by the store"));
                     return Err(Over);
                 }
-                // The answer is lost, but a later append was taken.
+                // The answer was lost, but a later append was accepted, which implies this one.
                 Err(_) if self.common.is_durable(*sequence) => {}
                 Err(error) => {
                     let is_timeout = error.status().is_none();
@@ -236,7 +237,7 @@
             .map_err(|_| Over)
     }
 
-    /// Tells whether the store takes appends, if that has changed.
+    /// Reports whether the store accepts appends, if that has changed.
     fn tell(&self, is_well: bool) -> Result<(), Over> {
         if self.common.is_well.swap(is_well, Ordering::AcqRel) == is_well {
             return Ok(());
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/lanes.rs
@@ -1,6 +1,6 @@
-//! Calls endpoints, directly or by way of other members.
+//! Sends calls to endpoints, directly or through other members that relay them.
 //!
-//! All calls are made on one thread, each as a task of its own.
+//! All calls are made on one thread, each as its own task.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -22,58 +22,58 @@
 use crate::fleet::relay::client::Link;
 use crate::fleet::shared::spawn;
 
-/// A member that carried no more calls is asked again after this time.
+/// Delay before a member is tried again that stopped relaying calls.
 const BACK_OFF: Duration = Duration::from_secs(2);
-/// How often it is considered which members carry calls.
+/// Interval at which the assignment of endpoints to members is updated.
 const LAYOUT_EVERY: Duration = Duration::from_millis(250);
 
-/// Tells where other members take calls to carry.
+/// Returns the addresses at which the other members accept calls to relay.
 pub type Members = Box<dyn Fn() -> Vec<SocketAddr> + Send>;
 
-/// Who may carry calls.
+/// Options of the calls.
 #[derive(Default)]
 pub struct Options {
-    /// The leadership.
+    /// Epoch of the leader.
     pub epoch: Epoch,
-    /// The other members; without it the leader makes all calls.
+    /// The other members; if `None`, the leader makes all calls itself.
     pub members: Option<Members>,
-    /// What the leader's link carries, bytes a second.
+    /// Bandwidth of the leader's network link in bytes per second, if known.
     pub link_bytes_per_s: Option<f64>,
 }
 
-/// What the calling thread is told.
+/// Command to the thread that makes the calls.
 #[derive(Debug)]
 enum Command {
     Order(Sending),
     Look(LookOrder),
-    /// The endpoint isn't known any more.
+    /// The endpoint no longer exists.
     Forget(EndpointId),
-    /// What is called.
+    /// The number of endpoints or services has changed.
     Fleet(Size),
 }
 
-/// How much there is to call.
+/// Number of endpoints and services, which determines the layout.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Size {
     endpoints: usize,
     services: usize,
 }
 
-/// Hands calls to the thread that makes them. It ends when this is dropped.
+/// Queue to the thread that makes the calls. The thread ends when this is dropped.
 #[derive(Debug)]
 pub struct Lanes {
     commands: UnboundedSender<Command>,
     known: HashSet<EndpointId>,
-    /// How many endpoints there were when they were last counted.
+    /// Number of endpoints at the last count.
     counted: usize,
     events: Sender<Event>,
 }
 
 impl Lanes {
-    /// Starts the calling thread; how calls end comes as events.
+    /// Starts the thread that makes the calls; their outcomes are sent as events.
     ///
     /// # Errors
-    /// If the system has no room for the thread or its poll.
+    /// If the thread or its I/O driver can't be started.
     pub fn start(events: Sender<Event>, options: Options) -> std::io::Result<Lanes> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_io()
@@ -105,14 +105,14 @@
             self.commands.send(Command::Order(sending))
         {
             let outcome = Outcome::Refused(Refusal::Unsent);
-            // Nobody listens any more only when the leadership is over.
+            // Fails only if the leadership has ended.
             let _ = self
                 .events
                 .send(Event::Ordered(unsent.target, unsent.order, outcome));
         }
     }
 
-    /// Looks at an endpoint.
+    /// Polls an endpoint.
     pub fn look(&mut self, look: LookOrder) {
         self.known.insert(look.target.id.clone());
         if let Err(mpsc::error::SendError(Command::Look(unsent))) =
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Takes in which endpoints there are: connections to others are closed.
+    /// Updates the set of known endpoints, and closes connections to all others.
     pub fn sync(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
         self.count(known);
         self.prune(known);
@@ -140,7 +140,7 @@
             endpoints: known.len(),
             services: services.len(),
         };
-        // A thread that has ended calls nobody.
+        // Fails only if the thread has ended, which then makes no calls.
         let _ = self.commands.send(Command::Fleet(size));
     }
 
@@ -150,13 +150,13 @@
         }
         let gone = self.known.extract_if(|id| !known.contains_key(id));
         for id in gone {
-            // A thread that has ended has no connections.
+            // Fails only if the thread has ended, which then has no connections.
             let _ = self.commands.send(Command::Forget(id));
         }
     }
 }
 
-/// Makes calls until nobody asks for any.
+/// Executes commands until the queue is closed.
 async fn serve(mut commands: UnboundedReceiver<Command>, events: Sender<Event>, options: Options) {
     let mut routes = Routes::new(events, options);
     while let Some(command) = commands.recv().await {
@@ -170,14 +170,14 @@
     }
 }
 
-/// Which way each call goes.
+/// Decides which member makes each call.
 struct Routes {
     calls: Rc<Calls>,
     events: Sender<Event>,
     options: Options,
     size: Size,
     layout: Layout,
-    /// The other members, as of the last look at the layout.
+    /// The other members at the last update of the layout.
     members: Vec<SocketAddr>,
     links: BTreeMap<SocketAddr, Link>,
     laid_out_at: Option<Steady>,
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Considers anew which members carry calls, from time to time.
+    /// Updates the layout and the connections to members, at most once per [`LAYOUT_EVERY`].
     fn lay_out(&mut self) {
         let now = clock::steady();
         let is_due = |at: Steady| now >= at + LAYOUT_EVERY;
@@ -222,7 +222,7 @@
             .retain(|peer, link| self.members.contains(peer) && !is_over(link));
     }
 
-    /// The member that carries an endpoint's calls, if one does and is reached.
+    /// Returns the open connection to the member that relays the endpoint's calls, if any.
     fn link(&mut self, target: &Target) -> Option<&Link> {
         if self.layout == Layout::default() {
             return None;
@@ -251,7 +251,7 @@
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
             let outcome = calls.order(&sending).await;
-            // Nobody listens any more only when the leadership is over.
+            // Fails only if the leadership has ended.
             let _ = events.send(Event::Ordered(sending.target, sending.order, outcome));
         });
     }
@@ -267,7 +267,7 @@
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
             let looked = calls.look(&look).await;
-            // Nobody listens any more only when the leadership is over.
+            // Fails only if the leadership has ended.
             let _ = events.send(Event::Looked(look.target, looked));
         });
     }
--- a/pomelohitchd/src/fleet/leader/patience.rs
+++ b/pomelohitchd/src/fleet/leader/patience.rs
@@ -1,26 +1,27 @@
-//! How long an append is waited for before it is tried again.
+//! Timeout of an append, after which it is retried.
 //!
-//! Pure. The load that this answers: a store that falls silent for some seconds and then serves
-//! again, and one that answers slowly. A call that went out in the silence is never answered, so
-//! that work goes on only with the next try; a slow store answers no try that is given up too
-//! early. A second try is the same append to the store, so that trying early costs a call at most.
+//! The timeout covers two faults. A store that falls silent for some seconds never answers the
+//! calls made meanwhile, so that work resumes only with the next attempt; and a slow store answers
+//! none of many attempts that are all given up too early. The store recognizes a repeated append,
+//! so that an early retry costs one call at most.
 
 use std::time::Duration;
 
-/// An append is tried again after this many times what appends took of late.
+/// Ratio of the timeout to the average time of recent appends.
 const TIMES: f64 = 6.0;
-/// But never before this, since a store at work answers within some milliseconds.
+/// Minimum timeout; a working store answers within some milliseconds.
 const SHORTEST: Duration = Duration::from_millis(120);
-/// The first tries wait no longer than this, so that a store that is back is used soon.
+/// Maximum timeout of the early attempts, unless recent appends took longer. It makes a store that
+/// has recovered be used soon.
 const LONGEST_AT_FIRST: Duration = Duration::from_millis(480);
-/// So many tries count as the first.
+/// Number of early attempts.
 const FIRST_TRIES: u32 = 8;
-/// Later ones wait so long: the store may be slower than was seen before.
+/// Timeout of later attempts: the store may have become slower than recent appends show.
 const LONGEST: Duration = Duration::from_millis(1200);
-/// How much of the time that appends took stays at each new one.
+/// Weight of the previous value in the moving average of append times.
 const FADE: f64 = 0.8;
 
-/// What is known of the time that appends take.
+/// Timeout of appends, derived from a moving average of the time that they take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Patience {
     usual: Duration,
@@ -35,12 +36,12 @@
 }
 
 impl Patience {
-    /// Takes in how long an append took.
+    /// Adds the time that an append took to the average.
     pub fn took(&mut self, took: Duration) {
         self.usual = self.usual.mul_f64(FADE) + took.mul_f64(1.0 - FADE);
     }
 
-    /// How long to wait for an append that was tried `tries` times before.
+    /// Timeout of an attempt after `tries` failed ones.
     #[must_use]
     pub fn of_try(&self, tries: u32) -> Duration {
         let first = self.usual.mul_f64(TIMES).clamp(SHORTEST, LONGEST);
--- a/pomelohitchd/src/fleet/leader/watch.rs
+++ b/pomelohitchd/src/fleet/leader/watch.rs
@@ -1,4 +1,4 @@
-//! Reads what operators and endpoints write into the store.
+//! Reads the records that operators and endpoints write to the store.
 
 use std::sync::Arc;
 use std::sync::mpsc::Sender;
@@ -14,20 +14,21 @@
 use crate::fleet::clock;
 use crate::fleet::shared::Shared;
 
-/// A read of what operators write waits so long. Short, since a connection that went silent shows
-/// only when the wait is over, and a withdrawn key must not be taken for longer than about 2 s.
+/// Time for which a read of operator records waits for new ones. Short, since a dead connection
+/// shows only when the wait is over, and a withdrawn key must be refused within about 2 s.
 const OPERATORS_WAIT: Duration = Duration::from_millis(500);
-/// The same for what endpoints write.
+/// Time for which a read of endpoint records waits for new ones.
 const ENDPOINTS_WAIT: Duration = Duration::from_secs(1);
-/// Entries of endpoints are gathered for so long, as each read is priced.
+/// Delay between reads of endpoint records, which gathers them, since the platform charges for each
+/// read.
 const ENDPOINTS_GAP: Duration = Duration::from_millis(200);
-/// Pause after a read that failed.
+/// Delay after a failed read.
 const AGAIN_AFTER: Duration = Duration::from_millis(150);
 
 /// Starts both readers; they end with the leadership.
 ///
 /// # Errors
-/// If the system has no room for another thread.
+/// If a thread can't be started.
 pub fn start(
     shared: &Arc<Shared>,
     epoch: Epoch,
@@ -41,7 +42,7 @@
         let began = clock::steady();
         let read = read_operators(&store, from, &tx);
         if read.as_ref().is_ok_and(Option::is_some) {
-            // The receiver is gone only when the leadership is over, and then so is this thread.
+            // Fails only if the leadership has ended, and then this thread ends too.
             let _ = tx.send(Event::OperatorsAsOf(as_of(began, OPERATORS_WAIT)));
         }
         let _ = tx.send(Event::Reads(read.is_ok()));
@@ -54,7 +55,7 @@
         let began = clock::steady();
         let read = read_endpoints(&store, from, &tx);
         if read.as_ref().is_ok_and(Option::is_some) {
-            // The receiver is gone only when the leadership is over, and then so is this thread.
+            // Fails only if the leadership has ended, and then this thread ends too.
             let _ = tx.send(Event::EndpointsAsOf(as_of(began, ENDPOINTS_WAIT)));
         }
         from = next(read, from);
@@ -62,8 +63,9 @@
     })
 }
 
-/// As of when a read tells what was written, that began then and may have waited so long. What it took
-/// beside may have passed after its answer was made: this process may have stood still.
+/// Returns the time up to which a read that started at `began` covers the topic. The store may have
+/// held the read for up to `wait`; any further time may have passed after it made its answer, as
+/// when this process is suspended.
 fn as_of(began: Steady, wait: Duration) -> Steady {
     let now = clock::steady();
     let beside = now.saturating_sub(began).saturating_sub(wait);
@@ -72,7 +74,7 @@
 
 type Outcome = Result<Option<u64>, pomelohitch_adapter::Error>;
 
-/// Where to read on from; after a failure from the same place.
+/// Returns the offset of the next read; after a failure the same offset as before.
 fn next(read: Outcome, from: Option<u64>) -> Option<u64> {
     match read {
         Ok(next) => next,
@@ -121,13 +123,13 @@
             return;
         }
     };
-    // The receiver is gone only when the leadership is over, and then so is this thread.
+    // Fails only if the leadership has ended, and then this thread ends too.
     let _ = tx.send(event);
 }
 
 fn take_removal(key: &str, tx: &Sender<Event>) {
     if let Some(zone) = records::evacuated_zone(key) {
-        // The receiver is gone only when the leadership is over, and then so is this thread.
+        // Fails only if the leadership has ended, and then this thread ends too.
         let withdrawn = EvacuationChange::Withdrawn(zone);
         let _ = tx.send(Event::Evacuation(withdrawn));
     }
--- a/pomelohitchd/src/fleet/lifecycle.rs
+++ b/pomelohitchd/src/fleet/lifecycle.rs
@@ -19,17 +19,18 @@
 use super::{callers, clock, election, internal, logs, members, relay};
 use crate::front::{self, Service};
 
-/// Shown at the start.
+/// Version that is logged at the start.
 const VERSION: &str = env!("CARGO_PKG_VERSION");
-/// The start failed.
+/// Exit code if the daemon couldn't start.
 const EXIT_START: u8 = 1;
-/// The settings are wrong.
+/// Exit code if the settings are invalid.
 const EXIT_SETTINGS: u8 = 2;
-/// How often signals and the settings file are looked at.
+/// Interval at which signals are checked.
 const TICK: Duration = Duration::from_millis(100);
-/// The settings file is looked at once in so many ticks, as it may change without a signal.
+/// Number of ticks between checks of the settings file, which may change without a signal.
 const TICKS_PER_LOOK: u32 = 10;
-/// Before the end of the grace that the platform gives, answers in flight are left.
+/// Time before the end of the platform's grace period at which the shutdown stops waiting for
+/// requests in flight.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 
 /// The daemon couldn't start.
@@ -54,7 +55,7 @@
 
 type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Runs the daemon by the settings file at `path` until a signal ends it.
+/// Runs the daemon with the settings file at `path` until a signal ends it.
 #[must_use]
 pub fn run(path: &Path) -> ExitCode {
     let logs = logs::start();
@@ -115,7 +116,8 @@
     TcpListener::bind(addr).context(ListenSnafu { addr })
 }
 
-/// The leader makes calls by itself where a member doesn't carry them.
+/// Starts the server that relays calls to endpoints for the leader. If it fails, the leader makes
+/// these calls itself.
 fn relay_calls(shared: &Arc<Shared>, addr: SocketAddr) -> Result<()> {
     let relaying = spawn_with("relay", shared, move |shared| {
         let shared = shared.clone();
@@ -127,7 +129,8 @@
     relaying.map(drop).context(ThreadSnafu)
 }
 
-/// Operators look at metrics now and then; a daemon that can't show them still serves callers.
+/// Serves metrics to operators. If the address can't be listened on, the daemon still serves
+/// callers.
 fn serve_metrics(shared: &Arc<Shared>, addr: SocketAddr, metrics: PrometheusHandle) {
     let leaving = shared.clone();
     let service = Service {
@@ -152,7 +155,7 @@
     Ok(signals)
 }
 
-/// Follows the settings file until a signal ends the process.
+/// Reloads the settings file when it changes or on a signal, until a signal ends the process.
 fn watch(path: &Path, shared: &Shared, signals: &Signals) {
     let mut seen = modified(path);
     let mut ticks = 0_u32;
@@ -175,7 +178,7 @@
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
-/// Puts changed settings in force. Addresses that are listened on stay as they are.
+/// Applies changed settings. The addresses that are already listened on stay as they are.
 fn reload(path: &Path, shared: &Shared, is_told: bool) {
     match settings::read(path) {
         Ok(site) => {
@@ -191,7 +194,7 @@
     }
 }
 
-/// Hands the leadership over, if it is here, and finishes what was read.
+/// Hands the leadership over, if this process holds it, and finishes the requests that were read.
 fn shut_down(shared: &Shared, serving: &std::thread::JoinHandle<()>) {
     info!("shutting down");
     let began = clock::steady();
--- a/pomelohitchd/src/fleet/logs.rs
+++ b/pomelohitchd/src/fleet/logs.rs
@@ -1,16 +1,15 @@
-//! Log lines, bounded and without blocking.
+//! Log output that is bounded and doesn't block.
 
 use std::io::BufWriter;
 
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
-/// Lines that wait to be written; more are dropped and counted rather than waited for.
+/// Maximum number of lines that wait to be written; further lines are dropped and counted.
 const BUFFERED_LINES: usize = 8_192;
-/// Lines that wait are written together up to so many bytes, which saves a call of the system for
-/// each line.
+/// Buffer size in bytes; waiting lines are written together, which saves a system call for each.
 const WRITTEN_AT_ONCE: usize = 4 * 1024;
 
-/// Ends the writing of lines when dropped, after what waits was written.
+/// Handle to the log output; when dropped, it writes the waiting lines and ends the output.
 #[derive(Debug)]
 pub struct Logs {
     _guard: WorkerGuard,
@@ -18,17 +17,17 @@
 }
 
 impl Logs {
-    /// Lines that were dropped since the start.
+    /// Number of lines that were dropped since the start.
     #[must_use]
     pub fn dropped(&self) -> usize {
         self.dropped.dropped_lines()
     }
 }
 
-/// Starts writing lines to standard output, one JSON object each.
+/// Starts writing log lines to standard output, one JSON object each.
 ///
-/// Which lines are written follows the environment variable `POMELOHITCH_LOG_LEVEL`, as `tracing`
-/// directives; `info` without it.
+/// The environment variable `POMELOHITCH_LOG_LEVEL` selects the lines, as `tracing` directives; the
+/// default is `info`.
 #[must_use]
 pub fn start() -> Logs {
     let (writer, guard) = NonBlockingBuilder::default()
--- a/pomelohitchd/src/fleet/members.rs
+++ b/pomelohitchd/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! Follows the members and their leader in the store.
+//! Reads the topic of members, which also names their leader, and registers this member in it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use super::shared::Shared;
 use super::wire::{self, Alive, Leader, Member};
 
-/// A read waits so long for news. Shorter, and every member reads more often; longer, and a
-/// connection that went silent is noticed later.
+/// Time for which a read waits for new records. If shorter, every member reads more often; if
+/// longer, a dead connection is noticed later.
 const WAIT: Duration = Duration::from_secs(2);
-/// Time for the own record to be written.
+/// Timeout of the append of this member's record.
 const REGISTER_WITHIN: Duration = Duration::from_secs(1);
-/// Pause after a call that failed.
+/// Delay after a failed read.
 const AGAIN_AFTER: Duration = Duration::from_millis(250);
 
-/// Follows the topic of members until the process shuts down.
+/// Reads the topic of members until the process shuts down.
 pub fn run(shared: &Arc<Shared>) {
     let store = shared.store();
     let mut is_reachable = true;
@@ -51,10 +51,10 @@
 
 type Outcome = Result<Option<u64>, pomelohitch_adapter::Error>;
 
-/// Reads every member's newest record.
+/// Reads the newest record of every key.
 ///
 /// # Errors
-/// If the store cannot be reached, refuses or answers unreadably.
+/// If the store can't be reached, refuses, or its answer can't be decoded.
 pub fn read_all(shared: &Shared, store: &Store) -> Outcome {
     let newest = store.newest(Topic::Members)?;
     shared.update(|view| {
@@ -85,7 +85,8 @@
     }
 }
 
-/// Takes in one record, which may be old unless it `is_news`. One that can't be read names nobody.
+/// Applies one record to the view; it may be old unless `is_news`. A member whose record can't be
+/// decoded is removed.
 fn take(shared: &Shared, key: &str, value: Option<&[u8]>, is_news: bool) {
     if let Some(name) = wire::member_of(key) {
         let member = value.and_then(|v| postcard::from_bytes::<Member>(v).ok());
@@ -117,7 +118,7 @@
     }
 }
 
-/// Writes the own record if it isn't there as it should be.
+/// Writes this member's record unless it is already in the store.
 fn register(shared: &Shared, store: &Store) {
     let site = shared.site.load();
     let member = Member {
--- a/pomelohitchd/src/fleet/succession.rs
+++ b/pomelohitchd/src/fleet/succession.rs
@@ -1,8 +1,7 @@
-//! Which member should lead.
+//! Decides which member should lead, from what the members report about themselves.
 //!
-//! Pure: what members say of themselves comes in, who should lead comes out. The leader does most
-//! of the work, so that where members differ in size the largest should lead. One that is much
-//! smaller leads only while no larger one can.
+//! The leader does most of the work, so that the largest member should lead where members differ in
+//! size. A much smaller one leads only while no larger one can.
 
 use std::cmp::Reverse;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -11,21 +10,22 @@
 
 use super::wire::{Member, ProbeReply};
 
-/// A member counts as larger from so many times the processors on. A change of leader holds work
-/// back for a tenth of a second, which a small difference isn't worth.
+/// Ratio of processors from which a member counts as larger. A change of leader delays work by a
+/// tenth of a second, which a smaller difference isn't worth.
 const LARGER_FROM: f64 = 1.5;
-/// A member that knows of a larger one waits so much longer before it claims the leadership: by
-/// then the larger one, which noticed the same silence, has claimed it.
+/// Additional delay before a member that knows of a larger one claims the leadership. The larger
+/// one notices the same silence and has claimed by then.
 const DEFERENCE: Duration = Duration::from_millis(400);
 
-/// Most members that are asked whether they hear a silent leader. If half of the others do, it shows in
-/// all but one of some million questions.
+/// Maximum number of members that are asked whether they hear a silent leader. If half of the other
+/// members hear it, the probability that none of those asked does is less than one in ten million.
 const ASKED: usize = 24;
 
-/// The members to ask whether they hear a silent leader, others for each `seed`.
+/// Returns the members to ask whether they hear a silent leader: a different sample for each
+/// `seed`.
 ///
-/// The load that this answers: hundreds of members start, or notice a silence, at the same moment.
-/// Each asking all others would take tens of thousands of connections and threads.
+/// Hundreds of members may start, or notice a silent leader, at the same moment. If each asked all
+/// others, this would take tens of thousands of connections and threads.
 #[must_use]
 pub fn asked(mut members: Vec<SocketAddr>, seed: u64) -> Vec<SocketAddr> {
     if members.len() > ASKED {
@@ -39,9 +39,9 @@
     members
 }
 
-/// The member that should lead next: of those that reach the store the largest, and of equal ones
-/// the one that started last. In a rolling restart its turn is over, while any other may be the
-/// next to go.
+/// Returns the member that should lead next: the largest of those that reach the store, and of
+/// equally large ones the one that started last. In a rolling restart that one has already
+/// restarted, while any other may be the next to stop.
 #[must_use]
 pub fn successor(answers: &[(SocketAddr, ProbeReply)]) -> Option<SocketAddr> {
     let able = answers.iter().filter(|(_, a)| a.has_store && !a.is_leaving);
@@ -49,7 +49,8 @@
         .map(|(addr, _)| *addr)
 }
 
-/// Where the members take calls that are much larger than one of `power`.
+/// Returns the addresses of the members that are much larger than one of `power`, in thousandths of
+/// a core.
 #[must_use]
 pub fn larger(power: u32, members: &[Member]) -> Vec<SocketAddr> {
     let larger = members
@@ -58,7 +59,7 @@
     larger.map(|m| m.addr).collect()
 }
 
-/// How much longer than others a member of `power` waits before it claims the leadership.
+/// Additional delay before a member of `power` claims the leadership.
 #[must_use]
 pub fn deference(power: u32, members: &[Member]) -> Duration {
     if larger(power, members).is_empty() {
--- a/pomelohitchd/tests/fleet.rs
+++ b/pomelohitchd/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Tests of the daemon on the users' platform.
+//! Tests of the daemon that runs as an entry instance on the users' platform.
 
 #[path = "fleet/callers.rs"]
 mod callers;
--- a/pomelohitchd/tests/fleet/in_flight.rs
+++ b/pomelohitchd/tests/fleet/in_flight.rs
@@ -22,8 +22,8 @@
     calls.collect()
 }
 
-/// Guards against a job that is told to be accepted at its second try while the record of the first
-/// is on its way: it is lost if the leader ends then.
+/// A caller that submits its job again while the first submission's record is in flight must not be
+/// answered "accepted" early: the job would be lost if the leader ended then.
 #[test]
 fn answers_wait_for_the_records_of_earlier_batches() {
     let mut in_flight = InFlight::default();
--- a/pomelohitchd/tests/fleet/journal.rs
+++ b/pomelohitchd/tests/fleet/journal.rs
@@ -1,4 +1,4 @@
-//! Records on their way to the store.
+//! Appends of the leader to the store.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -14,18 +14,18 @@
 
 const EPOCH: u64 = 7;
 
-/// What a store has taken, in order, and its faults. As the platform's, it takes any number as the
-/// first of an epoch.
+/// What a store has accepted, in order, and its faults. Like the platform's store, it accepts any
+/// number as the first of an epoch.
 #[derive(Default)]
 struct Taken {
     sequences: Vec<Sequence>,
-    /// Taken, but the first answer is lost.
+    /// Accepted, but the first answer is lost.
     losing: Vec<Sequence>,
-    /// The first try is neither taken nor answered.
+    /// The first attempt is neither accepted nor answered.
     ignoring: Vec<Sequence>,
 }
 
-/// A store that takes appends in sequence and loses the first answers to some.
+/// A store that accepts appends in sequence and has the given faults.
 fn store(faults: Taken) -> (SocketAddr, Arc<Mutex<Taken>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let addr = listener.local_addr().expect("it is bound");
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Waits until everything up to `last` is durable, and ends the leadership.
+    /// Waits until all appends up to `last` are durable, and ends the leadership.
     fn finish(self, last: Sequence) {
         let is_last = |event: Event| matches!(event, Event::Committed(durable) if durable == last);
         assert!(self.events.into_iter().any(is_last));
@@ -121,7 +121,7 @@
     }
 }
 
-/// Commits so many batches of a record each, and waits until all are durable.
+/// Commits `count` batches of one record each, and waits until all are durable.
 fn commit_all(addr: SocketAddr, count: Sequence) {
     let mut running = Running::start(addr);
     for number in 1..=count {
@@ -130,8 +130,8 @@
     running.finish(count);
 }
 
-/// Several appends are on their way, and one overtakes another. The store takes them in their order
-/// all the same, each once.
+/// Several appends in flight may overtake each other. The store still accepts each once and in
+/// order.
 #[test]
 fn appends_side_by_side_are_taken_in_their_order() {
     let (addr, taken) = store(Taken::default());
@@ -140,8 +140,8 @@
     assert_eq!(taken.sequences, (1..=12).collect::<Vec<_>>());
 }
 
-/// The answers to some appends are lost. They are tried again, and what comes after them is taken in
-/// its order; nothing is taken twice.
+/// Appends whose answers are lost are retried. Later appends keep their order, and none is accepted
+/// twice.
 #[test]
 fn lost_answers_leave_no_gap() {
     let (addr, taken) = store(Taken {
@@ -153,7 +153,7 @@
     assert_eq!(taken.sequences, (1..=6).collect::<Vec<_>>());
 }
 
-/// A batch is larger than one append may be.
+/// A batch that is larger than the limit of an append is split.
 #[test]
 fn a_large_batch_is_written_in_parts() {
     let (addr, taken) = store(Taken::default());
@@ -168,8 +168,8 @@
     assert_eq!(taken.sequences, [1, 2, 3]);
 }
 
-/// The first append of a leadership is held up on its way. Were another sent beside it, the store
-/// would begin with that one, and what the first holds would count as durable and be lost.
+/// If another append were sent while the first of a leadership is delayed, the store would accept
+/// that one as the first; the records of the first would count as durable and be lost.
 #[test]
 fn nothing_is_sent_beside_the_first_append() {
     let (addr, taken) = store(Taken {
@@ -181,8 +181,8 @@
     assert_eq!(taken.sequences, (1..=5).collect::<Vec<_>>());
 }
 
-/// The answer to an append is lost, and a later one is durable long before that shows. Told that the
-/// store takes nothing, the leader would refuse callers until the next append.
+/// If the answer to an append is lost but a later one is durable, the store must not be reported as
+/// unavailable: the leader would refuse callers until the next append.
 #[test]
 fn a_store_that_took_a_later_append_is_not_down() {
     let (addr, _) = store(Taken {
@@ -209,8 +209,8 @@
     assert_ne!(told.last(), Some(false));
 }
 
-/// The store has other numbers than this leader, which can't be mended: its leadership ends, and
-/// the next one begins anew. Tried for ever, nothing would be durable any more.
+/// If the store expects other sequence numbers than this leader's, retries can't succeed: the
+/// leadership must end, so that the next leader can make records durable again.
 #[test]
 fn a_leader_whose_appends_do_not_follow_ends() {
     let (addr, _) = store(Taken {
--- a/pomelohitchd/tests/fleet/lanes.rs
+++ b/pomelohitchd/tests/fleet/lanes.rs
@@ -14,7 +14,7 @@
 
 const TAKEN: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clock_ms\":1}";
 
-/// An endpoint that answers every order but those of these runs.
+/// An endpoint that answers every order except those of the `unanswered` runs.
 fn endpoint(unanswered: &'static [RunNumber]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let addr = listener.local_addr().expect("it is bound");
@@ -55,7 +55,7 @@
     Order::Stop { task, run }
 }
 
-/// The runs whose orders ended, in order, with how.
+/// The runs of the next `count` orders that ended, in order, and their outcomes.
 fn ended(events: &Receiver<Event>, count: usize) -> Vec<(RunNumber, Outcome)> {
     let ends = events.iter().take(count).map(|event| match event {
         Event::Ordered(_, Order::Stop { run, .. }, outcome) => (run, outcome),
@@ -80,8 +80,8 @@
     ended(&rx, count)
 }
 
-/// One order in twenty gets no answer. If the others of its endpoint wait for it, most starts of a
-/// busy endpoint come late, and those that waited longest aren't sent at all.
+/// If orders waited for an unanswered one to the same endpoint, most starts at a busy endpoint
+/// would be late, and the oldest would not be sent at all. One order in twenty gets no answer.
 #[test]
 fn an_order_without_an_answer_does_not_hold_up_its_endpoint() {
     let ends = send(1..=12, endpoint(&[1]));
--- a/pomelohitchd/tests/fleet/leaders.rs
+++ b/pomelohitchd/tests/fleet/leaders.rs
@@ -1,4 +1,4 @@
-//! Who leads next, and what counts as a sign of life.
+//! The choice of the next leader, and what counts as a sign that the leader is alive.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     (([127, 0, 0, 1], port).into(), reply)
 }
 
-/// Guards against hundreds of members that each ask all others at the same moment.
+/// Hundreds of members that notice a silent leader at the same moment must not each ask all others.
 #[test]
 fn few_members_are_asked_about_a_silent_leader() {
     let members: Vec<_> = (1..=300)
@@ -34,8 +34,8 @@
     assert_eq!(asked(members[..24].to_vec(), 1), members[..24]);
 }
 
-/// Members are restarted one after another. Handed to one whose turn is still to come, the
-/// leadership changes again two seconds later, and each change holds work back.
+/// In a rolling restart, a leadership handed to a member that is still to be restarted changes
+/// again two seconds later, and each change delays work.
 #[test]
 fn the_member_that_started_last_leads_next() {
     let members = [member(1, 60_000), member(2, 2_000), member(3, 61_000)];
@@ -52,8 +52,8 @@
     assert_eq!(successor(&members), None);
 }
 
-/// Entry instances of an eighth of a core were out of processor time as leaders of a fleet of 350
-/// endpoints, and every start came late; ones of half a core stood by idle.
+/// With 350 endpoints, entry instances of an eighth of a core ran out of processor time as leaders
+/// and all starts were late, while instances of half a core were idle.
 #[test]
 fn the_largest_member_leads_next() {
     let mut members = [member(1, 60_000), member(2, 2_000), member(3, 61_000)];
@@ -65,8 +65,8 @@
     assert_eq!(successor(&members), Some(members[2].0));
 }
 
-/// Many small members notice a silent leader together with a few large ones. The first claim wins,
-/// which would mostly be one of the small ones.
+/// Many small members and a few large ones notice a silent leader together. The first claim wins,
+/// which would usually be that of a small member.
 #[test]
 fn small_members_leave_the_first_claim_to_large_ones() {
     let sized = |power| Member {
@@ -84,8 +84,8 @@
     assert_eq!(larger(200, &members), [members[2].addr]);
 }
 
-/// All processes are restarted, and read the record of a leader that is gone. Taken for a sign of
-/// life it would keep them waiting for its heartbeats for another second.
+/// After a restart of all processes, the record of the former leader must not count as a heartbeat:
+/// members would wait for another second before they claim the leadership.
 #[test]
 fn an_old_record_of_a_leader_is_no_sign_of_life() {
     let shared = Shared::new(site());
@@ -139,7 +139,7 @@
     );
 }
 
-/// Guards against a successor that takes up its own time of day, which differs from its leader's.
+/// A successor must continue the fleet's time of its predecessor instead of its own time of day.
 #[test]
 fn a_member_keeps_the_time_that_its_leader_told() {
     let shared = Shared::new(site());
@@ -152,7 +152,7 @@
     assert!(shared.fleet_ms().is_some_and(|ms| ms < 9_000));
 }
 
-/// Guards against taking the age of a sign of life for nothing: it is only a lower bound.
+/// The fleet's time in a liveness record of unknown age is only a lower bound.
 #[test]
 fn an_old_sign_of_life_bounds_the_fleets_time() {
     let shared = Shared::new(site());
--- a/pomelohitchd/tests/fleet/outages.rs
+++ b/pomelohitchd/tests/fleet/outages.rs
@@ -1,4 +1,4 @@
-//! While the store is silent.
+//! Behaviour while the store doesn't answer.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 
 use super::site::site;
 
-/// A store that takes connections and answers nothing.
+/// A store that accepts connections and never answers.
 fn silent_store() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let addr = listener.local_addr().expect("it is bound");
@@ -23,7 +23,7 @@
     addr
 }
 
-/// A member that serves others, with this store.
+/// A member that serves other members and uses `store`.
 fn member(store: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let addr = listener.local_addr().expect("it is bound");
@@ -34,9 +34,9 @@
     addr
 }
 
-/// The store is silent for all, and the leader asks the members whether they have it. A member
-/// whose answer waits for the silent store comes too late; the leader takes itself for cut off
-/// from everybody and resigns, and nobody leads when the store is back.
+/// While the store is silent for all, the leader probes the members. If their answers waited for
+/// the store, they would come too late: the leader would take itself for isolated and resign, and
+/// there would be no leader when the store recovers.
 #[test]
 fn members_answer_while_the_store_is_silent() {
     let members = [member(silent_store()), member(silent_store())];
@@ -53,15 +53,15 @@
         .collect()
 }
 
-/// A call that goes out while the store is silent isn't answered when it is back; work goes on with
-/// the next try. Waits of more than half a second would show to callers after each silence.
+/// A call sent while the store is silent isn't answered after it recovers; work resumes with the
+/// next attempt. Timeouts of more than half a second would delay callers after each such outage.
 #[test]
 fn a_store_that_is_back_is_used_soon() {
     let waits = waits(&Patience::default());
     assert_eq!(waits, [120, 240, 480, 480, 480, 480, 480, 480, 1200, 1200]);
 }
 
-/// A slow store answers none of several tries that are all given up early.
+/// A slow store answers none of several attempts that are all given up early.
 #[test]
 fn a_slow_store_is_waited_for() {
     let mut patience = Patience::default();
--- a/pomelohitchd/tests/fleet/site.rs
+++ b/pomelohitchd/tests/fleet/site.rs
@@ -4,7 +4,7 @@
 
 use pomelohitch_adapter::settings::{self, Site};
 
-/// The platform's settings of a process, with addresses that nobody listens at.
+/// Settings of a process as the platform writes them, with addresses that nothing listens on.
 pub fn site() -> Site {
     let text = r#"
         node_name = "front-a-1"
@@ -24,7 +24,7 @@
     settings::parse(text, "test").expect("the settings are whole")
 }
 
-/// An address on which nobody listens.
+/// An address that nothing listens on.
 pub fn nowhere() -> SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
     listener.local_addr().expect("it is bound")
