--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -61,7 +61,7 @@
     #[snafu(display("another member claimed the leadership first"))]
     Raced,
     /// A larger member can lead, and was asked to claim the leadership.
-    #[snafu(display("left to the larger member at {peer}"))]
+    #[snafu(display("yielded to the larger member at {peer}"))]
     Yielded {
         /// Address of the larger member.
         peer: SocketAddr,
@@ -150,7 +150,7 @@
     };
     let (mut cell, faults) = Cell::restore(settings, epoch, clock::now(), &records.jobs.records);
     for fault in &faults {
-        warn!(%fault, "record passed over");
+        warn!(%fault, "record skipped");
     }
     shared.note_fleet_ms(epoch, Some(cell.fleet_ms()));
     let (tx, rx) = mpsc::channel();
@@ -307,7 +307,7 @@
     for _ in 1..TRIES {
         match call() {
             Ok(done) => return Ok(done),
-            Err(error) => info!(%error, "step of taking over tried again"),
+            Err(error) => info!(%error, "takeover step failed; retrying"),
         }
         std::thread::sleep(AGAIN_AFTER);
     }
@@ -338,13 +338,13 @@
             Ok(OperatorRecord::Wave(wave)) => cell.wave(wave),
             Ok(OperatorRecord::Evacuation(zone)) => cell.evacuate(&zone),
             Ok(OperatorRecord::Other) => {}
-            Err(error) => warn!(%error, "record passed over"),
+            Err(error) => warn!(%error, "record skipped"),
         }
     }
     for (id, value) in &records.endpoints.records {
         match records::endpoint_report(id, value) {
             Ok(report) => cell.endpoint_listed(report),
-            Err(error) => info!(%error, "entry passed over"),
+            Err(error) => info!(%error, "endpoint entry skipped"),
         }
     }
 }
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -179,7 +179,7 @@
     let (journal, duties, lanes) = match started {
         Ok(started) => started,
         Err(error) => {
-            error!(%error, "threads of the leader can't be started");
+            error!(%error, "failed to start the leader's threads");
             shared.set_leading(None);
             return;
         }
--- a/pomelohitchd/src/fleet/leader/duties.rs
+++ b/pomelohitchd/src/fleet/leader/duties.rs
@@ -183,7 +183,7 @@
     match list {
         Some(Ok(list)) => Event::Instances(Some(list), asked_at),
         Some(Err(error)) => {
-            info!(%error, "instances not listed");
+            info!(%error, "failed to list instances");
             Event::Instances(None, asked_at)
         }
         None => Event::Instances(None, asked_at),
@@ -199,7 +199,7 @@
             let record = match records::wave_status(wave, is_completed) {
                 Ok(record) => record,
                 Err(error) => {
-                    warn!(%error, wave, "status can't be written");
+                    warn!(%error, wave, "failed to encode wave status");
                     continue;
                 }
             };
@@ -207,7 +207,7 @@
                 let records = std::slice::from_ref(&record);
                 match store.append(Topic::Status, records, Guard::Free, STATUS_WITHIN) {
                     Ok(_) => break,
-                    Err(error) => info!(%error, wave, "status written again"),
+                    Err(error) => info!(%error, wave, "failed to append wave status; retrying"),
                 }
                 std::thread::sleep(STATUS_AGAIN);
             }
@@ -226,7 +226,7 @@
     spawn("policy", move || {
         for (step, endpoints) in rx {
             let Some(client) = &client else {
-                warn!(%step, "no policy is set to ask");
+                warn!(%step, "no policy service is configured");
                 continue;
             };
             match policy::advise(client, step, &endpoints) {
@@ -236,7 +236,7 @@
                         return;
                     }
                 }
-                Err(error) => info!(%error, %step, "policy asked in vain"),
+                Err(error) => info!(%error, %step, "request to the policy service failed"),
             }
         }
     })?;
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -70,7 +70,7 @@
             let _ = tx.send(Event::Probed(answers, has_store));
         });
         if let Err(error) = asking {
-            warn!(%error, "other members can't be asked");
+            warn!(%error, "failed to probe the other members");
         }
     }
 
@@ -106,7 +106,7 @@
             let _ = tx.send(Event::Larger(answers));
         });
         if let Err(error) = asking {
-            warn!(%error, "larger members can't be asked");
+            warn!(%error, "failed to probe larger members");
         }
     }
 
@@ -132,7 +132,7 @@
         }
         let successor = successor(answers);
         let lost_ms = clock::steady().saturating_sub(since).as_millis();
-        warn!(lost_ms, answers = answers.len(), successor = ?successor, "store lost");
+        warn!(lost_ms, answers = answers.len(), successor = ?successor, "store unavailable");
         if let Some(successor) = successor.filter(|_| !is_back) {
             self.stop("the store answers others", Some(successor));
         }
--- a/pomelohitchd/src/fleet/leader/heartbeats.rs
+++ b/pomelohitchd/src/fleet/leader/heartbeats.rs
@@ -51,7 +51,8 @@
         let site = shared.site.load();
         let socket = UdpSocket::bind((site.internal.ip(), 0));
         let socket = socket.and_then(|s| s.set_nonblocking(true).map(|()| s));
-        let socket = socket.map_err(|error| warn!(%error, "no datagrams are sent"));
+        let socket = socket
+            .map_err(|error| warn!(%error, "failed to open the socket for heartbeat datagrams"));
         Some(Datagrams {
             socket: socket.ok()?,
             port: site.relay.port(),
@@ -65,7 +66,7 @@
         let message = match postcard::to_allocvec(&beat) {
             Ok(message) => message,
             Err(error) => {
-                warn!(%error, "message can't be written");
+                warn!(%error, "failed to encode heartbeat");
                 return;
             }
         };
@@ -126,7 +127,7 @@
         let sign = progress::encode(wire::ALIVE_KEY.into(), &sign);
         let written = sign.map(|s| store.append(Topic::Members, &[s], Guard::Free, SIGN_WITHIN));
         if !matches!(written, Ok(Ok(_))) {
-            info!(?written, "sign of life not written");
+            info!(?written, "liveness record not written");
         }
         std::thread::sleep(SIGN_EVERY);
     })
@@ -158,6 +159,6 @@
         std::thread::sleep(EVERY);
     });
     if let Err(error) = started {
-        warn!(%error, %addr, "heartbeats can't be started");
+        warn!(%error, %addr, "failed to start heartbeats");
     }
 }
--- a/pomelohitchd/src/fleet/leader/journal.rs
+++ b/pomelohitchd/src/fleet/leader/journal.rs
@@ -198,7 +198,11 @@
                     std::thread::sleep(OUT_OF_TURN);
                 }
                 Ok(other) => {
-                    warn!(?other, epoch = self.common.epoch, "append refused for good");
+                    warn!(
+                        ?other,
+                        epoch = self.common.epoch,
+                        "append permanently refused"
+                    );
                     let _ = self.events.send(Event::Deposed("fenced by the store"));
                     return Err(Over);
                 }
@@ -207,7 +211,7 @@
                 Err(error) => {
                     let is_timeout = error.status().is_none();
                     if self.common.is_well.load(Ordering::Acquire) {
-                        info!(%error, ?within, sequence, "append tried again");
+                        info!(%error, ?within, sequence, "append failed; retrying");
                     }
                     self.tell(false)?;
                     tries += 1;
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/lanes.rs
@@ -212,7 +212,10 @@
         let wanted = Layout::of(endpoints, services, self.options.link_bytes_per_s);
         let layout = self.layout.followed_by(wanted);
         if layout != self.layout {
-            info!(shards = layout.shards, endpoints, "calls divided");
+            info!(
+                shards = layout.shards,
+                endpoints, "assignment of endpoints to members changed"
+            );
             self.layout = layout;
         }
         let members = self.options.members.as_ref().map(|members| members());
--- a/pomelohitchd/src/fleet/leader/watch.rs
+++ b/pomelohitchd/src/fleet/leader/watch.rs
@@ -79,7 +79,7 @@
     match read {
         Ok(next) => next,
         Err(error) => {
-            info!(%error, "read tried again");
+            info!(%error, "read failed; retrying");
             std::thread::sleep(AGAIN_AFTER);
             from
         }
@@ -119,7 +119,7 @@
         Ok(OperatorRecord::Evacuation(zone)) => Event::Evacuation(EvacuationChange::Asked(zone)),
         Ok(OperatorRecord::Other) => return,
         Err(error) => {
-            warn!(%error, "record of an operator passed over");
+            warn!(%error, "operator record skipped");
             return;
         }
     };
@@ -141,7 +141,7 @@
         let reports = newest.records.iter().filter_map(|(id, value)| {
             let report = records::endpoint_report(id, value);
             report
-                .map_err(|error| info!(%error, "entry passed over"))
+                .map_err(|error| info!(%error, "endpoint entry skipped"))
                 .ok()
         });
         let _ = tx.send(Event::EndpointsRead(reports.collect()));
@@ -167,6 +167,6 @@
         Ok(report) => {
             let _ = tx.send(Event::EndpointListed(report));
         }
-        Err(error) => info!(%error, "entry passed over"),
+        Err(error) => info!(%error, "endpoint entry skipped"),
     }
 }
--- a/pomelohitchd/src/fleet/lifecycle.rs
+++ b/pomelohitchd/src/fleet/lifecycle.rs
@@ -43,9 +43,9 @@
         addr: SocketAddr,
         source: std::io::Error,
     },
-    #[snafu(display("install the handlers of signals: {source}"))]
+    #[snafu(display("install signal handlers: {source}"))]
     Signals { source: std::io::Error },
-    #[snafu(display("start counting: {source}"))]
+    #[snafu(display("install the metrics recorder: {source}"))]
     Metrics {
         source: metrics_exporter_prometheus::BuildError,
     },
@@ -65,7 +65,7 @@
             ExitCode::SUCCESS
         }
         Err(error) => {
-            tracing::error!(%error, "not started");
+            tracing::error!(%error, "failed to start");
             let code = match error {
                 Error::Settings { .. } => EXIT_SETTINGS,
                 _ => EXIT_START,
@@ -123,7 +123,7 @@
         let shared = shared.clone();
         let answer = Box::new(move |datagram: &[u8]| internal::datagram(&shared, datagram));
         if let Err(error) = relay::server::run(addr, answer) {
-            warn!(%addr, %error, "calls aren't carried");
+            warn!(%addr, %error, "relay server failed");
         }
     });
     relaying.map(drop).context(ThreadSnafu)
@@ -139,7 +139,7 @@
     };
     match listen(addr) {
         Ok(listener) => front::serve_in_background(service, listener, internal::limits()),
-        Err(error) => warn!(%addr, %error, "metrics aren't shown"),
+        Err(error) => warn!(%addr, %error, "failed to serve metrics"),
     }
 }
 
@@ -182,7 +182,7 @@
 fn reload(path: &Path, shared: &Shared, is_told: bool) {
     match settings::read(path) {
         Ok(site) => {
-            info!(is_told, store = %site.store, "settings read again");
+            info!(is_told, store = %site.store, "settings reloaded");
             shared.site.store(Arc::new(Site {
                 callers: shared.site.load().callers,
                 internal: shared.site.load().internal,
@@ -190,7 +190,7 @@
                 ..site
             }));
         }
-        Err(error) => warn!(%error, "changed settings can't be used; the former ones stay"),
+        Err(error) => warn!(%error, "failed to reload settings; keeping the previous ones"),
     }
 }
 
--- a/pomelohitchd/src/fleet/members.rs
+++ b/pomelohitchd/src/fleet/members.rs
@@ -32,7 +32,7 @@
         match outcome {
             Ok(next) => {
                 if !is_reachable {
-                    info!("store regained");
+                    info!("store available again");
                 }
                 is_reachable = true;
                 from = next;
@@ -40,7 +40,7 @@
             }
             Err(error) => {
                 if is_reachable {
-                    warn!(%error, "store lost");
+                    warn!(%error, "store unavailable");
                 }
                 is_reachable = false;
                 std::thread::sleep(AGAIN_AFTER);
--- a/pomelohitchd/tests/fleet/journal.rs
+++ b/pomelohitchd/tests/fleet/journal.rs
@@ -27,13 +27,15 @@
 
 /// A store that accepts appends in sequence and has the given faults.
 fn store(faults: Taken) -> (SocketAddr, Arc<Mutex<Taken>>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
+    let addr = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     let taken = Arc::new(Mutex::new(faults));
     let shared = taken.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (stream, taken) = (stream.expect("a writer connects"), shared.clone());
+            let (stream, taken) = (stream.expect("the connection is accepted"), shared.clone());
             std::thread::spawn(move || serve(stream, &taken));
         }
     });
@@ -50,8 +52,13 @@
             continue;
         };
         let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-        let sequence = digits.parse().expect("it is a number");
-        let answer = take(&mut taken.lock().expect("no test panics here"), sequence);
+        let sequence = digits.parse().expect("only digits were taken");
+        let answer = take(
+            &mut taken
+                .lock()
+                .expect("no thread panics while holding the lock"),
+            sequence,
+        );
         if let Some(answer) = answer
             && stream.write_all(answer.as_bytes()).is_err()
         {
@@ -100,7 +107,7 @@
         let confirmed = Arc::new(AtomicU64::new(0));
         let journal = Journal::start(&shared, EPOCH, &tx, &confirmed);
         Running {
-            journal: journal.expect("there is room for threads"),
+            journal: journal.expect("the threads start"),
             events,
             shared,
         }
@@ -136,7 +143,9 @@
 fn appends_side_by_side_are_taken_in_their_order() {
     let (addr, taken) = store(Taken::default());
     commit_all(addr, 12);
-    let taken = taken.lock().expect("no test panics here");
+    let taken = taken
+        .lock()
+        .expect("no thread panics while holding the lock");
     assert_eq!(taken.sequences, (1..=12).collect::<Vec<_>>());
 }
 
@@ -149,7 +158,9 @@
         ..Taken::default()
     });
     commit_all(addr, 6);
-    let taken = taken.lock().expect("no test panics here");
+    let taken = taken
+        .lock()
+        .expect("no thread panics while holding the lock");
     assert_eq!(taken.sequences, (1..=6).collect::<Vec<_>>());
 }
 
@@ -164,7 +175,9 @@
     };
     assert_eq!(running.journal.commit((1..=3).map(large).collect()), 3);
     running.finish(3);
-    let taken = taken.lock().expect("no test panics here");
+    let taken = taken
+        .lock()
+        .expect("no thread panics while holding the lock");
     assert_eq!(taken.sequences, [1, 2, 3]);
 }
 
@@ -177,7 +190,9 @@
         ..Taken::default()
     });
     commit_all(addr, 5);
-    let taken = taken.lock().expect("no test panics here");
+    let taken = taken
+        .lock()
+        .expect("no thread panics while holding the lock");
     assert_eq!(taken.sequences, (1..=5).collect::<Vec<_>>());
 }
 
--- a/pomelohitchd/tests/fleet/lanes.rs
+++ b/pomelohitchd/tests/fleet/lanes.rs
@@ -16,11 +16,13 @@
 
 /// An endpoint that answers every order except those of the `unanswered` runs.
 fn endpoint(unanswered: &'static [RunNumber]) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
+    let addr = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let stream = stream.expect("the leader connects");
+            let stream = stream.expect("the connection is accepted");
             std::thread::spawn(move || answer(stream, unanswered));
         }
     });
@@ -66,7 +68,7 @@
 
 fn send(runs: std::ops::RangeInclusive<RunNumber>, addr: SocketAddr) -> Vec<(RunNumber, Outcome)> {
     let (tx, rx) = mpsc::channel();
-    let mut lanes = Lanes::start(tx, Options::default()).expect("there is room for a thread");
+    let mut lanes = Lanes::start(tx, Options::default()).expect("the thread starts");
     let target = Target {
         id: Arc::from("e1"),
         born: 1,
--- a/pomelohitchd/tests/fleet/leaders.rs
+++ b/pomelohitchd/tests/fleet/leaders.rs
@@ -145,7 +145,7 @@
     let shared = Shared::new(site());
     assert_eq!(shared.fleet_ms(), None);
     shared.note_fleet_ms(3, Some(7_000));
-    let told = shared.fleet_ms().expect("a leader has told it");
+    let told = shared.fleet_ms().expect("a leader has sent it");
     assert!((7_000..8_000).contains(&told), "{told}");
     shared.note_fleet_ms(2, Some(99_000));
     shared.note_fleet_ms(3, None);
@@ -158,7 +158,9 @@
     let shared = Shared::new(site());
     shared.note_fleet_ms_at_least(4, Some(50_000));
     assert_eq!(shared.fleet_ms(), None);
-    let least = shared.fleet_ms_at_least().expect("a sign was read");
+    let least = shared
+        .fleet_ms_at_least()
+        .expect("a liveness record was read");
     assert!((50_000..51_000).contains(&least), "{least}");
     shared.note_fleet_ms_at_least(3, Some(90_000));
     assert!(shared.fleet_ms_at_least().is_some_and(|ms| ms < 52_000));
--- a/pomelohitchd/tests/fleet/outages.rs
+++ b/pomelohitchd/tests/fleet/outages.rs
@@ -14,8 +14,10 @@
 
 /// A store that accepts connections and never answers.
 fn silent_store() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
+    let addr = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     std::thread::spawn(move || {
         let kept: Vec<_> = listener.incoming().collect();
         drop(kept);
@@ -25,8 +27,10 @@
 
 /// A member that serves other members and uses `store`.
 fn member(store: SocketAddr) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
+    let addr = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     let mut site = site();
     site.store = store;
     let service = internal::service(&Arc::new(Shared::new(site)));
--- a/pomelohitchd/tests/fleet/site.rs
+++ b/pomelohitchd/tests/fleet/site.rs
@@ -21,11 +21,13 @@
         [platform]
         address = "127.0.0.1:1"
     "#;
-    settings::parse(text, "test").expect("the settings are whole")
+    settings::parse(text, "test").expect("the settings are valid")
 }
 
 /// An address that nothing listens on.
 pub fn nowhere() -> SocketAddr {
-    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    listener.local_addr().expect("it is bound")
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
+    listener
+        .local_addr()
+        .expect("a bound listener has an address")
 }
