--- a/pomelohitchd/src/fleet/election.rs
+++ b/pomelohitchd/src/fleet/election.rs
@@ -25,47 +25,47 @@
 const HEARD_WITHIN: Duration = Duration::from_millis(700);
 /// If no peer answers, the leader counts as silent when its liveness record hasn't changed for this
 /// long; it is written every second.
-const NO_SIGN_FOR: Duration = Duration::from_millis(2500);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(2500);
 /// If two checks are further apart than this, this process itself was suspended, and can't tell for
 /// how long the leader was silent.
-const STOOD_STILL: Duration = Duration::from_millis(600);
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(600);
 /// Maximum delay of a claim that depends on the member's name, so that members rarely claim at the
 /// same time.
-const STAGGER: Duration = Duration::from_millis(150);
+const MAX_STAGGER: Duration = Duration::from_millis(150);
 
 /// Watches the leader until the process shuts down.
 pub fn run(shared: &Arc<Shared>) {
-    let hold_back = stagger(&shared.site.load().member);
-    let mut last_look = clock::steady();
+    let claim_delay = stagger(&shared.site.load().member);
+    let mut last_check = clock::steady();
     while !shared.is_leaving() {
         shared.wait(TICK);
         let now = clock::steady();
-        if now.saturating_sub(last_look) > STOOD_STILL {
+        if now.saturating_sub(last_check) > SUSPENSION_THRESHOLD {
             shared.update(|view| {
                 view.heard_at = now;
                 view.alive_at = now;
             });
         }
-        last_look = now;
+        last_check = now;
         if shared.leading().is_some() || shared.is_leaving() {
             continue;
         }
         let view = shared.view();
         let epoch = view.leader.as_ref().map_or(0, |l| l.epoch);
         let power = shared.site.load().power;
-        let hold_back = hold_back + succession::deference(power, &shared.others());
+        let claim_delay = claim_delay + succession::larger_member_delay(power, &shared.others());
         if let Some(claim) = shared.take_claim() {
             info!(has_ended = claim.has_ended, "asked to take over");
             leader::claim(shared, epoch, claim.has_ended);
-        } else if is_suspect(&view, now, hold_back) && is_silent(shared) {
+        } else if is_suspect(&view, now, claim_delay) && is_silent(shared) {
             leader::claim(shared, epoch, false);
         }
     }
 }
 
-fn is_suspect(view: &View, now: Steady, hold_back: Duration) -> bool {
+fn is_suspect(view: &View, now: Steady, claim_delay: Duration) -> bool {
     let silent_for = now.saturating_sub(view.heard_at);
-    view.is_read && silent_for > SUSPECT_AFTER + hold_back
+    view.is_read && silent_for > SUSPECT_AFTER + claim_delay
 }
 
 /// Whether no other member hears the leader either. Without a known leader there is no need to ask:
@@ -76,19 +76,19 @@
         return true;
     }
     let seed = millis(clock::steady());
-    let others = succession::asked(shared.peers(), seed);
+    let others = succession::probe_sample(shared.peers(), seed);
     let probe = Probe { with_store: false };
     let answers = peers::ask_all::<ProbeReply>(&others, wire::PROBE, &probe);
     let is_heard = answers
         .iter()
         .any(|(_, a)| Duration::from_millis(a.heard_ms) < HEARD_WITHIN);
-    let no_sign = clock::steady().saturating_sub(view.alive_at) > NO_SIGN_FOR;
-    let is_silent = !is_heard && (!answers.is_empty() || no_sign);
+    let is_record_stale = clock::steady().saturating_sub(view.alive_at) > LIVENESS_TIMEOUT;
+    let is_silent = !is_heard && (!answers.is_empty() || is_record_stale);
     info!(
         peers = others.len(),
         answers = answers.len(),
         is_heard,
-        no_sign,
+        no_sign = is_record_stale,
         is_silent,
         "leader suspected"
     );
@@ -99,5 +99,5 @@
     let sum = member.bytes().fold(0_u32, |sum, b| {
         sum.wrapping_mul(31).wrapping_add(u32::from(b))
     });
-    STAGGER.mul_f64(f64::from(sum % 16) / 16.0)
+    MAX_STAGGER.mul_f64(f64::from(sum % 16) / 16.0)
 }
--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -3,10 +3,10 @@
 //! * [`core`]: event loop of the one thread that owns the state of all jobs and makes decisions.
 //! * [`journal`]: appends records to the store.
 //! * [`in_flight`]: batches whose records aren't durable yet.
-//! * [`patience`]: timeout of an append.
+//! * [`append_timeout`]: timeout of an append.
 //! * [`lanes`]: sends calls to endpoints, directly or through other members.
 //! * [`watch`]: reads the records that operators and endpoints write to the store.
-//! * [`duties`]: calls to the platform's instances and policy services, and the status of waves.
+//! * [`platform_calls`]: calls to the platform's instances and policy services, and wave status.
 //! * [`heartbeats`]: announces the leader to the other members.
 //! * [`handover`]: decides when the leadership ends in favour of another member.
 
@@ -22,31 +22,31 @@
 use snafu::{ResultExt, Snafu, ensure};
 use tracing::{info, warn};
 
-use self::heartbeats::Datagrams;
+use self::heartbeats::DatagramHeartbeats;
 use super::clock;
 use super::shared::{Leading, Shared, spawn, spawn_with};
 use super::wire::{self, BeatReply, Claim, Leader, Probe, ProbeReply};
 use super::{members, peers, succession};
 
+pub mod append_timeout;
 pub mod core;
-pub mod duties;
 pub mod handover;
 pub mod heartbeats;
 pub mod in_flight;
 pub mod journal;
 pub mod lanes;
-pub mod patience;
+pub mod platform_calls;
 pub mod watch;
 
 /// Timeout of an append during a takeover.
-const WITHIN: Duration = Duration::from_millis(800);
+const APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 /// Attempts at a step of a takeover. The claim is already made by then: after the last attempt
 /// there is no leader until another member suspects this one.
-const TRIES: u32 = 4;
+const STEP_ATTEMPTS: u32 = 4;
 /// Attempts at a claim; one fails whenever another record moves the topic's end.
-const CLAIM_TRIES: u32 = 12;
+const CLAIM_ATTEMPTS: u32 = 12;
 /// Delay between attempts at a step.
-const AGAIN_AFTER: Duration = Duration::from_millis(60);
+const STEP_RETRY_DELAY: Duration = Duration::from_millis(60);
 
 /// Why the leadership wasn't taken over.
 #[derive(Debug, Snafu)]
@@ -103,46 +103,46 @@
     if let Err(error) = take_over(shared, epoch, is_handed_over) {
         info!(%error, "leadership not taken over");
         let now = clock::steady();
-        shared.update(|view| view.heard_at = view.heard_at.max(now.saturating_sub(PAUSE)));
+        shared.update(|view| view.heard_at = view.heard_at.max(now.saturating_sub(RETRY_SILENCE)));
     }
 }
 
 /// After a failed claim, the leader is treated as having been silent for at most this long, so that
 /// the next attempt comes soon but not at once.
-const PAUSE: Duration = Duration::from_millis(500);
+const RETRY_SILENCE: Duration = Duration::from_millis(500);
 
 fn take_over(shared: &Arc<Shared>, replaced: Epoch, is_handed_over: bool) -> Result<()> {
-    let began = clock::steady();
+    let started_at = clock::steady();
     let store = shared.store();
-    let endpoints = read_aside(shared, Topic::Endpoints)?;
+    let endpoints = read_in_background(shared, Topic::Endpoints)?;
     let (leader, former) = claim_record(shared, &store, replaced)?;
     let epoch = leader.epoch;
-    let _announcing = announce(shared, &leader)?;
+    let _announcement = announce(shared, &leader)?;
     if !is_handed_over && let Some(peer) = larger_member(shared) {
         core::hand_over(peer, Claim { has_ended: false });
         return YieldedSnafu { peer }.fail();
     }
-    let fenced = again(|| store.append(Topic::Jobs, &[], epoch_guard(epoch, 0), WITHIN))?;
-    ensure!(matches!(fenced, Appended::Done { .. }), FencedSnafu);
+    let appended = retry(|| store.append(Topic::Jobs, &[], epoch_guard(epoch, 0), APPEND_TIMEOUT))?;
+    ensure!(matches!(appended, Appended::Done { .. }), FencedSnafu);
     // Read only once the former leader is fenced: whatever it has read and acted on must be visible
     // here too.
-    let operators = read_aside(shared, Topic::Operators)?;
+    let operators = read_in_background(shared, Topic::Operators)?;
     let records = Records {
-        jobs: again(|| store.newest(Topic::Jobs))?,
-        operators: awaited(&operators)?,
-        endpoints: awaited(&endpoints)?,
+        jobs: retry(|| store.newest(Topic::Jobs))?,
+        operators: wait_for_read(&operators)?,
+        endpoints: wait_for_read(&endpoints)?,
     };
     let site = shared.site.load();
     let settings = Settings {
         lease: LEASE.min(site.bounds.longest_lease),
-        keep_ended: site.bounds.keep_ended + KEEP_MARGIN,
-        holder_gap: site.bounds.holder_gap + HOLDER_MARGIN,
+        keep_ended: site.bounds.keep_ended + KEEP_ENDED_MARGIN,
+        holder_gap: site.bounds.holder_gap + HOLDER_GAP_MARGIN,
         operations_per_s: site.operations_per_s,
         link_bytes_per_s: site.link_bytes_per_s,
         fleet_ms: shared.fleet_ms(),
         fleet_ms_at_least: shared.fleet_ms_at_least(),
         former_holder: if is_handed_over {
-            HANDED_OVER
+            FORMER_HOLDER_AFTER_HANDOVER
         } else {
             Settings::default().former_holder
         },
@@ -154,8 +154,8 @@
     }
     shared.note_fleet_ms(epoch, Some(cell.fleet_ms()));
     let (tx, rx) = mpsc::channel();
-    fill(&mut cell, &records);
-    let took_ms = clock::steady().saturating_sub(began).as_millis();
+    load_records(&mut cell, &records);
+    let took_ms = clock::steady().saturating_sub(started_at).as_millis();
     info!(
         epoch,
         jobs = cell.job_count(),
@@ -170,7 +170,7 @@
         events: tx.clone(),
     }));
     let offsets = (records.operators.end, records.endpoints.end);
-    let parts = core::Parts {
+    let initial = core::InitialState {
         cell,
         tx,
         rx,
@@ -178,7 +178,7 @@
         former,
         offsets,
     };
-    let running = spawn_with("leader", shared, move |shared| core::run(shared, parts));
+    let running = spawn_with("leader", shared, move |shared| core::run(shared, initial));
     running.map(drop).context(ThreadSnafu)
 }
 
@@ -186,7 +186,7 @@
 /// records are read: reading takes a small member seconds, during which the fleet has no leader.
 fn larger_member(shared: &Shared) -> Option<SocketAddr> {
     let power = shared.site.load().power;
-    let larger = succession::larger(power, &shared.others());
+    let larger = succession::larger_members(power, &shared.others());
     if larger.is_empty() {
         return None;
     }
@@ -205,37 +205,37 @@
     let (guard, ended) = mpsc::channel::<()>();
     let peers = shared.peers();
     let others: Vec<_> = peers.iter().map(|&peer| peers::client(peer)).collect();
-    let datagrams = Datagrams::new(shared, leader);
+    let datagrams = DatagramHeartbeats::new(shared, leader);
     info!(
         epoch = leader.epoch,
         members = others.len(),
         "leadership claimed"
     );
     let leader = leader.clone();
-    let telling = spawn_with("announce", shared, move |shared| {
+    let thread = spawn_with("announce", shared, move |shared| {
         loop {
             if let Some(datagrams) = &datagrams {
                 datagrams.send(shared, &peers);
             }
-            let beat = heartbeats::beat_of(shared, &leader);
-            peers::ask_clients::<BeatReply>(&others, wire::BEAT, &beat, heartbeats::EVERY);
-            if ended.recv_timeout(heartbeats::EVERY) == Err(RecvTimeoutError::Disconnected) {
+            let heartbeat = heartbeats::heartbeat_of(shared, &leader);
+            peers::ask_clients::<BeatReply>(&others, wire::BEAT, &heartbeat, heartbeats::INTERVAL);
+            if ended.recv_timeout(heartbeats::INTERVAL) == Err(RecvTimeoutError::Disconnected) {
                 return;
             }
         }
     });
-    telling.map(|_| guard).context(ThreadSnafu)
+    thread.map(|_| guard).context(ThreadSnafu)
 }
 
 /// Length of a lease, long enough to outlast a change of leader; see [`Settings::lease`].
 const LEASE: Duration = Duration::from_secs(6);
 /// [`Settings::former_holder`] after a handover: the former leader only finishes the calls that it
 /// was just sending.
-const HANDED_OVER: Duration = Duration::from_millis(300);
+const FORMER_HOLDER_AFTER_HANDOVER: Duration = Duration::from_millis(300);
 /// Margin by which ended jobs are kept longer than promised.
-const KEEP_MARGIN: Duration = Duration::from_secs(20);
+const KEEP_ENDED_MARGIN: Duration = Duration::from_secs(20);
 /// Margin added to the required gap between the operations of two leaders.
-const HOLDER_MARGIN: Duration = Duration::from_millis(400);
+const HOLDER_GAP_MARGIN: Duration = Duration::from_millis(400);
 
 /// Guard of an append by the leader of `epoch`.
 fn epoch_guard(epoch: Epoch, sequence: u64) -> Guard {
@@ -252,7 +252,7 @@
     store: &Store,
     replaced: Epoch,
 ) -> Result<(Leader, Option<Leader>)> {
-    for _ in 0..CLAIM_TRIES {
+    for _ in 0..CLAIM_ATTEMPTS {
         if let Some(claimed) = try_claim(shared, store, replaced)? {
             return Ok(claimed);
         }
@@ -279,7 +279,7 @@
     };
     let record = progress::encode(wire::LEADER_KEY.into(), &leader).context(RecordSnafu)?;
     let guard = Guard::At(end.unwrap_or_default());
-    match store.append(Topic::Members, &[record], guard, WITHIN) {
+    match store.append(Topic::Members, &[record], guard, APPEND_TIMEOUT) {
         Ok(Appended::Done { .. }) => Ok(Some((leader, former))),
         Ok(_) => Ok(None),
         Err(source) => {
@@ -296,42 +296,42 @@
     leader: Leader,
     source: pomelohitch_adapter::Error,
 ) -> Result<Leader> {
-    again(|| members::read_all(shared, store))?;
+    retry(|| members::read_all(shared, store))?;
     if shared.view().leader.as_ref() == Some(&leader) {
         return Ok(leader);
     }
     Err(source).context(StoreSnafu)
 }
 
-fn again<T>(call: impl Fn() -> std::result::Result<T, pomelohitch_adapter::Error>) -> Result<T> {
-    for _ in 1..TRIES {
+fn retry<T>(call: impl Fn() -> std::result::Result<T, pomelohitch_adapter::Error>) -> Result<T> {
+    for _ in 1..STEP_ATTEMPTS {
         match call() {
             Ok(done) => return Ok(done),
             Err(error) => info!(%error, "takeover step failed; retrying"),
         }
-        std::thread::sleep(AGAIN_AFTER);
+        std::thread::sleep(STEP_RETRY_DELAY);
     }
     call().context(StoreSnafu)
 }
 
 /// Reads a topic on a separate thread: while the store is slow, sequential reads would add up to
 /// seconds.
-fn read_aside(shared: &Shared, topic: Topic) -> Result<Receiver<Result<Newest>>> {
+fn read_in_background(shared: &Shared, topic: Topic) -> Result<Receiver<Result<Newest>>> {
     let (tx, rx) = mpsc::channel();
     let store = shared.store();
-    let reading = spawn("read aside", move || {
+    let thread = spawn("read aside", move || {
         // The receiver is gone if the takeover has failed meanwhile.
-        let _ = tx.send(again(|| store.newest(topic)));
+        let _ = tx.send(retry(|| store.newest(topic)));
     });
-    reading.map(|_| rx).context(ThreadSnafu)
+    thread.map(|_| rx).context(ThreadSnafu)
 }
 
-fn awaited(reading: &Receiver<Result<Newest>>) -> Result<Newest> {
-    reading.recv().unwrap_or_else(|_| RacedSnafu.fail())
+fn wait_for_read(read: &Receiver<Result<Newest>>) -> Result<Newest> {
+    read.recv().unwrap_or_else(|_| RacedSnafu.fail())
 }
 
 /// Loads the records of operators and endpoints into a cell.
-fn fill(cell: &mut Cell, records: &Records) {
+fn load_records(cell: &mut Cell, records: &Records) {
     for (key, value) in &records.operators.records {
         match records::operator_record(key, value) {
             Ok(OperatorRecord::Config(cfg)) => cell.configure(Arc::new(cfg)),
--- a/pomelohitchd/src/fleet/leader/patience.rs
+++ b/pomelohitchd/src/fleet/leader/append_timeout.rs
@@ -8,47 +8,50 @@
 use std::time::Duration;
 
 /// Ratio of the timeout to the average time of recent appends.
-const TIMES: f64 = 6.0;
+const LATENCY_FACTOR: f64 = 6.0;
 /// Minimum timeout; a working store answers within some milliseconds.
-const SHORTEST: Duration = Duration::from_millis(120);
+const MIN_TIMEOUT: Duration = Duration::from_millis(120);
 /// Maximum timeout of the early attempts, unless recent appends took longer. It makes a store that
 /// has recovered be used soon.
-const LONGEST_AT_FIRST: Duration = Duration::from_millis(480);
+const MAX_EARLY_TIMEOUT: Duration = Duration::from_millis(480);
 /// Number of early attempts.
-const FIRST_TRIES: u32 = 8;
+const EARLY_ATTEMPTS: u32 = 8;
 /// Timeout of later attempts: the store may have become slower than recent appends show.
-const LONGEST: Duration = Duration::from_millis(1200);
+const MAX_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Weight of the previous value in the moving average of append times.
-const FADE: f64 = 0.8;
+const PREVIOUS_WEIGHT: f64 = 0.8;
 
 /// Timeout of appends, derived from a moving average of the time that they take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Patience {
-    usual: Duration,
+pub struct AppendTimeout {
+    average: Duration,
 }
 
-impl Default for Patience {
+impl Default for AppendTimeout {
     fn default() -> Self {
-        Patience {
-            usual: SHORTEST.div_f64(TIMES),
+        AppendTimeout {
+            average: MIN_TIMEOUT.div_f64(LATENCY_FACTOR),
         }
     }
 }
 
-impl Patience {
+impl AppendTimeout {
     /// Adds the time that an append took to the average.
-    pub fn took(&mut self, took: Duration) {
-        self.usual = self.usual.mul_f64(FADE) + took.mul_f64(1.0 - FADE);
+    pub fn add_sample(&mut self, took: Duration) {
+        self.average = self.average.mul_f64(PREVIOUS_WEIGHT) + took.mul_f64(1.0 - PREVIOUS_WEIGHT);
     }
 
-    /// Timeout of an attempt after `tries` failed ones.
+    /// Timeout of an attempt after `failed_attempts` failed ones.
     #[must_use]
-    pub fn of_try(&self, tries: u32) -> Duration {
-        let first = self.usual.mul_f64(TIMES).clamp(SHORTEST, LONGEST);
-        if tries >= FIRST_TRIES {
-            return LONGEST;
+    pub fn for_attempt(&self, failed_attempts: u32) -> Duration {
+        let first = self
+            .average
+            .mul_f64(LATENCY_FACTOR)
+            .clamp(MIN_TIMEOUT, MAX_TIMEOUT);
+        if failed_attempts >= EARLY_ATTEMPTS {
+            return MAX_TIMEOUT;
         }
-        let doubled = first.saturating_mul(2_u32.saturating_pow(tries));
-        doubled.min(LONGEST_AT_FIRST.max(first))
+        let doubled = first.saturating_mul(2_u32.saturating_pow(failed_attempts));
+        doubled.min(MAX_EARLY_TIMEOUT.max(first))
     }
 }
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -22,23 +22,23 @@
 use super::super::peers;
 use super::super::shared::{Shared, spawn_with};
 use super::super::wire::{self, Claim, Leader, ProbeReply};
-use super::duties::Duties;
 use super::in_flight::InFlight;
 use super::journal::{self, Journal, Sequence};
 use super::lanes::{self, Lanes};
+use super::platform_calls::PlatformCalls;
 use super::{handover, heartbeats, watch};
 
 /// Interval at which the state is checked for due starts, leases and waves if no event arrives.
 const TICK: Duration = Duration::from_millis(25);
 /// Events that arrive within this time are handled together. This saves a pass over the queues for
 /// each event, and delays a request by this much at most.
-const GATHER: Duration = Duration::from_millis(5);
+const GATHER_WINDOW: Duration = Duration::from_millis(5);
 /// Minimum interval between the starts of two batches.
-const BATCH_GAP: Duration = Duration::from_millis(15);
+const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(15);
 /// Minimum interval between the starts of two batches while others are in flight.
-const BATCH_GAP_BEHIND: Duration = Duration::from_millis(120);
+const MIN_BATCH_INTERVAL_IN_FLIGHT: Duration = Duration::from_millis(120);
 /// Maximum number of queued events handled before the next tick.
-const EVENTS_AT_ONCE: usize = 1_000;
+const MAX_EVENTS_PER_TICK: usize = 1_000;
 
 /// A caller's request.
 #[derive(Debug)]
@@ -72,11 +72,11 @@
     EndpointUnlisted(EndpointId),
     /// All entries of endpoints were read from the start; endpoints without an entry are no longer
     /// listed.
-    EndpointsRead(Vec<Report>),
+    EndpointsReloaded(Vec<Report>),
     /// All entries of endpoints that existed at this time were read.
-    EndpointsAsOf(Steady),
+    EndpointsReadUpTo(Steady),
     /// All records that operators had written by this time were read.
-    OperatorsAsOf(Steady),
+    OperatorsReadUpTo(Steady),
     /// A poll of an endpoint succeeded or failed.
     Looked(Target, Result<Look, LookFailure>),
     /// An order to an endpoint has an outcome.
@@ -90,34 +90,34 @@
     /// All appends up to this one are durable.
     Committed(Sequence),
     /// Whether the store accepts appends.
-    Appends(bool),
+    AppendsAvailable(bool),
     /// Whether the store answers reads of operator records.
-    Reads(bool),
+    ReadsAvailable(bool),
     /// The other members' answers on whether the store answers them, and whether it answers this
     /// process at the same time.
-    Probed(Vec<(SocketAddr, ProbeReply)>, bool),
+    StoreProbed(Vec<(SocketAddr, ProbeReply)>, bool),
     /// The answers of larger members on whether they can lead.
-    Larger(Vec<(SocketAddr, ProbeReply)>),
+    LargerMembersProbed(Vec<(SocketAddr, ProbeReply)>),
     /// A later leader is known; with the reason that is logged.
     Deposed(&'static str),
     /// The process is shutting down.
-    Leave,
+    Shutdown,
 }
 
 /// Change to the evacuations that operators request.
 #[derive(Debug)]
 pub enum EvacuationChange {
     /// The evacuation of a zone was requested.
-    Asked(ZoneName),
+    Requested(ZoneName),
     /// The evacuation of a zone was withdrawn.
     Withdrawn(ZoneName),
     /// All evacuations were read from the start.
-    Read(BTreeSet<ZoneName>),
+    Reloaded(BTreeSet<ZoneName>),
 }
 
 /// State from which a leader starts.
 #[derive(Debug)]
-pub struct Parts {
+pub struct InitialState {
     /// Restored state of all jobs.
     pub cell: Cell,
     /// Sender of events to the leader's thread.
@@ -135,7 +135,7 @@
 /// Why a leadership ends, and the member to hand it over to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct End {
-    why: &'static str,
+    reason: &'static str,
     successor: Option<SocketAddr>,
 }
 
@@ -147,36 +147,36 @@
     pub(super) tx: Sender<Event>,
     lanes: Lanes,
     journal: Journal,
-    duties: Duties,
-    calls: HashMap<CallId, SyncSender<Answer>>,
+    platform_calls: PlatformCalls,
+    pending_calls: HashMap<CallId, SyncSender<Answer>>,
     next_call: CallId,
     in_flight: InFlight,
     committed_at: Steady,
-    pub(super) appends_lost: Option<Steady>,
-    pub(super) reads_lost: Option<Steady>,
-    pub(super) asked_at: Steady,
-    pub(super) compared_at: Steady,
+    pub(super) appends_failing_since: Option<Steady>,
+    pub(super) reads_failing_since: Option<Steady>,
+    pub(super) members_probed_at: Steady,
+    pub(super) sizes_compared_at: Steady,
     pub(super) former: Option<Leader>,
     end: Option<End>,
 }
 
 /// Leads until a later leader is known, only this process has lost the store, a larger member can
 /// lead, or the process shuts down.
-pub fn run(shared: &Arc<Shared>, parts: Parts) {
-    let epoch = parts.leader.epoch;
+pub fn run(shared: &Arc<Shared>, initial: InitialState) {
+    let epoch = initial.leader.epoch;
     let confirmed = Arc::new(AtomicU64::new(millis(clock::steady())));
-    let tx = parts.tx;
+    let tx = initial.tx;
     let started = Journal::start(shared, epoch, &tx, &confirmed).and_then(|journal| {
-        let duties = Duties::start(shared, epoch, &tx, &confirmed)?;
-        watch::start(shared, epoch, &tx, parts.offsets)?;
-        heartbeats::start(shared, &parts.leader, &tx)?;
+        let platform_calls = PlatformCalls::start(shared, epoch, &tx, &confirmed)?;
+        watch::start(shared, epoch, &tx, initial.offsets)?;
+        heartbeats::start(shared, &initial.leader, &tx)?;
         Ok((
             journal,
-            duties,
-            Lanes::start(tx.clone(), relaying(shared, epoch))?,
+            platform_calls,
+            Lanes::start(tx.clone(), relay_options(shared, epoch))?,
         ))
     });
-    let (journal, duties, lanes) = match started {
+    let (journal, platform_calls, lanes) = match started {
         Ok(started) => started,
         Err(error) => {
             error!(%error, "failed to start the leader's threads");
@@ -186,30 +186,30 @@
     };
     let mut core = Core {
         shared,
-        cell: parts.cell,
+        cell: initial.cell,
         epoch,
         lanes,
         tx,
         journal,
-        duties,
-        calls: HashMap::new(),
+        platform_calls,
+        pending_calls: HashMap::new(),
         next_call: 0,
         in_flight: InFlight::default(),
         committed_at: Steady::ZERO,
-        appends_lost: None,
-        reads_lost: None,
-        asked_at: Steady::ZERO,
-        compared_at: handover::first_comparison(),
-        former: parts.former,
+        appends_failing_since: None,
+        reads_failing_since: None,
+        members_probed_at: Steady::ZERO,
+        sizes_compared_at: handover::initial_comparison_time(),
+        former: initial.former,
         end: None,
     };
-    core.show_evacuations();
-    let end = core.lead(&parts.rx);
+    core.update_evacuation_gauge();
+    let end = core.run_event_loop(&initial.rx);
     shared.set_leading(None);
     info!(
         epoch,
-        why = end.why,
-        calls = core.calls.len(),
+        why = end.reason,
+        calls = core.pending_calls.len(),
         "leadership ended"
     );
     if let Some(successor) = end.successor {
@@ -218,7 +218,7 @@
 }
 
 /// Options for relaying calls to endpoints through the other members.
-fn relaying(shared: &Arc<Shared>, epoch: Epoch) -> lanes::Options {
+fn relay_options(shared: &Arc<Shared>, epoch: Epoch) -> lanes::Options {
     let site = shared.site.load();
     let (shared, port) = (shared.clone(), site.relay.port());
     lanes::Options {
@@ -234,28 +234,28 @@
 /// Asks `successor` to claim the leadership at once, so that the members need not first detect the
 /// leader's silence.
 pub(super) fn hand_over(successor: SocketAddr, claim: Claim) {
-    const WITHIN: Duration = Duration::from_millis(300);
+    const TIMEOUT: Duration = Duration::from_millis(300);
     let client = peers::client(successor);
-    match peers::ask::<()>(&client, wire::CLAIM, &claim, WITHIN) {
+    match peers::ask::<()>(&client, wire::CLAIM, &claim, TIMEOUT) {
         Ok(()) => info!(%successor, "leadership handed over"),
         Err(error) => warn!(%error, "leadership not handed over"),
     }
 }
 
 impl Core<'_> {
-    fn lead(&mut self, rx: &Receiver<Event>) -> End {
+    fn run_event_loop(&mut self, rx: &Receiver<Event>) -> End {
         loop {
             match rx.recv_timeout(TICK) {
                 Ok(event) => {
-                    std::thread::sleep(GATHER);
+                    std::thread::sleep(GATHER_WINDOW);
                     self.cell.at(clock::now());
-                    self.take(event);
-                    for event in rx.try_iter().take(EVENTS_AT_ONCE) {
-                        self.take(event);
+                    self.handle(event);
+                    for event in rx.try_iter().take(MAX_EVENTS_PER_TICK) {
+                        self.handle(event);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
-                Err(RecvTimeoutError::Disconnected) => self.stop("no events any more", None),
+                Err(RecvTimeoutError::Disconnected) => self.stop("event channel closed", None),
             }
             if self.cell.is_fenced() {
                 self.stop("an endpoint has seen a later leader", None);
@@ -267,64 +267,69 @@
             let actions = self.cell.tick(now);
             self.cell
                 .tick_took(clock::steady().saturating_sub(now.steady));
-            self.carry_out(actions);
-            self.count_losses();
+            self.execute(actions);
+            self.record_losses();
             self.commit();
             self.check_store();
-            self.check_size();
-            self.check_former();
+            self.check_larger_members();
+            self.check_former_leader();
             self.lanes.sync(self.cell.endpoints());
         }
     }
 
-    fn count_losses(&mut self) {
+    fn record_losses(&mut self) {
         for (cause, count) in self.cell.take_losses() {
             metrics::counter!("runs_lost", "cause" => cause.label()).increment(count);
         }
         metrics::counter!("jobs_given_up").increment(self.cell.take_given_up());
     }
 
-    pub(super) fn stop(&mut self, why: &'static str, successor: Option<SocketAddr>) {
-        self.end.get_or_insert(End { why, successor });
+    pub(super) fn stop(&mut self, reason: &'static str, successor: Option<SocketAddr>) {
+        self.end.get_or_insert(End { reason, successor });
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Call(incoming) => self.take_call(incoming),
+            Event::Call(incoming) => self.handle_call(incoming),
             Event::Config(cfg) => {
                 info!(version = cfg.version, "configuration read");
                 self.cell.configure(cfg);
             }
             Event::Wave(wave) => self.cell.wave(wave),
-            Event::Evacuation(change) => self.take_evacuation(change),
+            Event::Evacuation(change) => self.apply_evacuation(change),
             Event::EndpointListed(report) => self.cell.endpoint_listed(report),
             Event::EndpointUnlisted(id) => self.cell.endpoint_unlisted(&id),
-            Event::EndpointsRead(reports) => self.take_all(reports),
-            Event::EndpointsAsOf(as_of) => self.cell.endpoints_read(as_of),
-            Event::OperatorsAsOf(as_of) => self.cell.operators_read(as_of),
+            Event::EndpointsReloaded(reports) => self.replace_endpoints(reports),
+            Event::EndpointsReadUpTo(read_up_to) => self.cell.endpoints_read(read_up_to),
+            Event::OperatorsReadUpTo(read_up_to) => self.cell.operators_read(read_up_to),
             Event::Looked(target, look) => self.cell.looked(&target, look),
             Event::Ordered(target, order, outcome) => self.cell.ordered(&target, &order, &outcome),
             Event::Instances(Some(list), asked_at) => self.cell.instances_listed(list, asked_at),
             Event::Instances(None, _) => self.cell.instances_unlisted(),
             Event::Operated(id, operation, outcome) => self.cell.operated(&id, &operation, outcome),
             Event::Advised(step, tickets, valid) => self.cell.advised_of(step, tickets, valid),
-            Event::Committed(sequence) => self.take_committed(sequence),
-            Event::Appends(is_well) => {
-                self.cell.log_is_down(!is_well);
-                self.appends_lost = lost_since(self.appends_lost, is_well);
+            Event::Committed(sequence) => self.handle_committed(sequence),
+            Event::AppendsAvailable(is_available) => {
+                self.cell.log_is_down(!is_available);
+                self.appends_failing_since =
+                    failing_since(self.appends_failing_since, is_available);
             }
-            Event::Reads(is_well) => self.reads_lost = lost_since(self.reads_lost, is_well),
-            Event::Probed(answers, has_store) => self.take_probes(&answers, has_store),
-            Event::Larger(answers) => self.yield_to(&answers),
-            Event::Deposed(why) => self.stop(why, None),
-            Event::Leave => self.leave(),
+            Event::ReadsAvailable(is_available) => {
+                self.reads_failing_since = failing_since(self.reads_failing_since, is_available);
+            }
+            Event::StoreProbed(answers, has_store) => {
+                self.handle_probe_answers(&answers, has_store);
+            }
+            Event::LargerMembersProbed(answers) => self.yield_to_larger(&answers),
+            Event::Deposed(reason) => self.stop(reason, None),
+            Event::Shutdown => self.end_for_shutdown(),
         }
     }
 
-    fn take_call(&mut self, incoming: Incoming) {
+    fn handle_call(&mut self, incoming: Incoming) {
         let id = self.next_call;
         self.next_call += 1;
-        self.calls.insert(id, incoming.reply);
+        self.pending_calls.insert(id, incoming.reply);
         self.cell.call(&Call {
             id,
             host: incoming.host,
@@ -334,45 +339,45 @@
         });
     }
 
-    fn take_evacuation(&mut self, change: EvacuationChange) {
+    fn apply_evacuation(&mut self, change: EvacuationChange) {
         match change {
-            EvacuationChange::Asked(zone) => self.cell.evacuate(&zone),
+            EvacuationChange::Requested(zone) => self.cell.evacuate(&zone),
             EvacuationChange::Withdrawn(zone) => self.cell.evacuation_withdrawn(&zone),
-            EvacuationChange::Read(zones) => self.cell.evacuations_read(zones),
+            EvacuationChange::Reloaded(zones) => self.cell.evacuations_read(zones),
         }
-        self.show_evacuations();
+        self.update_evacuation_gauge();
     }
 
-    fn show_evacuations(&self) {
+    fn update_evacuation_gauge(&self) {
         let count = self.cell.evacuations().len();
         metrics::gauge!("evacuated_zones").set(f64::from(u32::try_from(count).unwrap_or(u32::MAX)));
     }
 
-    fn take_all(&mut self, reports: Vec<Report>) {
-        let mut gone = self.cell.listed();
+    fn replace_endpoints(&mut self, reports: Vec<Report>) {
+        let mut unlisted = self.cell.listed();
         for report in reports {
-            gone.remove(&report.id);
+            unlisted.remove(&report.id);
             self.cell.endpoint_listed(report);
         }
-        for id in gone {
+        for id in unlisted {
             self.cell.endpoint_unlisted(&id);
         }
     }
 
     /// Executes the batches whose records are now durable, in the order of their decisions.
-    fn take_committed(&mut self, sequence: Sequence) {
-        for batch in self.in_flight.committed(sequence) {
-            self.act_on(batch);
+    fn handle_committed(&mut self, sequence: Sequence) {
+        for batch in self.in_flight.take_durable(sequence) {
+            self.execute_batch(batch);
         }
     }
 
     /// Executes the actions of a batch whose records are durable.
-    fn act_on(&mut self, batch: Batch) {
+    fn execute_batch(&mut self, batch: Batch) {
         let actions = self.cell.committed(batch);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Order {
@@ -382,23 +387,25 @@
                     at,
                 } => self.lanes.order(target, order, epoch, at),
                 Action::Look(look) => self.lanes.look(look),
-                Action::ListInstances => self.duties.list(),
+                Action::ListInstances => self.platform_calls.list_instances(),
                 Action::Operate {
                     instance,
                     operation,
                     at,
-                } => self.duties.operate(instance, operation, at),
+                } => self.platform_calls.operate(instance, operation, at),
                 Action::Reply { call, answer } => self.reply(call, answer),
                 Action::WaveStatus { wave, is_completed } => {
-                    self.duties.wave_status(wave, is_completed);
+                    self.platform_calls.write_wave_status(wave, is_completed);
+                }
+                Action::Advise { step, endpoints } => {
+                    self.platform_calls.request_advice(step, endpoints);
                 }
-                Action::Advise { step, endpoints } => self.duties.advise(step, endpoints),
             }
         }
     }
 
     fn reply(&mut self, call: CallId, answer: Answer) {
-        if let Some(reply) = self.calls.remove(&call) {
+        if let Some(reply) = self.pending_calls.remove(&call) {
             // The receiver may have timed out; the caller then repeats its request.
             let _ = reply.try_send(answer);
         }
@@ -406,33 +413,35 @@
 
     fn commit(&mut self) {
         let now = clock::steady();
-        let is_behind = !self.in_flight.is_empty();
-        let gap = if is_behind {
-            BATCH_GAP_BEHIND
+        let has_in_flight = !self.in_flight.is_empty();
+        let interval = if has_in_flight {
+            MIN_BATCH_INTERVAL_IN_FLIGHT
         } else {
-            BATCH_GAP
+            MIN_BATCH_INTERVAL
         };
-        if self.in_flight.appends() >= journal::AT_ONCE || now < self.committed_at + gap {
+        if self.in_flight.append_count() >= journal::MAX_IN_FLIGHT
+            || now < self.committed_at + interval
+        {
             return;
         }
         match self.cell.take_batch() {
             Ok(None) => {
-                if !is_behind && now >= self.committed_at + journal::CONFIRM_EVERY {
-                    let sequence = self.journal.confirm(self.epoch);
-                    self.in_flight.append(sequence, None);
+                if !has_in_flight && now >= self.committed_at + journal::CONFIRM_INTERVAL {
+                    let sequence = self.journal.append_confirmation(self.epoch);
+                    self.in_flight.push(sequence, None);
                     self.committed_at = now;
                 }
             }
             Ok(Some(batch)) if batch.records.is_empty() => {
-                if let Some(batch) = self.in_flight.follow(batch) {
-                    self.act_on(batch);
+                if let Some(batch) = self.in_flight.push_without_records(batch) {
+                    self.execute_batch(batch);
                 }
             }
             Ok(Some(mut batch)) => {
                 self.committed_at = now;
                 let records = std::mem::take(&mut batch.records);
                 let sequence = self.journal.commit(records);
-                self.in_flight.append(sequence, Some(batch));
+                self.in_flight.push(sequence, Some(batch));
             }
             Err(error) => {
                 error!(%error, "records can't be encoded");
@@ -442,8 +451,8 @@
     }
 }
 
-fn lost_since(since: Option<Steady>, is_well: bool) -> Option<Steady> {
-    (!is_well).then(|| since.unwrap_or_else(clock::steady))
+fn failing_since(since: Option<Steady>, is_available: bool) -> Option<Steady> {
+    (!is_available).then(|| since.unwrap_or_else(clock::steady))
 }
 
 /// Converts a time to whole milliseconds.
@@ -453,13 +462,13 @@
 }
 
 /// Notes that the store confirmed the leadership just now.
-pub fn confirm(confirmed: &AtomicU64) {
+pub fn mark_confirmed(confirmed: &AtomicU64) {
     confirmed.store(millis(clock::steady()), Ordering::Release);
 }
 
 /// Time since the store last confirmed the leadership.
 #[must_use]
-pub fn confirmed_ago(confirmed: &AtomicU64) -> Duration {
+pub fn time_since_confirmed(confirmed: &AtomicU64) -> Duration {
     let at = Duration::from_millis(confirmed.load(Ordering::Acquire));
     clock::steady().saturating_sub(at)
 }
@@ -468,7 +477,7 @@
 ///
 /// # Errors
 /// If the thread can't be started.
-pub fn spawn_for(
+pub fn spawn_while_leading(
     name: &str,
     shared: &Arc<Shared>,
     epoch: Epoch,
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -21,44 +21,44 @@
 const STORE_LOST_AFTER: Duration = Duration::from_millis(250);
 /// If the store answers a read of this process again, it counts as available for all uses, unless
 /// it was lost for longer than this: then appends may still fail.
-const STORE_TRUSTED_FOR: Duration = Duration::from_secs(6);
+const MAX_RECOVERED_OUTAGE: Duration = Duration::from_secs(6);
 /// Minimum interval between probes about the store. Answers take long while the store is silent.
-const ASK_EVERY: Duration = Duration::from_millis(900);
+const PROBE_INTERVAL: Duration = Duration::from_millis(900);
 /// Interval at which larger members are asked whether they can lead.
-const COMPARE_EVERY: Duration = Duration::from_secs(1);
+const LARGER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Delay of the first such check after a takeover, before the load of the leadership has built up.
-const COMPARE_FIRST: Duration = Duration::from_millis(300);
+const LARGER_CHECK_DELAY: Duration = Duration::from_millis(300);
 /// Timeout of their answers. Long, since a small leader that is out of processor time has the most
 /// need to hand over and is slow to read the answers.
-const COMPARE_WITHIN: Duration = Duration::from_secs(2);
+const LARGER_CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without the store and without an answer of any other member after which this process stops
 /// leading. The other members may have elected another leader, which relies on leases not being
 /// renewed for longer.
 const ISOLATED_AFTER: Duration = Duration::from_secs(2);
 
-/// Initial time of the last check for larger members, which puts the first check [`COMPARE_FIRST`]
-/// after the takeover.
-pub(super) fn first_comparison() -> Steady {
-    (clock::steady() + COMPARE_FIRST).saturating_sub(COMPARE_EVERY)
+/// Initial value of the time of the last check for larger members, which puts the first check
+/// [`LARGER_CHECK_DELAY`] after the takeover.
+pub(super) fn initial_comparison_time() -> Steady {
+    (clock::steady() + LARGER_CHECK_DELAY).saturating_sub(LARGER_CHECK_INTERVAL)
 }
 
 impl Core<'_> {
     /// While the store doesn't answer, probes whether it answers the other members.
     pub(super) fn check_store(&mut self) {
         let now = clock::steady();
-        let Some(since) = self.store_lost() else {
+        let Some(since) = self.store_lost_since() else {
             return;
         };
         let is_lost = now.saturating_sub(since) > STORE_LOST_AFTER;
-        if !is_lost || now < self.asked_at + ASK_EVERY {
+        if !is_lost || now < self.members_probed_at + PROBE_INTERVAL {
             return;
         }
-        self.asked_at = now;
+        self.members_probed_at = now;
         let others = self.shared.peers();
         let tx = self.tx.clone();
         let shared = self.shared.clone();
         let end = self.shared.view().members_end;
-        let asking = spawn("ask about the store", move || {
+        let thread = spawn("ask about the store", move || {
             let probe = Probe { with_store: true };
             // Concurrently, since a call to a silent store takes its whole timeout.
             let (answers, has_store) = std::thread::scope(|scope| {
@@ -67,16 +67,16 @@
                 let answers = peers::ask_all_within(&others, wire::PROBE, &probe, within);
                 (answers, own.join().unwrap_or(false))
             });
-            let _ = tx.send(Event::Probed(answers, has_store));
+            let _ = tx.send(Event::StoreProbed(answers, has_store));
         });
-        if let Err(error) = asking {
+        if let Err(error) = thread {
             warn!(%error, "failed to probe the other members");
         }
     }
 
     /// Checks whether the former leader's process has ended, which shows by another process of the
     /// same member.
-    pub(super) fn check_former(&mut self) {
+    pub(super) fn check_former_leader(&mut self) {
         let Some(former) = &self.former else {
             return;
         };
@@ -88,62 +88,67 @@
     }
 
     /// Asks larger members at intervals whether they can lead.
-    pub(super) fn check_size(&mut self) {
+    pub(super) fn check_larger_members(&mut self) {
         let now = clock::steady();
-        if now < self.compared_at + COMPARE_EVERY {
+        if now < self.sizes_compared_at + LARGER_CHECK_INTERVAL {
             return;
         }
-        self.compared_at = now;
+        self.sizes_compared_at = now;
         let power = self.shared.site.load().power;
-        let larger = succession::larger(power, &self.shared.others());
+        let larger = succession::larger_members(power, &self.shared.others());
         if larger.is_empty() {
             return;
         }
         let tx = self.tx.clone();
-        let asking = spawn("ask larger members", move || {
+        let thread = spawn("ask larger members", move || {
             let probe = Probe { with_store: true };
-            let answers = peers::ask_all_within(&larger, wire::PROBE, &probe, COMPARE_WITHIN);
-            let _ = tx.send(Event::Larger(answers));
+            let answers = peers::ask_all_within(&larger, wire::PROBE, &probe, LARGER_CHECK_TIMEOUT);
+            let _ = tx.send(Event::LargerMembersProbed(answers));
         });
-        if let Err(error) = asking {
+        if let Err(error) = thread {
             warn!(%error, "failed to probe larger members");
         }
     }
 
     /// Hands the leadership over to the largest member that can lead, if any.
-    pub(super) fn yield_to(&mut self, larger: &[(SocketAddr, ProbeReply)]) {
+    pub(super) fn yield_to_larger(&mut self, larger: &[(SocketAddr, ProbeReply)]) {
         if let Some(successor) = successor(larger) {
             self.stop("a larger member can lead", Some(successor));
         }
     }
 
-    fn store_lost(&self) -> Option<Steady> {
-        let lost = [self.appends_lost, self.reads_lost];
+    fn store_lost_since(&self) -> Option<Steady> {
+        let lost = [self.appends_failing_since, self.reads_failing_since];
         lost.into_iter().flatten().min()
     }
 
-    pub(super) fn take_probes(&mut self, answers: &[(SocketAddr, ProbeReply)], has_store: bool) {
-        let Some(since) = self.store_lost() else {
+    pub(super) fn handle_probe_answers(
+        &mut self,
+        answers: &[(SocketAddr, ProbeReply)],
+        has_store: bool,
+    ) {
+        let Some(since) = self.store_lost_since() else {
             return;
         };
-        let is_back = has_store && clock::steady().saturating_sub(since) < STORE_TRUSTED_FOR;
+        let has_recovered =
+            has_store && clock::steady().saturating_sub(since) < MAX_RECOVERED_OUTAGE;
         if answers.iter().any(|(_, a)| a.epoch > self.epoch) {
             self.stop("another member knows a later leader", None);
         }
         let successor = successor(answers);
         let lost_ms = clock::steady().saturating_sub(since).as_millis();
         warn!(lost_ms, answers = answers.len(), successor = ?successor, "store unavailable");
-        if let Some(successor) = successor.filter(|_| !is_back) {
+        if let Some(successor) = successor.filter(|_| !has_recovered) {
             self.stop("the store answers others", Some(successor));
         }
-        let is_alone = answers.is_empty() && !self.shared.peers().is_empty();
-        if is_alone && clock::steady().saturating_sub(since) > ISOLATED_AFTER {
+        let is_isolated = answers.is_empty() && !self.shared.peers().is_empty();
+        if is_isolated && clock::steady().saturating_sub(since) > ISOLATED_AFTER {
             self.stop("neither store nor members answer", None);
         }
     }
 
     /// Ends the leadership for a shutdown, and hands it over to a member that can lead, if any.
-    pub(super) fn leave(&mut self) {
+    pub(super) fn end_for_shutdown(&mut self) {
         let probe = Probe { with_store: true };
         let answers = peers::ask_all::<ProbeReply>(&self.shared.peers(), wire::PROBE, &probe);
         self.stop("shutdown", successor(&answers));
--- a/pomelohitchd/src/fleet/leader/heartbeats.rs
+++ b/pomelohitchd/src/fleet/leader/heartbeats.rs
@@ -10,24 +10,24 @@
 use pomelohitch_sched::progress;
 use tracing::{info, warn};
 
-use super::core::{Event, spawn_for};
+use super::core::{Event, spawn_while_leading};
 use crate::fleet::peers;
 use crate::fleet::shared::Shared;
 use crate::fleet::wire::{self, Alive, Beat, BeatReply, Leader, Member};
 
 /// Interval of the heartbeats to each member.
-pub const EVERY: Duration = Duration::from_millis(250);
+pub const INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of a heartbeat.
-const WITHIN: Duration = Duration::from_millis(400);
+const TIMEOUT: Duration = Duration::from_millis(400);
 /// Maximum size of a datagram that answers a heartbeat; it holds one epoch.
-const REPLY_BYTES: usize = 64;
+const MAX_REPLY_BYTES: usize = 64;
 /// Interval at which the liveness record is written, for members that heartbeats don't reach.
-const SIGN_EVERY: Duration = Duration::from_secs(1);
+const LIVENESS_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout of the append of the liveness record.
-const SIGN_WITHIN: Duration = Duration::from_millis(800);
+const LIVENESS_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Builds a heartbeat of `leader` with the current time of the fleet.
-pub(super) fn beat_of(shared: &Shared, leader: &Leader) -> Beat {
+pub(super) fn heartbeat_of(shared: &Shared, leader: &Leader) -> Beat {
     Beat {
         leader: leader.clone(),
         fleet_ms: shared.fleet_ms(),
@@ -37,23 +37,23 @@
 /// Sends heartbeats as datagrams. These arrive also while a connection to the leader is congested,
 /// as when it reads all records over a slow link.
 #[derive(Debug)]
-pub struct Datagrams {
+pub struct DatagramHeartbeats {
     socket: UdpSocket,
     port: u16,
     leader: Leader,
 }
 
-impl Datagrams {
+impl DatagramHeartbeats {
     /// Creates the socket for the heartbeats of `leader`. Logs an error and returns `None` if that
     /// fails.
     #[must_use]
-    pub fn new(shared: &Shared, leader: &Leader) -> Option<Datagrams> {
+    pub fn new(shared: &Shared, leader: &Leader) -> Option<DatagramHeartbeats> {
         let site = shared.site.load();
         let socket = UdpSocket::bind((site.internal.ip(), 0));
         let socket = socket.and_then(|s| s.set_nonblocking(true).map(|()| s));
         let socket = socket
             .map_err(|error| warn!(%error, "failed to open the socket for heartbeat datagrams"));
-        Some(Datagrams {
+        Some(DatagramHeartbeats {
             socket: socket.ok()?,
             port: site.relay.port(),
             leader: leader.clone(),
@@ -62,8 +62,8 @@
 
     /// Sends one heartbeat to each peer.
     pub fn send(&self, shared: &Shared, peers: &[SocketAddr]) {
-        let beat = beat_of(shared, &self.leader);
-        let message = match postcard::to_allocvec(&beat) {
+        let heartbeat = heartbeat_of(shared, &self.leader);
+        let message = match postcard::to_allocvec(&heartbeat) {
             Ok(message) => message,
             Err(error) => {
                 warn!(%error, "failed to encode heartbeat");
@@ -79,7 +79,7 @@
     /// Whether a member has replied that it knows a later leader.
     #[must_use]
     pub fn is_deposed(&self) -> bool {
-        let mut buf = [0; REPLY_BYTES];
+        let mut buf = [0; MAX_REPLY_BYTES];
         while let Ok((len, _)) = self.socket.recv_from(&mut buf) {
             let reply = postcard::from_bytes::<BeatReply>(&buf[..len]);
             if reply.is_ok_and(|r| r.epoch > self.leader.epoch) {
@@ -97,10 +97,10 @@
 /// If a thread can't be started.
 pub fn start(shared: &Arc<Shared>, leader: &Leader, events: &Sender<Event>) -> std::io::Result<()> {
     let epoch = leader.epoch;
-    let mut told = HashMap::new();
+    let mut started_for = HashMap::new();
     let (own, tx) = (leader.clone(), events.clone());
-    let datagrams = Datagrams::new(shared, leader);
-    spawn_for("members", shared, epoch, move |shared| {
+    let datagrams = DatagramHeartbeats::new(shared, leader);
+    spawn_while_leading("members", shared, epoch, move |shared| {
         if let Some(datagrams) = &datagrams {
             datagrams.send(shared, &shared.peers());
             if datagrams.is_deposed() {
@@ -109,33 +109,34 @@
         }
         for (name, Member { addr, .. }) in shared.view().members {
             let is_other = addr != own.addr;
-            if is_other && told.insert(name.clone(), addr) != Some(addr) {
-                beat(shared, &own, name, addr, &tx);
+            if is_other && started_for.insert(name.clone(), addr) != Some(addr) {
+                start_heartbeats_to(shared, &own, name, addr, &tx);
             }
         }
-        std::thread::sleep(EVERY);
+        std::thread::sleep(INTERVAL);
     })?;
     let store = shared.store();
     let mut count = 0;
-    spawn_for("signs", shared, epoch, move |shared| {
+    spawn_while_leading("signs", shared, epoch, move |shared| {
         count += 1;
-        let sign = Alive {
+        let record = Alive {
             epoch,
             count,
             fleet_ms: shared.fleet_ms(),
         };
-        let sign = progress::encode(wire::ALIVE_KEY.into(), &sign);
-        let written = sign.map(|s| store.append(Topic::Members, &[s], Guard::Free, SIGN_WITHIN));
+        let record = progress::encode(wire::ALIVE_KEY.into(), &record);
+        let written =
+            record.map(|r| store.append(Topic::Members, &[r], Guard::Free, LIVENESS_TIMEOUT));
         if !matches!(written, Ok(Ok(_))) {
             info!(?written, "liveness record not written");
         }
-        std::thread::sleep(SIGN_EVERY);
+        std::thread::sleep(LIVENESS_INTERVAL);
     })
 }
 
 /// Starts heartbeats to one member. They end with the leadership, and pause while the member has
 /// another address.
-fn beat(
+fn start_heartbeats_to(
     shared: &Arc<Shared>,
     leader: &Leader,
     member: Box<str>,
@@ -146,17 +147,17 @@
     let epoch = leader.epoch;
     let leader = leader.clone();
     let tx = events.clone();
-    let started = spawn_for("heartbeat", shared, epoch, move |shared| {
+    let started = spawn_while_leading("heartbeat", shared, epoch, move |shared| {
         if shared.view().members.get(&member).map(|m| m.addr) != Some(addr) {
-            std::thread::sleep(EVERY);
+            std::thread::sleep(INTERVAL);
             return;
         }
-        let message = beat_of(shared, &leader);
-        let reply = peers::ask::<BeatReply>(&client, wire::BEAT, &message, WITHIN);
+        let message = heartbeat_of(shared, &leader);
+        let reply = peers::ask::<BeatReply>(&client, wire::BEAT, &message, TIMEOUT);
         if reply.is_ok_and(|r| r.epoch > epoch) {
             let _ = tx.send(Event::Deposed("a member knows a later leader"));
         }
-        std::thread::sleep(EVERY);
+        std::thread::sleep(INTERVAL);
     });
     if let Err(error) = started {
         warn!(%error, %addr, "failed to start heartbeats");
--- a/pomelohitchd/src/fleet/leader/in_flight.rs
+++ b/pomelohitchd/src/fleet/leader/in_flight.rs
@@ -20,14 +20,14 @@
 
 impl InFlight {
     /// Adds a batch whose records are in the appends up to `last`, or `None` for a confirmation.
-    pub fn append(&mut self, last: Sequence, batch: Option<Batch>) {
+    pub fn push(&mut self, last: Sequence, batch: Option<Batch>) {
         self.batches.push_back((last, batch));
     }
 
     /// Adds a batch without records, which waits for the newest append; returns it if no append is
     /// in flight.
     #[must_use]
-    pub fn follow(&mut self, batch: Batch) -> Option<Batch> {
+    pub fn push_without_records(&mut self, batch: Batch) -> Option<Batch> {
         let Some(&(last, _)) = self.batches.back() else {
             return Some(batch);
         };
@@ -37,7 +37,7 @@
 
     /// Removes and returns, in order, the batches that are durable once all appends up to
     /// `sequence` are.
-    pub fn committed(&mut self, sequence: Sequence) -> Vec<Batch> {
+    pub fn take_durable(&mut self, sequence: Sequence) -> Vec<Batch> {
         let mut durable = Vec::new();
         while let Some((_, batch)) = self.batches.pop_front_if(|(last, _)| *last <= sequence) {
             durable.extend(batch);
@@ -53,10 +53,10 @@
 
     /// Number of batches with records and of confirmations in flight.
     #[must_use]
-    pub fn appends(&self) -> usize {
-        let lasts = self.batches.iter().map(|(last, _)| last);
-        let earlier = std::iter::once(None).chain(lasts.clone().map(Some));
-        lasts
+    pub fn append_count(&self) -> usize {
+        let last_sequences = self.batches.iter().map(|(last, _)| last);
+        let earlier = std::iter::once(None).chain(last_sequences.clone().map(Some));
+        last_sequences
             .zip(earlier)
             .filter(|(last, before)| Some(*last) != *before)
             .count()
--- a/pomelohitchd/src/fleet/leader/journal.rs
+++ b/pomelohitchd/src/fleet/leader/journal.rs
@@ -14,25 +14,25 @@
 use pomelohitch_sched::progress::Record;
 use tracing::{info, warn};
 
-use super::core::{Event, confirm};
+use super::append_timeout::AppendTimeout;
+use super::core::{Event, mark_confirmed};
 use super::epoch_guard;
-use super::patience::Patience;
 use crate::fleet::clock;
 use crate::fleet::shared::{Shared, spawn};
 
 /// Maximum number of appends in flight. The store gives the original answer to a repeated append
 /// only for the last five.
-pub const AT_ONCE: usize = 4;
+pub const MAX_IN_FLIGHT: usize = 4;
 /// Delay before a refused append is retried; the platform charges for refused calls too.
-const AGAIN_AFTER: Duration = Duration::from_millis(120);
+const RETRY_DELAY: Duration = Duration::from_millis(120);
 /// Delay before an append is retried whose predecessor is in flight and hasn't reached the store.
-const OUT_OF_TURN: Duration = Duration::from_millis(30);
+const PREDECESSOR_DELAY: Duration = Duration::from_millis(30);
 /// Interval at which the leadership is confirmed while there are no records to write.
-pub const CONFIRM_EVERY: Duration = Duration::from_millis(700);
+pub const CONFIRM_INTERVAL: Duration = Duration::from_millis(700);
 /// Key of the record that only confirms the leadership.
 const CONFIRM_KEY: &str = "lease";
 /// Maximum bytes of values in one append; the platform's limit is 2 MB.
-const APPEND_BYTES: usize = 1_000_000;
+const MAX_APPEND_BYTES: usize = 1_000_000;
 
 /// Sequence number of an append of one leadership, counted from [`FIRST`].
 pub type Sequence = u64;
@@ -42,7 +42,7 @@
 
 /// Records of one append.
 #[derive(Debug)]
-struct Numbered {
+struct Append {
     sequence: Sequence,
     records: Vec<Record>,
 }
@@ -50,7 +50,7 @@
 /// Queue to the threads that append records.
 #[derive(Debug)]
 pub struct Journal {
-    appends: Sender<Numbered>,
+    appends: Sender<Append>,
     last: Sequence,
 }
 
@@ -69,13 +69,13 @@
         let common = Arc::new(Common {
             shared: shared.clone(),
             epoch,
-            patience: Mutex::default(),
-            waiting: Mutex::new(rx),
+            timeout: Mutex::default(),
+            queue: Mutex::new(rx),
             durable: AtomicU64::new(0),
-            is_well: AtomicBool::new(true),
+            is_available: AtomicBool::new(true),
             confirmed: confirmed.clone(),
         });
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_IN_FLIGHT {
             let writer = Writer {
                 common: common.clone(),
                 store: shared.store(),
@@ -89,20 +89,20 @@
     /// Queues records and returns the sequence number of their last append. [`Event::Committed`]
     /// reports when the appends up to a number are durable.
     pub fn commit(&mut self, records: Vec<Record>) -> Sequence {
-        for part in parts(records) {
+        for part in split(records) {
             self.last += 1;
-            let numbered = Numbered {
+            let append = Append {
                 sequence: self.last,
                 records: part,
             };
             // Fails only if the threads have ended, which they do early only with the leadership.
-            let _ = self.appends.send(numbered);
+            let _ = self.appends.send(append);
         }
         self.last
     }
 
     /// Writes a record that only confirms the leadership; returns its number.
-    pub fn confirm(&mut self, epoch: Epoch) -> Sequence {
+    pub fn append_confirmation(&mut self, epoch: Epoch) -> Sequence {
         self.commit(vec![Record {
             key: CONFIRM_KEY.into(),
             value: Some(epoch.to_be_bytes().into()),
@@ -111,12 +111,12 @@
 }
 
 /// Splits records into parts that fit into one append each.
-fn parts(records: Vec<Record>) -> Vec<Vec<Record>> {
+fn split(records: Vec<Record>) -> Vec<Vec<Record>> {
     let mut parts = Vec::new();
     let (mut part, mut bytes) = (Vec::new(), 0);
     for record in records {
         let size = record.value.as_ref().map_or(0, |v| v.len());
-        if bytes + size > APPEND_BYTES && !part.is_empty() {
+        if bytes + size > MAX_APPEND_BYTES && !part.is_empty() {
             parts.push(std::mem::take(&mut part));
             bytes = 0;
         }
@@ -131,12 +131,12 @@
 struct Common {
     shared: Arc<Shared>,
     epoch: Epoch,
-    patience: Mutex<Patience>,
-    waiting: Mutex<Receiver<Numbered>>,
+    timeout: Mutex<AppendTimeout>,
+    queue: Mutex<Receiver<Append>>,
     /// Last append that is known to be durable.
     durable: AtomicU64,
-    /// Whether the store accepted the last append that was tried.
-    is_well: AtomicBool,
+    /// Whether the store accepts appends, as last reported.
+    is_available: AtomicBool,
     confirmed: Arc<AtomicU64>,
 }
 
@@ -147,12 +147,12 @@
 }
 
 /// The leadership has ended.
-struct Over;
+struct LeadershipEnded;
 
 impl Common {
     /// Waits for the next append; `None` once the [`Journal`] is dropped.
-    fn next(&self) -> Option<Numbered> {
-        lock(&self.waiting).recv().ok()
+    fn next(&self) -> Option<Append> {
+        lock(&self.queue).recv().ok()
     }
 
     fn is_durable(&self, sequence: Sequence) -> bool {
@@ -166,36 +166,38 @@
 
 impl Writer {
     fn run(self) {
-        while let Some(numbered) = self.common.next() {
-            if self.append(&numbered).is_err() {
+        while let Some(append) = self.common.next() {
+            if self.append(&append).is_err() {
                 return;
             }
         }
     }
 
     /// Retries an append until the store has accepted it or a later one.
-    fn append(&self, numbered: &Numbered) -> Result<(), Over> {
-        let Numbered { sequence, records } = numbered;
+    fn append(&self, append: &Append) -> Result<(), LeadershipEnded> {
+        let Append { sequence, records } = append;
         let guard = epoch_guard(self.common.epoch, *sequence);
-        let mut tries = 0;
+        let mut failed_attempts = 0;
         while !self.common.is_durable(*sequence) {
             if !self.is_leader() {
-                return Err(Over);
+                return Err(LeadershipEnded);
             }
             // The store accepts any number as the first of an epoch. No other append is sent until
             // the first one is durable: if another were accepted before it, the first records would
             // be lost.
             if *sequence > FIRST && !self.common.is_durable(FIRST) {
-                std::thread::sleep(OUT_OF_TURN);
+                std::thread::sleep(PREDECESSOR_DELAY);
                 continue;
             }
-            let follows = self.common.is_durable(sequence - 1);
-            let began = clock::steady();
-            let within = lock(&self.common.patience).of_try(tries);
+            let is_predecessor_durable = self.common.is_durable(sequence - 1);
+            let started_at = clock::steady();
+            let within = lock(&self.common.timeout).for_attempt(failed_attempts);
             match self.store.append(Topic::Jobs, records, guard, within) {
-                Ok(Appended::Done { .. }) => return self.done(*sequence, began),
-                Ok(Appended::OutOfSequence) if !follows || self.common.is_durable(*sequence) => {
-                    std::thread::sleep(OUT_OF_TURN);
+                Ok(Appended::Done { .. }) => return self.mark_durable(*sequence, started_at),
+                Ok(Appended::OutOfSequence)
+                    if !is_predecessor_durable || self.common.is_durable(*sequence) =>
+                {
+                    std::thread::sleep(PREDECESSOR_DELAY);
                 }
                 Ok(other) => {
                     warn!(
@@ -204,19 +206,19 @@
                         "append permanently refused"
                     );
                     let _ = self.events.send(Event::Deposed("fenced by the store"));
-                    return Err(Over);
+                    return Err(LeadershipEnded);
                 }
                 // The answer was lost, but a later append was accepted, which implies this one.
                 Err(_) if self.common.is_durable(*sequence) => {}
                 Err(error) => {
                     let is_timeout = error.status().is_none();
-                    if self.common.is_well.load(Ordering::Acquire) {
+                    if self.common.is_available.load(Ordering::Acquire) {
                         info!(%error, ?within, sequence, "append failed; retrying");
                     }
-                    self.tell(false)?;
-                    tries += 1;
-                    if !is_timeout || began + AGAIN_AFTER > clock::steady() {
-                        std::thread::sleep(AGAIN_AFTER);
+                    self.report_availability(false)?;
+                    failed_attempts += 1;
+                    if !is_timeout || started_at + RETRY_DELAY > clock::steady() {
+                        std::thread::sleep(RETRY_DELAY);
                     }
                 }
             }
@@ -229,23 +231,34 @@
         leading.is_some_and(|l| l.epoch == self.common.epoch)
     }
 
-    fn done(&self, sequence: Sequence, began: Duration) -> Result<(), Over> {
-        let took = clock::steady().saturating_sub(began);
-        lock(&self.common.patience).took(took);
+    fn mark_durable(
+        &self,
+        sequence: Sequence,
+        started_at: Duration,
+    ) -> Result<(), LeadershipEnded> {
+        let took = clock::steady().saturating_sub(started_at);
+        lock(&self.common.timeout).add_sample(took);
         metrics::histogram!("journal_append_seconds").record(took.as_secs_f64());
-        confirm(&self.common.confirmed);
+        mark_confirmed(&self.common.confirmed);
         self.common.durable.fetch_max(sequence, Ordering::AcqRel);
-        self.tell(true)?;
+        self.report_availability(true)?;
         self.events
             .send(Event::Committed(sequence))
-            .map_err(|_| Over)
+            .map_err(|_| LeadershipEnded)
     }
 
     /// Reports whether the store accepts appends, if that has changed.
-    fn tell(&self, is_well: bool) -> Result<(), Over> {
-        if self.common.is_well.swap(is_well, Ordering::AcqRel) == is_well {
+    fn report_availability(&self, is_available: bool) -> Result<(), LeadershipEnded> {
+        if self
+            .common
+            .is_available
+            .swap(is_available, Ordering::AcqRel)
+            == is_available
+        {
             return Ok(());
         }
-        self.events.send(Event::Appends(is_well)).map_err(|_| Over)
+        self.events
+            .send(Event::AppendsAvailable(is_available))
+            .map_err(|_| LeadershipEnded)
     }
 }
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/lanes.rs
@@ -23,9 +23,9 @@
 use crate::fleet::shared::spawn;
 
 /// Delay before a member is tried again that stopped relaying calls.
-const BACK_OFF: Duration = Duration::from_secs(2);
+const RELAY_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Interval at which the assignment of endpoints to members is updated.
-const LAYOUT_EVERY: Duration = Duration::from_millis(250);
+const LAYOUT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Returns the addresses at which the other members accept calls to relay.
 pub type Members = Box<dyn Fn() -> Vec<SocketAddr> + Send>;
@@ -45,16 +45,16 @@
 #[derive(Debug)]
 enum Command {
     Order(Sending),
-    Look(LookOrder),
+    Poll(LookOrder),
     /// The endpoint no longer exists.
     Forget(EndpointId),
     /// The number of endpoints or services has changed.
-    Fleet(Size),
+    Targets(CallTargets),
 }
 
 /// Number of endpoints and services, which determines the layout.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Size {
+struct CallTargets {
     endpoints: usize,
     services: usize,
 }
@@ -65,7 +65,7 @@
     commands: UnboundedSender<Command>,
     known: HashSet<EndpointId>,
     /// Number of endpoints at the last count.
-    counted: usize,
+    counted_endpoints: usize,
     events: Sender<Event>,
 }
 
@@ -80,14 +80,14 @@
             .enable_time()
             .build()?;
         let (commands, rx) = mpsc::unbounded_channel();
-        let ends = events.clone();
+        let outcomes = events.clone();
         spawn("endpoints", move || {
-            LocalSet::new().block_on(&runtime, serve(rx, ends, options));
+            LocalSet::new().block_on(&runtime, run(rx, outcomes, options));
         })?;
         Ok(Lanes {
             commands,
             known: HashSet::new(),
-            counted: 0,
+            counted_endpoints: 0,
             events,
         })
     }
@@ -115,8 +115,8 @@
     /// Polls an endpoint.
     pub fn look(&mut self, look: LookOrder) {
         self.known.insert(look.target.id.clone());
-        if let Err(mpsc::error::SendError(Command::Look(unsent))) =
-            self.commands.send(Command::Look(look))
+        if let Err(mpsc::error::SendError(Command::Poll(unsent))) =
+            self.commands.send(Command::Poll(look))
         {
             let failed = Err(LookFailure::Failed);
             let _ = self.events.send(Event::Looked(unsent.target, failed));
@@ -125,26 +125,26 @@
 
     /// Updates the set of known endpoints, and closes connections to all others.
     pub fn sync(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
-        self.count(known);
-        self.prune(known);
+        self.update_targets(known);
+        self.forget_removed(known);
     }
 
-    fn count(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
-        if self.counted == known.len() {
+    fn update_targets(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
+        if self.counted_endpoints == known.len() {
             return;
         }
-        self.counted = known.len();
+        self.counted_endpoints = known.len();
         let reports = known.values().filter_map(|e| e.report.as_ref());
         let services: BTreeSet<_> = reports.map(|r| &r.service).collect();
-        let size = Size {
+        let targets = CallTargets {
             endpoints: known.len(),
             services: services.len(),
         };
         // Fails only if the thread has ended, which then makes no calls.
-        let _ = self.commands.send(Command::Fleet(size));
+        let _ = self.commands.send(Command::Targets(targets));
     }
 
-    fn prune(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
+    fn forget_removed(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
         if self.known.len() <= known.len() {
             return;
         }
@@ -157,58 +157,58 @@
 }
 
 /// Executes commands until the queue is closed.
-async fn serve(mut commands: UnboundedReceiver<Command>, events: Sender<Event>, options: Options) {
-    let mut routes = Routes::new(events, options);
+async fn run(mut commands: UnboundedReceiver<Command>, events: Sender<Event>, options: Options) {
+    let mut router = Router::new(events, options);
     while let Some(command) = commands.recv().await {
-        routes.lay_out();
+        router.update_layout();
         match command {
-            Command::Order(sending) => routes.order(sending),
-            Command::Look(look) => routes.look(look),
-            Command::Forget(id) => routes.forget(&id),
-            Command::Fleet(size) => routes.size = size,
+            Command::Order(sending) => router.order(sending),
+            Command::Poll(look) => router.look(look),
+            Command::Forget(id) => router.forget(&id),
+            Command::Targets(targets) => router.targets = targets,
         }
     }
 }
 
 /// Decides which member makes each call.
-struct Routes {
+struct Router {
     calls: Rc<Calls>,
     events: Sender<Event>,
     options: Options,
-    size: Size,
+    targets: CallTargets,
     layout: Layout,
     /// The other members at the last update of the layout.
     members: Vec<SocketAddr>,
     links: BTreeMap<SocketAddr, Link>,
-    laid_out_at: Option<Steady>,
+    layout_updated_at: Option<Steady>,
 }
 
-impl Routes {
-    fn new(events: Sender<Event>, options: Options) -> Routes {
-        Routes {
+impl Router {
+    fn new(events: Sender<Event>, options: Options) -> Router {
+        Router {
             calls: Rc::default(),
             events,
             options,
-            size: Size::default(),
+            targets: CallTargets::default(),
             layout: Layout::default(),
             members: Vec::new(),
             links: BTreeMap::new(),
-            laid_out_at: None,
+            layout_updated_at: None,
         }
     }
 
-    /// Updates the layout and the connections to members, at most once per [`LAYOUT_EVERY`].
-    fn lay_out(&mut self) {
+    /// Updates the layout and the connections to members, at most once per [`LAYOUT_INTERVAL`].
+    fn update_layout(&mut self) {
         let now = clock::steady();
-        let is_due = |at: Steady| now >= at + LAYOUT_EVERY;
-        if !self.laid_out_at.is_none_or(is_due) {
+        let is_due = |at: Steady| now >= at + LAYOUT_INTERVAL;
+        if !self.layout_updated_at.is_none_or(is_due) {
             return;
         }
-        self.laid_out_at = Some(now);
-        let Size {
+        self.layout_updated_at = Some(now);
+        let CallTargets {
             endpoints,
             services,
-        } = self.size;
+        } = self.targets;
         let wanted = Layout::of(endpoints, services, self.options.link_bytes_per_s);
         let layout = self.layout.followed_by(wanted);
         if layout != self.layout {
@@ -220,7 +220,10 @@
         }
         let members = self.options.members.as_ref().map(|members| members());
         self.members = members.unwrap_or_default();
-        let is_over = |link: &Link| link.ended_at().is_some_and(|at| now >= at + BACK_OFF);
+        let is_over = |link: &Link| {
+            link.ended_at()
+                .is_some_and(|at| now >= at + RELAY_RETRY_DELAY)
+        };
         self.links
             .retain(|peer, link| self.members.contains(peer) && !is_over(link));
     }
--- a/pomelohitchd/src/fleet/leader/duties.rs
+++ b/pomelohitchd/src/fleet/leader/platform_calls.rs
@@ -12,41 +12,41 @@
 use pomelohitch_sched::{EndpointId, Epoch, InstanceId, Steady, TaskId};
 use tracing::{info, warn};
 
-use super::core::{Event, confirmed_ago};
+use super::core::{Event, time_since_confirmed};
 use crate::fleet::clock;
 use crate::fleet::shared::{Shared, spawn};
 
 /// Timeout for connecting.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// An operation is sent only if the store confirmed the leadership within this time. A later leader
 /// waits for longer before its first operation, so that the operations of two leaders don't
 /// interleave.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(1500);
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(1500);
 /// Timeout for appending the status of a wave.
-const STATUS_WITHIN: Duration = Duration::from_secs(1);
+const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay before the status is appended again after a failure.
-const STATUS_AGAIN: Duration = Duration::from_millis(250);
+const STATUS_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Age from which a decided operation isn't sent any more: work may have been placed on the
 /// instance meanwhile.
-const STALE: Duration = Duration::from_millis(800);
+const MAX_OPERATION_AGE: Duration = Duration::from_millis(800);
 /// Number of threads for operations. An operation takes some 10 ms, and the largest site needs 215
 /// per second.
-const OPERATORS: usize = 4;
+const OPERATION_THREADS: usize = 4;
 
 /// An operation on an instance, and when it was decided.
-type Decided = (InstanceId, Operation, Steady);
+type DecidedOperation = (InstanceId, Operation, Steady);
 
 /// Queues to the threads that make these calls. The threads end when this is dropped.
 #[derive(Debug)]
-pub struct Duties {
-    lists: Sender<()>,
-    operations: Sender<Decided>,
+pub struct PlatformCalls {
+    list_requests: Sender<()>,
+    operations: Sender<DecidedOperation>,
     statuses: Sender<(u64, bool)>,
-    questions: Sender<(TaskId, Vec<EndpointId>)>,
+    policy_requests: Sender<(TaskId, Vec<EndpointId>)>,
 }
 
-impl Duties {
+impl PlatformCalls {
     /// Starts the threads.
     ///
     /// # Errors
@@ -56,18 +56,18 @@
         epoch: Epoch,
         events: &Sender<Event>,
         confirmed: &Arc<AtomicU64>,
-    ) -> std::io::Result<Duties> {
-        Ok(Duties {
-            lists: start_lists(shared, events.clone())?,
+    ) -> std::io::Result<PlatformCalls> {
+        Ok(PlatformCalls {
+            list_requests: start_list_requests(shared, events.clone())?,
             operations: start_operations(shared, epoch, events, confirmed)?,
             statuses: start_statuses(shared, epoch)?,
-            questions: start_questions(shared, events.clone())?,
+            policy_requests: start_policy_requests(shared, events.clone())?,
         })
     }
 
     /// Requests the list of instances; it is sent as [`Event::Instances`].
-    pub fn list(&self) {
-        let _ = self.lists.send(());
+    pub fn list_instances(&self) {
+        let _ = self.list_requests.send(());
     }
 
     /// Carries out an operation on an instance that was decided at `at`.
@@ -76,23 +76,23 @@
     }
 
     /// Writes the status of a wave to the store.
-    pub fn wave_status(&self, wave: u64, is_completed: bool) {
+    pub fn write_wave_status(&self, wave: u64, is_completed: bool) {
         let _ = self.statuses.send((wave, is_completed));
     }
 
     /// Requests the policy's advice on a step; it is sent as [`Event::Advised`].
-    pub fn advise(&self, step: TaskId, endpoints: Vec<EndpointId>) {
-        let _ = self.questions.send((step, endpoints));
+    pub fn request_advice(&self, step: TaskId, endpoints: Vec<EndpointId>) {
+        let _ = self.policy_requests.send((step, endpoints));
     }
 }
 
-fn start_lists(shared: &Shared, events: Sender<Event>) -> std::io::Result<Sender<()>> {
+fn start_list_requests(shared: &Shared, events: Sender<Event>) -> std::io::Result<Sender<()>> {
     let (tx, rx) = mpsc::channel();
     let instances = shared.site.load().instances;
-    let client = instances.map(|addr| Client::new(addr, CONNECT));
+    let client = instances.map(|addr| Client::new(addr, CONNECT_TIMEOUT));
     spawn("instances", move || {
         for () in rx {
-            if events.send(list(client.as_ref())).is_err() {
+            if events.send(list_instances(client.as_ref())).is_err() {
                 return;
             }
         }
@@ -105,15 +105,15 @@
     epoch: Epoch,
     events: &Sender<Event>,
     confirmed: &Arc<AtomicU64>,
-) -> std::io::Result<Sender<Decided>> {
-    let (tx, rx) = mpsc::channel::<Decided>();
+) -> std::io::Result<Sender<DecidedOperation>> {
+    let (tx, rx) = mpsc::channel::<DecidedOperation>();
     let rx = Arc::new(Mutex::new(rx));
-    for _ in 0..OPERATORS {
+    for _ in 0..OPERATION_THREADS {
         let (rx, events, confirmed) = (rx.clone(), events.clone(), confirmed.clone());
-        let mut operator = Operator::new(shared, epoch, confirmed);
+        let mut worker = OperationWorker::new(shared, epoch, confirmed);
         spawn("operations", move || {
-            while let Ok((id, operation, at)) = next(&rx) {
-                let Some(outcome) = operator.operate(&id, &operation, at) else {
+            while let Ok((id, operation, at)) = next_operation(&rx) {
+                let Some(outcome) = worker.operate(&id, &operation, at) else {
                     return;
                 };
                 if events
@@ -128,12 +128,14 @@
     Ok(tx)
 }
 
-fn next(rx: &Mutex<Receiver<Decided>>) -> Result<Decided, mpsc::RecvError> {
+fn next_operation(
+    rx: &Mutex<Receiver<DecidedOperation>>,
+) -> Result<DecidedOperation, mpsc::RecvError> {
     rx.lock().unwrap_or_else(PoisonError::into_inner).recv()
 }
 
 /// Carries out operations one after another.
-struct Operator {
+struct OperationWorker {
     shared: Arc<Shared>,
     epoch: Epoch,
     member: Box<str>,
@@ -141,16 +143,18 @@
     confirmed: Arc<AtomicU64>,
 }
 
-impl Operator {
-    fn new(shared: &Arc<Shared>, epoch: Epoch, confirmed: Arc<AtomicU64>) -> Operator {
+impl OperationWorker {
+    fn new(shared: &Arc<Shared>, epoch: Epoch, confirmed: Arc<AtomicU64>) -> OperationWorker {
         let site = shared.site.load();
-        Operator {
+        OperationWorker {
             shared: shared.clone(),
             epoch,
             member: site.member.clone(),
             // The instances service doesn't check epochs, so that an order that arrives late would
             // take effect beside a later leader's.
-            client: site.instances.map(|addr| Client::resetting(addr, CONNECT)),
+            client: site
+                .instances
+                .map(|addr| Client::resetting(addr, CONNECT_TIMEOUT)),
             confirmed,
         }
     }
@@ -167,8 +171,8 @@
         if !is_leader {
             return None;
         }
-        let is_stale = clock::steady().saturating_sub(at) > STALE;
-        let is_confirmed = confirmed_ago(&self.confirmed) < CONFIRMED_WITHIN;
+        let is_stale = clock::steady().saturating_sub(at) > MAX_OPERATION_AGE;
+        let is_confirmed = time_since_confirmed(&self.confirmed) < MAX_CONFIRMATION_AGE;
         Some(match &self.client {
             None => OperationOutcome::Refused,
             Some(_) if is_stale || !is_confirmed => OperationOutcome::Later,
@@ -177,7 +181,7 @@
     }
 }
 
-fn list(client: Option<&Client>) -> Event {
+fn list_instances(client: Option<&Client>) -> Event {
     let asked_at = clock::steady();
     let list = client.map(instances::list);
     match list {
@@ -205,24 +209,24 @@
             };
             while shared.leading().is_some_and(|l| l.epoch == epoch) {
                 let records = std::slice::from_ref(&record);
-                match store.append(Topic::Status, records, Guard::Free, STATUS_WITHIN) {
+                match store.append(Topic::Status, records, Guard::Free, STATUS_TIMEOUT) {
                     Ok(_) => break,
                     Err(error) => info!(%error, wave, "failed to append wave status; retrying"),
                 }
-                std::thread::sleep(STATUS_AGAIN);
+                std::thread::sleep(STATUS_RETRY_DELAY);
             }
         }
     })?;
     Ok(tx)
 }
 
-fn start_questions(
+fn start_policy_requests(
     shared: &Arc<Shared>,
     events: Sender<Event>,
 ) -> std::io::Result<Sender<(TaskId, Vec<EndpointId>)>> {
     let (tx, rx) = mpsc::channel::<(TaskId, Vec<EndpointId>)>();
     let policy = shared.site.load().policy;
-    let client = policy.map(|addr| Client::new(addr, CONNECT));
+    let client = policy.map(|addr| Client::new(addr, CONNECT_TIMEOUT));
     spawn("policy", move || {
         for (step, endpoints) in rx {
             let Some(client) = &client else {
--- a/pomelohitchd/src/fleet/leader/watch.rs
+++ b/pomelohitchd/src/fleet/leader/watch.rs
@@ -10,7 +10,7 @@
 use pomelohitch_sched::{Epoch, Steady};
 use tracing::{info, warn};
 
-use super::core::{EvacuationChange, Event, spawn_for};
+use super::core::{EvacuationChange, Event, spawn_while_leading};
 use crate::fleet::clock;
 use crate::fleet::shared::Shared;
 
@@ -21,9 +21,9 @@
 const ENDPOINTS_WAIT: Duration = Duration::from_secs(1);
 /// Delay between reads of endpoint records, which gathers them, since the platform charges for each
 /// read.
-const ENDPOINTS_GAP: Duration = Duration::from_millis(200);
+const ENDPOINTS_READ_DELAY: Duration = Duration::from_millis(200);
 /// Delay after a failed read.
-const AGAIN_AFTER: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 
 /// Starts both readers; they end with the leadership.
 ///
@@ -38,63 +38,69 @@
     let store = shared.store();
     let tx = events.clone();
     let mut from = Some(operators);
-    spawn_for("operators", shared, epoch, move |_| {
-        let began = clock::steady();
+    spawn_while_leading("operators", shared, epoch, move |_| {
+        let started_at = clock::steady();
         let read = read_operators(&store, from, &tx);
         if read.as_ref().is_ok_and(Option::is_some) {
             // Fails only if the leadership has ended, and then this thread ends too.
-            let _ = tx.send(Event::OperatorsAsOf(as_of(began, OPERATORS_WAIT)));
+            let _ = tx.send(Event::OperatorsReadUpTo(covered_until(
+                started_at,
+                OPERATORS_WAIT,
+            )));
         }
-        let _ = tx.send(Event::Reads(read.is_ok()));
-        from = next(read, from);
+        let _ = tx.send(Event::ReadsAvailable(read.is_ok()));
+        from = next_offset(read, from);
     })?;
     let store = shared.store();
     let tx = events.clone();
     let mut from = Some(endpoints);
-    spawn_for("endpoints", shared, epoch, move |_| {
-        let began = clock::steady();
+    spawn_while_leading("endpoints", shared, epoch, move |_| {
+        let started_at = clock::steady();
         let read = read_endpoints(&store, from, &tx);
         if read.as_ref().is_ok_and(Option::is_some) {
             // Fails only if the leadership has ended, and then this thread ends too.
-            let _ = tx.send(Event::EndpointsAsOf(as_of(began, ENDPOINTS_WAIT)));
+            let _ = tx.send(Event::EndpointsReadUpTo(covered_until(
+                started_at,
+                ENDPOINTS_WAIT,
+            )));
         }
-        from = next(read, from);
-        std::thread::sleep(ENDPOINTS_GAP);
+        from = next_offset(read, from);
+        std::thread::sleep(ENDPOINTS_READ_DELAY);
     })
 }
 
-/// Returns the time up to which a read that started at `began` covers the topic. The store may have
-/// held the read for up to `wait`; any further time may have passed after it made its answer, as
-/// when this process is suspended.
-fn as_of(began: Steady, wait: Duration) -> Steady {
+/// Returns the time up to which a read that started at `started_at` covers the topic. The store may
+/// have held the read for up to `wait`; any further time may have passed after it made its answer,
+/// as when this process is suspended.
+fn covered_until(started_at: Steady, wait: Duration) -> Steady {
     let now = clock::steady();
-    let beside = now.saturating_sub(began).saturating_sub(wait);
-    now.saturating_sub(beside)
+    let excess = now.saturating_sub(started_at).saturating_sub(wait);
+    now.saturating_sub(excess)
 }
 
-type Outcome = Result<Option<u64>, pomelohitch_adapter::Error>;
+type ReadResult = Result<Option<u64>, pomelohitch_adapter::Error>;
 
 /// Returns the offset of the next read; after a failure the same offset as before.
-fn next(read: Outcome, from: Option<u64>) -> Option<u64> {
+fn next_offset(read: ReadResult, from: Option<u64>) -> Option<u64> {
     match read {
         Ok(next) => next,
         Err(error) => {
             info!(%error, "read failed; retrying");
-            std::thread::sleep(AGAIN_AFTER);
+            std::thread::sleep(RETRY_DELAY);
             from
         }
     }
 }
 
-fn read_operators(store: &Store, from: Option<u64>, tx: &Sender<Event>) -> Outcome {
+fn read_operators(store: &Store, from: Option<u64>, tx: &Sender<Event>) -> ReadResult {
     let Some(from) = from else {
         let newest = store.newest(Topic::Operators)?;
         for (key, value) in &newest.records {
-            take_operator(key, value, tx);
+            send_operator_record(key, value, tx);
         }
         let keys = newest.records.iter().map(|(key, _)| key);
         let zones = keys.filter_map(|key| records::evacuated_zone(key));
-        let read = EvacuationChange::Read(zones.collect());
+        let read = EvacuationChange::Reloaded(zones.collect());
         let _ = tx.send(Event::Evacuation(read));
         return Ok(Some(newest.end));
     };
@@ -103,8 +109,8 @@
         Read::Records { records, next } => {
             for Record { key, value } in &records {
                 match value {
-                    Some(value) => take_operator(key, value, tx),
-                    None => take_removal(key, tx),
+                    Some(value) => send_operator_record(key, value, tx),
+                    None => send_removal(key, tx),
                 }
             }
             Ok(Some(next))
@@ -112,11 +118,13 @@
     }
 }
 
-fn take_operator(key: &str, value: &[u8], tx: &Sender<Event>) {
+fn send_operator_record(key: &str, value: &[u8], tx: &Sender<Event>) {
     let event = match records::operator_record(key, value) {
         Ok(OperatorRecord::Config(cfg)) => Event::Config(Arc::new(cfg)),
         Ok(OperatorRecord::Wave(wave)) => Event::Wave(wave),
-        Ok(OperatorRecord::Evacuation(zone)) => Event::Evacuation(EvacuationChange::Asked(zone)),
+        Ok(OperatorRecord::Evacuation(zone)) => {
+            Event::Evacuation(EvacuationChange::Requested(zone))
+        }
         Ok(OperatorRecord::Other) => return,
         Err(error) => {
             warn!(%error, "operator record skipped");
@@ -127,7 +135,7 @@
     let _ = tx.send(event);
 }
 
-fn take_removal(key: &str, tx: &Sender<Event>) {
+fn send_removal(key: &str, tx: &Sender<Event>) {
     if let Some(zone) = records::evacuated_zone(key) {
         // Fails only if the leadership has ended, and then this thread ends too.
         let withdrawn = EvacuationChange::Withdrawn(zone);
@@ -135,7 +143,7 @@
     }
 }
 
-fn read_endpoints(store: &Store, from: Option<u64>, tx: &Sender<Event>) -> Outcome {
+fn read_endpoints(store: &Store, from: Option<u64>, tx: &Sender<Event>) -> ReadResult {
     let Some(from) = from else {
         let newest = store.newest(Topic::Endpoints)?;
         let reports = newest.records.iter().filter_map(|(id, value)| {
@@ -144,21 +152,21 @@
                 .map_err(|error| info!(%error, "endpoint entry skipped"))
                 .ok()
         });
-        let _ = tx.send(Event::EndpointsRead(reports.collect()));
+        let _ = tx.send(Event::EndpointsReloaded(reports.collect()));
         return Ok(Some(newest.end));
     };
     match store.read(Topic::Endpoints, from, ENDPOINTS_WAIT)? {
         Read::Dropped => Ok(None),
         Read::Records { records, next } => {
             for record in records {
-                take_endpoint(&record, tx);
+                send_endpoint_record(&record, tx);
             }
             Ok(Some(next))
         }
     }
 }
 
-fn take_endpoint(record: &Record, tx: &Sender<Event>) {
+fn send_endpoint_record(record: &Record, tx: &Sender<Event>) {
     let Some(value) = &record.value else {
         let _ = tx.send(Event::EndpointUnlisted(Arc::from(&*record.key)));
         return;
--- a/pomelohitchd/src/fleet/lifecycle.rs
+++ b/pomelohitchd/src/fleet/lifecycle.rs
@@ -28,7 +28,7 @@
 /// Interval at which signals are checked.
 const TICK: Duration = Duration::from_millis(100);
 /// Number of ticks between checks of the settings file, which may change without a signal.
-const TICKS_PER_LOOK: u32 = 10;
+const TICKS_PER_SETTINGS_CHECK: u32 = 10;
 /// Time before the end of the platform's grace period at which the shutdown stops waiting for
 /// requests in flight.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
@@ -107,7 +107,7 @@
         front::serve_with(service, &callers, callers::limits());
     })
     .context(ThreadSnafu)?;
-    watch(path, &shared, &signals);
+    watch_settings(path, &shared, &signals);
     shut_down(&shared, &serving);
     Ok(())
 }
@@ -156,20 +156,20 @@
 }
 
 /// Reloads the settings file when it changes or on a signal, until a signal ends the process.
-fn watch(path: &Path, shared: &Shared, signals: &Signals) {
-    let mut seen = modified(path);
+fn watch_settings(path: &Path, shared: &Shared, signals: &Signals) {
+    let mut last_modified = modified(path);
     let mut ticks = 0_u32;
     while !signals.stop.load(Ordering::Acquire) {
         std::thread::sleep(TICK);
         ticks += 1;
-        let is_told = signals.reload.swap(false, Ordering::AcqRel);
-        if !is_told && !ticks.is_multiple_of(TICKS_PER_LOOK) {
+        let is_signalled = signals.reload.swap(false, Ordering::AcqRel);
+        if !is_signalled && !ticks.is_multiple_of(TICKS_PER_SETTINGS_CHECK) {
             continue;
         }
         let now = modified(path);
-        if is_told || now != seen {
-            seen = now;
-            reload(path, shared, is_told);
+        if is_signalled || now != last_modified {
+            last_modified = now;
+            reload(path, shared, is_signalled);
         }
     }
 }
@@ -179,10 +179,10 @@
 }
 
 /// Applies changed settings. The addresses that are already listened on stay as they are.
-fn reload(path: &Path, shared: &Shared, is_told: bool) {
+fn reload(path: &Path, shared: &Shared, is_signalled: bool) {
     match settings::read(path) {
         Ok(site) => {
-            info!(is_told, store = %site.store, "settings reloaded");
+            info!(is_told = is_signalled, store = %site.store, "settings reloaded");
             shared.site.store(Arc::new(Site {
                 callers: shared.site.load().callers,
                 internal: shared.site.load().internal,
@@ -197,13 +197,13 @@
 /// Hands the leadership over, if this process holds it, and finishes the requests that were read.
 fn shut_down(shared: &Shared, serving: &std::thread::JoinHandle<()>) {
     info!("shutting down");
-    let began = clock::steady();
+    let started_at = clock::steady();
     shared.leave();
     if let Some(leading) = shared.leading() {
-        let _ = leading.events.send(Event::Leave);
+        let _ = leading.events.send(Event::Shutdown);
     }
     let grace = shared.site.load().bounds.grace.saturating_sub(GRACE_MARGIN);
-    while !serving.is_finished() && clock::steady().saturating_sub(began) < grace {
+    while !serving.is_finished() && clock::steady().saturating_sub(started_at) < grace {
         std::thread::sleep(TICK);
     }
 }
--- a/pomelohitchd/src/fleet/members.rs
+++ b/pomelohitchd/src/fleet/members.rs
@@ -13,11 +13,11 @@
 
 /// Time for which a read waits for new records. If shorter, every member reads more often; if
 /// longer, a dead connection is noticed later.
-const WAIT: Duration = Duration::from_secs(2);
+const READ_WAIT: Duration = Duration::from_secs(2);
 /// Timeout of the append of this member's record.
-const REGISTER_WITHIN: Duration = Duration::from_secs(1);
+const REGISTER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Delay after a failed read.
-const AGAIN_AFTER: Duration = Duration::from_millis(250);
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// Reads the topic of members until the process shuts down.
 pub fn run(shared: &Arc<Shared>) {
@@ -27,7 +27,7 @@
     while !shared.is_leaving() {
         let outcome = match from {
             None => read_all(shared, &store),
-            Some(from) => read_on(shared, &store, from),
+            Some(from) => read_next(shared, &store, from),
         };
         match outcome {
             Ok(next) => {
@@ -43,19 +43,19 @@
                     warn!(%error, "store unavailable");
                 }
                 is_reachable = false;
-                std::thread::sleep(AGAIN_AFTER);
+                std::thread::sleep(RETRY_DELAY);
             }
         }
     }
 }
 
-type Outcome = Result<Option<u64>, pomelohitch_adapter::Error>;
+type ReadResult = Result<Option<u64>, pomelohitch_adapter::Error>;
 
 /// Reads the newest record of every key.
 ///
 /// # Errors
 /// If the store can't be reached, refuses, or its answer can't be decoded.
-pub fn read_all(shared: &Shared, store: &Store) -> Outcome {
+pub fn read_all(shared: &Shared, store: &Store) -> ReadResult {
     let newest = store.newest(Topic::Members)?;
     shared.update(|view| {
         view.members.clear();
@@ -64,13 +64,13 @@
         view.is_read = true;
     });
     for (key, value) in &newest.records {
-        take(shared, key, Some(value), false);
+        apply_record(shared, key, Some(value), false);
     }
     Ok(Some(newest.end))
 }
 
-fn read_on(shared: &Shared, store: &Store, from: u64) -> Outcome {
-    match store.read(Topic::Members, from, WAIT)? {
+fn read_next(shared: &Shared, store: &Store, from: u64) -> ReadResult {
+    match store.read(Topic::Members, from, READ_WAIT)? {
         Read::Dropped => Ok(None),
         Read::Records { records, next } => {
             shared.update(|view| {
@@ -78,16 +78,16 @@
                 view.members_end = next;
             });
             for Record { key, value } in &records {
-                take(shared, key, value.as_deref(), true);
+                apply_record(shared, key, value.as_deref(), true);
             }
             Ok(Some(next))
         }
     }
 }
 
-/// Applies one record to the view; it may be old unless `is_news`. A member whose record can't be
+/// Applies one record to the view; it may be old unless `is_new`. A member whose record can't be
 /// decoded is removed.
-fn take(shared: &Shared, key: &str, value: Option<&[u8]>, is_news: bool) {
+fn apply_record(shared: &Shared, key: &str, value: Option<&[u8]>, is_new: bool) {
     if let Some(name) = wire::member_of(key) {
         let member = value.and_then(|v| postcard::from_bytes::<Member>(v).ok());
         shared.update(|view| match member {
@@ -100,12 +100,12 @@
         });
     } else if key == wire::LEADER_KEY {
         if let Some(leader) = value.and_then(|v| postcard::from_bytes::<Leader>(v).ok()) {
-            shared.follow(&leader, is_news);
+            shared.follow(&leader, is_new);
         }
     } else if key == wire::ALIVE_KEY
         && let Some(alive) = value.and_then(|v| postcard::from_bytes::<Alive>(v).ok())
     {
-        if is_news {
+        if is_new {
             shared.note_fleet_ms(alive.epoch, alive.fleet_ms);
         } else {
             shared.note_fleet_ms_at_least(alive.epoch, alive.fleet_ms);
@@ -130,7 +130,7 @@
         return;
     }
     let record = progress::encode(wire::member_key(&site.member), &member);
-    let written = record.map(|r| store.append(Topic::Members, &[r], Guard::Free, REGISTER_WITHIN));
+    let written = record.map(|r| store.append(Topic::Members, &[r], Guard::Free, REGISTER_TIMEOUT));
     match written {
         Ok(Ok(_)) => info!(member = %site.member, addr = %site.internal, "member registered"),
         Ok(Err(error)) => warn!(%error, "member not registered"),
--- a/pomelohitchd/tests/fleet/in_flight.rs
+++ b/pomelohitchd/tests/fleet/in_flight.rs
@@ -27,30 +27,30 @@
 #[test]
 fn answers_wait_for_the_records_of_earlier_batches() {
     let mut in_flight = InFlight::default();
-    in_flight.append(1, Some(reply(10)));
-    in_flight.append(3, Some(reply(11)));
-    assert!(in_flight.follow(reply(12)).is_none());
-    assert_eq!(calls(in_flight.committed(1)), [10]);
-    assert_eq!(calls(in_flight.committed(2)), [0; 0]);
-    assert_eq!(calls(in_flight.committed(3)), [11, 12]);
+    in_flight.push(1, Some(reply(10)));
+    in_flight.push(3, Some(reply(11)));
+    assert!(in_flight.push_without_records(reply(12)).is_none());
+    assert_eq!(calls(in_flight.take_durable(1)), [10]);
+    assert_eq!(calls(in_flight.take_durable(2)), [0; 0]);
+    assert_eq!(calls(in_flight.take_durable(3)), [11, 12]);
     assert!(in_flight.is_empty());
 }
 
 #[test]
-fn an_answer_that_rests_on_no_record_is_given_at_once() {
+fn an_answer_that_depends_on_no_record_is_sent_at_once() {
     let mut in_flight = InFlight::default();
-    let given = in_flight.follow(reply(10));
+    let given = in_flight.push_without_records(reply(10));
     assert_eq!(calls(given.into_iter().collect()), [10]);
     assert!(in_flight.is_empty());
 }
 
 #[test]
-fn batches_without_records_take_no_place_among_appends() {
+fn batches_without_records_do_not_count_as_appends() {
     let mut in_flight = InFlight::default();
-    in_flight.append(1, None);
-    in_flight.append(2, Some(reply(10)));
+    in_flight.push(1, None);
+    in_flight.push(2, Some(reply(10)));
     for call in 11..20 {
-        assert!(in_flight.follow(reply(call)).is_none());
+        assert!(in_flight.push_without_records(reply(call)).is_none());
     }
-    assert_eq!(in_flight.appends(), 2);
+    assert_eq!(in_flight.append_count(), 2);
 }
--- a/pomelohitchd/tests/fleet/journal.rs
+++ b/pomelohitchd/tests/fleet/journal.rs
@@ -17,32 +17,32 @@
 /// What a store has accepted, in order, and its faults. Like the platform's store, it accepts any
 /// number as the first of an epoch.
 #[derive(Default)]
-struct Taken {
+struct StoreState {
     sequences: Vec<Sequence>,
     /// Accepted, but the first answer is lost.
-    losing: Vec<Sequence>,
+    lose_answers_to: Vec<Sequence>,
     /// The first attempt is neither accepted nor answered.
-    ignoring: Vec<Sequence>,
+    ignore_first: Vec<Sequence>,
 }
 
 /// A store that accepts appends in sequence and has the given faults.
-fn store(faults: Taken) -> (SocketAddr, Arc<Mutex<Taken>>) {
+fn store(faults: StoreState) -> (SocketAddr, Arc<Mutex<StoreState>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
     let addr = listener
         .local_addr()
         .expect("a bound listener has an address");
-    let taken = Arc::new(Mutex::new(faults));
-    let shared = taken.clone();
+    let state = Arc::new(Mutex::new(faults));
+    let shared = state.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let (stream, taken) = (stream.expect("the connection is accepted"), shared.clone());
-            std::thread::spawn(move || serve(stream, &taken));
+            let (stream, state) = (stream.expect("the connection is accepted"), shared.clone());
+            std::thread::spawn(move || serve(stream, &state));
         }
     });
-    (addr, taken)
+    (addr, state)
 }
 
-fn serve(mut stream: TcpStream, taken: &Mutex<Taken>) {
+fn serve(mut stream: TcpStream, state: &Mutex<StoreState>) {
     let mut buf = [0; 4096];
     while let Ok(count) = stream.read(&mut buf)
         && count > 0
@@ -53,8 +53,8 @@
         };
         let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
         let sequence = digits.parse().expect("only digits were taken");
-        let answer = take(
-            &mut taken
+        let answer = accept(
+            &mut state
                 .lock()
                 .expect("no thread panics while holding the lock"),
             sequence,
@@ -67,21 +67,25 @@
     }
 }
 
-fn take(taken: &mut Taken, sequence: Sequence) -> Option<&'static str> {
-    if let Some(at) = taken.ignoring.iter().position(|i| *i == sequence) {
-        taken.ignoring.remove(at);
+fn accept(state: &mut StoreState, sequence: Sequence) -> Option<&'static str> {
+    if let Some(at) = state.ignore_first.iter().position(|i| *i == sequence) {
+        state.ignore_first.remove(at);
         return None;
     }
-    let next = taken.sequences.last().map_or(sequence, |last| last + 1);
-    let is_repeat = taken.sequences.contains(&sequence);
+    let next = state.sequences.last().map_or(sequence, |last| last + 1);
+    let is_repeat = state.sequences.contains(&sequence);
     if sequence != next && !is_repeat {
         return Some("HTTP/1.1 409 No\r\nContent-Length: 16\r\n\r\n{\"reason\":\"seq\"}");
     }
     if !is_repeat {
-        taken.sequences.push(sequence);
+        state.sequences.push(sequence);
     }
-    if let Some(at) = taken.losing.iter().position(|lost| *lost == sequence) {
-        taken.losing.remove(at);
+    if let Some(at) = state
+        .lose_answers_to
+        .iter()
+        .position(|lost| *lost == sequence)
+    {
+        state.lose_answers_to.remove(at);
         return None;
     }
     Some("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"end\":1}")
@@ -140,34 +144,34 @@
 /// Several appends in flight may overtake each other. The store still accepts each once and in
 /// order.
 #[test]
-fn appends_side_by_side_are_taken_in_their_order() {
-    let (addr, taken) = store(Taken::default());
+fn concurrent_appends_are_accepted_in_order() {
+    let (addr, state) = store(StoreState::default());
     commit_all(addr, 12);
-    let taken = taken
+    let state = state
         .lock()
         .expect("no thread panics while holding the lock");
-    assert_eq!(taken.sequences, (1..=12).collect::<Vec<_>>());
+    assert_eq!(state.sequences, (1..=12).collect::<Vec<_>>());
 }
 
 /// Appends whose answers are lost are retried. Later appends keep their order, and none is accepted
 /// twice.
 #[test]
 fn lost_answers_leave_no_gap() {
-    let (addr, taken) = store(Taken {
-        losing: vec![1, 4],
-        ..Taken::default()
+    let (addr, state) = store(StoreState {
+        lose_answers_to: vec![1, 4],
+        ..StoreState::default()
     });
     commit_all(addr, 6);
-    let taken = taken
+    let state = state
         .lock()
         .expect("no thread panics while holding the lock");
-    assert_eq!(taken.sequences, (1..=6).collect::<Vec<_>>());
+    assert_eq!(state.sequences, (1..=6).collect::<Vec<_>>());
 }
 
 /// A batch that is larger than the limit of an append is split.
 #[test]
 fn a_large_batch_is_written_in_parts() {
-    let (addr, taken) = store(Taken::default());
+    let (addr, state) = store(StoreState::default());
     let mut running = Running::start(addr);
     let large = |number: u32| Record {
         key: format!("j{number}").into(),
@@ -175,34 +179,34 @@
     };
     assert_eq!(running.journal.commit((1..=3).map(large).collect()), 3);
     running.finish(3);
-    let taken = taken
+    let state = state
         .lock()
         .expect("no thread panics while holding the lock");
-    assert_eq!(taken.sequences, [1, 2, 3]);
+    assert_eq!(state.sequences, [1, 2, 3]);
 }
 
 /// If another append were sent while the first of a leadership is delayed, the store would accept
 /// that one as the first; the records of the first would count as durable and be lost.
 #[test]
-fn nothing_is_sent_beside_the_first_append() {
-    let (addr, taken) = store(Taken {
-        ignoring: vec![1],
-        ..Taken::default()
+fn nothing_is_sent_until_the_first_append_is_durable() {
+    let (addr, state) = store(StoreState {
+        ignore_first: vec![1],
+        ..StoreState::default()
     });
     commit_all(addr, 5);
-    let taken = taken
+    let state = state
         .lock()
         .expect("no thread panics while holding the lock");
-    assert_eq!(taken.sequences, (1..=5).collect::<Vec<_>>());
+    assert_eq!(state.sequences, (1..=5).collect::<Vec<_>>());
 }
 
 /// If the answer to an append is lost but a later one is durable, the store must not be reported as
 /// unavailable: the leader would refuse callers until the next append.
 #[test]
-fn a_store_that_took_a_later_append_is_not_down() {
-    let (addr, _) = store(Taken {
-        losing: vec![2],
-        ..Taken::default()
+fn a_store_that_accepted_a_later_append_is_available() {
+    let (addr, _) = store(StoreState {
+        lose_answers_to: vec![2],
+        ..StoreState::default()
     });
     let mut running = Running::start(addr);
     for number in 1..=3 {
@@ -217,20 +221,20 @@
     assert!(events.iter().any(|event| is_last(&event)));
     drop(journal);
     shared.set_leading(None);
-    let told = events.iter().filter_map(|event| match event {
-        Event::Appends(is_well) => Some(is_well),
+    let reported = events.iter().filter_map(|event| match event {
+        Event::AppendsAvailable(is_available) => Some(is_available),
         _ => None,
     });
-    assert_ne!(told.last(), Some(false));
+    assert_ne!(reported.last(), Some(false));
 }
 
 /// If the store expects other sequence numbers than this leader's, retries can't succeed: the
 /// leadership must end, so that the next leader can make records durable again.
 #[test]
-fn a_leader_whose_appends_do_not_follow_ends() {
-    let (addr, _) = store(Taken {
+fn a_leader_whose_appends_are_out_of_sequence_ends() {
+    let (addr, _) = store(StoreState {
         sequences: vec![7],
-        ..Taken::default()
+        ..StoreState::default()
     });
     let mut running = Running::start(addr);
     running.journal.commit(vec![record(1)]);
--- a/pomelohitchd/tests/fleet/lanes.rs
+++ b/pomelohitchd/tests/fleet/lanes.rs
@@ -12,7 +12,7 @@
 use pomelohitchd::fleet::leader::core::Event;
 use pomelohitchd::fleet::leader::lanes::{Lanes, Options};
 
-const TAKEN: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clock_ms\":1}";
+const ACCEPTED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clock_ms\":1}";
 
 /// An endpoint that answers every order except those of the `unanswered` runs.
 fn endpoint(unanswered: &'static [RunNumber]) -> SocketAddr {
@@ -40,7 +40,7 @@
             continue;
         }
         let is_meant = |run: &RunNumber| received.contains(&format!("\"run\":{run},"));
-        if !unanswered.iter().any(is_meant) && stream.write_all(TAKEN).is_err() {
+        if !unanswered.iter().any(is_meant) && stream.write_all(ACCEPTED).is_err() {
             return;
         }
         received.clear();
@@ -58,7 +58,7 @@
 }
 
 /// The runs of the next `count` orders that ended, in order, and their outcomes.
-fn ended(events: &Receiver<Event>, count: usize) -> Vec<(RunNumber, Outcome)> {
+fn outcomes(events: &Receiver<Event>, count: usize) -> Vec<(RunNumber, Outcome)> {
     let ends = events.iter().take(count).map(|event| match event {
         Event::Ordered(_, Order::Stop { run, .. }, outcome) => (run, outcome),
         other => panic!("{other:?}"),
@@ -79,7 +79,7 @@
     for run in runs {
         lanes.order(target.clone(), stop(run), 1, clock::steady());
     }
-    ended(&rx, count)
+    outcomes(&rx, count)
 }
 
 /// If orders waited for an unanswered one to the same endpoint, most starts at a busy endpoint
@@ -88,10 +88,10 @@
 fn an_order_without_an_answer_does_not_hold_up_its_endpoint() {
     let ends = send(1..=12, endpoint(&[1]));
     assert_eq!(ends.last(), Some(&(1, Outcome::Unanswered)));
-    let taken = ends
+    let accepted = ends
         .iter()
         .filter(|(_, outcome)| *outcome == Outcome::Taken);
-    assert_eq!(taken.count(), 11);
+    assert_eq!(accepted.count(), 11);
 }
 
 #[test]
--- a/pomelohitchd/tests/fleet/leaders.rs
+++ b/pomelohitchd/tests/fleet/leaders.rs
@@ -5,7 +5,9 @@
 
 use pomelohitchd::fleet::clock::{self, FleetTime};
 use pomelohitchd::fleet::shared::Shared;
-use pomelohitchd::fleet::succession::{asked, deference, larger, successor};
+use pomelohitchd::fleet::succession::{
+    larger_member_delay, larger_members, probe_sample, successor,
+};
 use pomelohitchd::fleet::wire::{Leader, Member, ProbeReply};
 
 use super::site::{nowhere, site};
@@ -28,10 +30,10 @@
     let members: Vec<_> = (1..=300)
         .map(|n| SocketAddr::from(([10, 0, 0, 1], n)))
         .collect();
-    let first = asked(members.clone(), 1);
+    let first = probe_sample(members.clone(), 1);
     assert_eq!(first.len(), 24);
-    assert_ne!(first, asked(members.clone(), 2));
-    assert_eq!(asked(members[..24].to_vec(), 1), members[..24]);
+    assert_ne!(first, probe_sample(members.clone(), 2));
+    assert_eq!(probe_sample(members[..24].to_vec(), 1), members[..24]);
 }
 
 /// In a rolling restart, a leadership handed to a member that is still to be restarted changes
@@ -75,19 +77,19 @@
         began_ms: 1,
     };
     let members = [sized(120), sized(250), sized(500)];
-    assert!(deference(120, &members) > deference(500, &members));
-    assert!(deference(500, &members).is_zero());
+    assert!(larger_member_delay(120, &members) > larger_member_delay(500, &members));
+    assert!(larger_member_delay(500, &members).is_zero());
     assert!(
-        deference(400, &members).is_zero(),
+        larger_member_delay(400, &members).is_zero(),
         "the difference is small"
     );
-    assert_eq!(larger(200, &members), [members[2].addr]);
+    assert_eq!(larger_members(200, &members), [members[2].addr]);
 }
 
 /// After a restart of all processes, the record of the former leader must not count as a heartbeat:
 /// members would wait for another second before they claim the leadership.
 #[test]
-fn an_old_record_of_a_leader_is_no_sign_of_life() {
+fn an_old_record_of_a_leader_does_not_count_as_a_heartbeat() {
     let shared = Shared::new(site());
     let began = shared.view().heard_at;
     let leader = Leader {
@@ -112,41 +114,41 @@
     assert!(!shared.follow(&leader, true));
 }
 
-fn told(epoch: u64, ms: u64, at_ms: u64) -> FleetTime {
+fn reading(epoch: u64, ms: u64, at_ms: u64) -> FleetTime {
     let at = Duration::from_millis(at_ms);
     FleetTime { epoch, ms, at }
 }
 
 #[test]
 fn the_least_delayed_reading_of_the_newest_leader_counts() {
-    let first = told(1, 50_000, 1_000);
+    let first = reading(1, 50_000, 1_000);
     assert_eq!(first.at(Duration::from_millis(3_500)), 52_500);
     assert!(
-        told(1, 51_000, 1_990).is_better_than(&first),
+        reading(1, 51_000, 1_990).is_better_than(&first),
         "less delayed"
     );
     assert!(
-        !told(1, 51_000, 2_400).is_better_than(&first),
+        !reading(1, 51_000, 2_400).is_better_than(&first),
         "more delayed"
     );
     assert!(
-        told(2, 40_000, 2_400).is_better_than(&first),
+        reading(2, 40_000, 2_400).is_better_than(&first),
         "a later leader"
     );
     assert!(
-        !told(0, 90_000, 2_400).is_better_than(&first),
+        !reading(0, 90_000, 2_400).is_better_than(&first),
         "a former leader"
     );
 }
 
 /// A successor must continue the fleet's time of its predecessor instead of its own time of day.
 #[test]
-fn a_member_keeps_the_time_that_its_leader_told() {
+fn a_member_keeps_the_time_that_its_leader_sent() {
     let shared = Shared::new(site());
     assert_eq!(shared.fleet_ms(), None);
     shared.note_fleet_ms(3, Some(7_000));
-    let told = shared.fleet_ms().expect("a leader has sent it");
-    assert!((7_000..8_000).contains(&told), "{told}");
+    let reading = shared.fleet_ms().expect("a leader has sent it");
+    assert!((7_000..8_000).contains(&reading), "{reading}");
     shared.note_fleet_ms(2, Some(99_000));
     shared.note_fleet_ms(3, None);
     assert!(shared.fleet_ms().is_some_and(|ms| ms < 9_000));
@@ -154,7 +156,7 @@
 
 /// The fleet's time in a liveness record of unknown age is only a lower bound.
 #[test]
-fn an_old_sign_of_life_bounds_the_fleets_time() {
+fn an_old_liveness_record_bounds_the_fleets_time() {
     let shared = Shared::new(site());
     shared.note_fleet_ms_at_least(4, Some(50_000));
     assert_eq!(shared.fleet_ms(), None);
--- a/pomelohitchd/tests/fleet/outages.rs
+++ b/pomelohitchd/tests/fleet/outages.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pomelohitchd::fleet::leader::patience::Patience;
+use pomelohitchd::fleet::leader::append_timeout::AppendTimeout;
 use pomelohitchd::fleet::shared::Shared;
 use pomelohitchd::fleet::wire::{self, Probe, ProbeReply};
 use pomelohitchd::fleet::{internal, peers};
@@ -51,28 +51,31 @@
     assert!(answers.iter().all(|(_, answer)| !answer.has_store));
 }
 
-fn waits(patience: &Patience) -> Vec<u128> {
+fn timeouts(timeout: &AppendTimeout) -> Vec<u128> {
     (0..10)
-        .map(|tries| patience.of_try(tries).as_millis())
+        .map(|failed_attempts| timeout.for_attempt(failed_attempts).as_millis())
         .collect()
 }
 
 /// A call sent while the store is silent isn't answered after it recovers; work resumes with the
 /// next attempt. Timeouts of more than half a second would delay callers after each such outage.
 #[test]
-fn a_store_that_is_back_is_used_soon() {
-    let waits = waits(&Patience::default());
-    assert_eq!(waits, [120, 240, 480, 480, 480, 480, 480, 480, 1200, 1200]);
+fn a_recovered_store_is_used_soon() {
+    let timeouts = timeouts(&AppendTimeout::default());
+    assert_eq!(
+        timeouts,
+        [120, 240, 480, 480, 480, 480, 480, 480, 1200, 1200]
+    );
 }
 
 /// A slow store answers none of several attempts that are all given up early.
 #[test]
-fn a_slow_store_is_waited_for() {
-    let mut patience = Patience::default();
+fn the_timeout_grows_with_a_slow_store() {
+    let mut timeout = AppendTimeout::default();
     for _ in 0..40 {
-        patience.took(Duration::from_millis(150));
+        timeout.add_sample(Duration::from_millis(150));
     }
-    assert!(patience.of_try(0) >= Duration::from_millis(880));
-    assert!(patience.of_try(5) >= patience.of_try(0));
-    assert_eq!(patience.of_try(9), Duration::from_millis(1200));
+    assert!(timeout.for_attempt(0) >= Duration::from_millis(880));
+    assert!(timeout.for_attempt(5) >= timeout.for_attempt(0));
+    assert_eq!(timeout.for_attempt(9), Duration::from_millis(1200));
 }
