--- a/pomelohitchd/src/fleet/clock.rs
+++ b/pomelohitchd/src/fleet/clock.rs
@@ -1,4 +1,5 @@
-//! Clocks, and a steady clock that keeps running while the machine is suspended.
+//! Clocks: the time of day, the fleet's time, and a steady clock that keeps running while the
+//! machine is suspended.
 //!
 //! The steady clock of the standard library stops during a suspension. A lease checked against it
 //! would still appear valid after the machine resumes, long after another process has taken over.
@@ -17,7 +18,7 @@
     Duration::new(secs, nanos)
 }
 
-/// Milliseconds since 1970.
+/// Time of day in milliseconds since 1970.
 #[must_use]
 pub fn unix_ms() -> UnixMs {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/pomelohitchd/src/fleet/election.rs
+++ b/pomelohitchd/src/fleet/election.rs
@@ -21,7 +21,7 @@
 const TICK: Duration = Duration::from_millis(100);
 /// Time without a heartbeat after which the leader is suspected.
 const SUSPECT_AFTER: Duration = Duration::from_millis(900);
-/// If a peer heard the leader within this time, the leader is not claimed to be silent.
+/// If a peer heard the leader within this time, the leader doesn't count as silent.
 const HEARD_WITHIN: Duration = Duration::from_millis(700);
 /// If no peer answers, the leader counts as silent when its liveness record hasn't changed for this
 /// long; it is written every second.
--- a/pomelohitchd/src/fleet/leader/append_timeout.rs
+++ b/pomelohitchd/src/fleet/leader/append_timeout.rs
@@ -11,8 +11,8 @@
 const LATENCY_FACTOR: f64 = 6.0;
 /// Minimum timeout; a working store answers within some milliseconds.
 const MIN_TIMEOUT: Duration = Duration::from_millis(120);
-/// Maximum timeout of the early attempts, unless recent appends took longer. It makes a store that
-/// has recovered be used soon.
+/// Maximum timeout of the early attempts, unless the average of recent appends demands more. Short,
+/// so that a store that has recovered is used soon.
 const MAX_EARLY_TIMEOUT: Duration = Duration::from_millis(480);
 /// Number of early attempts.
 const EARLY_ATTEMPTS: u32 = 8;
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -155,7 +155,7 @@
     pub(super) appends_failing_since: Option<Steady>,
     pub(super) reads_failing_since: Option<Steady>,
     pub(super) members_probed_at: Steady,
-    pub(super) sizes_compared_at: Steady,
+    pub(super) larger_checked_at: Steady,
     pub(super) former: Option<Leader>,
     end: Option<End>,
 }
@@ -199,7 +199,7 @@
         appends_failing_since: None,
         reads_failing_since: None,
         members_probed_at: Steady::ZERO,
-        sizes_compared_at: handover::initial_comparison_time(),
+        larger_checked_at: handover::initial_larger_checked_at(),
         former: initial.former,
         end: None,
     };
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -38,7 +38,7 @@
 
 /// Initial value of the time of the last check for larger members, which puts the first check
 /// [`LARGER_CHECK_DELAY`] after the takeover.
-pub(super) fn initial_comparison_time() -> Steady {
+pub(super) fn initial_larger_checked_at() -> Steady {
     (clock::steady() + LARGER_CHECK_DELAY).saturating_sub(LARGER_CHECK_INTERVAL)
 }
 
@@ -90,10 +90,10 @@
     /// Asks larger members at intervals whether they can lead.
     pub(super) fn check_larger_members(&mut self) {
         let now = clock::steady();
-        if now < self.sizes_compared_at + LARGER_CHECK_INTERVAL {
+        if now < self.larger_checked_at + LARGER_CHECK_INTERVAL {
             return;
         }
-        self.sizes_compared_at = now;
+        self.larger_checked_at = now;
         let power = self.shared.site.load().power;
         let larger = succession::larger_members(power, &self.shared.others());
         if larger.is_empty() {
--- a/pomelohitchd/src/fleet/leader/heartbeats.rs
+++ b/pomelohitchd/src/fleet/leader/heartbeats.rs
@@ -24,7 +24,7 @@
 /// Interval at which the liveness record is written, for members that heartbeats don't reach.
 const LIVENESS_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout of the append of the liveness record.
-const LIVENESS_TIMEOUT: Duration = Duration::from_millis(800);
+const LIVENESS_APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Builds a heartbeat of `leader` with the current time of the fleet.
 pub(super) fn heartbeat_of(shared: &Shared, leader: &Leader) -> Beat {
@@ -125,8 +125,8 @@
             fleet_ms: shared.fleet_ms(),
         };
         let record = progress::encode(wire::ALIVE_KEY.into(), &record);
-        let written =
-            record.map(|r| store.append(Topic::Members, &[r], Guard::Free, LIVENESS_TIMEOUT));
+        let written = record
+            .map(|r| store.append(Topic::Members, &[r], Guard::Free, LIVENESS_APPEND_TIMEOUT));
         if !matches!(written, Ok(Ok(_))) {
             info!(?written, "liveness record not written");
         }
--- a/pomelohitchd/src/fleet/leader/platform_calls.rs
+++ b/pomelohitchd/src/fleet/leader/platform_calls.rs
@@ -150,8 +150,8 @@
             shared: shared.clone(),
             epoch,
             member: site.member.clone(),
-            // The instances service doesn't check epochs, so that an order that arrives late would
-            // take effect beside a later leader's.
+            // Resets the connections of abandoned calls: the instances service doesn't check epochs, so
+            // an operation that arrives late would take effect beside a later leader's.
             client: site
                 .instances
                 .map(|addr| Client::resetting(addr, CONNECT_TIMEOUT)),
