--- a/pomelohitchd/src/fleet/calls.rs
+++ b/pomelohitchd/src/fleet/calls.rs
@@ -1,9 +1,9 @@
 //! Calls to endpoints over connections of this process.
 //!
-//! All calls are made on one thread, each as a task of its own. At most a few orders are under way
-//! to one endpoint, so that an order without an answer holds up neither its endpoint nor others.
-//! Orders may therefore overtake each other, which endpoints allow for: a stop that comes before its
-//! start rejects it.
+//! All calls are made on one thread, each in its own task. A few orders to one endpoint may be in
+//! flight at the same time, so that an unanswered order blocks neither its endpoint nor others.
+//! Orders may therefore overtake each other, which endpoints handle: after a stop, the start of the
+//! same run is rejected.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -21,88 +21,89 @@
 
 use super::clock;
 
-/// A connection that isn't made by then won't be.
-const CONNECT: Duration = Duration::from_millis(250);
-/// A start that was decided longer ago isn't sent: the process may have been suspended since.
-const STALE: Duration = Duration::from_millis(800);
-/// Most orders under way to one endpoint. One or two without an answer leave the others a way.
-const AT_ONCE: usize = 3;
-/// Connections to an endpoint that stay open: for its orders, and for a poll.
-const KEPT: usize = AT_ONCE + 1;
-/// A poll may take this much longer than the endpoint was told to wait, where answers are prompt.
-const LOOK_MARGIN: Duration = Duration::from_millis(250);
-/// Timeouts of orders. Endpoints answer within a few milliseconds; what came of an order without an
-/// answer is learned from a poll.
-const ORDER_WITHIN: Limits = Limits {
+/// Connect timeout; a connection that takes longer isn't expected to succeed.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// Starts that were decided longer ago aren't sent: the process may have been suspended since.
+const MAX_START_AGE: Duration = Duration::from_millis(800);
+/// Most orders in flight to one endpoint. With one or two unanswered, others can still be sent.
+const MAX_CONCURRENT_ORDERS: usize = 3;
+/// Connections to an endpoint that are kept open: for its orders, and one for a poll.
+const KEPT_CONNECTIONS: usize = MAX_CONCURRENT_ORDERS + 1;
+/// A poll times out this long after the wait that the endpoint is asked for, while answers are
+/// prompt. While they are slow, the margin grows with the timeout of orders.
+const POLL_MARGIN: Duration = Duration::from_millis(250);
+/// Timeouts of orders. Endpoints answer within a few milliseconds; the result of an unanswered
+/// order shows in a later poll.
+const ORDER_TIMEOUT: Limits = Limits {
     shortest: Duration::from_millis(150),
     longest: Duration::from_millis(600),
 };
 
-/// An order that is to go out.
+/// An order to be sent.
 #[derive(Debug, Clone)]
-pub struct Sending {
-    /// Where.
+pub struct OutgoingOrder {
+    /// The endpoint that it is for.
     pub target: Target,
-    /// What.
+    /// The order itself.
     pub order: Order,
-    /// Whose.
+    /// Epoch of the leader that decided it.
     pub epoch: Epoch,
     /// When it was decided.
-    pub at: Steady,
+    pub decided_at: Steady,
 }
 
-/// What there is for one endpoint.
+/// Connections to one endpoint, and the limit of concurrent orders to it.
 #[derive(Debug)]
-struct Lane {
+struct EndpointClient {
     connections: Connections,
-    orders: Semaphore,
+    order_permits: Semaphore,
 }
 
-impl Lane {
-    fn new(addr: SocketAddr) -> Lane {
-        Lane {
-            connections: Connections::new(addr, CONNECT, KEPT),
-            orders: Semaphore::new(AT_ONCE),
+impl EndpointClient {
+    fn new(addr: SocketAddr) -> EndpointClient {
+        EndpointClient {
+            connections: Connections::new(addr, CONNECT_TIMEOUT, KEPT_CONNECTIONS),
+            order_permits: Semaphore::new(MAX_CONCURRENT_ORDERS),
         }
     }
 }
 
-/// Makes calls. Used on one thread, whose runtime has to run local tasks.
+/// Makes calls to endpoints, on a single thread whose runtime must support local tasks.
 #[derive(Debug)]
 pub struct Calls {
-    lanes: RefCell<HashMap<EndpointId, Rc<Lane>>>,
-    /// Of all endpoints: what delays answers is mostly this member's own link.
+    clients: RefCell<HashMap<EndpointId, Rc<EndpointClient>>>,
+    /// Shared by all endpoints, since answers are mostly delayed by this member's own link.
     rto: RefCell<Rto>,
 }
 
 impl Default for Calls {
     fn default() -> Calls {
         Calls {
-            lanes: RefCell::default(),
-            rto: RefCell::new(Rto::new(ORDER_WITHIN)),
+            clients: RefCell::default(),
+            rto: RefCell::new(Rto::new(ORDER_TIMEOUT)),
         }
     }
 }
 
 impl Calls {
-    /// Sends an order.
-    pub async fn order(&self, sending: &Sending) -> Outcome {
-        let Sending {
+    /// Sends an order and waits for its outcome.
+    pub async fn order(&self, outgoing: &OutgoingOrder) -> Outcome {
+        let OutgoingOrder {
             target,
             order,
             epoch,
-            at,
-        } = sending;
-        let lane = self.lane(target);
+            decided_at,
+        } = outgoing;
+        let client = self.client(target);
         // The semaphore is never closed.
-        let _turn = lane.orders.acquire().await;
+        let _permit = client.order_permits.acquire().await;
         let sent_at = clock::steady();
         let is_start = matches!(order, Order::Start { .. });
-        if is_start && sent_at.saturating_sub(*at) > STALE {
+        if is_start && sent_at.saturating_sub(*decided_at) > MAX_START_AGE {
             return Outcome::Refused(Refusal::Unsent);
         }
-        let within = self.rto.borrow().timeout();
-        let outcome = endpoints::order(&lane.connections, target, order, *epoch, within).await;
+        let timeout = self.rto.borrow().timeout();
+        let outcome = endpoints::order(&client.connections, target, order, *epoch, timeout).await;
         let took = clock::steady().saturating_sub(sent_at);
         self.rto.borrow_mut().took(took);
         outcome
@@ -111,31 +112,31 @@
     /// Polls an endpoint.
     ///
     /// # Errors
-    /// If there is no answer of that endpoint, or none that can be read.
-    pub async fn look(&self, order: &LookOrder) -> Result<Look, LookFailure> {
-        let lane = self.lane(&order.target);
+    /// If that endpoint doesn't answer in time, or its answer can't be read.
+    pub async fn poll(&self, order: &LookOrder) -> Result<Look, LookFailure> {
+        let client = self.client(&order.target);
         let timeout = self.rto.borrow().timeout();
-        let late = timeout.saturating_sub(ORDER_WITHIN.shortest);
+        let extra = timeout.saturating_sub(ORDER_TIMEOUT.shortest);
         let sent_at = clock::steady();
-        let mut look = endpoints::look(&lane.connections, order, LOOK_MARGIN + late).await?;
-        look.sent_at = sent_at;
-        look.answered_at = clock::steady();
-        Ok(look)
+        let mut reply = endpoints::look(&client.connections, order, POLL_MARGIN + extra).await?;
+        reply.sent_at = sent_at;
+        reply.answered_at = clock::steady();
+        Ok(reply)
     }
 
-    /// Closes connections to an endpoint.
+    /// Closes the connections to an endpoint.
     pub fn forget(&self, id: &EndpointId) {
-        self.lanes.borrow_mut().remove(id);
+        self.clients.borrow_mut().remove(id);
     }
 
-    fn lane(&self, target: &Target) -> Rc<Lane> {
-        let mut lanes = self.lanes.borrow_mut();
-        let lane = lanes
+    fn client(&self, target: &Target) -> Rc<EndpointClient> {
+        let mut clients = self.clients.borrow_mut();
+        let client = clients
             .entry(target.id.clone())
-            .or_insert_with(|| Rc::new(Lane::new(target.addr)));
-        if lane.connections.peer() != target.addr {
-            *lane = Rc::new(Lane::new(target.addr));
+            .or_insert_with(|| Rc::new(EndpointClient::new(target.addr)));
+        if client.connections.peer() != target.addr {
+            *client = Rc::new(EndpointClient::new(target.addr));
         }
-        lane.clone()
+        client.clone()
     }
 }
--- a/pomelohitchd/src/fleet/election.rs
+++ b/pomelohitchd/src/fleet/election.rs
@@ -42,12 +42,12 @@
         let now = clock::steady();
         if now.saturating_sub(last_check) > SUSPENSION_THRESHOLD {
             shared.update(|view| {
-                view.heard_at = now;
-                view.alive_at = now;
+                view.leader_heard_at = now;
+                view.leader_alive_at = now;
             });
         }
         last_check = now;
-        if shared.leading().is_some() || shared.is_leaving() {
+        if shared.leadership().is_some() || shared.is_leaving() {
             continue;
         }
         let view = shared.view();
@@ -64,8 +64,8 @@
 }
 
 fn is_suspect(view: &View, now: Steady, claim_delay: Duration) -> bool {
-    let silent_for = now.saturating_sub(view.heard_at);
-    view.is_read && silent_for > SUSPECT_AFTER + claim_delay
+    let silent_for = now.saturating_sub(view.leader_heard_at);
+    view.is_loaded && silent_for > SUSPECT_AFTER + claim_delay
 }
 
 /// Whether no other member hears the leader either. Without a known leader there is no need to ask:
@@ -78,11 +78,11 @@
     let seed = millis(clock::steady());
     let others = succession::probe_sample(shared.peers(), seed);
     let probe = Probe { with_store: false };
-    let answers = peers::ask_all::<ProbeReply>(&others, wire::PROBE, &probe);
+    let answers = peers::ask_all::<ProbeReply>(&others, wire::PROBE_PATH, &probe);
     let is_heard = answers
         .iter()
         .any(|(_, a)| Duration::from_millis(a.heard_ms) < HEARD_WITHIN);
-    let is_record_stale = clock::steady().saturating_sub(view.alive_at) > LIVENESS_TIMEOUT;
+    let is_record_stale = clock::steady().saturating_sub(view.leader_alive_at) > LIVENESS_TIMEOUT;
     let is_silent = !is_heard && (!answers.is_empty() || is_record_stale);
     info!(
         peers = others.len(),
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -180,7 +180,7 @@
         Ok(started) => started,
         Err(error) => {
             error!(%error, "failed to start the leader's threads");
-            shared.set_leading(None);
+            shared.set_leadership(None);
             return;
         }
     };
@@ -205,7 +205,7 @@
     };
     core.update_evacuation_gauge();
     let end = core.run_event_loop(&initial.rx);
-    shared.set_leading(None);
+    shared.set_leadership(None);
     info!(
         epoch,
         why = end.reason,
@@ -236,7 +236,7 @@
 pub(super) fn hand_over(successor: SocketAddr, claim: Claim) {
     const TIMEOUT: Duration = Duration::from_millis(300);
     let client = peers::client(successor);
-    match peers::ask::<()>(&client, wire::CLAIM, &claim, TIMEOUT) {
+    match peers::ask::<()>(&client, wire::CLAIM_PATH, &claim, TIMEOUT) {
         Ok(()) => info!(%successor, "leadership handed over"),
         Err(error) => warn!(%error, "leadership not handed over"),
     }
@@ -484,7 +484,7 @@
     mut step: impl FnMut(&Arc<Shared>) + Send + 'static,
 ) -> std::io::Result<()> {
     let running = spawn_with(name, shared, move |shared| {
-        while shared.leading().is_some_and(|l| l.epoch == epoch) {
+        while shared.leadership().is_some_and(|l| l.epoch == epoch) {
             step(shared);
         }
     });
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -63,8 +63,8 @@
             // Concurrently, since a call to a silent store takes its whole timeout.
             let (answers, has_store) = std::thread::scope(|scope| {
                 let own = scope.spawn(|| internal::reaches_store(&shared, end));
-                let within = wire::STORE_PROBE_WITHIN;
-                let answers = peers::ask_all_within(&others, wire::PROBE, &probe, within);
+                let within = wire::STORE_PROBE_TIMEOUT;
+                let answers = peers::ask_all_within(&others, wire::PROBE_PATH, &probe, within);
                 (answers, own.join().unwrap_or(false))
             });
             let _ = tx.send(Event::StoreProbed(answers, has_store));
@@ -102,7 +102,8 @@
         let tx = self.tx.clone();
         let thread = spawn("ask larger members", move || {
             let probe = Probe { with_store: true };
-            let answers = peers::ask_all_within(&larger, wire::PROBE, &probe, LARGER_CHECK_TIMEOUT);
+            let answers =
+                peers::ask_all_within(&larger, wire::PROBE_PATH, &probe, LARGER_CHECK_TIMEOUT);
             let _ = tx.send(Event::LargerMembersProbed(answers));
         });
         if let Err(error) = thread {
@@ -150,7 +151,7 @@
     /// Ends the leadership for a shutdown, and hands it over to a member that can lead, if any.
     pub(super) fn end_for_shutdown(&mut self) {
         let probe = Probe { with_store: true };
-        let answers = peers::ask_all::<ProbeReply>(&self.shared.peers(), wire::PROBE, &probe);
+        let answers = peers::ask_all::<ProbeReply>(&self.shared.peers(), wire::PROBE_PATH, &probe);
         self.stop("shutdown", successor(&answers));
     }
 }
--- a/pomelohitchd/src/fleet/leader/heartbeats.rs
+++ b/pomelohitchd/src/fleet/leader/heartbeats.rs
@@ -13,7 +13,7 @@
 use super::core::{Event, spawn_while_leading};
 use crate::fleet::peers;
 use crate::fleet::shared::Shared;
-use crate::fleet::wire::{self, Alive, Beat, BeatReply, Leader, Member};
+use crate::fleet::wire::{self, Heartbeat, HeartbeatReply, Leader, LivenessRecord, Member};
 
 /// Interval of the heartbeats to each member.
 pub const INTERVAL: Duration = Duration::from_millis(250);
@@ -27,8 +27,8 @@
 const LIVENESS_APPEND_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Builds a heartbeat of `leader` with the current time of the fleet.
-pub(super) fn heartbeat_of(shared: &Shared, leader: &Leader) -> Beat {
-    Beat {
+pub(super) fn heartbeat_of(shared: &Shared, leader: &Leader) -> Heartbeat {
+    Heartbeat {
         leader: leader.clone(),
         fleet_ms: shared.fleet_ms(),
     }
@@ -81,7 +81,7 @@
     pub fn is_deposed(&self) -> bool {
         let mut buf = [0; MAX_REPLY_BYTES];
         while let Ok((len, _)) = self.socket.recv_from(&mut buf) {
-            let reply = postcard::from_bytes::<BeatReply>(&buf[..len]);
+            let reply = postcard::from_bytes::<HeartbeatReply>(&buf[..len]);
             if reply.is_ok_and(|r| r.epoch > self.leader.epoch) {
                 return true;
             }
@@ -119,12 +119,12 @@
     let mut count = 0;
     spawn_while_leading("signs", shared, epoch, move |shared| {
         count += 1;
-        let record = Alive {
+        let record = LivenessRecord {
             epoch,
             count,
             fleet_ms: shared.fleet_ms(),
         };
-        let record = progress::encode(wire::ALIVE_KEY.into(), &record);
+        let record = progress::encode(wire::LIVENESS_KEY.into(), &record);
         let written = record
             .map(|r| store.append(Topic::Members, &[r], Guard::Free, LIVENESS_APPEND_TIMEOUT));
         if !matches!(written, Ok(Ok(_))) {
@@ -153,7 +153,7 @@
             return;
         }
         let message = heartbeat_of(shared, &leader);
-        let reply = peers::ask::<BeatReply>(&client, wire::BEAT, &message, TIMEOUT);
+        let reply = peers::ask::<HeartbeatReply>(&client, wire::HEARTBEAT_PATH, &message, TIMEOUT);
         if reply.is_ok_and(|r| r.epoch > epoch) {
             let _ = tx.send(Event::Deposed("a member knows a later leader"));
         }
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/lanes.rs
@@ -17,9 +17,9 @@
 use tracing::info;
 
 use super::core::Event;
-use crate::fleet::calls::{Calls, Sending};
+use crate::fleet::calls::{Calls, OutgoingOrder};
 use crate::fleet::clock;
-use crate::fleet::relay::client::Link;
+use crate::fleet::relay::client::RelayConnection;
 use crate::fleet::shared::spawn;
 
 /// Delay before a member is tried again that stopped relaying calls.
@@ -44,7 +44,7 @@
 /// Command to the thread that makes the calls.
 #[derive(Debug)]
 enum Command {
-    Order(Sending),
+    Order(OutgoingOrder),
     Poll(LookOrder),
     /// The endpoint no longer exists.
     Forget(EndpointId),
@@ -95,11 +95,11 @@
     /// Sends an order that was decided at `at`.
     pub fn order(&mut self, target: Target, order: Order, epoch: Epoch, at: Steady) {
         self.known.insert(target.id.clone());
-        let sending = Sending {
+        let sending = OutgoingOrder {
             target,
             order,
             epoch,
-            at,
+            decided_at: at,
         };
         if let Err(mpsc::error::SendError(Command::Order(unsent))) =
             self.commands.send(Command::Order(sending))
@@ -179,7 +179,7 @@
     layout: Layout,
     /// The other members at the last update of the layout.
     members: Vec<SocketAddr>,
-    links: BTreeMap<SocketAddr, Link>,
+    links: BTreeMap<SocketAddr, RelayConnection>,
     layout_updated_at: Option<Steady>,
 }
 
@@ -220,7 +220,7 @@
         }
         let members = self.options.members.as_ref().map(|members| members());
         self.members = members.unwrap_or_default();
-        let is_over = |link: &Link| {
+        let is_over = |link: &RelayConnection| {
             link.ended_at()
                 .is_some_and(|at| now >= at + RELAY_RETRY_DELAY)
         };
@@ -229,7 +229,7 @@
     }
 
     /// Returns the open connection to the member that relays the endpoint's calls, if any.
-    fn link(&mut self, target: &Target) -> Option<&Link> {
+    fn link(&mut self, target: &Target) -> Option<&RelayConnection> {
         if self.layout == Layout::default() {
             return None;
         }
@@ -242,11 +242,11 @@
         let link = self
             .links
             .entry(peer)
-            .or_insert_with(|| Link::start(peer, epoch, events.clone()));
+            .or_insert_with(|| RelayConnection::start(peer, epoch, events.clone()));
         link.is_open().then_some(link)
     }
 
-    fn order(&mut self, sending: Sending) {
+    fn order(&mut self, sending: OutgoingOrder) {
         let sending = match self.link(&sending.target) {
             Some(link) => link.order(sending),
             None => Some(sending),
@@ -264,7 +264,7 @@
 
     fn look(&mut self, look: LookOrder) {
         let look = match self.link(&look.target) {
-            Some(link) => link.look(look),
+            Some(link) => link.poll(look),
             None => Some(look),
         };
         let Some(look) = look else {
@@ -272,7 +272,7 @@
         };
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
-            let looked = calls.look(&look).await;
+            let looked = calls.poll(&look).await;
             // Fails only if the leadership has ended.
             let _ = events.send(Event::Looked(look.target, looked));
         });
--- a/pomelohitchd/tests/fleet/journal.rs
+++ b/pomelohitchd/tests/fleet/journal.rs
@@ -8,7 +8,7 @@
 use pomelohitch_sched::progress::Record;
 use pomelohitchd::fleet::leader::core::Event;
 use pomelohitchd::fleet::leader::journal::{Journal, Sequence};
-use pomelohitchd::fleet::shared::{Leading, Shared};
+use pomelohitchd::fleet::shared::{Leadership, Shared};
 
 use super::site::site;
 
@@ -104,7 +104,7 @@
         site.store = addr;
         let shared = Arc::new(Shared::new(site));
         let (tx, events) = mpsc::channel();
-        shared.set_leading(Some(Leading {
+        shared.set_leadership(Some(Leadership {
             epoch: EPOCH,
             events: tx.clone(),
         }));
@@ -121,7 +121,7 @@
     fn finish(self, last: Sequence) {
         let is_last = |event: Event| matches!(event, Event::Committed(durable) if durable == last);
         assert!(self.events.into_iter().any(is_last));
-        self.shared.set_leading(None);
+        self.shared.set_leadership(None);
     }
 }
 
@@ -220,7 +220,7 @@
     let is_last = |event: &Event| matches!(event, Event::Committed(3));
     assert!(events.iter().any(|event| is_last(&event)));
     drop(journal);
-    shared.set_leading(None);
+    shared.set_leadership(None);
     let reported = events.iter().filter_map(|event| match event {
         Event::AppendsAvailable(is_available) => Some(is_available),
         _ => None,
@@ -240,5 +240,5 @@
     running.journal.commit(vec![record(1)]);
     let is_end = |event: Event| matches!(event, Event::Deposed(_));
     assert!(running.events.into_iter().any(is_end));
-    running.shared.set_leading(None);
+    running.shared.set_leadership(None);
 }
