--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -45,24 +45,24 @@
 use crate::urgency::Candidate;
 use crate::{Now, Steady, UnixMs};
 
-pub mod books;
+pub mod accounting;
 pub mod advice;
 mod archive;
-pub mod follow;
+pub mod autoscaling;
 pub mod calls;
 pub mod commits;
-pub mod ends;
+pub mod completions;
 pub mod evacuate;
 pub mod evict;
-pub mod together;
+pub mod gangs;
 mod isolation;
-pub mod lives;
+pub mod lifecycle;
 pub mod losses;
-pub mod upkeep;
+pub mod operations;
 pub mod orders;
-pub mod looks;
+pub mod polls;
 pub mod schedule;
-pub mod stalls;
+pub mod stalled;
 pub mod waves;
 
 /// Minimum time between two housekeeping passes over instances, leases and lasting tasks. The
