--- a/crates/pomelohitch-sched/src/cell/accounting.rs
+++ b/crates/pomelohitch-sched/src/cell/accounting.rs
@@ -276,7 +276,7 @@
         };
         r.is_leaving = true;
         let endpoint = r.endpoint.clone();
-        let why = "its endpoint has to be empty";
+        let why = "its endpoint has to be emptied";
         info!(%task, run, endpoint = %endpoint, why, "stop decided");
         self.dirty.insert(task.job);
         let target = self.target(&endpoint);
--- a/crates/pomelohitch-sched/src/cell/calls.rs
+++ b/crates/pomelohitch-sched/src/cell/calls.rs
@@ -164,7 +164,7 @@
         }
         let tasks: u32 = spec.steps.iter().map(|s| s.count).sum();
         info!(job = %id::job_text(id), queue = %queue.name, workspace = ?spec.workspace,
-            steps = spec.steps.len(), tasks, repeats = spec.occurrences(), "job taken");
+            steps = spec.steps.len(), tasks, repeats = spec.occurrences(), "job accepted");
         self.unsaved_specs.insert(id);
         self.dirty.insert(id);
         self.add_job(Arc::new(spec), Progress::default());
--- a/crates/pomelohitch-sched/src/cell/completions.rs
+++ b/crates/pomelohitch-sched/src/cell/completions.rs
@@ -71,7 +71,7 @@
             return;
         };
         t.is_done = true;
-        warn!(%task, run, endpoint = %endpoint, "given up run has ended well");
+        warn!(%task, run, endpoint = %endpoint, "run given up earlier succeeded");
         if step.is_gang {
             self.gang_done(task);
         }
@@ -121,7 +121,7 @@
         let is_all_done = job.progress.next >= job.spec.occurrences()
             && job.progress.open.values().all(Occurrence::is_done);
         if has_failed {
-            info!(job = %job_text(task.job), %task, attempts, "task failed for good");
+            info!(job = %job_text(task.job), %task, attempts, "task failed permanently");
             self.finish(task.job, JobState::Failed);
         } else if is_all_done {
             self.finish(task.job, JobState::Completed);
@@ -139,7 +139,7 @@
         };
         let runs: Vec<_> = t.runs.iter().map(|r| r.number).collect();
         for run in runs {
-            self.stop(task, run, "another copy is done");
+            self.stop(task, run, "another run of its task is done");
         }
     }
 
--- a/crates/pomelohitch-sched/src/cell/evacuate.rs
+++ b/crates/pomelohitch-sched/src/cell/evacuate.rs
@@ -20,7 +20,7 @@
     pub fn evacuate(&mut self, zone: &ZoneName) {
         let (endpoints, runs) = self.occupancy(zone);
         if self.evacuations.begin(zone.clone(), self.now.steady) {
-            info!(%zone, endpoints, runs, "evacuation begun");
+            info!(%zone, endpoints, runs, "evacuation started");
         }
     }
 
--- a/crates/pomelohitch-sched/src/cell/evict.rs
+++ b/crates/pomelohitch-sched/src/cell/evict.rs
@@ -200,7 +200,8 @@
         if wanted != pace {
             endpoint.filler_pace = wanted;
             endpoint.paced_at = now;
-            info!(endpoint = %id, pace, wanted, worst, fillers = fillers.len(), "fillers paced");
+            info!(endpoint = %id, pace, wanted, worst, fillers = fillers.len(),
+                "filler pace changed");
         }
         for (task, run) in fillers {
             self.pace_run(id, task, run, wanted);
--- a/crates/pomelohitch-sched/src/cell/lifecycle.rs
+++ b/crates/pomelohitch-sched/src/cell/lifecycle.rs
@@ -24,7 +24,7 @@
         let has_restarted = report.born > endpoint.born;
         let was_draining = endpoint.report.as_ref().is_some_and(|r| r.is_draining);
         if report.is_draining && !was_draining {
-            info!(endpoint = %id, "endpoint drains");
+            info!(endpoint = %id, "endpoint is draining");
         }
         if !endpoint.is_listed {
             info!(endpoint = %id, service = %report.service, born = report.born, "endpoint listed");
@@ -74,10 +74,14 @@
         let age = |as_of| self.now.steady.saturating_sub(as_of).as_millis();
         let (endpoints_ms, operators_ms) = (age(self.endpoints_as_of), age(self.operators_as_of));
         if is_held_back {
-            warn!(endpoints_ms, operators_ms, "starts held back");
+            warn!(
+                endpoints_ms,
+                operators_ms,
+                "starts held back: endpoint entries or operator requests are outdated"
+            );
         } else {
             let held_ms = now.saturating_sub(since).as_millis();
-            info!(held_ms, "starts go on");
+            info!(held_ms, "starts resumed");
         }
     }
 
@@ -154,7 +158,8 @@
             .map(|(id, e)| (id.clone(), e.is_listed))
             .collect();
         for (id, is_listed) in lapsed {
-            for (task, run, loss) in self.losses_at(&id, LossCause::Silence, "its lease has lapsed")
+            for (task, run, loss) in
+                self.losses_at(&id, LossCause::Silence, "its endpoint's lease has expired")
             {
                 self.run_lost(task, run, loss);
             }
--- a/crates/pomelohitch-sched/src/cell/losses.rs
+++ b/crates/pomelohitch-sched/src/cell/losses.rs
@@ -83,7 +83,8 @@
             alone,
             ..
         } = suspicion;
-        warn!(%task, lost, certain, alone, "task given up: endpoints crash under it");
+        warn!(%task, lost, certain, alone,
+            "task given up: too many endpoints crashed while running it");
         self.given_up_count += 1;
         self.finish(task.job, JobState::Failed);
     }
@@ -99,7 +100,8 @@
         for task in tasks {
             if let Some(t) = self.task_mut(task) {
                 t.suspicion.retract();
-                info!(%task, endpoint = %id, born, lost = t.suspicion.lost, "loss retracted");
+                info!(%task, endpoint = %id, born, lost = t.suspicion.lost,
+                    "loss retracted: endpoint answers again");
                 self.dirty.insert(task.job);
                 self.index_suspected(task.job);
             }
--- a/crates/pomelohitch-sched/src/cell/operations.rs
+++ b/crates/pomelohitch-sched/src/cell/operations.rs
@@ -35,19 +35,19 @@
             let before = self.instances.list().get(&instance.id).map(|i| i.state);
             if before.is_some_and(|state| state != instance.state) {
                 info!(instance = %instance.id, pool = %instance.pool, state = ?instance.state,
-                    ?before, endpoint = ?instance.endpoint, "instance state");
+                    ?before, endpoint = ?instance.endpoint, "instance state changed");
             }
         }
         let replaced = self.instances.listed(list, asked_at);
         match self.instances.leaving(self.draining_instances()) {
             Ok(records) => self.extra_records.extend(records),
-            Err(error) => warn!(%error, "leaving instances can't be recorded"),
+            Err(error) => warn!(%error, "failed to encode record of leaving instances"),
         }
         for endpoint in replaced {
-            self.endpoint_gone(&endpoint, "its instance lives another endpoint");
+            self.endpoint_gone(&endpoint, "its instance runs another endpoint");
         }
         for endpoint in self.silent_and_absent(asked_at) {
-            self.endpoint_gone(&endpoint, "no instance lives it any more");
+            self.endpoint_gone(&endpoint, "no listed instance runs it");
         }
     }
 
@@ -92,7 +92,7 @@
 
     /// Handles the result of an operation on an instance.
     pub fn operated(&mut self, id: &InstanceId, operation: &Operation, outcome: OperationOutcome) {
-        info!(instance = %id, ?operation, ?outcome, "instance operated");
+        info!(instance = %id, ?operation, ?outcome, "operation on instance ended");
         if outcome == OperationOutcome::Taken
             && let Some(id) = self.instances.endpoint_before(id)
             && self.endpoints.get(&id).is_some_and(|e| e.runs.is_empty())
@@ -105,7 +105,7 @@
         };
         match self.instances.operated(id, wave, outcome, self.now.steady) {
             Ok(record) => self.extra_records.extend(record),
-            Err(error) => warn!(%error, "maintenance can't be recorded"),
+            Err(error) => warn!(%error, "failed to encode maintenance record"),
         }
     }
 
@@ -201,7 +201,7 @@
 
     /// Handles that the former leader's process has ended, so that it sends no more operations.
     pub fn former_is_gone(&mut self) {
-        info!(epoch = self.epoch, "former leader is gone");
+        info!(epoch = self.epoch, "former leader's process has ended");
         self.operations_allowed_from = self.operations_allowed_from.min(self.now.steady);
     }
 
@@ -227,7 +227,7 @@
         self.instances.set_under_way(id, now, to);
         match instances::operation_record(id, self.fleet_ms()) {
             Ok(record) => self.extra_records.push(record),
-            Err(error) => warn!(%error, "operation can't be recorded"),
+            Err(error) => warn!(%error, "failed to encode operation record"),
         }
         self.after_commit.push(Action::Operate {
             instance: id.clone(),
--- a/crates/pomelohitch-sched/src/cell/orders.rs
+++ b/crates/pomelohitch-sched/src/cell/orders.rs
@@ -20,7 +20,7 @@
     /// Handles the result of an order.
     pub fn ordered(&mut self, target: &Target, order: &Order, outcome: &Outcome) {
         if *outcome == Outcome::Refused(Refusal::Fenced) {
-            warn!(endpoint = %target.id, ?order, "order fenced");
+            warn!(endpoint = %target.id, ?order, "order rejected: endpoint knows a newer leader");
             self.is_fenced = true;
         }
         if is_answer(outcome)
--- a/crates/pomelohitch-sched/src/cell/polls.rs
+++ b/crates/pomelohitch-sched/src/cell/polls.rs
@@ -174,7 +174,7 @@
                 let steps = plan.failures - u32::from(!is_congested);
                 plan.due = now + self.settings.poll_retry_delay * steps;
                 if plan.failures == 1 {
-                    warn!(endpoint = %target.id, addr = %target.addr, ?failure, "look failed");
+                    warn!(endpoint = %target.id, addr = %target.addr, ?failure, "poll failed");
                 }
             }
         }
@@ -197,7 +197,7 @@
         endpoint.read_clock(answer);
         if endpoint.looked_at.is_none() {
             info!(endpoint = %id, running = answer.running.len(), ended = answer.ended.len(),
-                "first look");
+                "first poll answered");
         }
         endpoint.is_doubted = false;
         endpoint.looked_at = Some(answer.sent_at);
@@ -278,7 +278,7 @@
         if is_over {
             self.stop(task, number, "its job has ended");
         } else if is_stopping {
-            self.stop(task, number, "an earlier stop has not ended it");
+            self.stop(task, number, "it still runs after an earlier stop");
         }
     }
 
@@ -303,7 +303,7 @@
             is_leaving: false,
             view: RunView::default(),
         });
-        warn!(%task, run = number, endpoint = %id, "given up run is there after all");
+        warn!(%task, run = number, endpoint = %id, "run given up earlier is still running");
         self.dirty.insert(task.job);
         self.occupy(task, id, born, number);
         self.index(task.job);
@@ -356,11 +356,16 @@
                     task,
                     number,
                     LossCause::Missing,
-                    "a former leader's, not there",
+                    "recorded by a former leader, but not at its endpoint",
                 );
             }
             Phase::Taken { at } if answer.sent_at > at => {
-                self.run_missing(task, number, LossCause::Missing, "taken, but not there");
+                self.run_missing(
+                    task,
+                    number,
+                    LossCause::Missing,
+                    "accepted, but not at its endpoint",
+                );
             }
             Phase::Ordered | Phase::Taken { .. } => {}
             Phase::Unanswered => {
--- a/crates/pomelohitch-sched/src/cell/stalled.rs
+++ b/crates/pomelohitch-sched/src/cell/stalled.rs
@@ -35,7 +35,7 @@
         if stalled.is_empty() || !self.may_avoid(id) {
             return;
         }
-        warn!(endpoint = %id, runs = stalled.len(), "runs stand still");
+        warn!(endpoint = %id, runs = stalled.len(), "runs stalled");
         self.avoid(id, STALLED_AVOID_TIME);
         for (task, run) in stalled {
             self.move_stalled_run(id, task, run);
@@ -82,7 +82,7 @@
             t.failed_at.push(id.clone());
         }
         if t.failed_at.len() <= MAX_ENDPOINTS_LEFT {
-            self.stop(task, run, "it stands still");
+            self.stop(task, run, "it has stalled");
         }
     }
 }
--- a/crates/pomelohitch-sched/src/cell/waves.rs
+++ b/crates/pomelohitch-sched/src/cell/waves.rs
@@ -26,7 +26,7 @@
             instances = wave.instances.len(),
             at_once = wave.at_once,
             within_s = wave.within.as_secs(),
-            "wave asked for"
+            "wave requested"
         );
         self.instances.wave(wave, self.now.steady);
     }
@@ -36,7 +36,7 @@
         let statuses = match self.instances.statuses() {
             Ok(statuses) => statuses,
             Err(error) => {
-                warn!(%error, "status of waves can't be recorded");
+                warn!(%error, "failed to encode status of waves");
                 return;
             }
         };
