--- a/crates/pomelohitch-sched/src/cell/accounting.rs
+++ b/crates/pomelohitch-sched/src/cell/accounting.rs
@@ -176,7 +176,7 @@
     }
 
     /// Whether the resource limit of the job's workspace allows `need` more.
-    pub(super) fn is_within_bound(&self, spec: &JobSpec, need: &Resources) -> bool {
+    pub(super) fn is_within_limit(&self, spec: &JobSpec, need: &Resources) -> bool {
         let Some(workspace) = &spec.workspace else {
             return true;
         };
--- a/crates/pomelohitch-sched/src/cell/autoscaling.rs
+++ b/crates/pomelohitch-sched/src/cell/autoscaling.rs
@@ -102,7 +102,7 @@
         // More instances don't help jobs that wait for their workspace's limit.
         let allowed = jobs.filter(|job| {
             let first = &job.spec.steps[0].need;
-            self.is_within_bound(&job.spec, first)
+            self.is_within_limit(&job.spec, first)
         });
         let waiting = allowed.map(waiting_cpu);
         f64::from(u32::try_from(waiting.sum::<u64>()).unwrap_or(u32::MAX))
--- a/crates/pomelohitch-sched/src/cell/completions.rs
+++ b/crates/pomelohitch-sched/src/cell/completions.rs
@@ -79,6 +79,7 @@
         self.check_completion(task, step);
     }
 
+    /// Counts a failed or successful run of an endpoint. Runs that were stopped don't count.
     fn count_outcome(&mut self, how: How, endpoint: &EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return;
--- a/crates/pomelohitch-sched/src/cell/evict.rs
+++ b/crates/pomelohitch-sched/src/cell/evict.rs
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Whether the task could start on some endpoint now. Its own isn't usable.
+    /// Whether the task could start on some endpoint now. Its present one isn't usable.
     fn fits_elsewhere(&self, task: TaskId, step: &StepSpec) -> bool {
         self.fits_on_any(task, step, |_| true)
     }
@@ -146,6 +146,7 @@
         self.fits_on_any(task, step, |slot| !slot.is_due)
     }
 
+    /// Whether the task could start on an endpoint for which `is_allowed` holds.
     fn fits_on_any(
         &self,
         task: TaskId,
@@ -160,6 +161,7 @@
         slots.any(|slot| is_allowed(&slot) && slot.may_take(step, self.siblings_at(task, &slot.id)))
     }
 
+    /// Number of runs of the task's step on an endpoint.
     fn siblings_at(&self, task: TaskId, id: &EndpointId) -> u32 {
         let Some(endpoint) = self.endpoints.get(id) else {
             return 0;
@@ -208,6 +210,7 @@
         }
     }
 
+    /// Orders a filler to work at this percentage, unless it does already.
     fn pace_run(&mut self, id: &EndpointId, task: TaskId, run: RunNumber, percent: u32) {
         let (now, epoch): (Steady, _) = (self.now.steady, self.epoch);
         let target = self.target(id);
--- a/crates/pomelohitch-sched/src/cell/gangs.rs
+++ b/crates/pomelohitch-sched/src/cell/gangs.rs
@@ -27,7 +27,7 @@
             return true;
         }
         let need = step.need.times(waiting.len() as u64);
-        if !self.is_within_bound(spec, &need) {
+        if !self.is_within_limit(spec, &need) {
             return true;
         }
         let Some(places) = self.place_group(step, first, &waiting, allowed) else {
--- a/crates/pomelohitch-sched/src/cell/isolation.rs
+++ b/crates/pomelohitch-sched/src/cell/isolation.rs
@@ -185,7 +185,7 @@
                 index: 0,
             };
             let need = &spec.steps[usize::from(step)].need;
-            if !self.is_within_bound(spec, need) {
+            if !self.is_within_limit(spec, need) {
                 return None;
             }
             let allowed = self.allowed_endpoints(spec, first, &slots.list)?;
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -272,7 +272,7 @@
         }
         let mut siblings = slots.siblings(&self.siblings(first));
         for task in self.waiting_tasks(first) {
-            if !self.is_within_bound(spec, &step.need) || !self.flow.has_room() {
+            if !self.is_within_limit(spec, &step.need) || !self.flow.has_room() {
                 return;
             }
             let place = self.place(step, task, &allowed, slots, &siblings);
