--- a/crates/pomelohitch-core/src/state/jobs/table.rs
+++ b/crates/pomelohitch-core/src/state/jobs/table.rs
@@ -1,40 +1,41 @@
-//! All jobs, in chunks that copies of the state share.
+//! Job table, split into chunks that copies of the state share.
 //!
-//! A reader's copy of the state shares every chunk; a record copies only the chunks of the jobs
-//! that it touches. Chunks that two states share hold the same jobs, so that what changed between
-//! them is found without looking at every job.
+//! A copy of the state shares all chunks; applying a record copies only the chunks of the jobs that
+//! it changes. Two states that share a chunk have the same jobs in it, so a comparison of two
+//! states can skip shared chunks.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
-use super::{ENDED_KEPT, ENDED_REMEMBERED, Entry, JobState};
+use super::{ENDED_ENTRIES_KEPT, ENDED_IDS_KEPT, Entry, JobState};
 use crate::id::{JobId, Offset};
 use crate::record::job::Job;
 
-/// How many chunks there are.
+/// Number of chunks.
 const CHUNKS: usize = 512;
 
-/// Counts the jobs that ended before.
-type EndNumber = u64;
+/// Sequence number of an ended job: the number of jobs that ended before it.
+type EndSeq = u64;
 
-/// Every job that waits, runs or ended not long ago, by id.
+/// Jobs that wait, run or ended recently, by id.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Table {
     chunks: Vec<Arc<Chunk>>,
-    ended: EndNumber,
+    /// Sequence number of the next job to end.
+    ended: EndSeq,
     len: usize,
 }
 
-/// The jobs whose ids hash alike.
+/// Jobs whose id hashes fall into the same chunk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct Chunk {
     jobs: BTreeMap<JobId, Entry>,
-    /// The kept jobs that ended, in the order in which they did.
-    ended: BTreeMap<EndNumber, JobId>,
-    /// Hashes of the ids of jobs that ended earlier and are kept no longer.
-    remembered: Arc<BTreeMap<u64, EndNumber>>,
+    /// Ended jobs that still have an entry in `jobs`, in the order in which they ended.
+    ended: BTreeMap<EndSeq, JobId>,
+    /// Id hashes of ended jobs whose entry has been dropped.
+    remembered: Arc<BTreeMap<u64, EndSeq>>,
 }
 
 impl Default for Table {
@@ -48,38 +49,38 @@
 }
 
 impl Table {
-    /// The job with this id.
+    /// Job with this id, if it has an entry.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Entry> {
         self.chunks[chunk_of(hash(id))].jobs.get(id)
     }
 
-    /// Whether a job with this id ended so long ago that only the id is remembered.
+    /// Whether a job with this id ended and only the hash of its id is kept.
     #[must_use]
     pub fn is_remembered(&self, id: &str) -> bool {
         let hash = hash(id);
         self.chunks[chunk_of(hash)].remembered.contains_key(&hash)
     }
 
-    /// How many jobs are kept, ended ones among them.
+    /// Number of jobs with an entry, including ended ones.
     #[must_use]
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether there are none.
+    /// Whether no job has an entry.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Every kept job.
+    /// All jobs with an entry, ordered by chunk and then by id.
     pub fn iter(&self) -> impl Iterator<Item = (&JobId, &Entry)> {
         self.chunks.iter().flat_map(|chunk| &chunk.jobs)
     }
 
-    /// The ids of the jobs that differ between `earlier` and `self`, gone ones among them. Costs
-    /// a comparison of the chunks that were touched in between, whatever the number of jobs.
+    /// Ids of the jobs that differ between `earlier` and `self`, including dropped ones. Compares
+    /// only the chunks that the two tables don't share, instead of all jobs.
     #[must_use]
     pub fn changed_since(&self, earlier: &Table) -> Vec<JobId> {
         let mut changed = Vec::new();
@@ -98,7 +99,7 @@
         changed
     }
 
-    /// Takes in a job, unless it is known or remembered.
+    /// Adds a job, unless it has an entry or its id is kept from an earlier run.
     pub(super) fn submit(&mut self, offset: Offset, job: &Job) {
         let hash = hash(&job.id);
         let chunk = &self.chunks[chunk_of(hash)];
@@ -106,7 +107,7 @@
             return;
         }
         let chunk = Arc::make_mut(&mut self.chunks[chunk_of(hash)]);
-        self.len -= chunk.forget(self.ended);
+        self.len -= chunk.drop_ended(self.ended);
         let entry = Entry {
             job: Arc::new(job.clone()),
             submitted: offset,
@@ -128,8 +129,8 @@
         Arc::make_mut(chunk).jobs.get_mut(id)
     }
 
-    /// Notes that a job ended, so that it is forgotten in time.
-    pub(super) fn note_end(&mut self, id: &JobId) {
+    /// Records that a job ended, so that [`Chunk::drop_ended`] can drop it later.
+    pub(super) fn record_end(&mut self, id: &JobId) {
         let chunk = Arc::make_mut(&mut self.chunks[chunk_of(hash(id))]);
         chunk.ended.insert(self.ended, id.clone());
         self.ended += 1;
@@ -137,26 +138,31 @@
 }
 
 impl Chunk {
-    /// Forgets jobs that ended long ago; each new job does it for its own chunk, so that the
-    /// state stays small without a pass over all jobs. Returns how many were dropped.
-    fn forget(&mut self, ended: EndNumber) -> usize {
-        let kept = self.ended.split_off(&ended.saturating_sub(ENDED_KEPT));
+    /// Drops the entries of jobs that are not among the last [`ENDED_ENTRIES_KEPT`] to end, and
+    /// keeps their ids. When it drops any, it also drops the ids of jobs that are not among the
+    /// last [`ENDED_IDS_KEPT`] to end. Each submit calls this for its own chunk, which bounds the
+    /// size of the state without a pass over all jobs. Returns the number of entries dropped.
+    fn drop_ended(&mut self, ended: EndSeq) -> usize {
+        let kept = self
+            .ended
+            .split_off(&ended.saturating_sub(ENDED_ENTRIES_KEPT));
         let dropped = std::mem::replace(&mut self.ended, kept);
         if dropped.is_empty() {
             return 0;
         }
         let remembered = Arc::make_mut(&mut self.remembered);
-        let oldest = ended.saturating_sub(ENDED_REMEMBERED);
-        remembered.retain(|_, &mut number| number >= oldest);
-        for (&number, id) in &dropped {
+        let oldest = ended.saturating_sub(ENDED_IDS_KEPT);
+        remembered.retain(|_, &mut seq| seq >= oldest);
+        for (&seq, id) in &dropped {
             self.jobs.remove(id);
-            remembered.insert(hash(id), number);
+            remembered.insert(hash(id), seq);
         }
         dropped.len()
     }
 }
 
-/// FNV-1a, fixed here because the chunks are part of the state that every process shares.
+/// FNV-1a. Implemented here so that it never changes: the distribution over chunks is part of the
+/// state, which must be the same in all processes.
 fn hash(id: &str) -> u64 {
     id.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
@@ -164,6 +170,7 @@
 }
 
 fn chunk_of(hash: u64) -> usize {
-    // FNV mixes its low bits best; the index is below `CHUNKS`.
+    // The low bits of FNV are the best mixed ones. The conversion can't fail: the remainder is
+    // below `CHUNKS`.
     usize::try_from(hash % CHUNKS as u64).unwrap_or(0)
 }
--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -32,7 +32,7 @@
 use crate::demand::Demand;
 use crate::endpoint::Endpoint;
 use crate::evacuations::Evacuations;
-use crate::flow::Flow;
+use crate::flow::StartWindow;
 use crate::id::{EndpointId, Epoch, JobId, QueueName, ServiceName, WorkspaceName};
 use crate::instances::Instances;
 use crate::job::JobSpec;
@@ -40,7 +40,7 @@
 use crate::order::{Action, Due, Target};
 use crate::policy::Policy;
 use crate::progress::{self, Entry, JobState, Progress, Record};
-use crate::rate::Rate;
+use crate::rate::RateLimiter;
 use crate::resources::Resources;
 use crate::urgency::Candidate;
 use crate::{Now, Steady, UnixMs};
@@ -233,12 +233,12 @@
     instances: Instances,
     evacuations: Evacuations,
     /// Rate limiter of operations on instances.
-    operation_limiter: Rate,
+    operation_limiter: RateLimiter,
     /// Time from which the former leader sends no more operations on instances.
     operations_allowed_from: Steady,
     demand: Demand,
     /// Window on starts in flight.
-    flow: Flow,
+    flow: StartWindow,
     /// Moving average of the time from the arrival of an endpoint's answer to its processing.
     answer_lag: Duration,
     /// Endpoints to be emptied so that their instances can move to another pool.
@@ -339,7 +339,7 @@
 
     fn new(settings: Settings, epoch: Epoch, now: Now) -> Cell {
         Cell {
-            operation_limiter: Rate::new(settings.operations_per_s),
+            operation_limiter: RateLimiter::new(settings.operations_per_s),
             operations_allowed_from: now.steady + settings.former_holder,
             demand: Demand::new(settings.policy.demand, settings.policy.margins),
             epoch,
@@ -364,7 +364,7 @@
             evacuations: Evacuations::default(),
             flow: settings
                 .link_bytes_per_s
-                .map_or_else(Flow::default, Flow::of_link),
+                .map_or_else(StartWindow::default, StartWindow::for_link),
             answer_lag: Duration::ZERO,
             settings,
             emptying: BTreeSet::new(),
@@ -453,10 +453,10 @@
         if now.steady >= self.scheduled_at + SCHEDULE_INTERVAL.max(gap) {
             self.scheduled_at = now.steady;
             self.update_held_back();
-            if self.flow.has_room() && self.held_back_since.is_none() {
+            if self.flow.has_capacity() && self.held_back_since.is_none() {
                 self.schedule();
             }
-            self.flow.passed(now.steady);
+            self.flow.pass_ended(now.steady);
         }
         self.send_due_polls();
         std::mem::take(&mut self.outbox)
@@ -535,7 +535,9 @@
         }
         for id in std::mem::take(&mut self.new_ends) {
             if let Some(endpoint) = self.endpoints.get(&id) {
-                batch.last_ends.push((id, endpoint.born, endpoint.noted));
+                batch
+                    .last_ends
+                    .push((id, endpoint.born, endpoint.last_processed));
             }
         }
         let is_empty =
--- a/crates/pomelohitch-sched/src/cell/accounting.rs
+++ b/crates/pomelohitch-sched/src/cell/accounting.rs
@@ -6,7 +6,7 @@
 use tracing::info;
 
 use super::{Cell, Job};
-use crate::endpoint::{Booked, Endpoint};
+use crate::endpoint::{Allocation, Endpoint};
 use crate::id::{EndpointId, JobId, RunNumber, ServiceName, TaskId};
 use crate::job::{JobSpec, StepSpec};
 use crate::order::{Action, Due, Order};
@@ -157,7 +157,7 @@
         born: u64,
         number: RunNumber,
     ) {
-        let Some(room) = self.step(task).map(StepSpec::room) else {
+        let Some(room) = self.step(task).map(StepSpec::task_resources) else {
             return;
         };
         let need = self.step(task).map(|s| s.need).unwrap_or_default();
@@ -165,7 +165,14 @@
         self.endpoints
             .entry(endpoint.clone())
             .or_insert_with(|| Endpoint::new(born))
-            .occupy(task, number, Booked { room, is_lasting });
+            .allocate(
+                task,
+                number,
+                Allocation {
+                    resources: room,
+                    is_lasting,
+                },
+            );
         if let Some(workspace) = self.workspace_of(task.job) {
             *self.workspace_usage.entry(workspace).or_default() += &need;
         }
@@ -187,7 +194,7 @@
             .copied()
             .unwrap_or_default();
         total += need;
-        bound.is_none_or(|w| w.bound.bounds(&total))
+        bound.is_none_or(|w| w.bound.allows(&total))
     }
 
     /// Decides a start. The order is sent once its record is durable.
@@ -213,7 +220,7 @@
             view: RunView {
                 phase: Phase::Ordered,
                 ordered_at: now,
-                moved_at: now,
+                progressed_at: now,
                 ..RunView::default()
             },
         });
@@ -222,7 +229,7 @@
             waited_ms = fleet_ms.saturating_sub(spec.accepted_ms),
             resumed = !checkpoint.is_empty(), "start decided");
         self.dirty.insert(task.job);
-        self.flow.decided();
+        self.flow.start_decided();
         self.occupy(task, endpoint, target.born, run);
         self.after_commit.push(Action::Order {
             target,
@@ -323,7 +330,7 @@
         };
         let gone = t.runs.remove(at);
         if let Some(endpoint) = self.endpoints.get_mut(&gone.endpoint) {
-            endpoint.vacate(task, run);
+            endpoint.release(task, run);
         }
         if let Some(used) = workspace.and_then(|w| self.workspace_usage.get_mut(&w)) {
             *used -= &need;
--- a/crates/pomelohitch-sched/src/cell/autoscaling.rs
+++ b/crates/pomelohitch-sched/src/cell/autoscaling.rs
@@ -23,7 +23,7 @@
     /// Moves empty instances to the pools that need them, and returns the endpoints to be emptied
     /// for further moves.
     pub(super) fn autoscale(&mut self, is_due: &BTreeSet<InstanceId>) -> BTreeSet<EndpointId> {
-        self.demand.tend(self.fleet_ms());
+        self.demand.refresh(self.fleet_ms());
         if !self.may_operate() {
             return BTreeSet::new();
         }
@@ -50,7 +50,7 @@
         emptying
     }
 
-    /// Switches off surplus instances once there has been a surplus for `surplus_for`.
+    /// Switches off surplus instances once there has been a surplus for `surplus_delay`.
     fn switch_off(&mut self, surplus: Vec<Move>) {
         let now = self.now.steady;
         if surplus.is_empty() {
@@ -58,7 +58,7 @@
             return;
         }
         let since = *self.surplus_since.get_or_insert(now);
-        if now.saturating_sub(since) < self.settings.policy.margins.surplus_for {
+        if now.saturating_sub(since) < self.settings.policy.margins.surplus_delay {
             return;
         }
         for Move { instance, to } in surplus {
@@ -81,15 +81,19 @@
                 .unplaced
                 .get(name)
                 .and_then(|u| u.requirements.label.clone()),
-            backlog: if self.settings.policy.provides_backlog {
+            backlog: if self.settings.policy.provisions_backlog {
                 self.backlog(name)
             } else {
                 0.0
             },
-            wanted: self.demand.most(name, self.fleet_ms(), LEAD_TIME) + self.lasting_cpu(name),
-            soon: self
+            wanted: self.demand.peak(name, self.fleet_ms(), LEAD_TIME) + self.lasting_cpu(name),
+            peak_soon: self
                 .demand
-                .foreseen(name, self.fleet_ms(), self.settings.policy.margins.soon)
+                .forecast(
+                    name,
+                    self.fleet_ms(),
+                    self.settings.policy.margins.keep_within,
+                )
                 .map(|soon| soon + self.lasting_cpu(name)),
         };
         cfg.services.iter().map(pool).collect()
@@ -115,7 +119,7 @@
         let blocked = self.blocked_services.get(service).copied();
         let since = unplaced.into_iter().chain(blocked).min();
         let is_old = since.is_some_and(|s| self.now.steady.saturating_sub(s) > SHORTAGE_DELAY);
-        is_old && !self.instances.is_awaited(service)
+        is_old && !self.instances.has_arriving(service)
     }
 
     /// CPU that the lasting tasks of a service use, in thousandths of a core.
@@ -125,7 +129,10 @@
             report.is_some_and(|r| r.service == *service)
         });
         let booked = of_service.flat_map(|e| e.runs.values());
-        let cpu: u64 = booked.filter(|b| b.is_lasting).map(|b| b.room.cpu).sum();
+        let cpu: u64 = booked
+            .filter(|b| b.is_lasting)
+            .map(|b| b.resources.cpu)
+            .sum();
         f64::from(u32::try_from(cpu).unwrap_or(u32::MAX))
     }
 
@@ -143,7 +150,7 @@
     fn candidate(&self, instance: &Instance, is_due: &BTreeSet<InstanceId>) -> Candidate {
         let endpoint = instance.endpoint.as_ref();
         let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
-        let has_lasting = endpoint.is_some_and(|e| e.lasting > 0);
+        let has_lasting = endpoint.is_some_and(|e| e.lasting_runs > 0);
         let is_free = instance.state == InstanceState::Up
             && !self.instances.is_under_way(&instance.id)
             && !is_due.contains(&instance.id);
--- a/crates/pomelohitch-sched/src/cell/calls.rs
+++ b/crates/pomelohitch-sched/src/cell/calls.rs
@@ -183,7 +183,7 @@
         }
         let wait = self
             .flow
-            .wait_of(self.now.steady, self.waiting_task_count())
+            .wait_time(self.now.steady, self.waiting_task_count())
             .filter(|wait| *wait > MAX_START_WAIT)?;
         Some(Answer::Refused {
             retry_after: (wait.saturating_sub(MAX_START_WAIT))
--- a/crates/pomelohitch-sched/src/cell/evict.rs
+++ b/crates/pomelohitch-sched/src/cell/evict.rs
@@ -7,7 +7,7 @@
 
 use super::Cell;
 use crate::Steady;
-use crate::endpoint::{Endpoint, Look};
+use crate::endpoint::{Endpoint, PollReply};
 use crate::id::{EndpointId, RunNumber, ServiceName, TaskId};
 use crate::job::StepSpec;
 use crate::order::{Action, Order};
@@ -39,10 +39,10 @@
     /// and only while other endpoints have capacity.
     pub(super) fn evict_lasting(&mut self) {
         let is_draining = |e: &Endpoint| e.report.as_ref().is_some_and(|r| r.is_draining);
-        let with_lasting = self.endpoints.iter().filter(|(_, e)| e.lasting > 0);
+        let with_lasting = self.endpoints.iter().filter(|(_, e)| e.lasting_runs > 0);
         let (leaving, rest): (Vec<_>, Vec<_>) = with_lasting
             .partition(|(_, e)| is_draining(e) || e.is_reserved || self.is_evacuated(e));
-        let due = rest.into_iter().filter(|(_, e)| e.is_due);
+        let due = rest.into_iter().filter(|(_, e)| e.is_maintenance_due);
         let due: Vec<EndpointId> = due.map(|(id, _)| id.clone()).collect();
         let leaving: Vec<EndpointId> = leaving.into_iter().map(|(id, _)| id.clone()).collect();
         self.is_evicting = !leaving.is_empty() || !due.is_empty();
@@ -131,7 +131,7 @@
         let now = self.now.steady;
         task.runs.iter().any(|r| {
             let endpoint = self.endpoints.get(&r.endpoint);
-            let is_heard = endpoint.is_some_and(|e| e.is_heard(now, MAX_ANSWER_AGE));
+            let is_heard = endpoint.is_some_and(|e| e.has_answered_within(now, MAX_ANSWER_AGE));
             is_heard && r.view.percent >= WORKING_PERCENT && !is_ending(r)
         })
     }
@@ -143,7 +143,7 @@
 
     /// Whether the task could start on an endpoint that isn't due for maintenance.
     fn fits_on_not_due(&self, task: TaskId, step: &StepSpec) -> bool {
-        self.fits_on_any(task, step, |slot| !slot.is_due)
+        self.fits_on_any(task, step, |slot| !slot.is_maintenance_due)
     }
 
     /// Whether the task could start on an endpoint for which `is_allowed` holds.
@@ -173,7 +173,7 @@
     }
 
     /// Paces the fillers at an endpoint so that tasks with a latency target meet it.
-    pub(super) fn pace(&mut self, id: &EndpointId, answer: &Look) {
+    pub(super) fn pace(&mut self, id: &EndpointId, answer: &PollReply) {
         let mut worst: Option<f64> = None;
         let mut fillers = Vec::new();
         for running in &answer.running {
@@ -198,10 +198,10 @@
             return;
         };
         let pace = endpoint.filler_pace;
-        let wanted = next_pace(pace, worst, now.saturating_sub(endpoint.paced_at));
+        let wanted = next_pace(pace, worst, now.saturating_sub(endpoint.pace_set_at));
         if wanted != pace {
             endpoint.filler_pace = wanted;
-            endpoint.paced_at = now;
+            endpoint.pace_set_at = now;
             info!(endpoint = %id, pace, wanted, worst, fillers = fillers.len(),
                 "filler pace changed");
         }
--- a/crates/pomelohitch-sched/src/cell/operations.rs
+++ b/crates/pomelohitch-sched/src/cell/operations.rs
@@ -38,8 +38,8 @@
                     ?before, endpoint = ?instance.endpoint, "instance state changed");
             }
         }
-        let replaced = self.instances.listed(list, asked_at);
-        match self.instances.leaving(self.draining_instances()) {
+        let replaced = self.instances.update_list(list, asked_at);
+        match self.instances.record_leaving(self.draining_instances()) {
             Ok(records) => self.extra_records.extend(records),
             Err(error) => warn!(%error, "failed to encode record of leaving instances"),
         }
@@ -70,8 +70,8 @@
         let list = self.instances.list().values();
         let alive: BTreeSet<_> = list.filter_map(|i| i.endpoint.as_ref()).collect();
         let is_silent = |e: &Endpoint| {
-            let was_silent = e.heard_at.is_none_or(|at| at + MIN_SILENCE < asked_at);
-            was_silent && e.look.failures > 0 && asked_at > self.leader_since + MIN_SILENCE
+            let was_silent = e.answered_at.is_none_or(|at| at + MIN_SILENCE < asked_at);
+            was_silent && e.poll.failures > 0 && asked_at > self.leader_since + MIN_SILENCE
         };
         let used = self.endpoints.iter().filter(|(_, e)| !e.runs.is_empty());
         let gone = used.filter(|(id, e)| is_silent(e) && !alive.contains(*id));
@@ -82,7 +82,7 @@
     fn has_silent(&self) -> bool {
         let now = self.now.steady;
         let mut used = self.endpoints.values().filter(|e| !e.runs.is_empty());
-        used.any(|e| e.look.failures > 0 || !e.is_heard(now, self.settings.max_silence))
+        used.any(|e| e.poll.failures > 0 || !e.has_answered_within(now, self.settings.max_silence))
     }
 
     /// Handles that the list of instances couldn't be read.
@@ -103,7 +103,10 @@
             Operation::Maintain { wave } => Some(*wave),
             Operation::Move { .. } => None,
         };
-        match self.instances.operated(id, wave, outcome, self.now.steady) {
+        match self
+            .instances
+            .operation_ended(id, wave, outcome, self.now.steady)
+        {
             Ok(record) => self.extra_records.extend(record),
             Err(error) => warn!(%error, "failed to encode maintenance record"),
         }
@@ -141,7 +144,7 @@
         for wave in remaining {
             self.advance_wave(&wave, &mut reserved);
         }
-        let is_due = self.instances.due();
+        let is_due = self.instances.due_for_maintenance();
         reserved.extend(self.autoscale(&is_due));
         // An endpoint whose instance is being operated on may still appear free in the lists; a
         // start on it would be lost.
@@ -157,7 +160,7 @@
     fn mark_endpoints(&mut self, reserved: &BTreeSet<EndpointId>, due: &BTreeSet<EndpointId>) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.is_reserved = false;
-            endpoint.is_due = false;
+            endpoint.is_maintenance_due = false;
         }
         for id in reserved {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
@@ -166,7 +169,7 @@
         }
         for id in due {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                endpoint.is_due = true;
+                endpoint.is_maintenance_due = true;
             }
         }
     }
@@ -215,7 +218,7 @@
     /// takes over knows which instances not to operate on.
     pub(super) fn operate(&mut self, id: &InstanceId, operation: Operation) -> bool {
         let now = self.now.steady;
-        if !self.operation_limiter.take(now) {
+        if !self.operation_limiter.try_acquire(now) {
             return false;
         }
         info!(instance = %id, ?operation, period_ms = self.demand.period().map(|p| p.as_millis()),
@@ -224,7 +227,7 @@
             Operation::Move { pool } => Some(pool.clone()),
             Operation::Maintain { .. } => None,
         };
-        self.instances.set_under_way(id, now, to);
+        self.instances.operation_started(id, now, to);
         match instances::operation_record(id, self.fleet_ms()) {
             Ok(record) => self.extra_records.push(record),
             Err(error) => warn!(%error, "failed to encode operation record"),
--- a/crates/pomelohitch-sched/src/cell/polls.rs
+++ b/crates/pomelohitch-sched/src/cell/polls.rs
@@ -7,10 +7,10 @@
 
 use super::Cell;
 use crate::Steady;
-use crate::endpoint::{Endpoint, How, Look, Running};
+use crate::endpoint::{EndReason, Endpoint, PollReply, Running};
 use crate::id::{EndpointId, RunNumber, TaskId};
 use crate::loss::LossCause;
-use crate::order::{Action, LookFailure, LookOrder, Order, Target};
+use crate::order::{Action, Order, PollFailure, PollOrder, Target};
 use crate::progress::{Phase, Run, RunView};
 
 /// Maximum number of ends in one answer, a limit of the platform. An answer that reaches it may
@@ -33,7 +33,7 @@
     /// Sends the polls that are due.
     pub(super) fn send_due_polls(&mut self) {
         let now = self.now.steady;
-        let is_due = |e: &Endpoint| !e.look.is_under_way && e.look.due <= now;
+        let is_due = |e: &Endpoint| !e.poll.is_in_flight && e.poll.due <= now;
         let ids: Vec<EndpointId> = self
             .endpoints
             .iter()
@@ -72,17 +72,17 @@
         };
         // A poll of a silent endpoint requests no lease, so that the last one expires and its tasks
         // can be started elsewhere.
-        let lease = if endpoint.look.failures == 0 {
+        let lease = if endpoint.poll.failures == 0 {
             endpoint.clock_ahead(now, lease_for)
         } else {
             None
         };
         if let Some(end) = lease {
-            endpoint.lease_asked(end);
+            endpoint.lease_requested(end);
         }
-        let noted = endpoint.acknowledges(now);
-        endpoint.look.is_under_way = true;
-        self.outbox.push(Action::Look(LookOrder {
+        let noted = endpoint.acknowledgeable(now);
+        endpoint.poll.is_in_flight = true;
+        self.outbox.push(Action::Poll(PollOrder {
             target,
             epoch: self.epoch,
             noted,
@@ -116,7 +116,7 @@
             self.run(task, run)
                 .is_some_and(|r| matches!(r.view.phase, Phase::Unanswered | Phase::Recorded))
         });
-        if endpoint.looked_at.is_none() || !endpoint.lease_confirmed || is_unsettled {
+        if endpoint.polled_at.is_none() || !endpoint.lease_confirmed || is_unsettled {
             Duration::ZERO
         } else if endpoint.runs.values().any(|booked| !booked.is_lasting) {
             self.settings.poll_wait_for_ends
@@ -130,7 +130,7 @@
     /// Whether moves of lasting tasks may depend on this endpoint's next answer: a task of a step
     /// is stopped only when enough of the others are working.
     fn affects_evictions(&self, endpoint: &Endpoint) -> bool {
-        if endpoint.lasting == 0 {
+        if endpoint.lasting_runs == 0 {
             return false;
         }
         self.is_evicting
@@ -148,19 +148,19 @@
     }
 
     /// Handles the result of a poll.
-    pub fn looked(&mut self, target: &Target, result: Result<Look, LookFailure>) {
+    pub fn looked(&mut self, target: &Target, result: Result<PollReply, PollFailure>) {
         let now = self.now.steady;
         match &result {
             Ok(answer) => self.record_lag(now.saturating_sub(answer.answered_at)),
-            Err(failure) => self.is_fenced |= *failure == LookFailure::Fenced,
+            Err(failure) => self.is_fenced |= *failure == PollFailure::Fenced,
         }
         let gap = self.poll_interval();
         let is_congested = self.flow.delay(now) > NORMAL_RESPONSE_TIME;
         let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
             return;
         };
-        let plan = &mut endpoint.look;
-        plan.is_under_way = false;
+        let plan = &mut endpoint.poll;
+        plan.is_in_flight = false;
         match result {
             Ok(answer) => {
                 plan.failures = 0;
@@ -181,7 +181,7 @@
     }
 
     /// Applies a poll's answer, unless it comes from a former incarnation of the endpoint.
-    fn apply_poll(&mut self, id: &EndpointId, answer: &Look) {
+    fn apply_poll(&mut self, id: &EndpointId, answer: &PollReply) {
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
@@ -194,16 +194,16 @@
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
-        endpoint.read_clock(answer);
-        if endpoint.looked_at.is_none() {
+        endpoint.update_clock(answer);
+        if endpoint.polled_at.is_none() {
             info!(endpoint = %id, running = answer.running.len(), ended = answer.ended.len(),
                 "first poll answered");
         }
-        endpoint.is_doubted = false;
-        endpoint.looked_at = Some(answer.sent_at);
-        endpoint.heard_at = Some(answer.answered_at);
-        endpoint.lease_confirmed |= answer.renewed;
-        endpoint.lists_ends = !answer.ended.is_empty();
+        endpoint.is_unresponsive = false;
+        endpoint.polled_at = Some(answer.sent_at);
+        endpoint.answered_at = Some(answer.answered_at);
+        endpoint.lease_confirmed |= answer.lease_requested;
+        endpoint.lists_completions = !answer.ended.is_empty();
         self.retract_losses(id);
         self.apply_ends(id, answer);
         for running in &answer.running {
@@ -215,18 +215,18 @@
     }
 
     /// Applies the ends in a poll's answer that weren't handled before, in their order.
-    fn apply_ends(&mut self, id: &EndpointId, answer: &Look) {
+    fn apply_ends(&mut self, id: &EndpointId, answer: &PollReply) {
         let mut ends: Vec<_> = answer.ended.iter().collect();
         ends.sort_by_key(|e| e.number);
-        let noted = self.endpoints.get(id).map_or(0, |e| e.noted);
+        let noted = self.endpoints.get(id).map_or(0, |e| e.last_processed);
         for end in ends.iter().filter(|e| e.number > noted) {
             if self.run(end.task, end.run).is_some() {
                 self.run_ended(end.task, end.run, end.how, &end.checkpoint, id);
-            } else if end.how == How::Done {
+            } else if end.how == EndReason::Done {
                 self.given_up_run_done(end.task, end.run, id);
             }
             if let Some(endpoint) = self.endpoints.get_mut(id) {
-                endpoint.noted = end.number;
+                endpoint.last_processed = end.number;
             }
             self.new_ends.insert(id.clone());
         }
@@ -236,8 +236,8 @@
         {
             // Until these ends are durably recorded they can't be acknowledged, and the endpoint
             // would answer every poll at once with the same ends.
-            if last.number > endpoint.noted_durably {
-                endpoint.look.due = retry;
+            if last.number > endpoint.last_durable {
+                endpoint.poll.due = retry;
             }
         }
     }
@@ -265,7 +265,7 @@
         let seen_at = *run.view.seen_at.get_or_insert(at);
         if is_first || run.view.percent != running.percent {
             run.view.percent = running.percent;
-            run.view.moved_at = at;
+            run.view.progressed_at = at;
         }
         let is_stopping = run.view.is_stopping();
         let job = self.jobs.get_mut(&task.job);
@@ -325,7 +325,7 @@
     }
 
     /// Resolves runs that are expected at the endpoint but missing from its answer.
-    fn resolve_missing(&mut self, id: &EndpointId, answer: &Look) {
+    fn resolve_missing(&mut self, id: &EndpointId, answer: &PollReply) {
         if answer.ended.len() >= MAX_LISTED_ENDS {
             return;
         }
@@ -345,7 +345,7 @@
     }
 
     /// Resolves a run that is missing from a poll's answer, by how far its start had come.
-    fn resolve_missing_run(&mut self, task: TaskId, number: RunNumber, answer: &Look) {
+    fn resolve_missing_run(&mut self, task: TaskId, number: RunNumber, answer: &PollReply) {
         let Some(run) = self.run(task, number) else {
             return;
         };
@@ -392,7 +392,7 @@
     pub(super) fn poll_soon(&mut self, id: &EndpointId) {
         let now = self.now.steady;
         if let Some(endpoint) = self.endpoints.get_mut(id) {
-            endpoint.look.hurry(now);
+            endpoint.poll.expedite(now);
         }
     }
 }
--- a/crates/pomelohitch-sched/src/cell/stalled.rs
+++ b/crates/pomelohitch-sched/src/cell/stalled.rs
@@ -9,7 +9,7 @@
 use tracing::warn;
 
 use super::Cell;
-use crate::endpoint::Look;
+use crate::endpoint::PollReply;
 use crate::id::{EndpointId, RunNumber, TaskId};
 
 /// A run without progress for this long counts as stalled. A resumed run restores its checkpoint
@@ -27,7 +27,7 @@
 
 impl Cell {
     /// Stops stalled runs at an endpoint, so that their tasks start on another one.
-    pub(super) fn stop_stalled(&mut self, id: &EndpointId, answer: &Look) {
+    pub(super) fn stop_stalled(&mut self, id: &EndpointId, answer: &PollReply) {
         let listed = answer.running.iter().map(|r| (r.task, r.number));
         let stalled: Vec<_> = listed
             .filter(|&(task, run)| self.is_stalled(task, run, answer))
@@ -45,14 +45,14 @@
     /// Whether a run has made no progress for `STALLED_AFTER`. Exempt are lasting tasks, which show
     /// no progress, members of gangs, which wait for one another, and fillers, which pacing may
     /// halt.
-    fn is_stalled(&self, task: TaskId, run: RunNumber, answer: &Look) -> bool {
+    fn is_stalled(&self, task: TaskId, run: RunNumber, answer: &PollReply) -> bool {
         let Some(step) = self.step(task) else {
             return false;
         };
         let is_plain = !step.is_lasting && !step.is_gang && !step.is_filler;
         let run = self.run(task, run).filter(|_| is_plain);
         run.is_some_and(|r| {
-            let since = r.view.moved_at.max(r.view.seen_at.unwrap_or_default());
+            let since = r.view.progressed_at.max(r.view.seen_at.unwrap_or_default());
             r.view.seen_at.is_some() && answer.answered_at.saturating_sub(since) >= STALLED_AFTER
         })
     }
--- a/crates/pomelohitch-sched/src/cell/waves.rs
+++ b/crates/pomelohitch-sched/src/cell/waves.rs
@@ -24,16 +24,16 @@
         info!(
             wave = wave.number,
             instances = wave.instances.len(),
-            at_once = wave.at_once,
+            at_once = wave.max_down,
             within_s = wave.within.as_secs(),
             "wave requested"
         );
-        self.instances.wave(wave, self.now.steady);
+        self.instances.add_wave(wave, self.now.steady);
     }
 
     /// Records and reports changed statuses of waves.
     pub(super) fn report_waves(&mut self) {
-        let statuses = match self.instances.statuses() {
+        let statuses = match self.instances.take_status_changes() {
             Ok(statuses) => statuses,
             Err(error) => {
                 warn!(%error, "failed to encode status of waves");
@@ -134,9 +134,9 @@
             .mul_f64(PLANNED_TIME_SHARE)
             .saturating_sub(passed);
         let work = INSTANCE_TIME * u32::try_from(wave.left.len()).unwrap_or(u32::MAX);
-        let at_once = wave.at_once.max(1);
+        let at_once = wave.max_down.max(1);
         let needed = (1..at_once).find(|&n| left * u32::try_from(n).unwrap_or(1) >= work);
-        let under_way = wave.at_once.saturating_sub(wave.may_begin);
+        let under_way = wave.max_down.saturating_sub(wave.may_begin);
         needed.unwrap_or(at_once).saturating_sub(under_way).max(1)
     }
 
@@ -149,6 +149,6 @@
     fn emptying_effort(&self, id: &InstanceId) -> (usize, u64) {
         let endpoint = self.endpoint_on(id);
         let endpoint = endpoint.and_then(|e| self.endpoints.get(&e));
-        endpoint.map_or((0, 0), |e| (e.lasting, e.used.cpu))
+        endpoint.map_or((0, 0), |e| (e.lasting_runs, e.used.cpu))
     }
 }
--- a/crates/pomelohitch-sched/src/pools.rs
+++ b/crates/pomelohitch-sched/src/pools.rs
@@ -1,126 +1,129 @@
-//! Which instances should move to which pool.
+//! Planning of moves of instances between pools.
 //!
-//! Pure: what each pool wants and what each instance does come in, moves come out. A move costs
-//! about as much as an instance in a pool for 1.2 seconds, and takes the instance away for about
-//! two, so that a pool that has enough for what is coming is left alone. Instances that no pool
-//! will want for a while go to the spare pool, where they are switched off and cost nothing.
+//! A pure function from the demand of pools and the state of instances to moves. A move costs about
+//! as much as an instance in a pool for 1.2 seconds, and the instance is unavailable for about two
+//! seconds, so a pool that has enough for its forecast demand is left alone. Instances that no pool
+//! will need for a while go to the spare pool, where they are switched off and cost nothing.
 
 use std::sync::Arc;
 
 use crate::id::{InstanceId, ServiceName};
 use crate::policy::Margins;
 
-/// A pool never gives away its last instances: work of its service may come at any time.
-pub const KEPT: usize = 2;
-/// A pool that is short asks for one instance at a time: any lack does.
-const ONE_MORE: f64 = 1.0;
+/// A pool keeps at least this many instances, because work for its service may arrive at any time.
+pub const MIN_INSTANCES: usize = 2;
+/// Shortfall of a pool that is short, thousandths of a core. Any positive value makes it ask for
+/// one instance at a time.
+const MIN_SHORTFALL: f64 = 1.0;
 
-/// What a pool wants.
+/// Demand of a pool.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Pool {
-    /// Its service.
+    /// Name of its service.
     pub name: ServiceName,
-    /// Whether its instances are off.
+    /// Whether its instances are switched off (spare pool).
     pub is_spare: bool,
-    /// Processors that tasks will take by the time a move is over, thousandths of a core.
+    /// Processors needed by the time a move is over, thousandths of a core.
     pub wanted: f64,
-    /// The most that they will take within the time for which switching off pays; `None` if that
-    /// isn't known.
-    pub soon: Option<f64>,
-    /// What tasks take that wait for a place now, thousandths of a core.
+    /// Peak demand within the time for which switching off pays off, thousandths of a core; `None`
+    /// if it is unknown.
+    pub peak_soon: Option<f64>,
+    /// Processors of the tasks that wait for capacity now, thousandths of a core.
     pub backlog: f64,
-    /// Whether a task finds no place whatever processors are free: for want of memory, or because
-    /// it has to be apart from others.
+    /// Whether a task cannot be placed however many processors are free, because memory is short or
+    /// the task has to be isolated.
     pub is_short: bool,
-    /// What an instance has to carry that is to help it, if it is short.
+    /// Label that an instance needs to relieve the shortage, if `is_short`.
     pub label: Option<Box<str>>,
 }
 
 /// An instance that may be moved.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Candidate {
-    /// Which instance.
+    /// Instance id.
     pub id: InstanceId,
-    /// Where it is, or will be.
+    /// Its pool, or its destination while it is being moved.
     pub pool: ServiceName,
-    /// Its kind and its rack.
+    /// Machine kind and rack, in this order.
     pub labels: Arc<[Box<str>]>,
-    /// Thousandths of a core.
+    /// Capacity in thousandths of a core.
     pub cpu: u64,
-    /// Whether it can be moved: up, nothing under way, no lasting task on it.
+    /// Whether it can be moved: it is up, no operation is in progress and no lasting task runs
+    /// there.
     pub is_movable: bool,
-    /// Whether it is being emptied for a move already.
+    /// Whether it is already being emptied for a move.
     pub is_reserved: bool,
-    /// Whether its zone is evacuated, so that it can't be given work in any pool.
+    /// Whether its zone is being evacuated, so that no pool can use it.
     pub is_evacuated: bool,
     /// Thousandths of a core in use.
     pub used: u64,
 }
 
-/// A move that should be made.
+/// A planned move.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Move {
-    /// Which instance.
+    /// Instance to move.
     pub instance: InstanceId,
-    /// Where to.
+    /// Destination pool.
     pub to: ServiceName,
 }
 
-/// What should be moved.
+/// The planned moves.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Moves that bring each pool what it wants, as far as others can spare it.
+    /// Moves that cover the demand of the pools, as far as other pools can spare instances.
     pub moves: Vec<Move>,
-    /// Moves to the spare pool of instances that none will want soon, or that lie in an evacuated
-    /// zone.
+    /// Moves to the spare pool of instances that no pool will need soon or whose zone is being
+    /// evacuated.
     pub surplus: Vec<Move>,
 }
 
-/// Decides which instances should move.
+/// Plans which instances should move.
 #[must_use]
 pub fn plan(pools: &[Pool], instances: &[Candidate], margins: &Margins) -> Plan {
-    let place = |name: &ServiceName| pools.iter().position(|p| p.name == *name);
-    let rows = instances.iter().map(|candidate| Row {
+    let index = |name: &ServiceName| pools.iter().position(|p| p.name == *name);
+    let entries = instances.iter().map(|candidate| PlanEntry {
         candidate,
-        balance: place(&candidate.pool),
-        is_taken: false,
+        balance: index(&candidate.pool),
+        is_planned: false,
     });
-    let rows: Vec<_> = rows.collect();
-    let balance = |(at, pool)| Balance::new(pool, &rows, at, *margins);
-    let mut ledger = Ledger {
+    let entries: Vec<_> = entries.collect();
+    let balance = |(at, pool)| Balance::new(pool, &entries, at, *margins);
+    let mut planner = Planner {
         balances: pools.iter().enumerate().map(balance).collect(),
-        rows,
+        entries,
     };
     Plan {
-        moves: ledger.satisfy(),
-        surplus: ledger.switch_off(),
+        moves: planner.cover_shortfalls(),
+        surplus: planner.switch_off_surplus(),
     }
 }
 
-/// What each pool has while moves are decided one after another.
-struct Ledger<'a> {
+/// Capacity of each pool while moves are planned one after another.
+struct Planner<'a> {
     balances: Vec<Balance<'a>>,
-    rows: Vec<Row<'a>>,
+    entries: Vec<PlanEntry<'a>>,
 }
 
-/// An instance while moves are decided.
-struct Row<'a> {
+/// State of an instance during planning.
+struct PlanEntry<'a> {
     candidate: &'a Candidate,
-    /// The place of its pool's balance.
+    /// Index of its pool's balance.
     balance: Option<usize>,
-    /// Whether it moves already.
-    is_taken: bool,
+    /// Whether a move of it is planned already.
+    is_planned: bool,
 }
 
-impl<'a> Ledger<'a> {
-    fn satisfy(&mut self) -> Vec<Move> {
+impl<'a> Planner<'a> {
+    fn cover_shortfalls(&mut self) -> Vec<Move> {
         let mut moves = Vec::new();
-        while let Some(needy) = self.neediest() {
-            match self.giver(needy) {
-                Some(giver) => moves.push(self.transfer(giver, needy)),
-                // No instance of the kind that it is short of can be spared: any helps the rest.
-                None if self.balances[needy].wanted_label().is_some() => {
-                    self.balances[needy].is_short = false;
+        while let Some(recipient) = self.largest_shortfall() {
+            match self.donor(recipient) {
+                Some(donor) => moves.push(self.transfer(donor, recipient)),
+                // No instance with the needed label can be spared; any instance can still cover the
+                // remaining demand.
+                None if self.balances[recipient].wanted_label().is_some() => {
+                    self.balances[recipient].is_short = false;
                 }
                 None => break,
             }
@@ -128,13 +131,14 @@
         moves
     }
 
-    fn switch_off(&mut self) -> Vec<Move> {
+    fn switch_off_surplus(&mut self) -> Vec<Move> {
         let mut moves = Vec::new();
         let Some(spare) = self.balances.iter().position(|b| b.pool.is_spare) else {
             return moves;
         };
-        // What a pool has over only shrinks, so that an instance that is kept now stays kept.
-        for at in 0..self.rows.len() {
+        // The surplus of pools only shrinks, so an instance that is kept here need not be checked
+        // again.
+        for at in 0..self.entries.len() {
             if self.is_idle(at) {
                 moves.push(self.transfer(at, spare));
             }
@@ -142,37 +146,37 @@
         moves
     }
 
-    fn neediest(&self) -> Option<usize> {
+    fn largest_shortfall(&self) -> Option<usize> {
         let balances = self.balances.iter().enumerate();
-        let lacking = balances.filter(|(_, b)| b.lacks() > 0.0);
-        let most = lacking.max_by(|(_, a), (_, b)| a.lacks().total_cmp(&b.lacks()));
-        most.map(|(index, _)| index)
+        let in_need = balances.filter(|(_, b)| b.shortfall() > 0.0);
+        let largest = in_need.max_by(|(_, a), (_, b)| a.shortfall().total_cmp(&b.shortfall()));
+        largest.map(|(index, _)| index)
     }
 
-    fn giver(&self, needy: usize) -> Option<usize> {
-        let label = self.balances[needy].wanted_label();
+    fn donor(&self, recipient: usize) -> Option<usize> {
+        let label = self.balances[recipient].wanted_label();
         let suits = |i: &Candidate| label.is_none_or(|l| i.labels.iter().any(|own| **own == *l));
-        let able = self.rows.iter().enumerate().filter(|(_, row)| {
-            let is_other = row.balance != Some(needy);
-            let is_usable = row.is_free() && !row.candidate.is_evacuated;
-            let gives = self.balance(row);
+        let able = self.entries.iter().enumerate().filter(|(_, entry)| {
+            let is_other = entry.balance != Some(recipient);
+            let is_usable = entry.is_free() && !entry.candidate.is_evacuated;
+            let donor_balance = self.balance(entry);
             is_other
                 && is_usable
-                && suits(row.candidate)
-                && gives.is_some_and(|b| b.can_give(row.candidate))
+                && suits(entry.candidate)
+                && donor_balance.is_some_and(|b| b.can_give(entry.candidate))
         });
-        able.min_by_key(|(_, row)| self.effort(row))
+        able.min_by_key(|(_, entry)| self.donor_rank(entry))
             .map(|(at, _)| at)
     }
 
-    /// Idle instances that nobody will miss come first, as they cost; then those that are off,
-    /// those that are being emptied, and the emptiest.
-    fn effort(&self, row: &Row<'_>) -> (u8, u64) {
-        let instance = row.candidate;
-        let balance = self.balance(row);
+    /// Order in which instances are taken, lowest first: idle surplus instances, which cost money;
+    /// then those that are switched off, those that are being emptied, and the least used.
+    fn donor_rank(&self, entry: &PlanEntry<'_>) -> (u8, u64) {
+        let instance = entry.candidate;
+        let balance = self.balance(entry);
         let is_off = balance.is_some_and(|b| b.pool.is_spare);
-        let is_missed = balance.is_none_or(|b| !b.has_over(instance));
-        let rank = match (is_off, is_missed, instance.used) {
+        let is_needed = balance.is_none_or(|b| !b.has_surplus_for(instance));
+        let rank = match (is_off, is_needed, instance.used) {
             (false, false, 0) => 0,
             (true, ..) => 1,
             (_, false, _) if instance.is_reserved => 2,
@@ -183,40 +187,41 @@
         (rank, instance.used)
     }
 
-    /// Whether an instance is idle and no pool will want it soon, its own or another, or its zone is
-    /// evacuated.
+    /// Whether an instance is idle and no pool will need it soon, or its zone is being evacuated.
     ///
-    /// What waits for a place counts against it: whether what is on its way will do isn't known yet.
+    /// The backlog of all pools counts as demand, because instances on their way may not suffice
+    /// for it.
     fn is_idle(&self, at: usize) -> bool {
-        let row = &self.rows[at];
-        let Some(balance) = self.balance(row).filter(|b| !b.pool.is_spare) else {
+        let entry = &self.entries[at];
+        let Some(balance) = self.balance(entry).filter(|b| !b.pool.is_spare) else {
             return false;
         };
-        if !row.is_free() || row.candidate.used > 0 {
+        if !entry.is_free() || entry.candidate.used > 0 {
             return false;
         }
-        let over: f64 = self.balances.iter().filter_map(Balance::over).sum();
+        let surplus: f64 = self.balances.iter().filter_map(Balance::surplus).sum();
         let backlog: f64 = self.balances.iter().map(|b| b.pool.backlog).sum();
-        let is_unmissed = balance.has_over(row.candidate);
-        row.candidate.is_evacuated || (is_unmissed && over - backlog >= as_f64(row.candidate.cpu))
+        let is_surplus = balance.has_surplus_for(entry.candidate);
+        entry.candidate.is_evacuated
+            || (is_surplus && surplus - backlog >= as_f64(entry.candidate.cpu))
     }
 
-    fn balance(&self, row: &Row<'_>) -> Option<&Balance<'a>> {
-        self.balances.get(row.balance?)
+    fn balance(&self, entry: &PlanEntry<'_>) -> Option<&Balance<'a>> {
+        self.balances.get(entry.balance?)
     }
 
     fn transfer(&mut self, at: usize, to: usize) -> Move {
-        let row = &mut self.rows[at];
-        row.is_taken = true;
-        let instance = row.candidate;
-        let from = row.balance.and_then(|at| self.balances.get_mut(at));
+        let entry = &mut self.entries[at];
+        entry.is_planned = true;
+        let instance = entry.candidate;
+        let from = entry.balance.and_then(|at| self.balances.get_mut(at));
         if let Some(from) = from.filter(|_| !instance.is_evacuated) {
-            from.have -= as_f64(instance.cpu);
+            from.capacity -= as_f64(instance.cpu);
             from.count -= 1;
         }
         let to = &mut self.balances[to];
         if !instance.is_evacuated {
-            to.have += as_f64(instance.cpu);
+            to.capacity += as_f64(instance.cpu);
             to.count += 1;
             to.is_short = false;
         }
@@ -227,41 +232,46 @@
     }
 }
 
-impl Row<'_> {
+impl PlanEntry<'_> {
     fn is_free(&self) -> bool {
-        self.candidate.is_movable && !self.is_taken
+        self.candidate.is_movable && !self.is_planned
     }
 }
 
-/// What a pool has beside what it wants.
+/// Capacity of a pool in relation to its demand.
 struct Balance<'a> {
     pool: &'a Pool,
     margins: Margins,
-    have: f64,
+    capacity: f64,
     count: usize,
     is_short: bool,
 }
 
 impl Balance<'_> {
-    fn new<'a>(pool: &'a Pool, rows: &[Row<'_>], place: usize, margins: Margins) -> Balance<'a> {
-        let own = rows.iter().filter(|row| row.balance == Some(place));
-        let own = own.map(|row| row.candidate).filter(|i| !i.is_evacuated);
+    fn new<'a>(
+        pool: &'a Pool,
+        entries: &[PlanEntry<'_>],
+        index: usize,
+        margins: Margins,
+    ) -> Balance<'a> {
+        let own = entries.iter().filter(|entry| entry.balance == Some(index));
+        let own = own.map(|entry| entry.candidate).filter(|i| !i.is_evacuated);
         Balance {
             pool,
             margins,
-            have: own.clone().map(|i| as_f64(i.cpu)).sum(),
+            capacity: own.clone().map(|i| as_f64(i.cpu)).sum(),
             count: own.count(),
             is_short: pool.is_short,
         }
     }
 
-    /// Processors that are missing; a pool that is off wants none.
-    fn lacks(&self) -> f64 {
+    /// Missing thousandths of a core; 0 for the spare pool.
+    fn shortfall(&self) -> f64 {
         if self.pool.is_spare {
             return 0.0;
         }
-        let short = if self.is_short { ONE_MORE } else { 0.0 };
-        (self.wanted() / self.margins.fill - self.have).max(short)
+        let short = if self.is_short { MIN_SHORTFALL } else { 0.0 };
+        (self.wanted() / self.margins.target_utilization - self.capacity).max(short)
     }
 
     fn wanted_label(&self) -> Option<&str> {
@@ -273,29 +283,32 @@
             + self
                 .pool
                 .backlog
-                .min(self.pool.wanted * self.margins.most_backlog)
+                .min(self.pool.wanted * self.margins.max_backlog)
     }
 
     fn can_give(&self, instance: &Candidate) -> bool {
-        let left = self.have - as_f64(instance.cpu);
-        let is_enough = self.count > KEPT && left >= self.wanted() / self.margins.fill;
+        let left = self.capacity - as_f64(instance.cpu);
+        let is_enough =
+            self.count > MIN_INSTANCES && left >= self.wanted() / self.margins.target_utilization;
         self.pool.is_spare || (is_enough && !self.pool.is_short)
     }
 
-    /// Processors beyond what the pool will want soon, or lacking for it; `None` if that isn't
-    /// known or the pool is off.
-    fn over(&self) -> Option<f64> {
-        let soon = self.pool.soon.filter(|_| !self.pool.is_spare)?;
-        Some(self.have - soon.max(self.wanted()) / self.margins.fill)
+    /// Thousandths of a core beyond the demand that is expected soon; negative for a shortfall.
+    /// `None` if that demand is unknown, and for the spare pool.
+    fn surplus(&self) -> Option<f64> {
+        let soon = self.pool.peak_soon.filter(|_| !self.pool.is_spare)?;
+        Some(self.capacity - soon.max(self.wanted()) / self.margins.target_utilization)
     }
 
-    fn has_over(&self, instance: &Candidate) -> bool {
-        let is_over = self.over().is_some_and(|over| over >= as_f64(instance.cpu));
-        is_over && self.can_give(instance)
+    fn has_surplus_for(&self, instance: &Candidate) -> bool {
+        let has_enough = self
+            .surplus()
+            .is_some_and(|surplus| surplus >= as_f64(instance.cpu));
+        has_enough && self.can_give(instance)
     }
 }
 
-/// Amounts of processors are far below the numbers that a float can't hold.
+/// Amounts of processors are small enough to be exact in an `f64`.
 #[expect(clippy::cast_precision_loss)]
 fn as_f64(number: u64) -> f64 {
     number as f64
--- a/crates/pomelohitch-sched/src/urgency.rs
+++ b/crates/pomelohitch-sched/src/urgency.rs
@@ -1,9 +1,9 @@
 //! Ordering of waiting jobs.
 //!
-//! The load that this answers: each queue in its turn asks about five times its mean for some
-//! seconds, more than its pool holds. First come first served would then make every job late, and
-//! so would going by the latest start alone: each job would end a little too late. As many jobs as
-//! possible are therefore to be in time, and the others wait until there is room to spare.
+//! Queues have bursts: for some seconds a queue submits about five times its mean load, more than
+//! its pool can run. First come, first served would then make every job late, and so would ordering
+//! by latest start time alone, which lets each job finish slightly too late. The order therefore
+//! lets as many jobs as possible meet their objectives; the others wait for free capacity.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -13,118 +13,124 @@
 use crate::id::JobId;
 use crate::policy::Policy;
 
-/// A job is of use until this many times its objective.
-const LATE_TIMES: f64 = 3.0;
-/// Jobs are deferred where the work due is this many times what can be done; estimates are rough.
-const OVERLOAD: f64 = 1.6;
-/// A late job expires soon if its latest useful start is within this time.
+/// A job's result is useful until this multiple of its objective.
+const USEFUL_MULTIPLE: f64 = 3.0;
+/// Jobs are deferred when the work due exceeds this multiple of what can be done. Above 1 because
+/// estimates are rough.
+const OVERLOAD_RATIO: f64 = 1.6;
+/// A late job is about to expire if its latest useful start time is within this time.
 const EXPIRING_WITHIN: Duration = Duration::from_millis(500);
-/// Share of a pool's room that promoted jobs take at most.
-const PROMOTED_PART: f64 = 0.2;
-/// Time of a step beside its work: recording and sending starts, polling and recording ends.
+/// Largest share of a pool's capacity for promoted jobs.
+const PROMOTED_SHARE: f64 = 0.2;
+/// Time that a step takes beyond its work: recording and sending starts, polling and recording
+/// completions.
 const STEP_OVERHEAD: Duration = Duration::from_millis(80);
 
-/// What a job is ranked by among those that wait for the same service.
+/// A job as input to the ordering, among the jobs that wait for the same service.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// Which job.
+    /// Job id.
     pub job: JobId,
-    /// When it came or was due.
+    /// When the job was accepted or became due.
     pub from_ms: UnixMs,
-    /// Its whole chain of work, by its estimates.
-    pub chain: Duration,
-    /// What is left of the chain.
-    pub chain_left: Duration,
-    /// How many steps are left, one after another at the most.
+    /// Length of its whole critical path, by estimates.
+    pub critical_path: Duration,
+    /// Length of the remaining critical path.
+    pub remaining_critical_path: Duration,
+    /// Number of remaining steps, an upper bound on the steps in sequence.
     pub steps_left: u32,
-    /// What its tasks take that haven't begun: thousandths of a core times milliseconds.
+    /// Estimated work of its tasks that have not begun: thousandths of a core times milliseconds.
     pub work_left: f64,
-    /// Whether some task has begun.
+    /// Whether any of its tasks has begun.
     pub has_begun: bool,
-    /// Whether its tasks last: they serve users of their own all the time, and have to be back soon
-    /// however they ended.
+    /// Whether its tasks are lasting ones. These serve users continuously and have to restart soon,
+    /// whatever ended them.
     pub is_lasting: bool,
-    /// The objective in multiples of the chain.
+    /// Objective as a multiple of the critical path.
     pub stretch: f64,
-    /// What the objective allows beside the work.
+    /// Time that the objective allows in addition to the multiple of the critical path.
     pub slack: Duration,
-    /// Priority of its queue, 0 first.
+    /// Priority of its queue; 0 is the highest.
     pub priority: u32,
-    /// Which workspace sent it, by its place in the configuration.
+    /// Index of its workspace in the configuration.
     pub owner: u32,
-    /// That workspace's weight.
+    /// Weight of that workspace.
     pub weight: u64,
 }
 
-/// What a service's endpoints can take on.
+/// Capacity of a service's endpoints.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Room {
-    /// Thousandths of a core beside those that lasting tasks take.
+pub struct Capacity {
+    /// Thousandths of a core that lasting tasks do not use.
     pub cpu: f64,
-    /// What runs there is still to take, thousandths of a core times milliseconds.
-    pub under_way: f64,
-    /// Thousandths of a core of instances that are on their way to the pool.
-    pub awaited: f64,
+    /// Remaining work of the runs there, thousandths of a core times milliseconds.
+    pub running_work: f64,
+    /// Thousandths of a core of instances that are being moved to the pool.
+    pub arriving: f64,
 }
 
-impl Room {
-    /// An instance on its way is there after so long on average: moves take 1.5 s.
-    const AWAITED_AFTER_MS: f64 = 900.0;
+impl Capacity {
+    /// Average time until an instance being moved arrives; a move takes 1.5 s.
+    const ARRIVAL_MS: f64 = 900.0;
 
-    /// The work that can be done within a time.
-    fn within(&self, millis: f64) -> f64 {
-        let later = (millis - Self::AWAITED_AFTER_MS).max(0.0);
-        self.cpu * millis + self.awaited * later - self.under_way
+    /// Work that can be done within `millis`.
+    fn work_within(&self, millis: f64) -> f64 {
+        let later = (millis - Self::ARRIVAL_MS).max(0.0);
+        self.cpu * millis + self.arriving * later - self.running_work
     }
 }
 
-/// Whether a job can be served in time, best first.
+/// Whether a job can meet its objective; variants in the order in which jobs are served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Feasibility {
-    /// Its tasks last: whatever else waits, they have to be back soon.
+    /// A job of lasting tasks, which have to restart soon whatever else waits.
     Lasting,
-    /// It is late, and expires unless it starts now.
+    /// Late, and expires unless it starts now.
     Expiring,
-    /// It can be in time.
+    /// Can meet its objective.
     Feasible,
-    /// It could be, but is deferred for others.
+    /// Could meet its objective, but is deferred in favour of other jobs.
     Deferred,
-    /// It will be late.
+    /// Will miss its objective.
     Late,
-    /// It will be of no use to its caller.
+    /// Its result will be of no use to the caller.
     Expired,
 }
 
 impl Candidate {
-    /// When the job should be done.
+    /// Time by which the job should be done.
     #[must_use]
     pub fn objective_ms(&self) -> UnixMs {
         self.from_ms.saturating_add(millis(self.allowed()))
     }
 
     fn allowed(&self) -> Duration {
-        self.chain.mul_f64(self.stretch.max(0.0)) + self.slack
+        self.critical_path.mul_f64(self.stretch.max(0.0)) + self.slack
     }
 
-    /// When its next step has to start at the latest for it to be done in so many times its
-    /// objective.
-    fn start_by_ms(&self, times: f64) -> UnixMs {
-        let allowed = millis(self.allowed().mul_f64(times));
-        let takes = self.chain_left + STEP_OVERHEAD * self.steps_left;
+    /// Latest start time of the next step for the job to be done within `multiple` its objective.
+    fn start_by_ms(&self, multiple: f64) -> UnixMs {
+        let allowed = millis(self.allowed().mul_f64(multiple));
+        let takes = self.remaining_critical_path + STEP_OVERHEAD * self.steps_left;
         let end_by = self.from_ms.saturating_add(allowed);
         end_by.saturating_sub(millis(takes))
     }
 }
 
-/// The jobs in the order in which they should be given room.
+/// Sorts jobs in the order in which they should get capacity.
 #[must_use]
-pub fn order(candidates: &[Candidate], room: &Room, now_ms: UnixMs, policy: &Policy) -> Vec<JobId> {
+pub fn order(
+    candidates: &[Candidate],
+    capacity: &Capacity,
+    now_ms: UnixMs,
+    policy: &Policy,
+) -> Vec<JobId> {
     let mut ranked: Vec<Ranked<'_>> = candidates.iter().map(|c| rank(c, now_ms, policy)).collect();
-    if policy.defers {
-        defer(&mut ranked, room, now_ms);
+    if policy.defers_on_overload {
+        defer(&mut ranked, capacity, now_ms);
     }
     if policy.promotes_expiring {
-        promote_expiring(&mut ranked, room, now_ms);
+        promote_expiring(&mut ranked, capacity, now_ms);
     }
     ranked.sort_unstable_by_key(Ranked::key);
     ranked.into_iter().map(|p| p.candidate.job).collect()
@@ -139,24 +145,24 @@
 }
 
 impl Ranked<'_> {
-    /// Lower goes first. What has begun goes before what hasn't among jobs that are late.
+    /// Sort key, lowest first. Among late jobs, those that have begun go before the others.
     fn key(&self) -> (Feasibility, u32, bool, UnixMs, JobId) {
-        let waits = self.feasibility >= Feasibility::Late && !self.candidate.has_begun;
+        let goes_last = self.feasibility >= Feasibility::Late && !self.candidate.has_begun;
         let (priority, job) = (self.candidate.priority, self.candidate.job);
-        (self.feasibility, priority, waits, self.start_by_ms, job)
+        (self.feasibility, priority, goes_last, self.start_by_ms, job)
     }
 }
 
 fn rank<'a>(candidate: &'a Candidate, now_ms: UnixMs, policy: &Policy) -> Ranked<'a> {
-    let in_time = candidate.start_by_ms(1.0);
-    let of_use = candidate.start_by_ms(LATE_TIMES);
-    let is_feasible = now_ms <= candidate.start_by_ms(policy.late_after);
+    let start_by_ms_in_time = candidate.start_by_ms(1.0);
+    let useful_start_by_ms = candidate.start_by_ms(USEFUL_MULTIPLE);
+    let is_feasible = now_ms <= candidate.start_by_ms(policy.late_factor);
     let (feasibility, start_by_ms) = if candidate.is_lasting {
         (Feasibility::Lasting, candidate.from_ms)
-    } else if is_feasible || !policy.late_last {
-        (Feasibility::Feasible, in_time)
-    } else if now_ms <= of_use {
-        (Feasibility::Late, of_use)
+    } else if is_feasible || !policy.ranks_late_last {
+        (Feasibility::Feasible, start_by_ms_in_time)
+    } else if now_ms <= useful_start_by_ms {
+        (Feasibility::Late, useful_start_by_ms)
     } else {
         (Feasibility::Expired, candidate.from_ms)
     };
@@ -171,35 +177,36 @@
     }
 }
 
-/// Defers jobs until the others can be in time together, as Moore and Hodgson's rule for the least
-/// number of late jobs does: by due time, and each time that the work due is more than can be done by
-/// then, one job is taken out. It is one of the workspace that asks for most beside its weight, and of
-/// its jobs the one that takes most work, so that a workspace that presses is held to its weighted
-/// fair share. What has begun isn't deferred.
-fn defer(ranked: &mut [Ranked<'_>], room: &Room, now_ms: UnixMs) {
+/// Defers jobs until all others can meet their objectives, following the Moore-Hodgson algorithm
+/// for the least number of late jobs: goes through the jobs by due time, and whenever the work due
+/// exceeds what can be done by then, removes one job. The removed job has the lowest priority;
+/// among these, it belongs to the workspace with the most work in relation to its weight, and is
+/// the one with the most work there, so that a workspace that overloads a pool is held to its
+/// weighted fair share. Jobs that have begun are not deferred.
+fn defer(ranked: &mut [Ranked<'_>], capacity: &Capacity, now_ms: UnixMs) {
     let feasible = ranked
         .iter()
         .enumerate()
         .filter(|(_, p)| p.feasibility == Feasibility::Feasible);
-    let mut by_end: Vec<usize> = feasible.map(|(at, _)| at).collect();
-    by_end.sort_by_key(|&at| {
+    let mut by_due_time: Vec<usize> = feasible.map(|(index, _)| index).collect();
+    by_due_time.sort_by_key(|&index| {
         (
-            ranked[at].candidate.objective_ms(),
-            ranked[at].candidate.job,
+            ranked[index].candidate.objective_ms(),
+            ranked[index].candidate.job,
         )
     });
     let mut due = 0.0;
-    let mut owners: BTreeMap<u32, Owner> = BTreeMap::new();
-    for at in by_end {
-        let candidate = ranked[at].candidate;
+    let mut workspaces: BTreeMap<u32, WorkspaceLoad> = BTreeMap::new();
+    for index in by_due_time {
+        let candidate = ranked[index].candidate;
         due += candidate.work_left;
-        owners
+        workspaces
             .entry(candidate.owner)
             .or_default()
-            .add(candidate, at);
+            .add(candidate, index);
         let left = as_f64(candidate.objective_ms().saturating_sub(now_ms));
-        while due > room.within(left) * OVERLOAD {
-            let Some(deferred) = next_deferred(&mut owners) else {
+        while due > capacity.work_within(left) * OVERLOAD_RATIO {
+            let Some(deferred) = next_deferred(&mut workspaces) else {
                 break;
             };
             due -= ranked[deferred].candidate.work_left;
@@ -208,80 +215,80 @@
     }
 }
 
-/// Ranks late jobs first that are of no use unless they start now, up to a part of the room: without
-/// that bound an overload would have every job served just before it expires, and none in time.
-fn promote_expiring(ranked: &mut [Ranked<'_>], room: &Room, now_ms: UnixMs) {
-    let is_last = |p: &Ranked<'_>| {
+/// Promotes late jobs that are of no use unless they start now, up to a share of the capacity.
+/// Without this limit, an overload would have every job served just before it expires, and none in
+/// time.
+fn promote_expiring(ranked: &mut [Ranked<'_>], capacity: &Capacity, now_ms: UnixMs) {
+    let is_expiring = |p: &Ranked<'_>| {
         p.feasibility == Feasibility::Late
             && p.start_by_ms <= now_ms.saturating_add(millis(EXPIRING_WITHIN))
     };
-    let late = ranked.iter().enumerate().filter(|(_, p)| is_last(p));
-    let mut by_start: Vec<usize> = late.map(|(at, _)| at).collect();
-    by_start.sort_by_key(|&at| (ranked[at].start_by_ms, ranked[at].candidate.job));
-    let mut left = room.cpu * EXPIRING_WITHIN.as_secs_f64() * 1000.0 * PROMOTED_PART;
-    for at in by_start {
-        left -= ranked[at].candidate.work_left;
+    let late = ranked.iter().enumerate().filter(|(_, p)| is_expiring(p));
+    let mut by_start: Vec<usize> = late.map(|(index, _)| index).collect();
+    by_start.sort_by_key(|&index| (ranked[index].start_by_ms, ranked[index].candidate.job));
+    let mut left = capacity.cpu * EXPIRING_WITHIN.as_secs_f64() * 1000.0 * PROMOTED_SHARE;
+    for index in by_start {
+        left -= ranked[index].candidate.work_left;
         if left < 0.0 {
             return;
         }
-        ranked[at].feasibility = Feasibility::Expiring;
+        ranked[index].feasibility = Feasibility::Expiring;
     }
 }
 
-/// The job that is deferred next, by its index.
-fn next_deferred(owners: &mut BTreeMap<u32, Owner>) -> Option<usize> {
-    let asking = owners.values_mut().filter(|o| !o.fresh.is_empty());
-    let most = asking.max_by(|a, b| a.compare(b))?;
-    let fresh = most.fresh.pop()?;
-    most.work -= fresh.work();
-    Some(fresh.at)
+/// Removes and returns the index of the job to defer next.
+fn next_deferred(workspaces: &mut BTreeMap<u32, WorkspaceLoad>) -> Option<usize> {
+    let with_deferrable = workspaces.values_mut().filter(|o| !o.deferrable.is_empty());
+    let heaviest = with_deferrable.max_by(|a, b| a.compare(b))?;
+    let deferrable = heaviest.deferrable.pop()?;
+    heaviest.work -= deferrable.work();
+    Some(deferrable.index)
 }
 
-/// What a workspace asks for.
+/// Work requested by one workspace.
 #[derive(Debug, Default)]
-struct Owner {
+struct WorkspaceLoad {
     work: f64,
     weight: f64,
-    fresh: BinaryHeap<Fresh>,
+    deferrable: BinaryHeap<Deferrable>,
 }
 
-/// A job that hasn't begun; the greatest is deferred first: what is less urgent, then what takes
-/// more work.
+/// A job that has not begun. The greatest is deferred first: lowest priority, then most work.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Fresh {
+struct Deferrable {
     priority: u32,
     work: u64,
-    at: usize,
+    index: usize,
 }
 
-impl Owner {
-    fn add(&mut self, candidate: &Candidate, at: usize) {
+impl WorkspaceLoad {
+    fn add(&mut self, candidate: &Candidate, index: usize) {
         self.work += candidate.work_left;
         self.weight = as_f64(candidate.weight.max(1));
         if !candidate.has_begun && !candidate.is_lasting {
-            self.fresh.push(Fresh::new(candidate, at));
+            self.deferrable.push(Deferrable::new(candidate, index));
         }
     }
 
-    fn compare(&self, other: &Owner) -> Ordering {
-        let priority = |o: &Owner| o.fresh.peek().map(|f| f.priority);
-        let asked = |o: &Owner| o.work / o.weight;
+    fn compare(&self, other: &WorkspaceLoad) -> Ordering {
+        let priority = |o: &WorkspaceLoad| o.deferrable.peek().map(|f| f.priority);
+        let weighted_work = |o: &WorkspaceLoad| o.work / o.weight;
         let by_priority = priority(self).cmp(&priority(other));
-        by_priority.then(asked(self).total_cmp(&asked(other)))
+        by_priority.then(weighted_work(self).total_cmp(&weighted_work(other)))
     }
 }
 
-impl Fresh {
+impl Deferrable {
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "work is positive, and a fraction of its unit doesn't matter"
+        reason = "work is positive, and fractions of its unit are negligible"
     )]
-    fn new(candidate: &Candidate, at: usize) -> Fresh {
-        Fresh {
+    fn new(candidate: &Candidate, index: usize) -> Deferrable {
+        Deferrable {
             priority: candidate.priority,
             work: candidate.work_left as u64,
-            at,
+            index,
         }
     }
 
@@ -294,7 +301,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Times of day in milliseconds are far below the numbers that a float can't hold.
+/// Times of day in milliseconds are small enough to be exact in an `f64`.
 #[expect(clippy::cast_precision_loss)]
 fn as_f64(number: u64) -> f64 {
     number as f64
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -10,10 +10,10 @@
 use pomelohitch_sched::cell::Batch;
 use pomelohitch_sched::cell::calls::{Call, Verb};
 use pomelohitch_sched::config::FleetConfig;
-use pomelohitch_sched::endpoint::{Look, Report};
+use pomelohitch_sched::endpoint::{PollReply, Report};
 use pomelohitch_sched::instances::{Instance, Wave};
 use pomelohitch_sched::order::{
-    Action, Answer, CallId, LookFailure, Operation, OperationOutcome, Order, Outcome, Target,
+    Action, Answer, CallId, Operation, OperationOutcome, Order, Outcome, PollFailure, Target,
 };
 use pomelohitch_sched::{Cell, EndpointId, Epoch, InstanceId, Steady, TaskId, ZoneName};
 use tracing::{error, info, warn};
@@ -77,7 +77,7 @@
     /// All was read that operators had written by then.
     OperatorsAsOf(Steady),
     /// A look ended.
-    Looked(Target, Result<Look, LookFailure>),
+    Looked(Target, Result<PollReply, PollFailure>),
     /// An order ended.
     Ordered(Target, Order, Outcome),
     /// The list of instances was read, asked for at that time.
@@ -180,7 +180,7 @@
         Ok(started) => started,
         Err(error) => {
             error!(%error, "threads of the leader can't be started");
-            shared.set_leading(None);
+            shared.set_leadership(None);
             return;
         }
     };
@@ -205,7 +205,7 @@
     };
     core.show_evacuations();
     let end = core.lead(&parts.rx);
-    shared.set_leading(None);
+    shared.set_leadership(None);
     info!(
         epoch,
         why = end.why,
@@ -236,7 +236,7 @@
     /// Time for the request.
     const WITHIN: Duration = Duration::from_millis(300);
     let client = peers::client(successor);
-    match peers::ask::<()>(&client, wire::CLAIM, &claim, WITHIN) {
+    match peers::ask::<()>(&client, wire::CLAIM_PATH, &claim, WITHIN) {
         Ok(()) => info!(%successor, "leadership handed over"),
         Err(error) => warn!(%error, "leadership not handed over"),
     }
@@ -381,7 +381,7 @@
                     epoch,
                     at,
                 } => self.lanes.order(target, order, epoch, at),
-                Action::Look(look) => self.lanes.look(look),
+                Action::Poll(look) => self.lanes.look(look),
                 Action::ListInstances => self.duties.list(),
                 Action::Operate {
                     instance,
@@ -475,7 +475,7 @@
     mut step: impl FnMut(&Arc<Shared>) + Send + 'static,
 ) -> std::io::Result<()> {
     let running = spawn_with(name, shared, move |shared| {
-        while shared.leading().is_some_and(|l| l.epoch == epoch) {
+        while shared.leadership().is_some_and(|l| l.epoch == epoch) {
             step(shared);
         }
     });
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/lanes.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pomelohitch_sched::endpoint::Endpoint;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Refusal, Target};
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Refusal, Target};
 use pomelohitch_sched::relaying::Layout;
 use pomelohitch_sched::{EndpointId, Epoch, Steady};
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
@@ -17,9 +17,9 @@
 use tracing::info;
 
 use super::core::Event;
-use crate::fleet::calls::{Calls, Sending};
+use crate::fleet::calls::{Calls, OutgoingOrder};
 use crate::fleet::clock;
-use crate::fleet::relay::client::Link;
+use crate::fleet::relay::client::RelayConnection;
 use crate::fleet::shared::spawn;
 
 /// A member that carried no more calls is asked again after this time.
@@ -44,8 +44,8 @@
 /// What the calling thread is told.
 #[derive(Debug)]
 enum Command {
-    Order(Sending),
-    Look(LookOrder),
+    Order(OutgoingOrder),
+    Look(PollOrder),
     /// The endpoint isn't known any more.
     Forget(EndpointId),
     /// What is called.
@@ -95,11 +95,11 @@
     /// Sends an order that was decided at `at`.
     pub fn order(&mut self, target: Target, order: Order, epoch: Epoch, at: Steady) {
         self.known.insert(target.id.clone());
-        let sending = Sending {
+        let sending = OutgoingOrder {
             target,
             order,
             epoch,
-            at,
+            decided_at: at,
         };
         if let Err(mpsc::error::SendError(Command::Order(unsent))) =
             self.commands.send(Command::Order(sending))
@@ -113,12 +113,12 @@
     }
 
     /// Looks at an endpoint.
-    pub fn look(&mut self, look: LookOrder) {
+    pub fn look(&mut self, look: PollOrder) {
         self.known.insert(look.target.id.clone());
         if let Err(mpsc::error::SendError(Command::Look(unsent))) =
             self.commands.send(Command::Look(look))
         {
-            let failed = Err(LookFailure::Failed);
+            let failed = Err(PollFailure::Failed);
             let _ = self.events.send(Event::Looked(unsent.target, failed));
         }
     }
@@ -179,7 +179,7 @@
     layout: Layout,
     /// The other members, as of the last look at the layout.
     members: Vec<SocketAddr>,
-    links: BTreeMap<SocketAddr, Link>,
+    links: BTreeMap<SocketAddr, RelayConnection>,
     laid_out_at: Option<Steady>,
 }
 
@@ -210,20 +210,21 @@
             services,
         } = self.size;
         let wanted = Layout::of(endpoints, services, self.options.link_bytes_per_s);
-        let layout = self.layout.followed_by(wanted);
+        let layout = self.layout.successor(wanted);
         if layout != self.layout {
             info!(shards = layout.shards, endpoints, "calls divided");
             self.layout = layout;
         }
         let members = self.options.members.as_ref().map(|members| members());
         self.members = members.unwrap_or_default();
-        let is_over = |link: &Link| link.ended_at().is_some_and(|at| now >= at + BACK_OFF);
+        let is_over =
+            |link: &RelayConnection| link.ended_at().is_some_and(|at| now >= at + BACK_OFF);
         self.links
             .retain(|peer, link| self.members.contains(peer) && !is_over(link));
     }
 
     /// The member that carries an endpoint's calls, if one does and is reached.
-    fn link(&mut self, target: &Target) -> Option<&Link> {
+    fn link(&mut self, target: &Target) -> Option<&RelayConnection> {
         if self.layout == Layout::default() {
             return None;
         }
@@ -236,11 +237,11 @@
         let link = self
             .links
             .entry(peer)
-            .or_insert_with(|| Link::start(peer, epoch, events.clone()));
+            .or_insert_with(|| RelayConnection::start(peer, epoch, events.clone()));
         link.is_open().then_some(link)
     }
 
-    fn order(&mut self, sending: Sending) {
+    fn order(&mut self, sending: OutgoingOrder) {
         let sending = match self.link(&sending.target) {
             Some(link) => link.order(sending),
             None => Some(sending),
@@ -256,9 +257,9 @@
         });
     }
 
-    fn look(&mut self, look: LookOrder) {
+    fn look(&mut self, look: PollOrder) {
         let look = match self.link(&look.target) {
-            Some(link) => link.look(look),
+            Some(link) => link.poll(look),
             None => Some(look),
         };
         let Some(look) = look else {
@@ -266,7 +267,7 @@
         };
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
-            let looked = calls.look(&look).await;
+            let looked = calls.poll(&look).await;
             // Nobody listens any more only when the leadership is over.
             let _ = events.send(Event::Looked(look.target, looked));
         });
