--- a/crates/pomelohitch-emulator/src/fleet.rs
+++ b/crates/pomelohitch-emulator/src/fleet.rs
@@ -329,7 +329,7 @@
             .extract_if(.., |look| &*look.order.target.id == id);
         for look in broken.collect::<Vec<_>>() {
             let target = &look.order.target;
-            self.cell.looked(target, Err(PollFailure::Failed));
+            self.cell.polled(target, Err(PollFailure::Failed));
         }
     }
 
--- a/crates/pomelohitch-emulator/src/fleet/looks.rs
+++ b/crates/pomelohitch-emulator/src/fleet/looks.rs
@@ -45,12 +45,12 @@
                 answer.answered_at = now;
                 answer
             });
-            self.decide(|cell, _| cell.looked(&look.order.target, answer));
+            self.decide(|cell, _| cell.polled(&look.order.target, answer));
             return true;
         }
         if now >= look.gives_up_at {
             self.cell
-                .looked(&look.order.target, Err(PollFailure::Failed));
+                .polled(&look.order.target, Err(PollFailure::Failed));
             return true;
         }
         false
--- a/crates/pomelohitch-emulator/src/fleet/orders.rs
+++ b/crates/pomelohitch-emulator/src/fleet/orders.rs
@@ -41,7 +41,7 @@
                 Action::Advise { step, endpoints } => {
                     let tickets = endpoints.into_iter().map(|e| (e, "ticket".into()));
                     let valid = Duration::from_secs(3);
-                    self.cell.advised_of(step, tickets.collect(), valid);
+                    self.cell.policy_answered(step, tickets.collect(), valid);
                 }
             }
         }
--- a/crates/pomelohitch-emulator/src/play.rs
+++ b/crates/pomelohitch-emulator/src/play.rs
@@ -209,7 +209,7 @@
         let is_away = faults.log_away.iter().any(|span| span.holds(now));
         if is_away == self.fleet.is_log_up {
             self.fleet.is_log_up = !is_away;
-            self.fleet.cell.log_is_down(is_away);
+            self.fleet.cell.set_log_down(is_away);
         }
         let slow_log = faults.log_slow.iter().find(|span| span.holds(now));
         let delay = slow_log.map_or(0.0, |span| span.strength.max(0.0));
@@ -319,7 +319,7 @@
                 self.hand_in(sent);
             }
             let job = self.fleet.cell.job(sent.arrival.id);
-            let is_done = job.is_some_and(|j| j.shown == JobState::Completed);
+            let is_done = job.is_some_and(|j| j.durable_state == JobState::Completed);
             if is_done {
                 sent.took = Some((self.passed + ON_THE_WAY).saturating_sub(sent.arrival.at));
             }
--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -114,14 +114,14 @@
     /// last renewal without the store, plus the longest lease, by the slowest clock.
     pub former_lease_expiry: Duration,
     /// Retention of ended jobs.
-    pub keep_ended: Duration,
+    pub job_retention: Duration,
     /// An occurrence may begin this long before its due time.
     pub early_start: Duration,
     /// Minimum time between operations that two successive leaders order on one instance.
-    pub holder_gap: Duration,
+    pub operation_gap: Duration,
     /// Time after a change of leader for which the former leader may still send operations: its
     /// leadership was confirmed at most 1.5 s before.
-    pub former_holder: Duration,
+    pub former_leader_timeout: Duration,
     /// Rate limit of the platform for operations on instances, per second.
     pub operations_per_s: f64,
     /// Bandwidth of this member's link, bytes a second, if it is known.
@@ -154,10 +154,10 @@
             max_entry_age: Duration::from_secs(3),
             max_silence: Duration::from_millis(1800),
             former_lease_expiry: Duration::from_secs(10),
-            keep_ended: Duration::from_secs(150),
+            job_retention: Duration::from_secs(150),
             early_start: Duration::ZERO,
-            holder_gap: Duration::from_millis(3500),
-            former_holder: Duration::from_millis(1800),
+            operation_gap: Duration::from_millis(3500),
+            former_leader_timeout: Duration::from_millis(1800),
             operations_per_s: 64.0,
             link_bytes_per_s: None,
             max_jobs: 50_000,
@@ -176,7 +176,7 @@
     /// State of the job, its occurrences, tasks and runs.
     pub progress: Progress,
     /// The last durable state. Callers see this one.
-    pub shown: JobState,
+    pub durable_state: JobState,
     /// Inputs of the urgency ranking, while an occurrence is open.
     pub candidate: Option<Candidate>,
     /// Whether its records were replaced by the short one of an ended job.
@@ -340,7 +340,7 @@
     fn new(settings: Settings, epoch: Epoch, now: Now) -> Cell {
         Cell {
             operation_limiter: RateLimiter::new(settings.operations_per_s),
-            operations_allowed_from: now.steady + settings.former_holder,
+            operations_allowed_from: now.steady + settings.former_leader_timeout,
             demand: Demand::new(settings.policy.demand, settings.policy.margins),
             epoch,
             cfg: None,
@@ -463,7 +463,7 @@
     }
 
     /// Records the duration of a [`Cell::tick`], which determines how often passes are made.
-    pub fn tick_took(&mut self, took: Duration) {
+    pub fn record_tick_duration(&mut self, took: Duration) {
         self.tick_duration = self.tick_duration.mul_f64(1.0 - TICK_DURATION_WEIGHT)
             + took.mul_f64(TICK_DURATION_WEIGHT);
     }
@@ -487,12 +487,12 @@
     }
 
     /// Sets whether the log rejects records. While it does, no jobs or cancellations are accepted.
-    pub fn log_is_down(&mut self, is_down: bool) {
+    pub fn set_log_down(&mut self, is_down: bool) {
         self.is_log_down = is_down;
     }
 
     /// Sets the current time, to be called before events are passed in.
-    pub fn at(&mut self, now: Now) {
+    pub fn set_now(&mut self, now: Now) {
         self.now = now;
     }
 
--- a/crates/pomelohitch-sched/src/cell/accounting.rs
+++ b/crates/pomelohitch-sched/src/cell/accounting.rs
@@ -18,7 +18,7 @@
     pub(super) fn add_job(&mut self, spec: Arc<JobSpec>, mut progress: Progress) {
         let id = spec.id;
         let is_new = progress.next == 0 && progress.state == JobState::Queued;
-        let shown = progress.state;
+        let durable_state = progress.state;
         if progress.state.is_final() {
             self.ended_jobs.insert(Due {
                 at_ms: progress.ended_ms,
@@ -39,7 +39,7 @@
             Job {
                 spec,
                 progress,
-                shown,
+                durable_state,
                 candidate: None,
                 is_archived: false,
             },
--- a/crates/pomelohitch-sched/src/cell/advice.rs
+++ b/crates/pomelohitch-sched/src/cell/advice.rs
@@ -73,7 +73,7 @@
     }
 
     /// Handles the policy's answer about a step: tickets by endpoint, and their validity from now.
-    pub fn advised_of(
+    pub fn policy_answered(
         &mut self,
         step: TaskId,
         tickets: Vec<(EndpointId, Box<str>)>,
--- a/crates/pomelohitch-sched/src/cell/calls.rs
+++ b/crates/pomelohitch-sched/src/cell/calls.rs
@@ -216,10 +216,10 @@
     fn read(&self, id: JobId, workspace: Option<&WorkspaceName>) -> Answer {
         match self.jobs.get(&id) {
             Some(job) if !is_visible_to(job, workspace) => Answer::Gone,
-            Some(job) if job.shown == JobState::Failed && job.progress.is_given_up => {
+            Some(job) if job.durable_state == JobState::Failed && job.progress.is_given_up => {
                 Answer::GivenUp
             }
-            Some(job) => Answer::State(job.shown),
+            Some(job) => Answer::State(job.durable_state),
             None => Answer::Gone,
         }
     }
--- a/crates/pomelohitch-sched/src/cell/commits.rs
+++ b/crates/pomelohitch-sched/src/cell/commits.rs
@@ -12,7 +12,7 @@
     pub fn committed(&mut self, batch: Batch) -> Vec<Action> {
         for (id, state) in batch.job_states {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.shown = job.shown.max(state);
+                job.durable_state = job.durable_state.max(state);
             }
         }
         let gap = self.poll_interval();
--- a/crates/pomelohitch-sched/src/cell/completions.rs
+++ b/crates/pomelohitch-sched/src/cell/completions.rs
@@ -198,7 +198,7 @@
 
     /// Drops jobs whose retention has passed and which have no runs left.
     pub(super) fn drop_expired_jobs(&mut self) {
-        let keep = u64::try_from(self.settings.keep_ended.as_millis()).unwrap_or(u64::MAX);
+        let keep = u64::try_from(self.settings.job_retention.as_millis()).unwrap_or(u64::MAX);
         while let Some(&due) = self.ended_jobs.first()
             && due.at_ms.saturating_add(keep) <= self.fleet_ms()
         {
--- a/crates/pomelohitch-sched/src/cell/operations.rs
+++ b/crates/pomelohitch-sched/src/cell/operations.rs
@@ -203,7 +203,7 @@
     }
 
     /// Handles that the former leader's process has ended, so that it sends no more operations.
-    pub fn former_is_gone(&mut self) {
+    pub fn former_leader_ended(&mut self) {
         info!(epoch = self.epoch, "former leader's process has ended");
         self.operations_allowed_from = self.operations_allowed_from.min(self.now.steady);
     }
@@ -240,14 +240,16 @@
         true
     }
 
-    /// Whether the former leader's last operation on this instance is at least `holder_gap` ago.
+    /// Whether the former leader's last operation on this instance is at least `operation_gap` ago.
     ///
     /// Every operation ends the endpoint on the instance, so an endpoint that is older than the gap
     /// proves that there was none within it. So does the record of the last operation, which holds
     /// its time in the fleet's time.
     fn is_operation_gap_over(&self, instance: &Instance) -> bool {
         let now = self.now.steady;
-        if now >= self.leader_since + self.settings.holder_gap + self.settings.former_holder {
+        if now
+            >= self.leader_since + self.settings.operation_gap + self.settings.former_leader_timeout
+        {
             return true;
         }
         let is_listed_since = self
@@ -257,8 +259,8 @@
         let endpoint = instance.endpoint.as_ref();
         let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
         let age = endpoint.and_then(|e| e.clock_at_least(now));
-        let is_old = age.is_some_and(|age| age > self.settings.holder_gap);
-        let quiet = self.settings.holder_gap + MAX_FLEET_TIME_DIFFERENCE;
+        let is_old = age.is_some_and(|age| age > self.settings.operation_gap);
+        let quiet = self.settings.operation_gap + MAX_FLEET_TIME_DIFFERENCE;
         let quiet_ms = u64::try_from(quiet.as_millis()).unwrap_or(u64::MAX);
         let ordered_ms = self.instances.former_order_ms(&instance.id);
         let known_ms = self.settings.fleet_ms.or(self.settings.fleet_ms_at_least);
--- a/crates/pomelohitch-sched/src/cell/polls.rs
+++ b/crates/pomelohitch-sched/src/cell/polls.rs
@@ -148,7 +148,7 @@
     }
 
     /// Handles the result of a poll.
-    pub fn looked(&mut self, target: &Target, result: Result<PollReply, PollFailure>) {
+    pub fn polled(&mut self, target: &Target, result: Result<PollReply, PollFailure>) {
         let now = self.now.steady;
         match &result {
             Ok(answer) => self.record_lag(now.saturating_sub(answer.answered_at)),
--- a/crates/pomelohitch-sched/tests/cell/calls.rs
+++ b/crates/pomelohitch-sched/tests/cell/calls.rs
@@ -55,7 +55,7 @@
 #[test]
 fn while_the_log_is_known_to_be_down_callers_are_told_to_come_back() {
     let mut fleet = Fleet::new(2);
-    fleet.cell.log_is_down(true);
+    fleet.cell.set_log_down(true);
     let submitted = fleet.submit(ID, job(vec![step(1, 500, 100)]));
     fleet.pass(2);
     assert!(matches!(fleet.replies[&submitted], Answer::Refused { .. }));
--- a/crates/pomelohitch-sched/tests/cell/leaders.rs
+++ b/crates/pomelohitch-sched/tests/cell/leaders.rs
@@ -83,7 +83,7 @@
     fleet.pass(1_000);
     fleet.change_leader();
     fleet.pass(1);
-    fleet.cell.former_is_gone();
+    fleet.cell.former_leader_ended();
     ask_for_much(&mut fleet);
     fleet.pass(120);
     assert!(!fleet.operations.is_empty());
@@ -101,7 +101,7 @@
     }
     let ordered: Vec<_> = fleet.operations.iter().map(|(id, _)| id.clone()).collect();
     fleet.change_leader();
-    fleet.cell.former_is_gone();
+    fleet.cell.former_leader_ended();
     let before = fleet.operations.len();
     fleet.pass(300);
     let again = fleet.operations[before..].iter();
@@ -121,7 +121,7 @@
     fleet.knows_fleet_time = knows_fleet_time;
     fleet.now.unix_ms = fleet.now.unix_ms.saturating_add_signed(ahead_ms);
     fleet.change_leader();
-    fleet.cell.former_is_gone();
+    fleet.cell.former_leader_ended();
     let before = fleet.operations.len();
     fleet.pass(steps);
     let again = fleet.operations[before..].iter();
@@ -146,7 +146,7 @@
 #[test]
 fn a_jump_of_the_time_of_day_changes_nothing() {
     let settings = Settings {
-        keep_ended: Duration::from_secs(5),
+        job_retention: Duration::from_secs(5),
         ..Settings::default()
     };
     let mut fleet = Fleet::with(2, settings);
--- a/crates/pomelohitch-sched/tests/cell/waves.rs
+++ b/crates/pomelohitch-sched/tests/cell/waves.rs
@@ -232,7 +232,7 @@
     fleet.pass(100);
     assert!(fleet.operations.is_empty());
     fleet.change_leader();
-    fleet.cell.former_is_gone();
+    fleet.cell.former_leader_ended();
     fleet.cell.wave(wave(&["m0"], 1));
     fleet.pass(100);
     assert_eq!(operated(&fleet), ["m0"]);
--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -134,16 +134,16 @@
     let site = shared.site.load();
     let settings = Settings {
         lease: LEASE.min(site.bounds.longest_lease),
-        keep_ended: site.bounds.keep_ended + KEEP_MARGIN,
-        holder_gap: site.bounds.holder_gap + HOLDER_MARGIN,
+        job_retention: site.bounds.keep_ended + KEEP_MARGIN,
+        operation_gap: site.bounds.holder_gap + HOLDER_MARGIN,
         operations_per_s: site.operations_per_s,
         link_bytes_per_s: site.link_bytes_per_s,
         fleet_ms: shared.fleet_ms(),
         fleet_ms_at_least: shared.min_fleet_ms(),
-        former_holder: if is_handed_over {
+        former_leader_timeout: if is_handed_over {
             HANDED_OVER
         } else {
-            Settings::default().former_holder
+            Settings::default().former_leader_timeout
         },
         ..Settings::default()
     };
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -248,7 +248,7 @@
             match rx.recv_timeout(TICK) {
                 Ok(event) => {
                     std::thread::sleep(GATHER);
-                    self.cell.at(clock::now());
+                    self.cell.set_now(clock::now());
                     self.take(event);
                     for event in rx.try_iter().take(EVENTS_AT_ONCE) {
                         self.take(event);
@@ -266,7 +266,7 @@
             let now = clock::now();
             let actions = self.cell.tick(now);
             self.cell
-                .tick_took(clock::steady().saturating_sub(now.steady));
+                .record_tick_duration(clock::steady().saturating_sub(now.steady));
             self.carry_out(actions);
             self.count_losses();
             self.commit();
@@ -302,15 +302,15 @@
             Event::EndpointsRead(reports) => self.take_all(reports),
             Event::EndpointsAsOf(as_of) => self.cell.endpoints_read(as_of),
             Event::OperatorsAsOf(as_of) => self.cell.operators_read(as_of),
-            Event::Looked(target, look) => self.cell.looked(&target, look),
+            Event::Looked(target, look) => self.cell.polled(&target, look),
             Event::Ordered(target, order, outcome) => self.cell.ordered(&target, &order, &outcome),
             Event::Instances(Some(list), asked_at) => self.cell.instances_listed(list, asked_at),
             Event::Instances(None, _) => self.cell.instances_unlisted(),
             Event::Operated(id, operation, outcome) => self.cell.operated(&id, &operation, outcome),
-            Event::Advised(step, tickets, valid) => self.cell.advised_of(step, tickets, valid),
+            Event::Advised(step, tickets, valid) => self.cell.policy_answered(step, tickets, valid),
             Event::Committed(sequence) => self.take_committed(sequence),
             Event::Appends(is_well) => {
-                self.cell.log_is_down(!is_well);
+                self.cell.set_log_down(!is_well);
                 self.appends_lost = lost_since(self.appends_lost, is_well);
             }
             Event::Reads(is_well) => self.reads_lost = lost_since(self.reads_lost, is_well),
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -77,7 +77,7 @@
         };
         let member = self.shared.member(&former.member);
         if member.is_some_and(|m| m.began_ms != former.began_ms) {
-            self.cell.former_is_gone();
+            self.cell.former_leader_ended();
             self.former = None;
         }
     }
