--- a/crates/pomelohitch-sched/src/cell/isolation.rs
+++ b/crates/pomelohitch-sched/src/cell/isolation.rs
@@ -1,10 +1,11 @@
-//! Suspected jobs run apart from others.
+//! Isolation of jobs that are suspected of crashing endpoints.
 //!
-//! The load that this answers: a few jobs have a task that crashes each endpoint that starts it, and
-//! jobs that wait are packed together, so that each crash takes sound runs of others with it. A
-//! suspected job gets an endpoint on which all other runs are taken for sound, and nothing is
-//! added there until its own are, too. All of its tasks that wait go there together, since they fail
-//! together if one of them is at fault; a job puts one endpoint at risk at a time.
+//! A few jobs have a task that crashes every endpoint on which it starts. Since waiting jobs are
+//! packed together, each crash also ends the runs of other jobs. A suspected job therefore gets an
+//! endpoint on which all other runs are proven, that is, have worked for long enough to rule out
+//! that they crash it, and nothing is added there until its own runs are proven too. All of its
+//! waiting tasks start there together, because they are lost together if one of them is at fault,
+//! and so a job puts one endpoint at risk at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,19 +20,19 @@
 use crate::job::{JobSpec, StepSpec};
 use crate::place::{Allowed, Slot, Slots};
 
-/// An incarnation of this age isn't one of an instance that goes down again and again, whose end would
-/// be held against the job.
+/// Younger incarnations are avoided: their instance may be one that crashes repeatedly by itself,
+/// and its next crash would count against the job.
 const YOUNG: Duration = Duration::from_secs(10);
 
-/// The service that suspected jobs are started on.
+/// The service on whose endpoints suspected jobs start, and whether other jobs compete for them.
 pub(super) struct ServiceLoad<'a> {
     /// The service.
     pub(super) service: &'a ServiceName,
-    /// Whether other jobs of it wait.
+    /// Whether other, unsuspected jobs of the service wait.
     pub(super) others_wait: bool,
 }
 
-/// How well an endpoint suits a suspected job; lower is better.
+/// Rank of an endpoint for a suspected job; the lowest is best.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     has_unproven: bool,
@@ -41,7 +42,7 @@
 }
 
 impl Cell {
-    /// Files a job under those that run apart, after any change of it.
+    /// Updates whether a job counts as suspected. To be called after any change of it.
     pub(super) fn index_suspected(&mut self, id: JobId) {
         let job = self.jobs.get(&id);
         let is_suspected = self.settings.policy.crashes.isolates
@@ -54,7 +55,7 @@
         self.suspected.entry(id).or_insert(now);
     }
 
-    /// Endpoints with runs of suspected jobs that haven't been at work for long enough.
+    /// Endpoints with unproven runs of suspected jobs.
     pub(super) fn isolated(&self) -> BTreeMap<EndpointId, JobId> {
         let runs = self.suspected.keys().filter_map(|&id| {
             let job = self.jobs.get(&id)?;
@@ -69,7 +70,7 @@
             .collect()
     }
 
-    /// Starts suspected jobs on endpoints of their own, and takes those out of `slots`.
+    /// Starts suspected jobs on endpoints of their own, and removes these from `slots`.
     pub(super) fn start_suspected(
         &mut self,
         ids: &[JobId],
@@ -85,28 +86,29 @@
             let report = self.endpoints.get(*id).and_then(|e| e.report.as_ref());
             report.is_some_and(|r| r.service == *load.service)
         };
-        let mut kept = isolated.keys().filter(is_of_service).count();
-        let at_risk: BTreeSet<JobId> = isolated.into_values().collect();
-        let all = slots.list.len() + kept;
-        let most = if load.others_wait {
-            part_of(all, self.settings.policy.crashes.max_isolated_share).max(1)
+        let mut isolated_count = isolated.keys().filter(is_of_service).count();
+        let jobs_at_risk: BTreeSet<JobId> = isolated.into_values().collect();
+        let all = slots.list.len() + isolated_count;
+        let max_isolated = if load.others_wait {
+            share_of(all, self.settings.policy.crashes.max_isolated_share).max(1)
         } else {
             all
         };
-        let patience = self.patience(slots);
+        let timeout = self.isolation_timeout(slots);
         for id in ids {
-            let waits = self.suspected.get(id).copied().unwrap_or_default();
-            let waited = self.now.steady.saturating_sub(waits);
-            let is_patient = waited < patience;
-            if is_patient && (at_risk.contains(id) || kept >= most) {
+            let since = self.suspected.get(id).copied().unwrap_or_default();
+            let waited = self.now.steady.saturating_sub(since);
+            let may_wait = waited < timeout;
+            if may_wait && (jobs_at_risk.contains(id) || isolated_count >= max_isolated) {
                 continue;
             }
-            kept += usize::from(self.start_apart(*id, is_patient, slots, misfits));
+            isolated_count += usize::from(self.start_isolated(*id, may_wait, slots, misfits));
         }
     }
 
-    /// How long suspected jobs wait to run apart: longer where what else waits needs the room.
-    fn patience(&self, slots: &Slots) -> Duration {
+    /// Time for which suspected jobs wait for an endpoint of their own: longer while more than half
+    /// of the CPU is in use, since a free endpoint is rarer and other jobs need the capacity.
+    fn isolation_timeout(&self, slots: &Slots) -> Duration {
         let limits = &self.settings.policy.crashes;
         let endpoints = slots.list.iter().filter_map(|s| self.endpoints.get(&s.id));
         let (mut used, mut all) = (0, 0);
@@ -121,11 +123,12 @@
         }
     }
 
-    /// Starts one suspected job, or keeps an endpoint for it. Returns whether it has one.
-    fn start_apart(
+    /// Starts one suspected job, or keeps an endpoint free for it. Returns whether it has an
+    /// endpoint.
+    fn start_isolated(
         &mut self,
         id: JobId,
-        is_patient: bool,
+        may_wait: bool,
         slots: &mut Slots,
         misfits: &mut Misfits,
     ) -> bool {
@@ -137,18 +140,18 @@
             return false;
         };
         let step = &spec.steps[usize::from(first.step)];
-        let Some(at) = self.choose_apart(step, first, &allowed, slots) else {
-            misfits.find(step, self.fits_somewhere(step));
+        let Some(at) = self.choose_isolated(step, first, &allowed, slots) else {
+            misfits.note_unplaced(step, self.fits_somewhere(step));
             return false;
         };
         let chosen = slots.list[at].clone();
         let is_clean = !self.rank(&chosen).has_unproven;
-        if is_patient && !(is_clean && chosen.may_take(step, 0)) {
+        if may_wait && !(is_clean && chosen.may_take(step, 0)) {
             slots.remove(&chosen.id);
             return true;
         }
         let mut own = if step.is_gang || step.is_rack_local {
-            self.slots_together(is_patient, slots)
+            self.group_slots(may_wait, slots)
         } else {
             Slots::new(vec![chosen.clone()])
         };
@@ -166,7 +169,8 @@
         true
     }
 
-    /// The first step that its workspace's bound and the policy let start, with where it may.
+    /// The first ready step that the workspace's limit and the placement policy allow, and the
+    /// endpoints that may run it.
     fn first_allowed(
         &mut self,
         spec: &Arc<JobSpec>,
@@ -181,16 +185,17 @@
                 index: 0,
             };
             let need = &spec.steps[usize::from(step)].need;
-            if !self.is_within_bound(spec, need) {
+            if !self.is_within_limit(spec, need) {
                 return None;
             }
-            let allowed = self.advised(spec, first, &slots.list)?;
+            let allowed = self.allowed_endpoints(spec, first, &slots.list)?;
             Some((first, allowed))
         })
     }
 
-    /// The endpoint that suits a suspected job best; if none has room, the one to be kept free.
-    fn choose_apart(
+    /// The index of the best endpoint for a suspected job; if none has capacity, of the one to keep
+    /// free.
+    fn choose_isolated(
         &self,
         step: &StepSpec,
         first: TaskId,
@@ -212,10 +217,10 @@
         best.map(|(at, _)| at)
     }
 
-    /// Endpoints for a step whose tasks start together on several.
-    fn slots_together(&self, is_patient: bool, slots: &Slots) -> Slots {
+    /// Endpoints for a step whose tasks start together on several of them.
+    fn group_slots(&self, may_wait: bool, slots: &Slots) -> Slots {
         let mut list: Vec<Slot> = slots.list.clone();
-        if is_patient {
+        if may_wait {
             list.retain(|slot| !self.rank(slot).has_unproven);
         }
         list.sort_by_key(|slot| self.rank(slot));
@@ -240,7 +245,7 @@
         }
     }
 
-    /// Whether some run at the endpoint, sent or not, hasn't been at work for long enough.
+    /// Whether the endpoint has an unproven run, including those whose start isn't sent yet.
     fn has_unproven(&self, endpoint: &Endpoint) -> bool {
         endpoint.runs.keys().any(|&(task, number)| {
             let run = self.run(task, number);
@@ -249,7 +254,7 @@
     }
 }
 
-/// Whether a task that isn't done is suspected.
+/// Whether the job has a suspected task that isn't done.
 fn has_suspect(job: &Job) -> bool {
     let steps = job.progress.open.values().flat_map(|o| &o.steps);
     steps
@@ -263,6 +268,6 @@
     clippy::cast_sign_loss,
     reason = "a part of a number of endpoints"
 )]
-fn part_of(count: usize, part: f64) -> usize {
+fn share_of(count: usize, part: f64) -> usize {
     (count as f64 * part.clamp(0.0, 1.0)) as usize
 }
--- a/crates/pomelohitch-sched/src/cell/upkeep.rs
+++ b/crates/pomelohitch-sched/src/cell/operations.rs
@@ -1,4 +1,4 @@
-//! The list of instances, and operations on them.
+//! The list of instances, and operations on instances: maintenance and moves between pools.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,41 +12,42 @@
 use crate::instances::{self, Instance, InstanceState};
 use crate::order::{Action, Operation, OperationOutcome};
 
-/// How often the list of instances is read while something is under way.
-const LIST_EVERY_BUSY: Duration = Duration::from_millis(500);
-/// The same while an endpoint with work doesn't answer: the list tells whether it still lives.
-const LIST_EVERY_SILENT: Duration = Duration::from_millis(250);
-/// The same otherwise.
-const LIST_EVERY_IDLE: Duration = Duration::from_secs(4);
-/// Bytes of an instance in the list.
-const LISTED_BYTES: f64 = 160.0;
-/// The share of the link that lists may take.
-const LIST_SHARE: f64 = 0.1;
-/// The fleet's time of two leaders, one after the other, differs by less than this.
-const FLEET_TIME_APART: Duration = Duration::from_millis(2500);
-/// A list that was asked for so long after an endpoint was last heard speaks of it.
-const SILENT_FOR: Duration = Duration::from_millis(300);
+/// Interval between reads of the list of instances while a wave or an operation is in progress.
+const LIST_INTERVAL_BUSY: Duration = Duration::from_millis(500);
+/// The same while an endpoint with runs doesn't answer: the list shows whether it still exists.
+const LIST_INTERVAL_SILENT: Duration = Duration::from_millis(250);
+/// The same in all other cases.
+const LIST_INTERVAL_IDLE: Duration = Duration::from_secs(4);
+/// Size of an instance's entry in the list, bytes.
+const INSTANCE_ENTRY_BYTES: f64 = 160.0;
+/// Maximum share of the link's bandwidth used for reading the list.
+const LIST_BANDWIDTH_SHARE: f64 = 0.1;
+/// Upper bound of the difference between the fleet's time as two successive leaders know it.
+const MAX_FLEET_TIME_DIFFERENCE: Duration = Duration::from_millis(2500);
+/// A list shows whether a silent endpoint still exists if it was requested at least this long after
+/// the endpoint's last answer.
+const MIN_SILENCE: Duration = Duration::from_millis(300);
 
 impl Cell {
-    /// Takes in the platform's list of instances, asked for at `asked_at`.
+    /// Handles the platform's list of instances, which was requested at `asked_at`.
     pub fn instances_listed(&mut self, list: Vec<Instance>, asked_at: Steady) {
         for instance in &list {
             let before = self.instances.list().get(&instance.id).map(|i| i.state);
             if before.is_some_and(|state| state != instance.state) {
                 info!(instance = %instance.id, pool = %instance.pool, state = ?instance.state,
-                    ?before, endpoint = ?instance.endpoint, "instance state");
+                    ?before, endpoint = ?instance.endpoint, "instance state changed");
             }
         }
         let replaced = self.instances.update_list(list, asked_at);
         match self.instances.record_leaving(self.draining_instances()) {
             Ok(records) => self.extra_records.extend(records),
-            Err(error) => warn!(%error, "leaving instances can't be recorded"),
+            Err(error) => warn!(%error, "failed to encode record of leaving instances"),
         }
         for endpoint in replaced {
-            self.endpoint_gone(&endpoint, "its instance lives another endpoint");
+            self.endpoint_gone(&endpoint, "its instance runs another endpoint");
         }
         for endpoint in self.silent_and_absent(asked_at) {
-            self.endpoint_gone(&endpoint, "no instance lives it any more");
+            self.endpoint_gone(&endpoint, "no listed instance runs it");
         }
     }
 
@@ -60,37 +61,38 @@
         draining.map(|i| i.id.clone()).collect()
     }
 
-    /// Endpoints that answer nothing and that no instance of a list lives that was asked for at
-    /// `asked_at`. An instance that crashed or was switched off shows so within a second, while
-    /// the leases of what it ran would have to be waited for much longer. One that is only cut off
-    /// stays in the list.
+    /// Endpoints that don't answer and that no instance of the list requested at `asked_at` runs.
+    ///
+    /// The list shows within a second that an instance crashed or was switched off, while the
+    /// leases of its runs take much longer to expire. An instance that is only unreachable stays in
+    /// the list with its endpoint.
     fn silent_and_absent(&self, asked_at: Steady) -> Vec<EndpointId> {
         let list = self.instances.list().values();
         let alive: BTreeSet<_> = list.filter_map(|i| i.endpoint.as_ref()).collect();
         let is_silent = |e: &Endpoint| {
-            let was_silent = e.answered_at.is_none_or(|at| at + SILENT_FOR < asked_at);
-            was_silent && e.poll.failures > 0 && asked_at > self.began + SILENT_FOR
+            let was_silent = e.answered_at.is_none_or(|at| at + MIN_SILENCE < asked_at);
+            was_silent && e.poll.failures > 0 && asked_at > self.leader_since + MIN_SILENCE
         };
         let used = self.endpoints.iter().filter(|(_, e)| !e.runs.is_empty());
         let gone = used.filter(|(id, e)| is_silent(e) && !alive.contains(*id));
         gone.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Whether some endpoint with work doesn't answer.
+    /// Whether some endpoint with runs doesn't answer.
     fn has_silent(&self) -> bool {
         let now = self.now.steady;
         let mut used = self.endpoints.values().filter(|e| !e.runs.is_empty());
-        used.any(|e| e.poll.failures > 0 || !e.has_answered_within(now, self.settings.fresh))
+        used.any(|e| e.poll.failures > 0 || !e.has_answered_within(now, self.settings.max_silence))
     }
 
-    /// Takes in that the list couldn't be read.
+    /// Handles that the list of instances couldn't be read.
     pub fn instances_unlisted(&mut self) {
         self.instances.list_failed();
     }
 
-    /// Takes in how an operation on an instance ended.
+    /// Handles the result of an operation on an instance.
     pub fn operated(&mut self, id: &InstanceId, operation: &Operation, outcome: OperationOutcome) {
-        info!(instance = %id, ?operation, ?outcome, "instance operated");
+        info!(instance = %id, ?operation, ?outcome, "operation on instance ended");
         if outcome == OperationOutcome::Taken
             && let Some(id) = self.instances.endpoint_before(id)
             && self.endpoints.get(&id).is_some_and(|e| e.runs.is_empty())
@@ -106,52 +108,56 @@
             .operation_ended(id, wave, outcome, self.now.steady)
         {
             Ok(record) => self.extra_records.extend(record),
-            Err(error) => warn!(%error, "maintenance can't be recorded"),
+            Err(error) => warn!(%error, "failed to encode maintenance record"),
         }
     }
 
-    /// The least time from one list of instances to the next, by what they take of the link.
-    fn list_gap(&self) -> Duration {
+    /// Minimum time between two reads of the list of instances, by its share of the link's
+    /// bandwidth.
+    fn min_list_interval(&self) -> Duration {
         let count = u32::try_from(self.instances.list().len()).unwrap_or(u32::MAX);
-        let bytes = f64::from(count) * LISTED_BYTES;
-        let rate = self.settings.link_bytes_per_s.unwrap_or(f64::INFINITY) * LIST_SHARE;
-        Duration::try_from_secs_f64(bytes / rate).unwrap_or(LIST_EVERY_IDLE)
+        let bytes = f64::from(count) * INSTANCE_ENTRY_BYTES;
+        let rate = self.settings.link_bytes_per_s.unwrap_or(f64::INFINITY) * LIST_BANDWIDTH_SHARE;
+        Duration::try_from_secs_f64(bytes / rate).unwrap_or(LIST_INTERVAL_IDLE)
     }
 
-    /// Reserves instances, takes empty ones down, and tells how waves are.
-    pub(super) fn tend_instances(&mut self) {
+    /// Advances waves and autoscaling: requests the list of instances when it is due, reports the
+    /// status of waves, orders operations on empty instances, and reserves those to be emptied.
+    pub(super) fn manage_instances(&mut self) {
         let now = self.now.steady;
         let is_busy = self.instances.has_open_wave() || self.instances.has_under_way();
         let every = if self.has_silent() {
-            LIST_EVERY_SILENT
+            LIST_INTERVAL_SILENT
         } else if is_busy {
-            LIST_EVERY_BUSY
+            LIST_INTERVAL_BUSY
         } else {
-            LIST_EVERY_IDLE
+            LIST_INTERVAL_IDLE
         };
-        let every = every.max(self.list_gap());
+        let every = every.max(self.min_list_interval());
         if self.instances.wants_list(now, every) {
             self.outbox.push(Action::ListInstances);
         }
         self.instances.forget_unanswered(now);
-        self.tell_waves();
+        self.report_waves();
         let remaining = self.instances.remaining();
         let mut reserved = BTreeSet::new();
         for wave in remaining {
-            self.tend_wave(&wave, &mut reserved);
+            self.advance_wave(&wave, &mut reserved);
         }
         let is_due = self.instances.due_for_maintenance();
-        reserved.extend(self.follow_demand(&is_due));
-        // Until an operation shows, its endpoint looks free: a start would meet its end.
+        reserved.extend(self.autoscale(&is_due));
+        // An endpoint whose instance is being operated on may still appear free in the lists; a
+        // start on it would be lost.
         reserved.extend(self.instances.endpoints_under_way());
         let due: BTreeSet<_> = is_due
             .iter()
             .filter_map(|id| self.endpoint_on(id))
             .collect();
-        self.mark(&reserved, &due);
+        self.mark_endpoints(&reserved, &due);
     }
 
-    fn mark(&mut self, reserved: &BTreeSet<EndpointId>, due: &BTreeSet<EndpointId>) {
+    /// Sets which endpoints are reserved, and which are due for maintenance.
+    fn mark_endpoints(&mut self, reserved: &BTreeSet<EndpointId>, due: &BTreeSet<EndpointId>) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.is_reserved = false;
             endpoint.is_maintenance_due = false;
@@ -168,49 +174,51 @@
         }
     }
 
-    /// Whether an instance is up and surely runs nothing. Before the list of instances was read, or
-    /// while its endpoint isn't known, nothing is sure.
+    /// Whether an instance is up and certainly runs nothing. False before the list of instances was
+    /// read, and while the instance's endpoint isn't known.
     pub(super) fn is_known_empty(&self, id: &InstanceId) -> bool {
         let instance = self.instances.list().get(id);
         let instance = instance.filter(|i| i.state == InstanceState::Up);
         let Some(instance) = instance else {
             return false;
         };
-        if !self.is_past_holder_gap(instance) {
+        if !self.is_operation_gap_over(instance) {
             return false;
         }
         match &instance.endpoint {
             Some(id) => self.endpoints.get(id).is_some_and(|e| e.runs.is_empty()),
-            None => self.is_off(&instance.pool),
+            None => self.is_switched_off(&instance.pool),
         }
     }
 
-    /// Whether a pool's instances are switched off, so that no endpoint lives on them.
-    pub(super) fn is_off(&self, pool: &ServiceName) -> bool {
+    /// Whether a pool is a spare pool, whose instances are switched off and run no endpoints.
+    pub(super) fn is_switched_off(&self, pool: &ServiceName) -> bool {
         let services = self.cfg.as_ref().map(|c| &c.services);
         services.is_some_and(|s| s.get(pool).is_some_and(|s| s.is_spare))
     }
 
+    /// The endpoint that runs on an instance, if the list shows one.
     pub(super) fn endpoint_on(&self, id: &InstanceId) -> Option<EndpointId> {
         self.instances.list().get(id)?.endpoint.clone()
     }
 
-    /// Takes in that the former leader's process has ended, so that nothing of it comes any more.
-    pub fn former_is_gone(&mut self) {
-        info!(epoch = self.epoch, "former leader is gone");
-        self.operates_from = self.operates_from.min(self.now.steady);
+    /// Handles that the former leader's process has ended, so that it sends no more operations.
+    pub fn former_leader_ended(&mut self) {
+        info!(epoch = self.epoch, "former leader's process has ended");
+        self.operations_allowed_from = self.operations_allowed_from.min(self.now.steady);
     }
 
-    /// Whether the former leader surely sends no more orders for instances.
+    /// Whether the former leader certainly sends no more operations on instances.
     pub(super) fn may_operate(&self) -> bool {
-        self.now.steady >= self.operates_from
+        self.now.steady >= self.operations_allowed_from
     }
 
-    /// Decides an operation on an instance, if the platform takes one more now: it is recorded first
-    /// and ordered after, so that a leader that takes over knows which instances to leave alone.
+    /// Decides an operation on an instance, if the platform's rate limit allows one now; returns
+    /// whether it does. The operation is sent once its record is durable, so that a leader that
+    /// takes over knows which instances not to operate on.
     pub(super) fn operate(&mut self, id: &InstanceId, operation: Operation) -> bool {
         let now = self.now.steady;
-        if !self.operations.try_acquire(now) {
+        if !self.operation_limiter.try_acquire(now) {
             return false;
         }
         info!(instance = %id, ?operation, period_ms = self.demand.period().map(|p| p.as_millis()),
@@ -222,9 +230,9 @@
         self.instances.operation_started(id, now, to);
         match instances::operation_record(id, self.fleet_ms()) {
             Ok(record) => self.extra_records.push(record),
-            Err(error) => warn!(%error, "operation can't be recorded"),
+            Err(error) => warn!(%error, "failed to encode operation record"),
         }
-        self.gated.push(Action::Operate {
+        self.after_commit.push(Action::Operate {
             instance: id.clone(),
             operation,
             at: now,
@@ -232,26 +240,31 @@
         true
     }
 
-    /// Whether a former leader's last order for this instance lies far enough back.
+    /// Whether the former leader's last operation on this instance is at least `operation_gap` ago.
     ///
-    /// Whatever it ordered ended the endpoint that lived there, so that an endpoint which is older
-    /// than the gap shows that there was none since. So does the record of its last order, in the
-    /// fleet's time.
-    fn is_past_holder_gap(&self, instance: &Instance) -> bool {
+    /// Every operation ends the endpoint on the instance, so an endpoint that is older than the gap
+    /// proves that there was none within it. So does the record of the last operation, which holds
+    /// its time in the fleet's time.
+    fn is_operation_gap_over(&self, instance: &Instance) -> bool {
         let now = self.now.steady;
-        if now >= self.began + self.settings.holder_gap + self.settings.former_holder {
+        if now
+            >= self.leader_since + self.settings.operation_gap + self.settings.former_leader_timeout
+        {
             return true;
         }
-        let is_listed_since = self.instances.listed_at().is_some_and(|at| at > self.began);
+        let is_listed_since = self
+            .instances
+            .listed_at()
+            .is_some_and(|at| at > self.leader_since);
         let endpoint = instance.endpoint.as_ref();
         let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
         let age = endpoint.and_then(|e| e.clock_at_least(now));
-        let is_old = age.is_some_and(|age| age > self.settings.holder_gap);
-        let quiet = self.settings.holder_gap + FLEET_TIME_APART;
+        let is_old = age.is_some_and(|age| age > self.settings.operation_gap);
+        let quiet = self.settings.operation_gap + MAX_FLEET_TIME_DIFFERENCE;
         let quiet_ms = u64::try_from(quiet.as_millis()).unwrap_or(u64::MAX);
         let ordered_ms = self.instances.former_order_ms(&instance.id);
         let known_ms = self.settings.fleet_ms.or(self.settings.fleet_ms_at_least);
-        let since = u64::try_from(now.saturating_sub(self.began).as_millis()).unwrap_or(0);
+        let since = u64::try_from(now.saturating_sub(self.leader_since).as_millis()).unwrap_or(0);
         let now_ms = known_ms.map(|known| known + since);
         let is_over = |at: u64| now_ms.is_some_and(|now| now >= at.saturating_add(quiet_ms));
         let is_quiet = ordered_ms.is_none_or(is_over);
--- a/crates/pomelohitch-sched/src/cell/orders.rs
+++ b/crates/pomelohitch-sched/src/cell/orders.rs
@@ -1,4 +1,4 @@
-//! How orders to endpoints ended.
+//! Results of orders to endpoints.
 
 use std::time::Duration;
 
@@ -10,17 +10,17 @@
 use crate::order::{Order, Outcome, Refusal, Target};
 use crate::progress::{Backoff, Phase};
 
-/// An endpoint that says it is unwell gets no work for so long.
-const UNWELL_AVOIDED: Duration = Duration::from_millis(1500);
-/// An endpoint that had no room, or wasn't there, gets no work for so long, by which time it was
-/// looked at again.
-const BRIEF_AVOIDED: Duration = Duration::from_millis(300);
+/// Time for which an endpoint that reports itself unhealthy gets no new tasks.
+const UNHEALTHY_AVOID_TIME: Duration = Duration::from_millis(1500);
+/// Time for which an endpoint that had no capacity, or wasn't at its address, gets no new tasks. It
+/// is polled again within this time.
+const REFUSED_AVOID_TIME: Duration = Duration::from_millis(300);
 
 impl Cell {
-    /// Takes in how an order ended.
+    /// Handles the result of an order.
     pub fn ordered(&mut self, target: &Target, order: &Order, outcome: &Outcome) {
         if *outcome == Outcome::Refused(Refusal::Fenced) {
-            warn!(endpoint = %target.id, ?order, "order fenced");
+            warn!(endpoint = %target.id, ?order, "order rejected: endpoint knows a newer leader");
             self.is_fenced = true;
         }
         if is_answer(outcome)
@@ -29,13 +29,14 @@
             endpoint.is_unresponsive = false;
         }
         match order {
-            Order::Start { task, run, .. } => self.started(target, *task, *run, outcome),
-            Order::Stop { task, run } => self.stopped(target, *task, *run, outcome),
+            Order::Start { task, run, .. } => self.start_result(target, *task, *run, outcome),
+            Order::Stop { task, run } => self.stop_result(target, *task, *run, outcome),
             Order::Pace { .. } => {}
         }
     }
 
-    fn started(&mut self, target: &Target, task: TaskId, run: RunNumber, outcome: &Outcome) {
+    /// Handles the result of a start.
+    fn start_result(&mut self, target: &Target, task: TaskId, run: RunNumber, outcome: &Outcome) {
         let now = self.now.steady;
         let sent_at = self.run(task, run).and_then(|r| r.view.sent_at);
         match sent_at {
@@ -66,24 +67,24 @@
             Outcome::Refused(refusal) => {
                 info!(%task, run, endpoint = %target.id, ?refusal, "start refused");
                 let avoid = match refusal {
-                    Refusal::Unwell => UNWELL_AVOIDED,
-                    Refusal::Room | Refusal::Elsewhere => BRIEF_AVOIDED,
+                    Refusal::Unwell => UNHEALTHY_AVOID_TIME,
+                    Refusal::Room | Refusal::Elsewhere => REFUSED_AVOID_TIME,
                     _ => Duration::ZERO,
                 };
                 self.avoid(&target.id, avoid);
                 if *refusal == Refusal::Ticket {
                     self.advice.remove(&TaskId { index: 0, ..task });
                 }
-                if is_of_task(*refusal) {
+                if is_task_specific(*refusal) {
                     self.back_off(task);
                 }
-                self.run_gone(task, run, LossCause::NotStarted, "its start was refused");
+                self.run_missing(task, run, LossCause::NotStarted, "its start was refused");
             }
         }
-        self.hurry_look(&target.id);
+        self.poll_soon(&target.id);
     }
 
-    /// Lets a task wait whose start was refused for a reason of its own.
+    /// Delays the next start of a task whose start was refused for a reason specific to the task.
     fn back_off(&mut self, task: TaskId) {
         let now = self.now.steady;
         if let Some(t) = self.task_mut(task) {
@@ -91,17 +92,18 @@
         }
     }
 
-    fn stopped(&mut self, target: &Target, task: TaskId, run: RunNumber, outcome: &Outcome) {
+    /// Handles the result of a stop.
+    fn stop_result(&mut self, target: &Target, task: TaskId, run: RunNumber, outcome: &Outcome) {
         let now = self.now.steady;
         if let Some(r) = self.run_mut(task, run)
             && *outcome == Outcome::Taken
         {
             r.view.stop_acked_at = Some(now);
         }
-        self.hurry_look(&target.id);
+        self.poll_soon(&target.id);
     }
 
-    /// Gives an endpoint no work for a while.
+    /// Starts no tasks on an endpoint for at least this long from now.
     pub(super) fn avoid(&mut self, id: &EndpointId, time: Duration) {
         let until = self.now.steady + time;
         if let Some(endpoint) = self.endpoints.get_mut(id) {
@@ -110,13 +112,13 @@
     }
 }
 
-/// Whether a start was refused for a reason that other tasks don't have, and that stays. One that came
-/// late doesn't: the leader or its link is slow then, for all tasks.
-fn is_of_task(refusal: Refusal) -> bool {
+/// Whether a start was refused for a lasting reason that is specific to its task. A start that came
+/// too late wasn't: then the leader or its link is slow, which concerns all tasks.
+fn is_task_specific(refusal: Refusal) -> bool {
     matches!(refusal, Refusal::Malformed | Refusal::OldRun)
 }
 
-/// Whether the endpoint itself has said how an order ended.
+/// Whether the result is an answer of the endpoint itself.
 fn is_answer(outcome: &Outcome) -> bool {
     !matches!(
         outcome,
