--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -4,7 +4,7 @@
 //! * [`journal`]: appends records to the store.
 //! * [`in_flight`]: batches whose records aren't durable yet.
 //! * [`append_timeout`]: timeout of an append.
-//! * [`lanes`]: sends calls to endpoints, directly or through other members.
+//! * [`dispatcher`]: sends calls to endpoints, directly or through other members.
 //! * [`watch`]: reads the records that operators and endpoints write to the store.
 //! * [`platform_calls`]: calls to the platform's instances and policy services, and wave status.
 //! * [`heartbeats`]: announces the leader to the other members.
@@ -30,11 +30,11 @@
 
 pub mod append_timeout;
 pub mod core;
+pub mod dispatcher;
 pub mod handover;
 pub mod heartbeats;
 pub mod in_flight;
 pub mod journal;
-pub mod lanes;
 pub mod platform_calls;
 pub mod watch;
 
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -22,9 +22,9 @@
 use super::super::peers;
 use super::super::shared::{Shared, spawn_with};
 use super::super::wire::{self, Claim, Leader, ProbeReply};
+use super::dispatcher::{self, Dispatcher};
 use super::in_flight::InFlight;
 use super::journal::{self, Journal, Sequence};
-use super::lanes::{self, Lanes};
 use super::platform_calls::PlatformCalls;
 use super::{handover, heartbeats, watch};
 
@@ -78,7 +78,7 @@
     /// All records that operators had written by this time were read.
     OperatorsReadUpTo(Steady),
     /// A poll of an endpoint succeeded or failed.
-    Looked(Target, Result<PollReply, PollFailure>),
+    Polled(Target, Result<PollReply, PollFailure>),
     /// An order to an endpoint has an outcome.
     Ordered(Target, Order, Outcome),
     /// The list of instances was read, or could not be (`None`), by a request sent at this time.
@@ -145,7 +145,7 @@
     pub(super) cell: Cell,
     pub(super) epoch: Epoch,
     pub(super) tx: Sender<Event>,
-    lanes: Lanes,
+    dispatcher: Dispatcher,
     journal: Journal,
     platform_calls: PlatformCalls,
     pending_calls: HashMap<CallId, SyncSender<Answer>>,
@@ -173,10 +173,10 @@
         Ok((
             journal,
             platform_calls,
-            Lanes::start(tx.clone(), relay_options(shared, epoch))?,
+            Dispatcher::start(tx.clone(), relay_options(shared, epoch))?,
         ))
     });
-    let (journal, platform_calls, lanes) = match started {
+    let (journal, platform_calls, dispatcher) = match started {
         Ok(started) => started,
         Err(error) => {
             error!(%error, "failed to start the leader's threads");
@@ -188,7 +188,7 @@
         shared,
         cell: initial.cell,
         epoch,
-        lanes,
+        dispatcher,
         tx,
         journal,
         platform_calls,
@@ -218,10 +218,10 @@
 }
 
 /// Options for relaying calls to endpoints through the other members.
-fn relay_options(shared: &Arc<Shared>, epoch: Epoch) -> lanes::Options {
+fn relay_options(shared: &Arc<Shared>, epoch: Epoch) -> dispatcher::Options {
     let site = shared.site.load();
     let (shared, port) = (shared.clone(), site.relay.port());
-    lanes::Options {
+    dispatcher::Options {
         epoch,
         members: Some(Box::new(move || {
             let peers = shared.peers().into_iter();
@@ -273,7 +273,7 @@
             self.check_store();
             self.check_larger_members();
             self.check_former_leader();
-            self.lanes.sync(self.cell.endpoints());
+            self.dispatcher.sync(self.cell.endpoints());
         }
     }
 
@@ -302,7 +302,7 @@
             Event::EndpointsReloaded(reports) => self.replace_endpoints(reports),
             Event::EndpointsReadUpTo(read_up_to) => self.cell.endpoints_read(read_up_to),
             Event::OperatorsReadUpTo(read_up_to) => self.cell.operators_read(read_up_to),
-            Event::Looked(target, look) => self.cell.polled(&target, look),
+            Event::Polled(target, reply) => self.cell.polled(&target, reply),
             Event::Ordered(target, order, outcome) => self.cell.ordered(&target, &order, &outcome),
             Event::Instances(Some(list), asked_at) => self.cell.instances_listed(list, asked_at),
             Event::Instances(None, _) => self.cell.instances_unlisted(),
@@ -385,8 +385,8 @@
                     order,
                     epoch,
                     at,
-                } => self.lanes.order(target, order, epoch, at),
-                Action::Poll(look) => self.lanes.look(look),
+                } => self.dispatcher.order(target, order, epoch, at),
+                Action::Poll(poll) => self.dispatcher.poll(poll),
                 Action::ListInstances => self.platform_calls.list_instances(),
                 Action::Operate {
                     instance,
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/dispatcher.rs
@@ -61,7 +61,7 @@
 
 /// Queue to the thread that makes the calls. The thread ends when this is dropped.
 #[derive(Debug)]
-pub struct Lanes {
+pub struct Dispatcher {
     commands: UnboundedSender<Command>,
     known: HashSet<EndpointId>,
     /// Number of endpoints at the last count.
@@ -69,12 +69,12 @@
     events: Sender<Event>,
 }
 
-impl Lanes {
+impl Dispatcher {
     /// Starts the thread that makes the calls; their outcomes are sent as events.
     ///
     /// # Errors
     /// If the thread or its I/O driver can't be started.
-    pub fn start(events: Sender<Event>, options: Options) -> std::io::Result<Lanes> {
+    pub fn start(events: Sender<Event>, options: Options) -> std::io::Result<Dispatcher> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_io()
             .enable_time()
@@ -84,7 +84,7 @@
         spawn("endpoints", move || {
             LocalSet::new().block_on(&runtime, run(rx, outcomes, options));
         })?;
-        Ok(Lanes {
+        Ok(Dispatcher {
             commands,
             known: HashSet::new(),
             counted_endpoints: 0,
@@ -113,13 +113,13 @@
     }
 
     /// Polls an endpoint.
-    pub fn look(&mut self, look: PollOrder) {
-        self.known.insert(look.target.id.clone());
+    pub fn poll(&mut self, poll: PollOrder) {
+        self.known.insert(poll.target.id.clone());
         if let Err(mpsc::error::SendError(Command::Poll(unsent))) =
-            self.commands.send(Command::Poll(look))
+            self.commands.send(Command::Poll(poll))
         {
             let failed = Err(PollFailure::Failed);
-            let _ = self.events.send(Event::Looked(unsent.target, failed));
+            let _ = self.events.send(Event::Polled(unsent.target, failed));
         }
     }
 
@@ -163,7 +163,7 @@
         router.update_layout();
         match command {
             Command::Order(sending) => router.order(sending),
-            Command::Poll(look) => router.look(look),
+            Command::Poll(poll) => router.poll(poll),
             Command::Forget(id) => router.forget(&id),
             Command::Targets(targets) => router.targets = targets,
         }
@@ -262,19 +262,19 @@
         });
     }
 
-    fn look(&mut self, look: PollOrder) {
-        let look = match self.link(&look.target) {
-            Some(link) => link.poll(look),
-            None => Some(look),
+    fn poll(&mut self, poll: PollOrder) {
+        let poll = match self.link(&poll.target) {
+            Some(link) => link.poll(poll),
+            None => Some(poll),
         };
-        let Some(look) = look else {
+        let Some(poll) = poll else {
             return;
         };
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
-            let looked = calls.poll(&look).await;
+            let polled = calls.poll(&poll).await;
             // Fails only if the leadership has ended.
-            let _ = events.send(Event::Looked(look.target, looked));
+            let _ = events.send(Event::Polled(poll.target, polled));
         });
     }
 
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -301,12 +301,12 @@
                     answered_at: now,
                     ..answer
                 });
-                self.emit(Event::Looked(order.target, answer));
+                self.emit(Event::Polled(order.target, answer));
             }
             Reply::Polled(_, Err(failure)) => {
                 self.expired_polls.borrow_mut().remove(&number);
                 if let Some(Call::Poll(order)) = in_flight.map(|c| c.call) {
-                    self.emit(Event::Looked(order.target, Err(failure)));
+                    self.emit(Event::Polled(order.target, Err(failure)));
                 }
             }
         }
@@ -372,7 +372,7 @@
             Call::Order(OutgoingOrder { target, order, .. }) => {
                 Event::Ordered(target, order, Outcome::Unanswered)
             }
-            Call::Poll(poll) => Event::Looked(poll.target, Err(PollFailure::Failed)),
+            Call::Poll(poll) => Event::Polled(poll.target, Err(PollFailure::Failed)),
         });
     }
 
--- a/pomelohitchd/tests/fleet.rs
+++ b/pomelohitchd/tests/fleet.rs
@@ -2,12 +2,12 @@
 
 #[path = "fleet/callers.rs"]
 mod callers;
+#[path = "fleet/dispatcher.rs"]
+mod dispatcher;
 #[path = "fleet/in_flight.rs"]
 mod in_flight;
 #[path = "fleet/journal.rs"]
 mod journal;
-#[path = "fleet/lanes.rs"]
-mod lanes;
 #[path = "fleet/leaders.rs"]
 mod leaders;
 #[path = "fleet/outages.rs"]
--- a/pomelohitchd/tests/fleet/lanes.rs
+++ b/pomelohitchd/tests/fleet/dispatcher.rs
@@ -10,7 +10,7 @@
 use pomelohitch_sched::order::{Order, Outcome, Target};
 use pomelohitchd::fleet::clock;
 use pomelohitchd::fleet::leader::core::Event;
-use pomelohitchd::fleet::leader::lanes::{Lanes, Options};
+use pomelohitchd::fleet::leader::dispatcher::{Dispatcher, Options};
 
 const ACCEPTED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clock_ms\":1}";
 
@@ -68,7 +68,7 @@
 
 fn send(runs: std::ops::RangeInclusive<RunNumber>, addr: SocketAddr) -> Vec<(RunNumber, Outcome)> {
     let (tx, rx) = mpsc::channel();
-    let mut lanes = Lanes::start(tx, Options::default()).expect("the thread starts");
+    let mut dispatcher = Dispatcher::start(tx, Options::default()).expect("the thread starts");
     let target = Target {
         id: Arc::from("e1"),
         born: 1,
@@ -77,7 +77,7 @@
     };
     let count = runs.clone().count();
     for run in runs {
-        lanes.order(target.clone(), stop(run), 1, clock::steady());
+        dispatcher.order(target.clone(), stop(run), 1, clock::steady());
     }
     outcomes(&rx, count)
 }
--- a/pomelohitchd/tests/fleet/relays.rs
+++ b/pomelohitchd/tests/fleet/relays.rs
@@ -14,7 +14,7 @@
 use pomelohitch_sched::{Resources, TaskId};
 use pomelohitchd::fleet::clock;
 use pomelohitchd::fleet::leader::core::Event;
-use pomelohitchd::fleet::leader::lanes::{Lanes, Options};
+use pomelohitchd::fleet::leader::dispatcher::{Dispatcher, Options};
 use pomelohitchd::fleet::relay::listing::Listing;
 use pomelohitchd::fleet::relay::message::{Hello, Instruction, Replies, Reply, Request, Requests};
 use pomelohitchd::fleet::relay::server::{self, DelayEstimator};
@@ -32,16 +32,16 @@
     addr
 }
 
-fn lanes(members: Vec<SocketAddr>) -> (Lanes, Receiver<Event>) {
+fn dispatcher(members: Vec<SocketAddr>) -> (Dispatcher, Receiver<Event>) {
     let (tx, rx) = mpsc::channel();
     let options = Options {
         epoch: 1,
         members: Some(Box::new(move || members.clone())),
         link_bytes_per_s: Some(SLOW_LINK_BYTES_PER_S),
     };
-    let mut lanes = Lanes::start(tx, options).expect("a thread can be started");
-    lanes.sync(&[("e1".into(), endpoint())].into());
-    (lanes, rx)
+    let mut dispatcher = Dispatcher::start(tx, options).expect("a thread can be started");
+    dispatcher.sync(&[("e1".into(), endpoint())].into());
+    (dispatcher, rx)
 }
 
 /// The endpoint that is called, as the scheduler knows it.
@@ -103,11 +103,11 @@
 }
 
 fn poll(
-    lanes: &mut Lanes,
+    dispatcher: &mut Dispatcher,
     rx: &Receiver<Event>,
     addr: SocketAddr,
 ) -> Result<PollReply, PollFailure> {
-    lanes.look(PollOrder {
+    dispatcher.poll(PollOrder {
         target: target(addr),
         epoch: 1,
         noted: 0,
@@ -115,16 +115,16 @@
         wait: Duration::ZERO,
     });
     match rx.recv_timeout(Duration::from_secs(5)) {
-        Ok(Event::Looked(_, look)) => look,
+        Ok(Event::Polled(_, look)) => look,
         other => panic!("{other:?}"),
     }
 }
 
 /// Polls until a poll is relayed, i.e. reaches the endpoint from another connection than the
 /// leader's own.
-fn poll_until_relayed(lanes: &mut Lanes, rx: &Receiver<Event>, endpoint: &Recorder) {
+fn poll_until_relayed(dispatcher: &mut Dispatcher, rx: &Receiver<Event>, endpoint: &Recorder) {
     for _ in 0..100 {
-        let _ = poll(lanes, rx, endpoint.addr);
+        let _ = poll(dispatcher, rx, endpoint.addr);
         if endpoint.peers() > 1 {
             return;
         }
@@ -136,10 +136,10 @@
 #[test]
 fn a_relayed_start_arrives_complete() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![start_relay()]);
-    poll_until_relayed(&mut lanes, &rx, &endpoint);
+    let (mut dispatcher, rx) = dispatcher(vec![start_relay()]);
+    poll_until_relayed(&mut dispatcher, &rx, &endpoint);
     for index in 0..3 {
-        lanes.order(target(endpoint.addr), start(index), 1, clock::steady());
+        dispatcher.order(target(endpoint.addr), start(index), 1, clock::steady());
         assert_eq!(outcome(&rx), Outcome::Taken);
     }
     let starts = endpoint.starts();
@@ -158,10 +158,10 @@
 #[test]
 fn relayed_polls_list_running_tasks() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![start_relay()]);
-    poll_until_relayed(&mut lanes, &rx, &endpoint);
+    let (mut dispatcher, rx) = dispatcher(vec![start_relay()]);
+    poll_until_relayed(&mut dispatcher, &rx, &endpoint);
     for _ in 0..3 {
-        let look = poll(&mut lanes, &rx, endpoint.addr).expect("the endpoint answers");
+        let look = poll(&mut dispatcher, &rx, endpoint.addr).expect("the endpoint answers");
         assert_eq!(look.running.len(), 1);
         assert!(look.sent_at <= look.answered_at);
     }
@@ -172,9 +172,9 @@
 #[test]
 fn calls_are_direct_if_no_member_relays_them() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![site::nowhere()]);
+    let (mut dispatcher, rx) = dispatcher(vec![site::nowhere()]);
     for index in 0..4 {
-        lanes.order(target(endpoint.addr), start(index), 1, clock::steady());
+        dispatcher.order(target(endpoint.addr), start(index), 1, clock::steady());
         assert_eq!(outcome(&rx), Outcome::Taken);
         std::thread::sleep(Duration::from_millis(30));
     }
@@ -293,12 +293,12 @@
 #[test]
 fn polls_succeed_after_one_that_was_answered_late() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![late_relay()]);
-    while poll(&mut lanes, &rx, endpoint.addr).is_ok() {}
+    let (mut dispatcher, rx) = dispatcher(vec![late_relay()]);
+    while poll(&mut dispatcher, &rx, endpoint.addr).is_ok() {}
     let mut answered = 0;
     for _ in 0..3 {
         std::thread::sleep(Duration::from_millis(300));
-        answered += usize::from(poll(&mut lanes, &rx, endpoint.addr).is_ok());
+        answered += usize::from(poll(&mut dispatcher, &rx, endpoint.addr).is_ok());
     }
     assert!(answered >= 2, "{answered}");
 }
