--- a/pomelohitchd/src/fleet/members.rs
+++ b/pomelohitchd/src/fleet/members.rs
@@ -1,4 +1,4 @@
-//! Follows the members and their leader in the store.
+//! Reads the topic of members, which also names their leader, and registers this member in it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use super::shared::Shared;
 use super::wire::{self, Leader, LivenessRecord, Member};
 
-/// A read waits so long for news. Shorter, and every member reads more often; longer, and a
-/// connection that went silent is noticed later.
-const WAIT: Duration = Duration::from_secs(2);
-/// Time for the own record to be written.
-const REGISTER_WITHIN: Duration = Duration::from_secs(1);
-/// Pause after a call that failed.
-const AGAIN_AFTER: Duration = Duration::from_millis(250);
+/// Time for which a read waits for new records. If shorter, every member reads more often; if
+/// longer, a dead connection is noticed later.
+const READ_WAIT: Duration = Duration::from_secs(2);
+/// Timeout of the append of this member's record.
+const REGISTER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay after a failed read.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Follows the topic of members until the process shuts down.
+/// Reads the topic of members until the process shuts down.
 pub fn run(shared: &Arc<Shared>) {
     let store = shared.store();
     let mut is_reachable = true;
@@ -27,12 +27,12 @@
     while !shared.is_leaving() {
         let outcome = match from {
             None => read_all(shared, &store),
-            Some(from) => read_on(shared, &store, from),
+            Some(from) => read_next(shared, &store, from),
         };
         match outcome {
             Ok(next) => {
                 if !is_reachable {
-                    info!("store regained");
+                    info!("store available again");
                 }
                 is_reachable = true;
                 from = next;
@@ -40,22 +40,22 @@
             }
             Err(error) => {
                 if is_reachable {
-                    warn!(%error, "store lost");
+                    warn!(%error, "store unavailable");
                 }
                 is_reachable = false;
-                std::thread::sleep(AGAIN_AFTER);
+                std::thread::sleep(RETRY_DELAY);
             }
         }
     }
 }
 
-type Outcome = Result<Option<u64>, pomelohitch_adapter::Error>;
+type ReadResult = Result<Option<u64>, pomelohitch_adapter::Error>;
 
-/// Reads every member's newest record.
+/// Reads the newest record of every key.
 ///
 /// # Errors
-/// If the store cannot be reached, refuses or answers unreadably.
-pub fn read_all(shared: &Shared, store: &Store) -> Outcome {
+/// If the store can't be reached, refuses, or its answer can't be decoded.
+pub fn read_all(shared: &Shared, store: &Store) -> ReadResult {
     let newest = store.newest(Topic::Members)?;
     shared.update(|view| {
         view.members.clear();
@@ -64,13 +64,13 @@
         view.is_loaded = true;
     });
     for (key, value) in &newest.records {
-        take(shared, key, Some(value), false);
+        apply_record(shared, key, Some(value), false);
     }
     Ok(Some(newest.end))
 }
 
-fn read_on(shared: &Shared, store: &Store, from: u64) -> Outcome {
-    match store.read(Topic::Members, from, WAIT)? {
+fn read_next(shared: &Shared, store: &Store, from: u64) -> ReadResult {
+    match store.read(Topic::Members, from, READ_WAIT)? {
         Read::Dropped => Ok(None),
         Read::Records { records, next } => {
             shared.update(|view| {
@@ -78,15 +78,16 @@
                 view.members_end = next;
             });
             for Record { key, value } in &records {
-                take(shared, key, value.as_deref(), true);
+                apply_record(shared, key, value.as_deref(), true);
             }
             Ok(Some(next))
         }
     }
 }
 
-/// Takes in one record, which may be old unless it `is_news`. One that can't be read names nobody.
-fn take(shared: &Shared, key: &str, value: Option<&[u8]>, is_news: bool) {
+/// Applies one record to the view; it may be old unless `is_new`. A member whose record can't be
+/// decoded is removed.
+fn apply_record(shared: &Shared, key: &str, value: Option<&[u8]>, is_new: bool) {
     if let Some(name) = wire::member_name(key) {
         let member = value.and_then(|v| postcard::from_bytes::<Member>(v).ok());
         shared.update(|view| match member {
@@ -99,12 +100,12 @@
         });
     } else if key == wire::LEADER_KEY {
         if let Some(leader) = value.and_then(|v| postcard::from_bytes::<Leader>(v).ok()) {
-            shared.observe_leader(&leader, is_news);
+            shared.observe_leader(&leader, is_new);
         }
     } else if key == wire::LIVENESS_KEY
         && let Some(alive) = value.and_then(|v| postcard::from_bytes::<LivenessRecord>(v).ok())
     {
-        if is_news {
+        if is_new {
             shared.update_fleet_ms(alive.epoch, alive.fleet_ms);
         } else {
             shared.update_min_fleet_ms(alive.epoch, alive.fleet_ms);
@@ -117,7 +118,7 @@
     }
 }
 
-/// Writes the own record if it isn't there as it should be.
+/// Writes this member's record unless it is already in the store.
 fn register(shared: &Shared, store: &Store) {
     let site = shared.site.load();
     let member = Member {
@@ -129,7 +130,7 @@
         return;
     }
     let record = progress::encode(wire::member_key(&site.member), &member);
-    let written = record.map(|r| store.append(Topic::Members, &[r], Guard::Free, REGISTER_WITHIN));
+    let written = record.map(|r| store.append(Topic::Members, &[r], Guard::Free, REGISTER_TIMEOUT));
     match written {
         Ok(Ok(_)) => info!(member = %site.member, addr = %site.internal, "member registered"),
         Ok(Err(error)) => warn!(%error, "member not registered"),
