--- a/crates/pomelohitch-sched/src/cell/commits.rs
+++ b/crates/pomelohitch-sched/src/cell/commits.rs
@@ -1,4 +1,4 @@
-//! What may be carried out once its records are durable.
+//! Releases actions once their records are durable.
 
 use std::collections::BTreeSet;
 
@@ -8,15 +8,15 @@
 use crate::order::{Action, Order, Outcome, Refusal};
 
 impl Cell {
-    /// Takes in that `batch` is durable, and returns what may be carried out now.
+    /// Handles that `batch` is durable, and returns those of its actions that are still valid.
     pub fn committed(&mut self, batch: Batch) -> Vec<Action> {
-        for (id, state) in batch.shown {
+        for (id, state) in batch.job_states {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.shown = job.shown.max(state);
+                job.durable_state = job.durable_state.max(state);
             }
         }
-        let gap = self.look_gap();
-        for (id, born, noted) in batch.noted {
+        let gap = self.poll_interval();
+        for (id, born, noted) in batch.last_ends {
             if let Some(endpoint) = self.endpoints.get_mut(&id)
                 && endpoint.born == born
             {
@@ -28,35 +28,36 @@
         }
         let mut actions = batch.actions;
         for action in &mut actions {
-            self.decide_again(action);
+            self.renew_start(action);
         }
-        let gangs = self.void_gangs(&actions);
+        let gangs = self.gangs_with_void_start(&actions);
         let mut due = Vec::new();
         for mut action in actions {
-            let is_void = is_of(&action, &gangs) || self.is_void(&action);
-            if !is_void && self.limit_start(&mut action) {
-                self.note_stop(&action);
+            let is_void = is_member_of(&action, &gangs) || self.is_void(&action);
+            if !is_void && self.set_start_deadline(&mut action) {
+                self.record_stop_sent(&action);
                 due.push(action);
             } else {
-                self.drop_action(action);
+                self.revert_action(action);
             }
         }
         due
     }
 
-    /// Gangs of which some start is void, by their first tasks. The other members would wait for it in
-    /// vain.
-    fn void_gangs(&self, actions: &[Action]) -> BTreeSet<TaskId> {
+    /// Gangs of which at least one start is void, by their first tasks. The other members aren't
+    /// started either, since they would wait for the missing one until they time out.
+    fn gangs_with_void_start(&self, actions: &[Action]) -> BTreeSet<TaskId> {
         let starts = actions.iter().filter_map(|action| {
-            let task = started(action)?;
+            let task = started_task(action)?;
             let is_gang = self.step(task).is_some_and(|s| s.is_gang);
             (is_gang && self.is_void(action)).then_some(TaskId { index: 0, ..task })
         });
         starts.collect()
     }
 
-    /// Gives up what isn't carried out, so that what it took is free again.
-    fn drop_action(&mut self, action: Action) {
+    /// Reverts the effects of an action that isn't carried out, such as the capacity used by a
+    /// start.
+    fn revert_action(&mut self, action: Action) {
         match action {
             Action::Order { target, order, .. } => {
                 self.ordered(&target, &order, &Outcome::Refused(Refusal::Unsent));
@@ -66,7 +67,8 @@
         }
     }
 
-    fn note_stop(&mut self, action: &Action) {
+    /// Records the time at which a stop is sent.
+    fn record_stop_sent(&mut self, action: &Action) {
         let now = self.now.steady;
         if let Action::Order {
             order: Order::Stop { task, run },
@@ -78,9 +80,9 @@
         }
     }
 
-    /// Sets until when a start is valid. Returns whether that can be said: the endpoint may have
-    /// restarted since the start was decided.
-    fn limit_start(&mut self, action: &mut Action) -> bool {
+    /// Sets the deadline of a start by the endpoint's clock. Returns false if that clock isn't
+    /// known because the endpoint has restarted since the decision.
+    fn set_start_deadline(&mut self, action: &mut Action) -> bool {
         let Action::Order {
             target,
             order:
@@ -95,7 +97,7 @@
         else {
             return true;
         };
-        let (now, valid) = (self.now.steady, self.settings.start_valid);
+        let (now, valid) = (self.now.steady, self.settings.start_validity);
         let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
             return false;
         };
@@ -111,9 +113,9 @@
         true
     }
 
-    /// Decides a start anew that waited long for its record, if it still fits: the record stands,
-    /// and another one would have to be waited for as well.
-    fn decide_again(&self, action: &mut Action) {
+    /// Renews the decision time of a start that waited too long for its record, if its endpoint may
+    /// still run it. The record is durable now, and a new start would have to wait for another one.
+    fn renew_start(&self, action: &mut Action) {
         let now = self.now.steady;
         let Action::Order {
             target,
@@ -124,7 +126,7 @@
         else {
             return;
         };
-        let is_old = now.saturating_sub(*at) > self.settings.start_stale;
+        let is_old = now.saturating_sub(*at) > self.settings.start_send_timeout;
         let job = self.jobs.get(&task.job);
         let is_wanted = job.is_some_and(|j| !j.progress.state.is_final());
         let endpoint = self.endpoints.get(&target.id);
@@ -135,11 +137,13 @@
         }
     }
 
-    /// Whether an action waited too long for its record: a start whose task may run elsewhere by
-    /// now, whose run was given up, whose zone is evacuated, whose endpoint's room has shrunk or may
-    /// have shrunk meanwhile, or an operation on an instance that may have been given work since.
+    /// Whether an action is no longer valid. An operation is void if it waited too long for its
+    /// record, since work may have started on the instance meanwhile. A start is void if it waited
+    /// too long, its run was given up, its zone is evacuated, or the capacity of its endpoint has
+    /// shrunk or isn't known to be current.
     fn is_void(&self, action: &Action) -> bool {
-        let is_old = |at: Steady| self.now.steady.saturating_sub(at) > self.settings.start_stale;
+        let is_old =
+            |at: Steady| self.now.steady.saturating_sub(at) > self.settings.start_send_timeout;
         match action {
             Action::Order {
                 target,
@@ -152,7 +156,7 @@
                     endpoint.is_some_and(|e| self.is_evacuated(e) || e.is_overcommitted());
                 is_old(*at)
                     || is_taken_away
-                    || !self.knows_written()
+                    || !self.has_current_entries()
                     || self.run(*task, *run).is_none()
             }
             Action::Operate { at, .. } => is_old(*at),
@@ -161,8 +165,8 @@
     }
 }
 
-/// The task that an action starts.
-fn started(action: &Action) -> Option<TaskId> {
+/// The task that an action starts, if it is a start.
+fn started_task(action: &Action) -> Option<TaskId> {
     match action {
         Action::Order {
             order: Order::Start { task, .. },
@@ -173,6 +177,6 @@
 }
 
 /// Whether an action starts a member of one of `gangs`.
-fn is_of(action: &Action, gangs: &BTreeSet<TaskId>) -> bool {
-    started(action).is_some_and(|task| gangs.contains(&TaskId { index: 0, ..task }))
+fn is_member_of(action: &Action, gangs: &BTreeSet<TaskId>) -> bool {
+    started_task(action).is_some_and(|task| gangs.contains(&TaskId { index: 0, ..task }))
 }
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -1,4 +1,4 @@
-//! Which tasks start where.
+//! Scheduling passes: which tasks start on which endpoints.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,60 +16,64 @@
 use crate::resources::Resources;
 use crate::urgency::{self, Candidate, Capacity};
 
-/// Needs that found no room in this pass: what is larger finds none either.
+/// Tasks that fit on no endpoint in this pass of a service.
 #[derive(Debug, Default)]
 pub(super) struct Misfits {
-    rooms: Vec<Resources>,
-    /// What the first task needs that found no room and would fit on some empty endpoint.
-    found: Option<Wanted>,
+    /// Resources that no endpoint has free. Tasks that need as much or more are skipped.
+    needs: Vec<Resources>,
+    /// Requirements of the first task that found no place but would fit on an empty endpoint.
+    first_unplaced: Option<Requirements>,
 }
 
-/// What a task needs of an instance beside room.
+/// What a task requires of an instance besides free capacity.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub(super) struct Wanted {
-    /// A label.
+pub(super) struct Requirements {
+    /// A label that the instance has to carry.
     pub(super) label: Option<Box<str>>,
 }
 
-/// Tasks of a service find no place.
+/// A shortage of a service: some of its tasks fit on none of its endpoints.
 #[derive(Debug, Clone)]
 pub(super) struct Unplaced {
-    /// Since when.
+    /// Time since which every pass has left such a task.
     pub(super) since: Steady,
-    /// What the first of them needs.
-    pub(super) wanted: Wanted,
+    /// Requirements of the first of these tasks in the last pass.
+    pub(super) requirements: Requirements,
 }
 
 impl Misfits {
+    /// Whether a task with at most these needs has found no place in this pass.
     fn covers(&self, room: &Resources) -> bool {
-        self.rooms.iter().any(|m| room.holds(m))
+        self.needs.iter().any(|m| room.holds(m))
     }
 
-    /// Takes in that a task of `step` found no place; `fits` says whether it would on some empty
-    /// endpoint.
-    pub(super) fn find(&mut self, step: &StepSpec, fits: bool) {
+    /// Records that a task of `step` found no place. It counts as a shortage if it would fit on
+    /// some empty endpoint (`fits`).
+    pub(super) fn note_unplaced(&mut self, step: &StepSpec, fits: bool) {
         if fits {
-            self.found.get_or_insert_with(|| Wanted {
+            self.first_unplaced.get_or_insert_with(|| Requirements {
                 label: step.requires.clone(),
             });
         }
     }
 
+    /// Records that no endpoint has the resources that a task of `step` needs. Tasks that require a
+    /// label or are limited per endpoint don't count: others with the same needs may still fit.
     fn add(&mut self, step: &StepSpec) {
         let is_plain = step.requires.is_none() && step.per_endpoint == 0;
         if is_plain {
-            self.rooms.push(step.task_resources());
+            self.needs.push(step.task_resources());
         }
     }
 }
 
 impl Cell {
-    /// Starts what can start, the most urgent job of a service first.
+    /// Starts the tasks that can start, by urgency of their jobs within each service.
     ///
-    /// All services share the window on starts, so that another one goes first at each pass.
+    /// All services share the window on starts, so each pass begins with another service.
     pub(super) fn schedule(&mut self) {
         let mut services: Vec<ServiceName> = self
-            .ready
+            .ready_jobs
             .iter()
             .filter(|(_, jobs)| !jobs.is_empty())
             .map(|(service, _)| service.clone())
@@ -102,17 +106,20 @@
                 self.index(id);
             }
         }
-        if let Some(wanted) = misfits.found {
+        if let Some(requirements) = misfits.first_unplaced {
             let since = self.unplaced.get(service).map(|u| u.since);
             let since = since.unwrap_or(self.now.steady);
-            let unplaced = Unplaced { since, wanted };
+            let unplaced = Unplaced {
+                since,
+                requirements,
+            };
             self.unplaced.insert(service.clone(), unplaced);
         } else {
             self.unplaced.remove(service);
         }
     }
 
-    /// Starts what can start of a job's steps whose turn has come; returns how many tasks that are.
+    /// Starts the tasks of a job's ready steps that can start; returns their number.
     pub(super) fn start_ready(
         &mut self,
         id: JobId,
@@ -123,7 +130,7 @@
             return 0;
         };
         let spec = job.spec.clone();
-        let decided = self.gated.len();
+        let decided = self.after_commit.len();
         for (step, occurrence) in ready_steps(job) {
             let first = TaskId {
                 job: id,
@@ -133,10 +140,10 @@
             };
             self.start_step(&spec, first, slots, misfits);
         }
-        self.gated.len() - decided
+        self.after_commit.len() - decided
     }
 
-    /// Endpoints of a service that may be given work.
+    /// Endpoints of a service on which tasks may start, without those kept for suspected jobs.
     pub(super) fn slots(&self, service: &ServiceName) -> Slots {
         let isolated = self.isolated();
         let usable = self
@@ -146,7 +153,7 @@
         Slots::new(usable.map(|(id, e)| Slot::new(id, e)).collect())
     }
 
-    /// Whether an endpoint of a service may be given work.
+    /// Whether tasks of `service` may start on the endpoint.
     pub(super) fn is_usable(&self, endpoint: &Endpoint, service: &ServiceName) -> bool {
         let now = self.now.steady;
         let report = endpoint.report.as_ref();
@@ -157,26 +164,32 @@
             && endpoint.lease_confirmed
             && (!endpoint.is_unresponsive || !self.settings.policy.avoids_unresponsive)
             && endpoint.avoided_until <= now
-            && endpoint.is_polled_within(now, self.settings.fresh)
+            && endpoint.is_polled_within(now, self.settings.max_silence)
             && report.is_some_and(|r| r.service == *service && !r.is_draining)
     }
 
     fn by_urgency(&self, service: &ServiceName, slots: &Slots) -> Vec<JobId> {
-        let Some(ids) = self.ready.get(service) else {
+        let Some(ids) = self.ready_jobs.get(service) else {
             return Vec::new();
         };
         let candidates: Vec<Candidate> = ids
             .iter()
             .filter_map(|id| self.jobs.get(id)?.candidate)
             .collect();
-        let room = self.room(service, slots, &candidates);
+        let room = self.capacity_of(service, slots, &candidates);
         urgency::order(&candidates, &room, self.fleet_ms(), &self.settings.policy)
     }
 
-    /// What the endpoints of a service can take on, beside what they run.
-    fn room(&self, service: &ServiceName, slots: &Slots, candidates: &[Candidate]) -> Capacity {
-        /// What runs has this part of its time still to go, on average.
-        const LEFT: f64 = 0.5;
+    /// Capacity of a service's endpoints for tasks that end, the work left of those that run, and
+    /// the capacity that is on its way.
+    fn capacity_of(
+        &self,
+        service: &ServiceName,
+        slots: &Slots,
+        candidates: &[Candidate],
+    ) -> Capacity {
+        /// Average share of its duration that a running task has left.
+        const AVERAGE_LEFT: f64 = 0.5;
         let endpoints = slots.list.iter().filter_map(|s| self.endpoints.get(&s.id));
         let (mut cpu, mut used) = (0, 0);
         for endpoint in endpoints {
@@ -191,12 +204,12 @@
         let task = chains.checked_div(steps).unwrap_or_default();
         Capacity {
             cpu: as_f64(cpu),
-            running_work: as_f64(used) * LEFT * task.as_secs_f64() * 1000.0,
+            running_work: as_f64(used) * AVERAGE_LEFT * task.as_secs_f64() * 1000.0,
             arriving: as_f64(self.instances.arriving_cpu(service, &self.evacuations)),
         }
     }
 
-    /// What a job is ranked by.
+    /// Inputs of the urgency ranking for a job; `None` if it has no open occurrence.
     pub(super) fn candidate_of(&self, job: &Job) -> Option<Candidate> {
         let (occurrence, open) = job.progress.open.first_key_value()?;
         let default = Queue::default();
@@ -219,7 +232,8 @@
         })
     }
 
-    /// When an occurrence came or was due, in the fleet's time. Due times are times of day.
+    /// Time at which an occurrence was accepted or due, in the fleet's time. Due times are given in
+    /// the time of day and converted.
     fn wanted_since_ms(&self, spec: &JobSpec, occurrence: u32) -> UnixMs {
         if spec.repeat.is_none() {
             return spec.accepted_ms;
@@ -229,8 +243,8 @@
         due_ms.max(spec.accepted_ms)
     }
 
-    /// A workspace's place in the configuration and its weight. Jobs of a public queue, or of a
-    /// workspace that was removed, count as those of one more workspace.
+    /// A workspace's index in the configuration and its weight. Jobs sent without a key, or by a
+    /// workspace that was removed, share one more workspace of weight 1.
     fn owner(&self, workspace: Option<&WorkspaceName>) -> (u32, u64) {
         let place = workspace.and_then(|name| self.workspaces.get(name));
         let weight = place.and_then(|&at| Some(self.cfg.as_ref()?.workspaces.get(at)?.weight));
@@ -238,6 +252,8 @@
         (place.unwrap_or(u32::MAX), weight.unwrap_or(1))
     }
 
+    /// Starts the waiting tasks of a step for which there is capacity, within the workspace's limit
+    /// and the window on starts.
     fn start_step(
         &mut self,
         spec: &Arc<JobSpec>,
@@ -249,25 +265,25 @@
         if misfits.covers(&step.task_resources()) {
             return;
         }
-        let Some(allowed) = self.advised(spec, first, &slots.list) else {
+        let Some(allowed) = self.allowed_endpoints(spec, first, &slots.list) else {
             return;
         };
         if step.is_gang || step.is_rack_local {
             let may_run: Vec<_> = slots.list.iter().filter(|s| allowed.has(&s.id)).collect();
-            let is_placed = self.start_together(spec, first, &may_run);
-            misfits.find(step, !is_placed && self.fits_somewhere(step));
+            let is_placed = self.start_group(spec, first, &may_run);
+            misfits.note_unplaced(step, !is_placed && self.fits_somewhere(step));
             slots.refresh(&self.endpoints);
             return;
         }
         let mut siblings = slots.siblings(&self.siblings(first));
         for task in self.waiting_tasks(first) {
-            if !self.is_within_bound(spec, &step.need) || !self.flow.has_capacity() {
+            if !self.is_within_limit(spec, &step.need) || !self.flow.has_capacity() {
                 return;
             }
             let place = self.place(step, task, &allowed, slots, &siblings);
             let Some(place) = place else {
                 misfits.add(step);
-                misfits.find(step, self.fits_somewhere(step));
+                misfits.note_unplaced(step, self.fits_somewhere(step));
                 return;
             };
             siblings[place] += 1;
@@ -279,6 +295,7 @@
         }
     }
 
+    /// The index in `slots` of the best endpoint for a task, if there is one.
     fn place(
         &self,
         step: &StepSpec,
@@ -298,7 +315,7 @@
         place::choose(&slots.list, &ask)
     }
 
-    /// Tasks of the step that each endpoint has.
+    /// Number of runs of the step on each endpoint.
     pub(super) fn siblings(&self, first: TaskId) -> BTreeMap<EndpointId, u32> {
         let mut counts = BTreeMap::new();
         let job = self.jobs.get(&first.job);
@@ -310,6 +327,7 @@
         counts
     }
 
+    /// Tasks of the step that may start: not done, not running and not in backoff.
     pub(super) fn waiting_tasks(&self, first: TaskId) -> Vec<TaskId> {
         let job = self.jobs.get(&first.job);
         let occurrence = job.and_then(|j| j.progress.open.get(&first.occurrence));
@@ -327,7 +345,7 @@
             .collect()
     }
 
-    /// Whether some endpoint of the fleet, were it empty, could take a task of the step.
+    /// Whether a task of the step would fit on some endpoint of the fleet if that were empty.
     pub(super) fn fits_somewhere(&self, step: &StepSpec) -> bool {
         let room = step.task_resources();
         self.endpoints.values().any(|e| {
@@ -337,13 +355,13 @@
     }
 }
 
-/// Amounts of processors are far below the numbers that a float can't hold.
+/// Converts an amount of CPU, which is far below the integers that an `f64` can't represent.
 #[expect(clippy::cast_precision_loss)]
 fn as_f64(number: u64) -> f64 {
     number as f64
 }
 
-/// Steps whose turn has come and that have tasks waiting, with their occurrence.
+/// Steps with waiting tasks whose earlier steps are done, with their occurrence.
 pub(super) fn ready_steps(job: &Job) -> Vec<(u16, u32)> {
     let mut ready = Vec::new();
     for (&occurrence, open) in &job.progress.open {
@@ -359,7 +377,7 @@
     ready
 }
 
-/// Thousandths of a core that a job's waiting tasks take whose turn has come.
+/// CPU that the waiting tasks of a job's ready steps need, in thousandths of a core.
 pub(super) fn waiting_cpu(job: &Job) -> u64 {
     let steps = ready_steps(job).into_iter().map(|(step, occurrence)| {
         let tasks = &job.progress.open[&occurrence].steps[usize::from(step)];
--- a/pomelohitchd/tests/fleet/outages.rs
+++ b/pomelohitchd/tests/fleet/outages.rs
@@ -1,10 +1,10 @@
-//! While the store is silent.
+//! Behaviour while the store doesn't answer.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
 use std::time::Duration;
 
-use pomelohitchd::fleet::leader::patience::Patience;
+use pomelohitchd::fleet::leader::append_timeout::AppendTimeout;
 use pomelohitchd::fleet::shared::Shared;
 use pomelohitchd::fleet::wire::{self, Probe, ProbeReply};
 use pomelohitchd::fleet::{internal, peers};
@@ -12,10 +12,12 @@
 
 use super::site::site;
 
-/// A store that takes connections and answers nothing.
+/// A store that accepts connections and never answers.
 fn silent_store() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
+    let addr = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     std::thread::spawn(move || {
         let kept: Vec<_> = listener.incoming().collect();
         drop(kept);
@@ -23,10 +25,12 @@
     addr
 }
 
-/// A member that serves others, with this store.
+/// A member that serves other members and uses `store`.
 fn member(store: SocketAddr) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
+    let addr = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     let mut site = site();
     site.store = store;
     let service = internal::service(&Arc::new(Shared::new(site)));
@@ -34,9 +38,9 @@
     addr
 }
 
-/// The store is silent for all, and the leader asks the members whether they have it. A member
-/// whose answer waits for the silent store comes too late; the leader takes itself for cut off
-/// from everybody and resigns, and nobody leads when the store is back.
+/// While the store is silent for all, the leader probes the members. If their answers waited for
+/// the store, they would come too late: the leader would take itself for isolated and resign, and
+/// there would be no leader when the store recovers.
 #[test]
 fn members_answer_while_the_store_is_silent() {
     let members = [member(silent_store()), member(silent_store())];
@@ -47,28 +51,31 @@
     assert!(answers.iter().all(|(_, answer)| !answer.has_store));
 }
 
-fn waits(patience: &Patience) -> Vec<u128> {
+fn timeouts(timeout: &AppendTimeout) -> Vec<u128> {
     (0..10)
-        .map(|tries| patience.of_try(tries).as_millis())
+        .map(|failed_attempts| timeout.for_attempt(failed_attempts).as_millis())
         .collect()
 }
 
-/// A call that goes out while the store is silent isn't answered when it is back; work goes on with
-/// the next try. Waits of more than half a second would show to callers after each silence.
+/// A call sent while the store is silent isn't answered after it recovers; work resumes with the
+/// next attempt. Timeouts of more than half a second would delay callers after each such outage.
 #[test]
-fn a_store_that_is_back_is_used_soon() {
-    let waits = waits(&Patience::default());
-    assert_eq!(waits, [120, 240, 480, 480, 480, 480, 480, 480, 1200, 1200]);
+fn a_recovered_store_is_used_soon() {
+    let timeouts = timeouts(&AppendTimeout::default());
+    assert_eq!(
+        timeouts,
+        [120, 240, 480, 480, 480, 480, 480, 480, 1200, 1200]
+    );
 }
 
-/// A slow store answers none of several tries that are all given up early.
+/// A slow store answers none of several attempts that are all given up early.
 #[test]
-fn a_slow_store_is_waited_for() {
-    let mut patience = Patience::default();
+fn the_timeout_grows_with_a_slow_store() {
+    let mut timeout = AppendTimeout::default();
     for _ in 0..40 {
-        patience.took(Duration::from_millis(150));
+        timeout.add_sample(Duration::from_millis(150));
     }
-    assert!(patience.of_try(0) >= Duration::from_millis(880));
-    assert!(patience.of_try(5) >= patience.of_try(0));
-    assert_eq!(patience.of_try(9), Duration::from_millis(1200));
+    assert!(timeout.for_attempt(0) >= Duration::from_millis(880));
+    assert!(timeout.for_attempt(5) >= timeout.for_attempt(0));
+    assert_eq!(timeout.for_attempt(9), Duration::from_millis(1200));
 }
