--- a/crates/pomelohitch-maintain/examples/measure.rs
+++ b/crates/pomelohitch-maintain/examples/measure.rs
@@ -9,8 +9,8 @@
 #[path = "measure/rollout.rs"]
 mod rollout;
 #[allow(dead_code, reason = "shared with the tests, which use the rest")]
-#[path = "measure/site.rs"]
-mod site;
+#[path = "measure/simulation.rs"]
+mod simulation;
 
 /// Without an argument prints everything, else only `rollout`, `load` or `costs`.
 fn main() {
--- a/crates/pomelohitch-maintain/examples/measure/costs.rs
+++ b/crates/pomelohitch-maintain/examples/measure/costs.rs
@@ -12,7 +12,7 @@
 use pomelohitch_core::{Verdict, key};
 use pomelohitch_maintain::Planner;
 
-use crate::site::{Site, pool, service};
+use crate::simulation::{Simulation, pool, service};
 
 const CHANGES_A_DAY: f64 = 21_000.0;
 const DAY_SECONDS: f64 = 86_400.0;
@@ -37,7 +37,7 @@
 }
 
 /// A fleet of this size, with 240 teams and 37 pools at the most, a file for each team.
-fn fleet(instances: usize) -> Site {
+fn fleet(instances: usize) -> Simulation {
     let pools = POOLS.min(instances / 10).max(1);
     let ids: Vec<String> = (0..pools).map(|n| format!("pool-{n:02}")).collect();
     let size = instances / pools;
@@ -50,16 +50,16 @@
             .collect(),
         ..FleetFile::default()
     };
-    let mut site = Site::new(Planner::default(), file);
+    let mut sim = Simulation::new(Planner::default(), file);
     for n in 0..TEAMS {
-        let body = publish(&site.state, n, 100);
-        site.accept(body);
+        let body = publish(&sim.state, n, 100);
+        sim.accept(body);
     }
     for n in 0..instances {
-        site.add_instances(&ids[n % pools], 1);
+        sim.add_instances(&ids[n % pools], 1);
     }
-    site.look();
-    site
+    sim.run_planner();
+    sim
 }
 
 fn publish(state: &State, n: usize, limit: u32) -> Body {
@@ -81,27 +81,27 @@
 /// Applies each record as a reader does, which publishes its state after each read, so that the
 /// next record copies what it changes.
 fn cost_of(
-    site: &mut Site,
+    sim: &mut Simulation,
     count: usize,
     body: impl Fn(&State, usize) -> Body,
 ) -> (Duration, usize) {
     let mut total = Duration::ZERO;
     let mut bytes = 0;
     for n in 0..count {
-        let offset = site.state.next;
+        let offset = sim.state.next;
         let record = Record {
             id: RecordId::new_v4(),
             after: offset,
             at: Duration::ZERO,
             by: "operator".into(),
-            body: body(&site.state, n),
+            body: body(&sim.state, n),
         };
         let text = record.encode();
         bytes += text.len();
-        let in_force = site.state.clone();
+        let in_force = sim.state.clone();
         let begun = Instant::now();
         let record = Record::decode(&text).expect("it was just encoded");
-        let verdict = site.state.apply(offset, &record);
+        let verdict = sim.state.apply(offset, &record);
         total += begun.elapsed();
         assert_eq!(verdict, Verdict::Accepted);
         drop(in_force);
@@ -113,9 +113,9 @@
     println!("### Fold: one record after the other, 6,800 instances, 240 teams, 37 pools\n");
     println!("| Record | bytes | time each | at 21,000 a day: of a core | bytes a second |");
     println!("|---|---|---|---|---|");
-    let mut site = fleet(6800);
+    let mut sim = fleet(6800);
     let count = 2000;
-    let publishes = cost_of(&mut site, count, |state, n| {
+    let publishes = cost_of(&mut sim, count, |state, n| {
         publish(
             state,
             n % TEAMS,
@@ -123,12 +123,12 @@
         )
     });
     print_fold("publish of one team's file", count, publishes);
-    let withdrawals = cost_of(&mut site, count, |_, n| {
+    let withdrawals = cost_of(&mut sim, count, |_, n| {
         let key = key::hash(&format!("gone-{n}"));
         Body::WithdrawKey(WithdrawKey { key })
     });
     print_fold("withdrawal of a key", count, withdrawals);
-    let waves = cost_of(&mut site, 2 * POOLS, |_, n| {
+    let waves = cost_of(&mut sim, 2 * POOLS, |_, n| {
         let pool = Some(format!("pool-{:02}", n % POOLS).into());
         Body::Maintain(if n < POOLS {
             MaintainOrder::Pause { pool }
@@ -137,7 +137,7 @@
         })
     });
     print_fold("pause or resume of a pool", 2 * POOLS, waves);
-    let drains = cost_of(&mut site, 300, |state, n| {
+    let drains = cost_of(&mut sim, 300, |state, n| {
         let (id, instance) = state.fleet.instances.iter().nth(n).expect("enough");
         Body::Fleet(pomelohitch_core::record::FleetDecision {
             term: 1,
@@ -168,20 +168,20 @@
     println!("| Instances | ids remembered | snapshot | chunks | write | load |");
     println!("|---|---|---|---|---|---|");
     for instances in [50, 500, 6800] {
-        let mut site = fleet(instances);
+        let mut sim = fleet(instances);
         let ids = 16_384;
         for n in 0..ids {
             let key = if n % 100 == 0 { "once" } else { "again" };
-            site.accept(Body::WithdrawKey(WithdrawKey { key: key.into() }));
+            sim.accept(Body::WithdrawKey(WithdrawKey { key: key.into() }));
         }
         let begun = Instant::now();
-        let chunks = split(&site.state, RecordId::new_v4(), CHUNK_BYTES);
+        let chunks = split(&sim.state, RecordId::new_v4(), CHUNK_BYTES);
         let written = begun.elapsed();
         let bytes: usize = chunks.iter().map(|chunk| chunk.len()).sum();
         let begun = Instant::now();
         let loaded = newest_complete(chunks.iter().map(|chunk| &**chunk));
         let took = begun.elapsed();
-        assert_eq!(loaded.as_ref(), Some(&site.state));
+        assert_eq!(loaded.as_ref(), Some(&sim.state));
         println!(
             "| {instances} | {ids} | {} KB | {} | {:.0} ms | {:.0} ms |",
             bytes / 1000,
@@ -198,22 +198,22 @@
     println!("| Instances | pools | looks | mean | longest |");
     println!("|---|---|---|---|---|");
     for instances in [50, 500, 6800] {
-        let mut site = fleet(instances);
-        let pools: Vec<_> = site.state.config.pools.keys().cloned().collect();
+        let mut sim = fleet(instances);
+        let pools: Vec<_> = sim.state.config.pools.keys().cloned().collect();
         for pool in &pools {
-            site.accept(Body::Maintain(MaintainOrder::Start {
+            sim.accept(Body::Maintain(MaintainOrder::Start {
                 pool: pool.clone(),
                 limits: WaveLimits::default(),
             }));
         }
         let mut times = Vec::new();
         for _ in 0..200 {
-            let seen = site.observe();
+            let observation = sim.observe();
             let begun = Instant::now();
-            std::hint::black_box(site.planner.plan(&site.state, &seen));
+            std::hint::black_box(sim.planner.plan(&sim.state, &observation));
             times.push(begun.elapsed());
-            site.look();
-            site.now += Duration::from_secs(5);
+            sim.run_planner();
+            sim.now += Duration::from_secs(5);
         }
         let total: Duration = times.iter().sum();
         let mean = total / u32::try_from(times.len()).expect("few");
--- a/crates/pomelohitch-maintain/examples/measure/load.rs
+++ b/crates/pomelohitch-maintain/examples/measure/load.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::site::{Site, pool, service};
+use crate::simulation::{Simulation, pool, service};
 
 const SEED: u64 = 7;
 const POOLS: usize = 5;
@@ -19,8 +19,8 @@
 const DAY: Duration = Duration::from_hours(24);
 /// A burst asks for five times the mean, for so many steps out of each round.
 const BURST_STEPS: usize = 4;
-const BURST: f64 = 5.0;
-const BETWEEN: f64 = 0.05;
+const BURST_FACTOR: f64 = 5.0;
+const IDLE_FACTOR: f64 = 0.05;
 const ROUND_STEPS: usize = BURST_STEPS * POOLS;
 
 struct Policy {
@@ -40,7 +40,7 @@
             name: "baseline: no moves",
             demand: demand::Options::default(),
             moves: moves::Options {
-                at_once: 0,
+                max_in_transit: 0,
                 ..moves::Options::default()
             },
         },
@@ -53,8 +53,8 @@
                 ..demand::Options::default()
             },
             moves: moves::Options {
-                take_after: Duration::ZERO,
-                give_after: Duration::ZERO,
+                shortage_delay: Duration::ZERO,
+                surplus_delay: Duration::ZERO,
                 slack: 0,
                 ..moves::Options::default()
             },
@@ -98,7 +98,7 @@
     format!("pool-{n}").into()
 }
 
-fn site(policy: &Policy) -> Site {
+fn simulation(policy: &Policy) -> Simulation {
     let mut pools: Vec<_> = (0..POOLS).map(|n| pool(&pool_id(n), false, 0)).collect();
     pools.push(pool("staff", true, 2));
     let services = (0..POOLS).map(|n| service(&format!("service-{n}"), &pool_id(n), 4));
@@ -111,63 +111,63 @@
         moves: policy.moves.clone(),
         ..Options::default()
     };
-    let mut site = Site::new(Planner::new(options), file);
+    let mut sim = Simulation::new(Planner::new(options), file);
     for n in 0..POOLS {
-        site.add_instances(&pool_id(n), INSTANCES);
+        sim.add_instances(&pool_id(n), INSTANCES);
     }
-    site.add_instances("staff", SPARES);
-    site.look();
-    site
+    sim.add_instances("staff", SPARES);
+    sim.run_planner();
+    sim
 }
 
 /// The mean load of a pool at a time of day, in slots: each pool has its own rush.
 fn mean(n: usize, now: Duration) -> f64 {
     let hour = now.as_secs_f64() / 3600.0 % 24.0;
     let peak = [8.0, 9.0, 12.0, 18.0, 20.0][n];
-    let away = (hour - peak).abs().min(24.0 - (hour - peak).abs());
-    20.0 + 45.0 * (-away * away / 4.0).exp()
+    let distance = (hour - peak).abs().min(24.0 - (hour - peak).abs());
+    20.0 + 45.0 * (-distance * distance / 4.0).exp()
 }
 
 /// Bursts go round the pools, so that a pool's mean over a round is its mean load.
-fn asked(n: usize, step: usize, now: Duration, rng: &mut StdRng) -> f64 {
+fn offered_load(n: usize, step: usize, now: Duration, rng: &mut StdRng) -> f64 {
     let is_burst = step % ROUND_STEPS / BURST_STEPS == n;
-    let share = 1.0 / (BURST + BETWEEN * 4.0) * 5.0;
-    let factor = if is_burst { BURST } else { BETWEEN } * share;
+    let share = 1.0 / (BURST_FACTOR + IDLE_FACTOR * 4.0) * 5.0;
+    let factor = if is_burst { BURST_FACTOR } else { IDLE_FACTOR } * share;
     mean(n, now) * factor * rng.random_range(0.8..1.2)
 }
 
 fn run(policy: &Policy) -> Day {
-    let mut site = site(policy);
+    let mut sim = simulation(policy);
     let mut rng = StdRng::seed_from_u64(SEED);
     let mut loads = vec![Load::default(); POOLS];
     let mut day = Day::default();
     let mut step = 0;
     let mut queued = [0.0_f64; POOLS];
-    while site.now < DAY {
+    while sim.now < DAY {
         for n in 0..POOLS {
-            let busy = asked(n, step, site.now, &mut rng);
+            let busy = offered_load(n, step, sim.now, &mut rng);
             let id = pool_id(n);
-            let active = f64::from(site.state.fleet.active_in(&id));
-            account(&mut day, &mut queued[n], busy, active, mean(n, site.now));
-            loads[n].measure(&policy.demand, site.now, busy);
+            let active = f64::from(sim.state.fleet.active_in(&id));
+            record_step(&mut day, &mut queued[n], busy, active, mean(n, sim.now));
+            loads[n].measure(&policy.demand, sim.now, busy);
             if let Some(need) = loads[n].need(&policy.demand, SLOTS) {
-                site.needs.insert(id, need);
+                sim.needs.insert(id, need);
             }
         }
-        let before = site.moves;
-        site.look();
-        if (7..10).contains(&(site.now.as_secs() / 3600)) {
-            day.rush_moves += site.moves - before;
+        let before = sim.moves;
+        sim.run_planner();
+        if (7..10).contains(&(sim.now.as_secs() / 3600)) {
+            day.rush_moves += sim.moves - before;
         }
-        site.now += STEP;
+        sim.now += STEP;
         step += 1;
     }
-    day.moves = site.moves;
+    day.moves = sim.moves;
     day
 }
 
 /// What doesn't fit waits for the next steps; what waits still is short of slots.
-fn account(day: &mut Day, queued: &mut f64, busy: f64, active: f64, mean: f64) {
+fn record_step(day: &mut Day, queued: &mut f64, busy: f64, active: f64, mean: f64) {
     let slots = active * f64::from(SLOTS);
     let wanted = busy + *queued;
     *queued = (wanted - slots).max(0.0);
--- a/crates/pomelohitch-maintain/examples/measure/rollout.rs
+++ b/crates/pomelohitch-maintain/examples/measure/rollout.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use crate::site::{Site, pool, service};
+use crate::simulation::{Simulation, pool, service};
 
 const SEED: u64 = 1;
 const TICK: Duration = Duration::from_secs(1);
@@ -69,11 +69,11 @@
     println!("| Fleet | least | ours | ours / least | 10 % surge | one at a time | failed |");
     println!("|---|---|---|---|---|---|---|");
     for fleet in &FLEETS {
-        let (site, began) = start(fleet);
-        let least = longest(&site, fleet, least_of);
-        let surge = longest(&site, fleet, |times, _| surge_of(times));
-        let single = longest(&site, fleet, |times, _| times.iter().sum());
-        let (ours, failed) = run(site, fleet, began);
+        let (sim, began) = start(fleet);
+        let least = longest(&sim, fleet, lower_bound);
+        let surge = longest(&sim, fleet, |times, _| surge_time(times));
+        let single = longest(&sim, fleet, |times, _| times.iter().sum());
+        let (ours, failed) = run(sim, fleet, began);
         println!(
             "| {} | {} | {} | {:.2} | {} | {} | {failed} |",
             fleet.name,
@@ -99,88 +99,92 @@
     fleet.instances / fleet.pools + usize::from(n < fleet.instances % fleet.pools)
 }
 
-fn keep(fleet: &Fleet, n: usize) -> u32 {
+fn min_available(fleet: &Fleet, n: usize) -> u32 {
     let size = u32::try_from(size(fleet, n)).expect("a pool is small");
     (size * fleet.stay).div_ceil(100)
 }
 
 /// The fleet with every instance adopted and a wave begun in each pool.
-fn start(fleet: &Fleet) -> (Site, Duration) {
+fn start(fleet: &Fleet) -> (Simulation, Duration) {
     let ids = || (0..fleet.pools).map(|n| (n, pool_id(n)));
     let file = FleetFile {
         pools: ids().map(|(_, id)| pool(&id, false, 0)).collect(),
         services: ids()
-            .map(|(n, id)| service(&format!("service-{n:02}"), &id, keep(fleet, n)))
+            .map(|(n, id)| service(&format!("service-{n:02}"), &id, min_available(fleet, n)))
             .collect(),
         ..FleetFile::default()
     };
-    let mut site = Site::new(Planner::default(), file);
+    let mut sim = Simulation::new(Planner::default(), file);
     let mut rng = StdRng::seed_from_u64(SEED);
     for (n, id) in ids() {
-        site.add_instances(&id, size(fleet, n));
+        sim.add_instances(&id, size(fleet, n));
     }
-    for id in site.platform.keys() {
+    for id in sim.platform.keys() {
         let drain = Duration::from_secs(rng.random_range(5..=60));
-        site.drains.insert(id.clone(), drain);
+        sim.drain_times.insert(id.clone(), drain);
     }
-    site.look();
+    sim.run_planner();
     for (_, id) in ids() {
-        site.accept(Body::Maintain(MaintainOrder::Start {
+        sim.accept(Body::Maintain(MaintainOrder::Start {
             pool: id.as_str().into(),
             limits: WaveLimits::default(),
         }));
     }
-    let began = site.now;
-    (site, began)
+    let began = sim.now;
+    (sim, began)
 }
 
-fn run(mut site: Site, fleet: &Fleet, began: Duration) -> (Duration, usize) {
+fn run(mut sim: Simulation, fleet: &Fleet, began: Duration) -> (Duration, usize) {
     let mut rng = StdRng::seed_from_u64(SEED + 1);
-    let in_a_tick = fleet.failures * TICK.as_secs_f64() / 86_400.0;
+    let failures_per_tick = fleet.failures * TICK.as_secs_f64() / 86_400.0;
     let mut failed = 0;
-    while !site.state.waves.by_pool.is_empty() {
-        assert!(site.now < LIMIT, "a wave doesn't end");
-        if rng.random::<f64>() < in_a_tick {
-            fail_one(&mut site, &mut rng);
+    while !sim.state.waves.by_pool.is_empty() {
+        assert!(sim.now < LIMIT, "a wave doesn't end");
+        if rng.random::<f64>() < failures_per_tick {
+            fail_one(&mut sim, &mut rng);
             failed += 1;
         }
-        site.look();
-        site.now += TICK;
+        sim.run_planner();
+        sim.now += TICK;
     }
-    (site.now.saturating_sub(began), failed)
+    (sim.now.saturating_sub(began), failed)
 }
 
-fn fail_one(site: &mut Site, rng: &mut StdRng) {
-    let victim = rng.random_range(0..site.platform.len());
-    let listed = site.platform.values_mut().nth(victim);
+fn fail_one(sim: &mut Simulation, rng: &mut StdRng) {
+    let victim = rng.random_range(0..sim.platform.len());
+    let listed = sim.platform.values_mut().nth(victim);
     listed.expect("the index is in range").state =
         pomelohitch_platform::instances::ListedState::Down;
 }
 
 /// Pools go on side by side, so the slowest one counts.
-fn longest(site: &Site, fleet: &Fleet, time: impl Fn(&[Duration], u32) -> Duration) -> Duration {
+fn longest(
+    sim: &Simulation,
+    fleet: &Fleet,
+    time: impl Fn(&[Duration], u32) -> Duration,
+) -> Duration {
     let of_pool = |n: usize| {
         let id = pool_id(n);
-        let members = site.platform.values().filter(|i| *i.pool == *id);
+        let members = sim.platform.values().filter(|i| *i.pool == *id);
         let times: Vec<_> = members
-            .map(|i| site.drains[&i.id] + site.times.reboot)
+            .map(|i| sim.drain_times[&i.id] + sim.times.reboot)
             .collect();
         let size = u32::try_from(times.len()).expect("a pool is small");
-        time(&times, size - keep(fleet, n))
+        time(&times, size - min_available(fleet, n))
     };
     (0..fleet.pools).map(of_pool).max().unwrap_or_default()
 }
 
 /// At most `at_once` are out at any time, so the sum of all times takes at least this; and no
 /// wave is shorter than its slowest instance.
-fn least_of(times: &[Duration], at_once: u32) -> Duration {
+fn lower_bound(times: &[Duration], at_once: u32) -> Duration {
     let work: Duration = times.iter().sum();
     let slowest = times.iter().copied().max().unwrap_or_default();
     (work / at_once).max(slowest)
 }
 
 /// A tenth of the pool, or one, is taken out together, and the next ones when all are back.
-fn surge_of(times: &[Duration]) -> Duration {
+fn surge_time(times: &[Duration]) -> Duration {
     let batches = times.chunks((times.len() / 10).max(1));
     batches.filter_map(|batch| batch.iter().max()).sum()
 }
--- a/crates/pomelohitch-maintain/examples/measure/site.rs
+++ b/crates/pomelohitch-maintain/examples/measure/simulation.rs
@@ -36,64 +36,64 @@
 }
 
 /// Everything.
-pub struct Site {
+pub struct Simulation {
     pub state: State,
     pub planner: Planner,
     pub now: Duration,
     pub times: Times,
     pub platform: BTreeMap<InstanceId, Listed>,
     /// How long single instances take to drain, where it isn't the usual time.
-    pub drains: BTreeMap<InstanceId, Duration>,
+    pub drain_times: BTreeMap<InstanceId, Duration>,
     /// These never come back from a reboot.
     pub never_return: BTreeSet<InstanceId>,
     /// The list shows what was so at the look before.
     pub list_lags: bool,
-    before: BTreeMap<InstanceId, Listed>,
+    previous: BTreeMap<InstanceId, Listed>,
     /// The list doesn't arrive, or is too old.
     pub list_is_stale: bool,
     /// Entry instances have applied what is below; `None` for the head.
     pub known_by_all: Option<Offset>,
     pub needs: BTreeMap<PoolId, u32>,
     /// When effects began, by the offset of their decision.
-    begun: BTreeMap<Offset, Duration>,
+    started: BTreeMap<Offset, Duration>,
     /// Accepted moves.
     pub moves: u32,
     /// What was rejected by the fold.
     pub rejected: Vec<Verdict>,
 }
 
-impl Site {
+impl Simulation {
     /// An empty fleet with a planner and these files.
-    pub fn new(planner: Planner, file: FleetFile) -> Site {
-        let mut site = Site {
+    pub fn new(planner: Planner, file: FleetFile) -> Simulation {
+        let mut sim = Simulation {
             state: State::default(),
             planner,
             now: Duration::ZERO,
             times: Times::default(),
             platform: BTreeMap::new(),
-            drains: BTreeMap::new(),
+            drain_times: BTreeMap::new(),
             never_return: BTreeSet::new(),
             list_lags: false,
-            before: BTreeMap::new(),
+            previous: BTreeMap::new(),
             list_is_stale: false,
             known_by_all: None,
             needs: BTreeMap::new(),
-            begun: BTreeMap::new(),
+            started: BTreeMap::new(),
             moves: 0,
             rejected: Vec::new(),
         };
-        site.accept(Body::Join(Join {
+        sim.accept(Body::Join(Join {
             member: "entry".into(),
             zone: "zone-0".into(),
             peer_addr: ([127, 0, 0, 1], 1).into(),
         }));
-        site.accept(Body::TakeTerm(TakeTerm {
+        sim.accept(Body::TakeTerm(TakeTerm {
             member: "entry".into(),
             incarnation: 0,
             term: 1,
         }));
-        site.publish(file);
-        site
+        sim.publish(file);
+        sim
     }
 
     /// Replaces the fleet's one file.
@@ -146,7 +146,7 @@
     /// What the planner is told now.
     pub fn observe(&self) -> Observation {
         let shown = if self.list_lags {
-            &self.before
+            &self.previous
         } else {
             &self.platform
         };
@@ -160,17 +160,17 @@
     }
 
     /// Lets the planner look once, and carries out what it decides.
-    pub fn look(&mut self) -> Plan {
-        let seen = self.observe();
-        let plan = self.planner.plan(&self.state, &seen);
+    pub fn run_planner(&mut self) -> Plan {
+        let observation = self.observe();
+        let plan = self.planner.plan(&self.state, &observation);
         if self.list_lags {
-            self.before = self.platform.clone();
+            self.previous = self.platform.clone();
         }
         for decision in &plan.decisions {
             self.propose(decision.clone());
         }
-        for wanted in &plan.effects {
-            self.carry_out(wanted);
+        for pending in &plan.effects {
+            self.perform(pending);
         }
         plan
     }
@@ -191,21 +191,21 @@
         }
     }
 
-    fn carry_out(&mut self, wanted: &Wanted) {
-        if !wanted.is_current(&self.state) {
+    fn perform(&mut self, pending: &Wanted) {
+        if !pending.is_current(&self.state) {
             return;
         }
-        if self.ask_platform(wanted)
-            && let Some(step) = wanted.then.clone()
+        if self.call_platform(pending)
+            && let Some(step) = pending.then.clone()
         {
             self.propose(Decision::Fleet(step));
         }
     }
 
     /// Whether the effect is complete.
-    fn ask_platform(&mut self, wanted: &Wanted) -> bool {
-        let effect = &wanted.effect;
-        let begun = *self.begun.entry(effect.op).or_insert(self.now);
+    fn call_platform(&mut self, pending: &Wanted) -> bool {
+        let effect = &pending.effect;
+        let begun = *self.started.entry(effect.op).or_insert(self.now);
         let took = self.now.saturating_sub(begun);
         let Some(listed) = self.platform.get_mut(&effect.instance) else {
             return false;
@@ -215,16 +215,16 @@
         }
         let (takes, then) = match effect.action {
             Action::Drain => {
-                let own = self.drains.get(&effect.instance).copied();
+                let own = self.drain_times.get(&effect.instance).copied();
                 (own.unwrap_or(self.times.drain), ListedState::Drained)
             }
             Action::Undrain => (Duration::ZERO, ListedState::Live),
             Action::Reboot => (self.times.reboot, ListedState::Live),
             Action::Move(_) => (self.times.move_time, ListedState::Live),
         };
-        let never =
+        let never_completes =
             effect.action == Action::Reboot && self.never_return.contains(&*effect.instance);
-        if took < takes || never {
+        if took < takes || never_completes {
             listed.state = match effect.action {
                 Action::Drain => ListedState::Draining,
                 Action::Reboot => ListedState::Rebooting,
@@ -244,14 +244,14 @@
         &mut self,
         tick: Duration,
         limit: Duration,
-        mut done: impl FnMut(&Site) -> bool,
+        mut done: impl FnMut(&Simulation) -> bool,
     ) -> Option<Duration> {
         let begun = self.now;
         while self.now < begun + limit {
             if done(self) {
                 return Some(self.now.saturating_sub(begun));
             }
-            self.look();
+            self.run_planner();
             self.now += tick;
         }
         None
--- a/crates/pomelohitch-maintain/src/demand.rs
+++ b/crates/pomelohitch-maintain/src/demand.rs
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Load {
     windows: VecDeque<f64>,
-    begun: Option<Now>,
+    window_start: Option<Now>,
     sum: f64,
     samples: u32,
 }
@@ -73,13 +73,13 @@
 impl Load {
     /// Adds a measurement: how many slots are busy or asked for now.
     pub fn measure(&mut self, options: &Options, now: Now, busy: f64) {
-        let begun = *self.begun.get_or_insert(now);
-        if now.saturating_sub(begun) >= options.window && self.samples > 0 {
+        let window_start = *self.window_start.get_or_insert(now);
+        if now.saturating_sub(window_start) >= options.window && self.samples > 0 {
             self.windows.push_back(self.sum / f64::from(self.samples));
             if self.windows.len() > options.windows {
                 self.windows.pop_front();
             }
-            (self.sum, self.samples, self.begun) = (0.0, 0, Some(now));
+            (self.sum, self.samples, self.window_start) = (0.0, 0, Some(now));
         }
         self.sum += busy;
         self.samples += 1;
@@ -95,7 +95,7 @@
         let mut sorted: Vec<f64> = self.windows.iter().copied().collect();
         sorted.sort_by(f64::total_cmp);
         let load = sorted[rank(sorted.len(), options.quantile)];
-        Some(whole(load / (f64::from(slots) * options.utilisation)))
+        Some(ceil_to_u32(load / (f64::from(slots) * options.utilisation)))
     }
 }
 
@@ -115,6 +115,6 @@
     clippy::cast_sign_loss,
     reason = "the cast saturates, and loads aren't negative"
 )]
-fn whole(instances: f64) -> u32 {
+fn ceil_to_u32(instances: f64) -> u32 {
     instances.ceil() as u32
 }
--- a/crates/pomelohitch-maintain/src/effects.rs
+++ b/crates/pomelohitch-maintain/src/effects.rs
@@ -8,7 +8,7 @@
 
 use crate::observe::Observation;
 use crate::planner::Options;
-use crate::reconcile::Known;
+use crate::reconcile::Findings;
 
 /// An effect, and what to record once the platform says that it is complete.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -29,28 +29,32 @@
 }
 
 /// Every effect that the state asks for and that isn't known to be complete.
-pub(crate) fn wanted(
+pub(crate) fn pending(
     options: &Options,
     state: &State,
-    seen: &Observation,
-    known: &Known,
+    observation: &Observation,
+    findings: &Findings,
 ) -> Vec<Wanted> {
     let instances = state.fleet.instances.iter();
     instances
-        .filter_map(|(id, instance)| want(options, seen, known, id, instance))
+        .filter_map(|(id, instance)| pending_effect(options, observation, findings, id, instance))
         .collect()
 }
 
-fn want(
+fn pending_effect(
     options: &Options,
-    seen: &Observation,
-    known: &Known,
+    observation: &Observation,
+    findings: &Findings,
     id: &InstanceId,
     instance: &Instance,
 ) -> Option<Wanted> {
     let since = instance.since;
     let (action, then) = match &instance.phase {
-        Phase::Draining(_) if !entries_know(options, seen, known, id, instance) => return None,
+        Phase::Draining(_)
+            if !is_known_to_entries(options, observation, findings, id, instance) =>
+        {
+            return None;
+        }
         Phase::Draining(_) => (
             Action::Drain,
             Some(FleetStep::Drained {
@@ -58,11 +62,11 @@
                 since,
             }),
         ),
-        Phase::Drained(DrainPurpose::Maintain) => (Action::Reboot, Some(back(id, instance))),
+        Phase::Drained(DrainPurpose::Maintain) => (Action::Reboot, Some(return_step(id, instance))),
         Phase::Drained(DrainPurpose::MoveTo(to)) => {
-            (Action::Move(to.clone()), Some(back(id, instance)))
+            (Action::Move(to.clone()), Some(return_step(id, instance)))
         }
-        Phase::Active if known.still_drained.contains(id) => (Action::Undrain, None),
+        Phase::Active if findings.drained_at_platform.contains(id) => (Action::Undrain, None),
         _ => return None,
     };
     let effect = Effect {
@@ -77,18 +81,18 @@
 ///
 /// An instance that is idle for a moment counts as drained for the platform. If some entry instance
 /// didn't know yet, it would go on sending, and the reboot would cut its requests.
-fn entries_know(
+fn is_known_to_entries(
     options: &Options,
-    seen: &Observation,
-    known: &Known,
+    observation: &Observation,
+    findings: &Findings,
     id: &InstanceId,
     instance: &Instance,
 ) -> bool {
-    let age = known.in_phase.get(id).copied().unwrap_or_default();
-    age >= options.known_after || seen.known_by_all > instance.since
+    let age = findings.phase_ages.get(id).copied().unwrap_or_default();
+    age >= options.propagation_timeout || observation.known_by_all > instance.since
 }
 
-fn back(id: &InstanceId, instance: &Instance) -> FleetStep {
+fn return_step(id: &InstanceId, instance: &Instance) -> FleetStep {
     FleetStep::Return {
         instance: id.clone(),
         since: instance.since,
--- a/crates/pomelohitch-maintain/src/lib.rs
+++ b/crates/pomelohitch-maintain/src/lib.rs
@@ -16,9 +16,9 @@
 //! * [`moves`]: which instances go to another pool.
 //! * [`effects`]: what the platform is asked for, and what its answer means.
 
+pub mod conditions;
 pub mod demand;
 pub mod effects;
-pub mod memory;
 pub mod moves;
 pub mod observe;
 pub mod planner;
--- a/crates/pomelohitch-maintain/src/planner.rs
+++ b/crates/pomelohitch-maintain/src/planner.rs
@@ -7,8 +7,8 @@
 use pomelohitch_core::id::InstanceId;
 use pomelohitch_core::record::{Body, FleetDecision, FleetStep, MaintainOrder};
 
+use crate::conditions::ConditionTracker;
 use crate::effects::Wanted;
-use crate::memory::Lasting;
 use crate::observe::{Now, Observation};
 use crate::{effects, moves, pools, reconcile, waves};
 
@@ -16,15 +16,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// How long the list has to say the same before it counts; longer than the list lags.
-    pub settle: Duration,
+    pub confirm_after: Duration,
     /// An instance listed in another pool or at another address for longer than this is lost.
-    pub mismatch: Duration,
+    pub mismatch_timeout: Duration,
     /// An instance that recent lists show away for a reboot or move for longer than this is lost.
-    pub return_limit: Duration,
+    pub return_timeout: Duration,
     /// A drain that isn't done within this is taken back: some request never ends.
-    pub drain_limit: Duration,
+    pub drain_timeout: Duration,
     /// Minimum time from a drain that was taken back so to the next of the same instance.
-    pub drain_again_after: Duration,
+    pub drain_retry_delay: Duration,
     /// Minimum time from a failure in a pool to the next drain for maintenance there.
     pub hold_after_failure: Duration,
     /// A wave that has lost this many instances in maintenance is paused.
@@ -32,9 +32,9 @@
     /// A pool gets a wave once its least recently maintained instance has waited this long.
     pub maintain_after: Duration,
     /// How many pools have a wave at once, of those that the planner starts.
-    pub waves_at_once: usize,
+    pub max_waves: usize,
     /// Age from which entry instances surely know an accepted record.
-    pub known_after: Duration,
+    pub propagation_timeout: Duration,
     /// Times and limits of moves.
     pub moves: moves::Options,
 }
@@ -42,17 +42,17 @@
 impl Default for Options {
     fn default() -> Self {
         Options {
-            settle: Duration::from_secs(3),
-            mismatch: Duration::from_secs(30),
-            return_limit: Duration::from_mins(10),
-            drain_limit: Duration::from_mins(30),
-            drain_again_after: Duration::from_hours(3),
+            confirm_after: Duration::from_secs(3),
+            mismatch_timeout: Duration::from_secs(30),
+            return_timeout: Duration::from_mins(10),
+            drain_timeout: Duration::from_mins(30),
+            drain_retry_delay: Duration::from_hours(3),
             hold_after_failure: Duration::from_mins(1),
             lost_limit: 2,
             // A week before the five that an instance may go without.
             maintain_after: Duration::from_hours(4 * 7 * 24),
-            waves_at_once: 3,
-            known_after: Duration::from_secs(5),
+            max_waves: 3,
+            propagation_timeout: Duration::from_secs(5),
             moves: moves::Options::default(),
         }
     }
@@ -92,26 +92,26 @@
 
 /// A fact about an instance that has to last before it counts.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Fact {
+pub(crate) struct InstanceCondition {
     pub instance: InstanceId,
-    pub kind: FactKind,
+    pub kind: ConditionKind,
 }
 
 /// What is so.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum FactKind {
+pub(crate) enum ConditionKind {
     /// It is in the phase that began at this offset.
     InPhase(u64),
     /// It is listed as down.
     Down,
     /// It is away for a reboot or a move, by a list that is recent.
-    Away,
+    NotReturned,
     /// It is not listed at all.
-    Missing,
+    Unlisted,
     /// It is listed in another pool or at another address than the log has.
-    Elsewhere,
+    Mismatched,
     /// The log has it at work, and it is listed as drained or draining.
-    StillDrained,
+    DrainedAtPlatform,
 }
 
 /// A planner: what it remembers from look to look. A new one begins with nothing, and only waits
@@ -120,10 +120,10 @@
 pub struct Planner {
     /// Times and limits.
     pub options: Options,
-    pub(crate) facts: Lasting<Fact>,
+    pub(crate) conditions: ConditionTracker<InstanceCondition>,
     /// Instances that didn't get idle, and when their drain was taken back.
-    pub(crate) busy: BTreeMap<InstanceId, Now>,
-    pub(crate) moves: moves::Memory,
+    pub(crate) drain_backoff: BTreeMap<InstanceId, Now>,
+    pub(crate) moves: moves::Imbalances,
 }
 
 impl Planner {
@@ -137,23 +137,24 @@
     }
 
     /// Looks once.
-    pub fn plan(&mut self, state: &State, seen: &Observation) -> Plan {
-        self.facts.begin();
-        let again = self.options.drain_again_after;
-        self.busy.retain(|_, since| seen.now < *since + again);
+    pub fn plan(&mut self, state: &State, observation: &Observation) -> Plan {
+        self.conditions.begin_pass();
+        let retry_delay = self.options.drain_retry_delay;
+        self.drain_backoff
+            .retain(|_, since| observation.now < *since + retry_delay);
         let mut pools = pools::index(state);
         let mut decisions = Vec::new();
-        let known = reconcile::decide(self, state, seen, &mut decisions);
-        pools::note_busy(&mut pools, &self.busy);
-        pools::note_decided(&mut pools, state, &decisions);
-        waves::take_back(&pools, &mut decisions);
+        let findings = reconcile::decide(self, state, observation, &mut decisions);
+        pools::mark_drain_backoff(&mut pools, &self.drain_backoff);
+        pools::apply_decisions(&mut pools, state, &decisions);
+        waves::cancel_drains(&pools, &mut decisions);
         // A stale list hides failures, so nothing new is started by it.
-        if seen.listed.is_some() {
+        if observation.listed.is_some() {
             waves::decide(
                 &self.options,
                 state,
-                seen,
-                &known,
+                observation,
+                &findings,
                 &mut pools,
                 &mut decisions,
             );
@@ -161,12 +162,12 @@
                 &self.options.moves,
                 &mut self.moves,
                 state,
-                seen,
+                observation,
                 &mut pools,
                 &mut decisions,
             );
         }
-        let effects = effects::wanted(&self.options, state, seen, &known);
+        let effects = effects::pending(&self.options, state, observation, &findings);
         Plan { decisions, effects }
     }
 }
--- a/crates/pomelohitch-maintain/src/pools.rs
+++ b/crates/pomelohitch-maintain/src/pools.rs
@@ -19,14 +19,14 @@
     /// What the log says of it.
     pub instance: &'a Instance,
     /// Whether its last drain never got done, so that it isn't drained again yet.
-    pub is_busy: bool,
+    pub in_drain_backoff: bool,
 }
 
 impl Member<'_> {
     /// Whether it works and may be drained.
     #[must_use]
     pub fn can_drain(&self) -> bool {
-        self.instance.phase == Phase::Active && !self.is_busy
+        self.instance.phase == Phase::Active && !self.in_drain_backoff
     }
 }
 
@@ -40,7 +40,7 @@
     /// How many neither failed nor are to leave the pool.
     pub staying: u32,
     /// How many are on their way to the pool.
-    pub coming: u32,
+    pub incoming: u32,
     /// The highest availability budget of the pool's services; `None` without services.
     pub min_available: Option<u32>,
     /// How many have to stay whatever other pools ask for.
@@ -50,11 +50,11 @@
     /// Where its instances are that are out of work for maintenance.
     pub spread: Spread,
     /// How many are out of work for maintenance.
-    pub maintained: u32,
+    pub in_maintenance: u32,
     /// Whether this very look found out that it loses an instance.
-    pub is_hit: bool,
+    pub lost_instance: bool,
     /// Whether this very look has decided about one of its instances.
-    pub is_touched: bool,
+    pub has_decision: bool,
 }
 
 impl PoolView<'_> {
@@ -66,7 +66,9 @@
     pub fn headroom(&self) -> u32 {
         match self.min_available {
             Some(min) => self.active.saturating_sub(min),
-            None => (self.staying / 10).max(1).saturating_sub(self.maintained),
+            None => (self.staying / 10)
+                .max(1)
+                .saturating_sub(self.in_maintenance),
         }
     }
 
@@ -111,33 +113,33 @@
             view.add(Member {
                 id,
                 instance,
-                is_busy: false,
+                in_drain_backoff: false,
             });
         }
         if let Some(to) = instance.phase.moving_to()
             && let Some(view) = pools.get_mut(to)
         {
-            view.coming += 1;
+            view.incoming += 1;
         }
     }
     pools
 }
 
 /// Marks the instances that aren't drained again yet.
-pub(crate) fn note_busy(pools: &mut Pools<'_>, busy: &BTreeMap<InstanceId, Now>) {
-    if busy.is_empty() {
+pub(crate) fn mark_drain_backoff(pools: &mut Pools<'_>, backoff: &BTreeMap<InstanceId, Now>) {
+    if backoff.is_empty() {
         return;
     }
     for view in pools.values_mut() {
         for member in &mut view.members {
-            member.is_busy = busy.contains_key(member.id);
+            member.in_drain_backoff = backoff.contains_key(member.id);
         }
     }
 }
 
 /// Takes account of the instances about which this look has decided, lost ones above all, before
 /// others are drained: nothing else is decided about them.
-pub(crate) fn note_decided(pools: &mut Pools<'_>, state: &State, decisions: &[Decision]) {
+pub(crate) fn apply_decisions(pools: &mut Pools<'_>, state: &State, decisions: &[Decision]) {
     for decision in decisions {
         let Decision::Fleet(
             FleetStep::Fail { instance, .. }
@@ -151,8 +153,8 @@
             continue;
         };
         if let Some(view) = pools.get_mut(&known.pool) {
-            view.is_touched = true;
-            view.is_hit |= !matches!(decision, Decision::Fleet(FleetStep::Return { .. }));
+            view.has_decision = true;
+            view.lost_instance |= !matches!(decision, Decision::Fleet(FleetStep::Return { .. }));
             view.members.retain(|member| member.id != instance);
             if known.phase == Phase::Active {
                 view.active -= 1;
@@ -173,7 +175,7 @@
             }
             Phase::Draining(DrainPurpose::Maintain) | Phase::Drained(DrainPurpose::Maintain) => {
                 self.staying += 1;
-                self.maintained += 1;
+                self.in_maintenance += 1;
                 self.spread.add(&instance.zone, &instance.rack);
             }
             _ => {}
--- a/crates/pomelohitch-maintain/src/reconcile.rs
+++ b/crates/pomelohitch-maintain/src/reconcile.rs
@@ -10,45 +10,52 @@
 use pomelohitch_platform::instances::{Listed, ListedState};
 
 use crate::observe::Observation;
-use crate::planner::{Decision, Fact, FactKind, Planner};
+use crate::planner::{ConditionKind, Decision, InstanceCondition, Planner};
 
 /// What a look found out about the instances that the log knows.
 #[derive(Debug, Default)]
-pub(crate) struct Known {
+pub(crate) struct Findings {
     /// For how long each has been in its phase, as far as this planner knows.
-    pub in_phase: BTreeMap<InstanceId, Duration>,
+    pub phase_ages: BTreeMap<InstanceId, Duration>,
     /// The log has these at work, and the platform still has them drained.
-    pub still_drained: BTreeSet<InstanceId>,
+    pub drained_at_platform: BTreeSet<InstanceId>,
 }
 
 /// Decides what to record about instances.
 pub(crate) fn decide(
     planner: &mut Planner,
     state: &State,
-    seen: &Observation,
+    observation: &Observation,
     decisions: &mut Vec<Decision>,
-) -> Known {
-    let mut known = Known::default();
+) -> Findings {
+    let mut findings = Findings::default();
     for (id, instance) in &state.fleet.instances {
-        let age = planner.lasts(seen, id, FactKind::InPhase(instance.since));
-        known.in_phase.insert(id.clone(), age);
-        let step = match &seen.listed {
-            Some(listed) => planner.judge(seen, id, instance, age, listed.get(id), &mut known),
+        let age = planner.condition_age(observation, id, ConditionKind::InPhase(instance.since));
+        findings.phase_ages.insert(id.clone(), age);
+        let step = match &observation.listed {
+            Some(listed) => planner.evaluate_listing(
+                observation,
+                id,
+                instance,
+                age,
+                listed.get(id),
+                &mut findings,
+            ),
             None => None,
         };
-        let step = step.or_else(|| planner.give_up_drain(seen, id, instance, age));
+        let step = step.or_else(|| planner.cancel_overdue_drain(observation, id, instance, age));
         decisions.extend(step.map(Decision::Fleet));
     }
-    for listed in seen.listed.iter().flat_map(BTreeMap::values) {
+    for listed in observation.listed.iter().flat_map(BTreeMap::values) {
         decisions.extend(adopt(state, listed).map(Decision::Fleet));
     }
-    known
+    findings
 }
 
 fn adopt(state: &State, listed: &Listed) -> Option<FleetStep> {
     let is_new = !state.fleet.instances.contains_key(&listed.id);
-    let is_ours = state.config.pools.contains_key(&listed.pool);
-    (listed.state == ListedState::Live && is_new && is_ours).then(|| FleetStep::Adopt {
+    let is_configured = state.config.pools.contains_key(&listed.pool);
+    (listed.state == ListedState::Live && is_new && is_configured).then(|| FleetStep::Adopt {
         instance: listed.id.clone(),
         pool: listed.pool.clone(),
         zone: listed.zone.clone(),
@@ -58,36 +65,43 @@
 }
 
 impl Planner {
-    fn lasts(&mut self, seen: &Observation, id: &InstanceId, kind: FactKind) -> Duration {
-        let fact = Fact {
+    fn condition_age(
+        &mut self,
+        observation: &Observation,
+        id: &InstanceId,
+        kind: ConditionKind,
+    ) -> Duration {
+        let condition = InstanceCondition {
             instance: id.clone(),
             kind,
         };
-        self.facts.note(fact, seen.now)
+        self.conditions.observe(condition, observation.now)
     }
 
-    fn judge(
+    fn evaluate_listing(
         &mut self,
-        seen: &Observation,
+        observation: &Observation,
         id: &InstanceId,
         instance: &Instance,
         age: Duration,
         listed: Option<&Listed>,
-        known: &mut Known,
+        findings: &mut Findings,
     ) -> Option<FleetStep> {
         let Some(listed) = listed else {
-            return self.judge_missing(seen, id, instance);
+            return self.evaluate_unlisted(observation, id, instance);
         };
         match (&instance.phase, listed.state) {
             (Phase::Failed, ListedState::Live) => {
                 // It is back. Forgotten now, it is adopted at the next look into the pool in
                 // which the platform has it.
-                (age >= self.options.settle).then(|| forget(id, instance))
+                (age >= self.options.confirm_after).then(|| forget(id, instance))
             }
             (Phase::Failed, _) => None,
-            (_, ListedState::Down) => self.fail_after(seen, id, instance, FactKind::Down),
+            (_, ListedState::Down) => {
+                self.fail_if_persistent(observation, id, instance, ConditionKind::Down)
+            }
             (Phase::Drained(DrainPurpose::Maintain | DrainPurpose::MoveTo(_)), _) => {
-                self.fail_after(seen, id, instance, FactKind::Away)
+                self.fail_if_persistent(observation, id, instance, ConditionKind::NotReturned)
             }
             (Phase::Active, ListedState::Leaving) => Some(FleetStep::Drain {
                 instance: id.clone(),
@@ -95,49 +109,50 @@
                 purpose: DrainPurpose::Leaving,
             }),
             (Phase::Active, ListedState::Draining | ListedState::Drained) => {
-                let lasts = self.lasts(seen, id, FactKind::StillDrained);
-                if lasts >= self.options.settle {
-                    known.still_drained.insert(id.clone());
+                let condition_age =
+                    self.condition_age(observation, id, ConditionKind::DrainedAtPlatform);
+                if condition_age >= self.options.confirm_after {
+                    findings.drained_at_platform.insert(id.clone());
                 }
                 None
             }
             (Phase::Active, _) if listed.pool != instance.pool || listed.addr != instance.addr => {
-                self.fail_after(seen, id, instance, FactKind::Elsewhere)
+                self.fail_if_persistent(observation, id, instance, ConditionKind::Mismatched)
             }
             _ => None,
         }
     }
 
     /// A request that never ends would hold a part of the budget for ever, and a wave with it.
-    fn give_up_drain(
+    fn cancel_overdue_drain(
         &mut self,
-        seen: &Observation,
+        observation: &Observation,
         id: &InstanceId,
         instance: &Instance,
         age: Duration,
     ) -> Option<FleetStep> {
-        let is_ours = matches!(
+        let is_cancellable = matches!(
             instance.phase,
             Phase::Draining(DrainPurpose::Maintain | DrainPurpose::MoveTo(_))
         );
-        if !is_ours || age < self.options.drain_limit {
+        if !is_cancellable || age < self.options.drain_timeout {
             return None;
         }
-        self.busy.insert(id.clone(), seen.now);
+        self.drain_backoff.insert(id.clone(), observation.now);
         Some(FleetStep::Return {
             instance: id.clone(),
             since: instance.since,
         })
     }
 
-    fn judge_missing(
+    fn evaluate_unlisted(
         &mut self,
-        seen: &Observation,
+        observation: &Observation,
         id: &InstanceId,
         instance: &Instance,
     ) -> Option<FleetStep> {
-        let lasts = self.lasts(seen, id, FactKind::Missing);
-        if lasts < self.options.mismatch {
+        let condition_age = self.condition_age(observation, id, ConditionKind::Unlisted);
+        if condition_age < self.options.mismatch_timeout {
             return None;
         }
         Some(match &instance.phase {
@@ -148,19 +163,19 @@
         })
     }
 
-    fn fail_after(
+    fn fail_if_persistent(
         &mut self,
-        seen: &Observation,
+        observation: &Observation,
         id: &InstanceId,
         instance: &Instance,
-        kind: FactKind,
+        kind: ConditionKind,
     ) -> Option<FleetStep> {
         let limit = match kind {
-            FactKind::Down => self.options.settle,
-            FactKind::Away => self.options.return_limit,
-            _ => self.options.mismatch,
+            ConditionKind::Down => self.options.confirm_after,
+            ConditionKind::NotReturned => self.options.return_timeout,
+            _ => self.options.mismatch_timeout,
         };
-        (self.lasts(seen, id, kind) >= limit).then(|| fail(id, instance))
+        (self.condition_age(observation, id, kind) >= limit).then(|| fail(id, instance))
     }
 }
 
--- a/crates/pomelohitch-maintain/src/waves.rs
+++ b/crates/pomelohitch-maintain/src/waves.rs
@@ -16,11 +16,11 @@
 use crate::observe::Observation;
 use crate::planner::{Decision, Options};
 use crate::pools::{Member, PoolView, Pools};
-use crate::reconcile::Known;
+use crate::reconcile::Findings;
 
 /// Takes drains back where a pool has fewer instances at work than its budget: another instance
 /// failed, or an operator raised the budget. What is drained already can't be taken back.
-pub(crate) fn take_back(pools: &Pools<'_>, decisions: &mut Vec<Decision>) {
+pub(crate) fn cancel_drains(pools: &Pools<'_>, decisions: &mut Vec<Decision>) {
     for view in pools.values() {
         let mut deficit = view.deficit();
         if deficit == 0 {
@@ -53,8 +53,8 @@
 pub(crate) fn decide(
     options: &Options,
     state: &State,
-    seen: &Observation,
-    known: &Known,
+    observation: &Observation,
+    findings: &Findings,
     pools: &mut Pools<'_>,
     decisions: &mut Vec<Decision>,
 ) {
@@ -63,7 +63,7 @@
             continue;
         };
         // What this look has decided about is counted at the next one.
-        if !view.is_touched && !view.members.iter().any(|m| wave.covers(m.instance)) {
+        if !view.has_decision && !view.members.iter().any(|m| wave.covers(m.instance)) {
             decisions.push(Decision::Fleet(FleetStep::EndWave {
                 pool: pool.clone(),
                 since: wave.since,
@@ -79,20 +79,20 @@
             decisions.push(Decision::Maintain(MaintainOrder::Pause { pool }));
             continue;
         }
-        if !view.is_hit && !had_failure(options, known, view) {
+        if !view.lost_instance && !has_recent_failure(options, findings, view) {
             drain_next(wave, view, decisions);
         }
     }
-    start_due(options, state, seen, pools, decisions);
+    start_due(options, state, observation, pools, decisions);
 }
 
 /// A failure may be the first of several, or the maintenance's own doing.
-fn had_failure(options: &Options, known: &Known, view: &PoolView<'_>) -> bool {
+fn has_recent_failure(options: &Options, findings: &Findings, view: &PoolView<'_>) -> bool {
     let failed = view
         .members
         .iter()
         .filter(|m| m.instance.phase == Phase::Failed);
-    let mut ages = failed.filter_map(|m| known.in_phase.get(m.id));
+    let mut ages = failed.filter_map(|m| findings.phase_ages.get(m.id));
     ages.any(|age| *age < options.hold_after_failure)
 }
 
@@ -124,7 +124,7 @@
         }
         view.spread.add(zone, rack);
         view.active -= 1;
-        view.maintained += 1;
+        view.in_maintenance += 1;
         headroom -= 1;
         decisions.push(Decision::Fleet(FleetStep::Drain {
             instance: member.id.clone(),
@@ -137,21 +137,19 @@
 fn start_due(
     options: &Options,
     state: &State,
-    seen: &Observation,
+    observation: &Observation,
     pools: &Pools<'_>,
     decisions: &mut Vec<Decision>,
 ) {
     if state.waves.all_paused {
         return;
     }
-    let mut free = options
-        .waves_at_once
-        .saturating_sub(state.waves.by_pool.len());
+    let mut free = options.max_waves.saturating_sub(state.waves.by_pool.len());
     let mut due: Vec<(Reverse<Duration>, &PoolId)> = pools
         .iter()
         .filter(|(pool, _)| !state.waves.by_pool.contains_key(**pool))
         .filter(|(pool, _)| !state.waves.is_paused(pool))
-        .filter_map(|(pool, view)| Some((Reverse(longest_wait(seen, view)?), *pool)))
+        .filter_map(|(pool, view)| Some((Reverse(longest_wait(observation, view)?), *pool)))
         .filter(|(Reverse(wait), _)| *wait >= options.maintain_after)
         .collect();
     due.sort();
@@ -168,11 +166,11 @@
 }
 
 /// For how long the pool's least recently maintained instance has waited.
-fn longest_wait(seen: &Observation, view: &PoolView<'_>) -> Option<Duration> {
+fn longest_wait(observation: &Observation, view: &PoolView<'_>) -> Option<Duration> {
     let working = view
         .members
         .iter()
         .filter(|m| m.instance.phase != Phase::Failed);
     let oldest = working.map(|m| m.instance.maintained_at).min()?;
-    Some(seen.wall.saturating_sub(oldest))
+    Some(observation.wall.saturating_sub(oldest))
 }
