--- a/crates/pomelohitch-model/src/planning.rs
+++ b/crates/pomelohitch-model/src/planning.rs
@@ -9,7 +9,7 @@
 use pomelohitch_core::state::{Instance, Phase};
 
 use crate::promise::Promise;
-use crate::proposal::{Change, Proposal, WEB, What, instance, member};
+use crate::proposal::{Change, Payload, Proposal, WEB, instance, member};
 use crate::scenario::{Mutant, Scenario};
 use crate::step::{Step as AnyStep, after, propose};
 use crate::world::{Action, Intent, NODES, World};
@@ -35,9 +35,9 @@
             take_term(scenario, world, node, state, next);
             if state.members.planner == Some(member(node)) {
                 decide(scenario, world, node, state, next);
-                intend(scenario, world, node, state, next);
+                decide_effects(scenario, world, node, state, next);
             }
-            act(world, node, next);
+            perform_effect(world, node, next);
         }
     }
     fail(scenario, world, next);
@@ -57,12 +57,12 @@
     propose(
         scenario,
         world,
-        by(node, state, What::TakeTerm { term }),
+        proposal_by(node, state, Payload::TakeTerm { term }),
         next,
     );
 }
 
-fn by(node: usize, state: &State, what: What) -> Proposal {
+fn proposal_by(node: usize, state: &State, what: Payload) -> Proposal {
     Proposal {
         by: node,
         after: state.next,
@@ -72,33 +72,38 @@
 
 fn decide(scenario: &Scenario, world: &World, node: usize, state: &State, next: &mut Vec<World>) {
     for i in 0..scenario.instances {
-        let known = &state.fleet.instances[&instance(i)];
-        for change in changes(scenario, world, i, known) {
-            let what = What::Fleet {
+        let logged = &state.fleet.instances[&instance(i)];
+        for change in possible_changes(scenario, world, i, logged) {
+            let what = Payload::Fleet {
                 term: state.members.term,
                 instance: i,
-                since: known.since,
+                since: logged.since,
                 change,
             };
-            propose(scenario, world, by(node, state, what), next);
+            propose(scenario, world, proposal_by(node, state, what), next);
         }
     }
 }
 
 /// What a planner may propose about an instance, by the log and by what the platform shows.
-fn changes(scenario: &Scenario, world: &World, i: usize, known: &Instance) -> Vec<Change> {
+fn possible_changes(
+    scenario: &Scenario,
+    world: &World,
+    i: usize,
+    logged: &Instance,
+) -> Vec<Change> {
     let platform = &world.platform[i];
     let mut changes = Vec::new();
-    if platform.is_down && known.phase != Phase::Failed {
+    if platform.is_down && logged.phase != Phase::Failed {
         changes.push(Change::Fail);
     }
-    match &known.phase {
-        Phase::Active if *known.pool == *WEB => changes.push(Change::Drain),
+    match &logged.phase {
+        Phase::Active if *logged.pool == *WEB => changes.push(Change::Drain),
         Phase::Draining(_) => {
             if platform.is_drained {
                 changes.push(Change::Drained);
             }
-            if scenario.takes_back {
+            if scenario.cancels_drains {
                 changes.push(Change::Return);
             }
         }
@@ -110,28 +115,34 @@
     changes
 }
 
-fn intend(scenario: &Scenario, world: &World, node: usize, state: &State, next: &mut Vec<World>) {
+fn decide_effects(
+    scenario: &Scenario,
+    world: &World,
+    node: usize,
+    state: &State,
+    next: &mut Vec<World>,
+) {
     let is_at_head = world.nodes[node].applied == Some(world.log.len());
     let acts_early = scenario.mutant == Some(Mutant::EffectBeforeVerdict);
     if world.nodes[node].intent.is_some() || !(is_at_head || acts_early) {
         return;
     }
     for i in 0..scenario.instances {
-        let known = &state.fleet.instances[&instance(i)];
-        let sent = world.in_flight.iter().any(|p| {
-            let is_drain = |what| matches!(what, What::Fleet { instance, change: Change::Drain, .. } if instance == i);
+        let logged = &state.fleet.instances[&instance(i)];
+        let has_proposed_drain = world.in_flight.iter().any(|p| {
+            let is_drain = |what| matches!(what, Payload::Fleet { instance, change: Change::Drain, .. } if instance == i);
             p.by == node && is_drain(p.what)
         });
-        let action = match &known.phase {
+        let action = match &logged.phase {
             Phase::Draining(_) => Action::Drain,
             Phase::Drained(DrainPurpose::MoveTo(_)) => Action::Move,
             Phase::Active if world.platform[i].is_drained => Action::Undrain,
-            Phase::Active if acts_early && sent => Action::Drain,
+            Phase::Active if acts_early && has_proposed_drain => Action::Drain,
             _ => continue,
         };
         let intent = Intent {
             instance: i,
-            op: known.since,
+            op: logged.since,
             action,
         };
         if world.platform[i].ops.contains(&intent.op) {
@@ -145,7 +156,7 @@
     }
 }
 
-fn act(world: &World, node: usize, next: &mut Vec<World>) {
+fn perform_effect(world: &World, node: usize, next: &mut Vec<World>) {
     let Some(intent) = world.nodes[node].intent else {
         return;
     };
@@ -154,7 +165,7 @@
         AnyStep::Planning(Step::Act(node, intent)),
         |world| {
             world.nodes[node].intent = None;
-            if !is_of_accepted(world, &intent) {
+            if !is_authorised(world, &intent) {
                 world.broken = Some(Promise::EffectsAccepted);
             }
             apply(world, &intent);
@@ -163,18 +174,18 @@
 }
 
 /// Whether the log has an accepted record at the effect's offset that asks for this very effect.
-fn is_of_accepted(world: &World, intent: &Intent) -> bool {
-    let place = intent.op.checked_sub(world.base.next);
-    let place = place.and_then(|place| usize::try_from(place).ok());
-    let entry = place.and_then(|place| world.log.get(place));
+fn is_authorised(world: &World, intent: &Intent) -> bool {
+    let index = intent.op.checked_sub(world.base.next);
+    let index = index.and_then(|index| usize::try_from(index).ok());
+    let entry = index.and_then(|index| world.log.get(index));
     entry.is_some_and(|entry| {
-        let known = &entry.state.fleet.instances[&instance(intent.instance)];
+        let logged = &entry.state.fleet.instances[&instance(intent.instance)];
         let asks = match intent.action {
-            Action::Drain => matches!(known.phase, Phase::Draining(_)),
-            Action::Undrain => known.phase == Phase::Active,
-            Action::Move => known.phase.moving_to().is_some(),
+            Action::Drain => matches!(logged.phase, Phase::Draining(_)),
+            Action::Undrain => logged.phase == Phase::Active,
+            Action::Move => logged.phase.moving_to().is_some(),
         };
-        known.since == intent.op && asks
+        logged.since == intent.op && asks
     })
 }
 
@@ -199,7 +210,7 @@
 }
 
 fn fail(scenario: &Scenario, world: &World, next: &mut Vec<World>) {
-    if world.spent.failures >= scenario.failures {
+    if world.event_counts.failures >= scenario.failures {
         return;
     }
     for i in 0..scenario.instances {
@@ -210,7 +221,7 @@
             world,
             AnyStep::Planning(Step::InstanceFails(i)),
             |world| {
-                world.spent.failures += 1;
+                world.event_counts.failures += 1;
                 world.platform[i].is_down = true;
             },
         ));
--- a/crates/pomelohitch-model/src/promise.rs
+++ b/crates/pomelohitch-model/src/promise.rs
@@ -3,7 +3,7 @@
 use pomelohitch_core::Verdict;
 use pomelohitch_core::state::Phase;
 
-use crate::proposal::{Change, FILE, KEY, SPARE, WEB, What, instance};
+use crate::proposal::{Change, FILE, KEY, Payload, SPARE, WEB, instance};
 use crate::scenario::Scenario;
 use crate::world::{Answer, Entry, NODES, World};
 
@@ -41,43 +41,43 @@
 
 /// The first promise that `world` breaks, other than those that a step itself notices.
 #[must_use]
-pub fn broken(scenario: &Scenario, world: &World) -> Option<Promise> {
+pub fn first_broken(scenario: &Scenario, world: &World) -> Option<Promise> {
     let checks = [
-        (Promise::OnePool, one_pool(world)),
-        (Promise::Budget, budget(scenario, world)),
-        (Promise::NeverReverts, never_reverts(world)),
-        (Promise::KeyWithdrawn, key_withdrawn(world)),
-        (Promise::TrueAnswer, true_answer(world)),
+        (Promise::OnePool, one_pool_holds(world)),
+        (Promise::Budget, budget_holds(scenario, world)),
+        (Promise::NeverReverts, never_reverts_holds(world)),
+        (Promise::KeyWithdrawn, key_withdrawn_holds(world)),
+        (Promise::TrueAnswer, true_answer_holds(world)),
     ];
     let first = checks.into_iter().find(|(_, holds)| !holds);
     first.map(|(promise, _)| promise)
 }
 
-fn one_pool(world: &World) -> bool {
+fn one_pool_holds(world: &World) -> bool {
     let state = world.head();
     (0..).zip(&world.platform).all(|(i, platform)| {
-        let known = &state.fleet.instances[&instance(i)];
+        let logged = &state.fleet.instances[&instance(i)];
         let has = if platform.is_moved { SPARE } else { WEB };
-        match &known.phase {
+        match &logged.phase {
             Phase::Failed => true,
             Phase::Drained(_) => {
-                *known.pool == *has || known.phase.moving_to().is_some_and(|to| **to == *has)
+                *logged.pool == *has || logged.phase.moving_to().is_some_and(|to| **to == *has)
             }
-            _ => *known.pool == *has,
+            _ => *logged.pool == *has,
         }
     })
 }
 
-fn budget(scenario: &Scenario, world: &World) -> bool {
+fn budget_holds(scenario: &Scenario, world: &World) -> bool {
     if scenario.instances == 0 {
         return true;
     }
     let min = scenario.min_available;
-    let checks_platform = scenario.checks_window || !scenario.takes_back;
+    let checks_platform = scenario.checks_call_window || !scenario.cancels_drains;
     let drains_leave_enough = world.log.iter().all(|entry| {
         let is_drain = matches!(
             entry.proposal.what,
-            What::Fleet {
+            Payload::Fleet {
                 change: Change::Drain,
                 ..
             }
@@ -96,11 +96,11 @@
     live + down >= min
 }
 
-fn never_reverts(world: &World) -> bool {
+fn never_reverts_holds(world: &World) -> bool {
     let bases_match = (0..)
         .zip(world.log.iter())
         .all(|(n, entry): (usize, &Entry)| {
-            let What::Publish { base, .. } = entry.proposal.what else {
+            let Payload::Publish { base, .. } = entry.proposal.what else {
                 return true;
             };
             let before = world.state_after(n).config.files[FILE].version;
@@ -111,7 +111,7 @@
     bases_match && are_current
 }
 
-fn key_withdrawn(world: &World) -> bool {
+fn key_withdrawn_holds(world: &World) -> bool {
     !world.is_withdrawal_settled
         || (0..NODES).all(|node| !world.is_accepting(node) || refuses_key(world, node))
 }
@@ -122,13 +122,13 @@
     let withdrawn = world
         .view(node)
         .is_none_or(|state| state.team_of_key(KEY).is_none());
-    withdrawn || world.nodes[node].news
+    withdrawn || world.nodes[node].knows_withdrawal
 }
 
-fn true_answer(world: &World) -> bool {
+fn true_answer_holds(world: &World) -> bool {
     world.operators.iter().all(|operator| {
         let is_accepted = world.accepted(&operator.proposal).is_some();
-        match operator.told {
+        match operator.received {
             None => true,
             Some(Answer::InForce) => is_accepted,
             Some(Answer::NotInForce) => !is_accepted,
--- a/crates/pomelohitch-model/src/proposal.rs
+++ b/crates/pomelohitch-model/src/proposal.rs
@@ -28,12 +28,12 @@
     /// The proposer's next offset to read.
     pub after: Offset,
     /// What it proposes.
-    pub what: What,
+    pub what: Payload,
 }
 
 /// What is proposed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum What {
+pub enum Payload {
     /// An operator replaces [`FILE`].
     Publish {
         /// Which operator.
@@ -149,7 +149,7 @@
 
     fn body(&self) -> Body {
         match self.what {
-            What::Publish { operator, base } => {
+            Payload::Publish { operator, base } => {
                 let change = FileChange {
                     base: Some(base),
                     file: Some(file(u32::try_from(operator).unwrap_or(0) + 2)),
@@ -158,13 +158,13 @@
                     changes: [(FILE.into(), change)].into(),
                 })
             }
-            What::Withdraw => Body::WithdrawKey(WithdrawKey { key: KEY.into() }),
-            What::TakeTerm { term } => Body::TakeTerm(TakeTerm {
+            Payload::Withdraw => Body::WithdrawKey(WithdrawKey { key: KEY.into() }),
+            Payload::TakeTerm { term } => Body::TakeTerm(TakeTerm {
                 member: member(self.by),
                 incarnation: self.by as u64,
                 term,
             }),
-            What::Fleet {
+            Payload::Fleet {
                 term,
                 instance: i,
                 since,
--- a/crates/pomelohitch-model/src/publishing.rs
+++ b/crates/pomelohitch-model/src/publishing.rs
@@ -2,7 +2,7 @@
 
 use pomelohitch_core::Verdict;
 
-use crate::proposal::{FILE, KEY, Proposal, What};
+use crate::proposal::{FILE, KEY, Payload, Proposal};
 use crate::scenario::{Mutant, Scenario};
 use crate::step::{Step as AnyStep, after, may_propose, propose};
 use crate::world::{Answer, NODES, Operator, World};
@@ -26,7 +26,7 @@
         log_withdrawal(scenario, world, node, next);
     }
     for operator in 0..world.operators.len() {
-        tell(scenario, world, operator, next);
+        answer_operator(scenario, world, operator, next);
     }
 }
 
@@ -41,7 +41,7 @@
     let proposal = Proposal {
         by: node,
         after: state.next,
-        what: What::Publish {
+        what: Payload::Publish {
             operator,
             base: state.config.files[FILE].version,
         },
@@ -53,7 +53,7 @@
             world.in_flight.insert(proposal);
             world.operators.push(Operator {
                 proposal,
-                told: None,
+                received: None,
             });
         },
     ));
@@ -61,22 +61,22 @@
 
 /// The node tells a verdict once it has read the record; "not in force" without a record only
 /// once the log refused it, so that no copy is on its way.
-fn tell(scenario: &Scenario, world: &World, operator: usize, next: &mut Vec<World>) {
-    let Operator { proposal, told } = &world.operators[operator];
-    if told.is_some() {
+fn answer_operator(scenario: &Scenario, world: &World, operator: usize, next: &mut Vec<World>) {
+    let Operator { proposal, received } = &world.operators[operator];
+    if received.is_some() {
         return;
     }
     let answer = verdict_read(world, proposal).or_else(|| {
-        let has_landed = world.log.iter().any(|entry| entry.proposal == *proposal);
-        let is_refused = !has_landed && !world.in_flight.contains(proposal);
-        let guesses = scenario.mutant == Some(Mutant::GuessesNotInForce);
-        (is_refused || guesses).then_some(Answer::NotInForce)
+        let is_in_log = world.log.iter().any(|entry| entry.proposal == *proposal);
+        let is_refused = !is_in_log && !world.in_flight.contains(proposal);
+        let answers_early = scenario.mutant == Some(Mutant::GuessesNotInForce);
+        (is_refused || answers_early).then_some(Answer::NotInForce)
     });
     if let Some(answer) = answer {
         next.push(after(
             world,
             AnyStep::Publishing(Step::Tell(operator, answer)),
-            |world| world.operators[operator].told = Some(answer),
+            |world| world.operators[operator].received = Some(answer),
         ));
     }
 }
@@ -89,8 +89,8 @@
     Some(match &copy.verdict {
         Verdict::Accepted => Answer::InForce,
         Verdict::Repeat(first) => {
-            let place = usize::try_from(first - world.base.next).unwrap_or(0);
-            match world.log[place].verdict {
+            let index = usize::try_from(first - world.base.next).unwrap_or(0);
+            match world.log[index].verdict {
                 Verdict::Accepted => Answer::InForce,
                 _ => Answer::NotInForce,
             }
@@ -100,15 +100,15 @@
 }
 
 fn withdraw(scenario: &Scenario, world: &World, node: usize, next: &mut Vec<World>) {
-    if !scenario.withdraws || world.spent.withdrawals > 0 || !world.is_accepting(node) {
+    if !scenario.withdraws || world.event_counts.withdrawals > 0 || !world.is_accepting(node) {
         return;
     }
     next.push(after(
         world,
         AnyStep::Publishing(Step::Withdraw(node)),
         |world| {
-            world.spent.withdrawals += 1;
-            world.nodes[node].news = true;
+            world.event_counts.withdrawals += 1;
+            world.nodes[node].knows_withdrawal = true;
         },
     ));
 }
@@ -118,11 +118,11 @@
     let Some(state) = world.view(node) else {
         return;
     };
-    if world.nodes[node].news && state.team_of_key(KEY).is_some() {
+    if world.nodes[node].knows_withdrawal && state.team_of_key(KEY).is_some() {
         let proposal = Proposal {
             by: node,
             after: state.next,
-            what: What::Withdraw,
+            what: Payload::Withdraw,
         };
         propose(scenario, world, proposal, next);
     }
--- a/crates/pomelohitch-model/src/reading.rs
+++ b/crates/pomelohitch-model/src/reading.rs
@@ -47,7 +47,7 @@
         restart(scenario, world, node, next);
         pause(scenario, world, node, next);
     }
-    hear(world, next);
+    exchange_heartbeats(world, next);
     write_chunk(scenario, world, next);
     trim(scenario, world, next);
     // Without these a node never begins to take requests, so the bound changes nothing.
@@ -64,38 +64,40 @@
 }
 
 fn read(scenario: &Scenario, world: &World, node: usize, next: &mut Vec<World>) {
-    if !world.log_is_up || world.nodes[node].paused {
+    if !world.log_is_up || world.nodes[node].is_paused {
         return;
     }
     // A node that has read nothing starts at the first record, if the log still has it.
     let applied = world.nodes[node].applied.unwrap_or(0);
     if applied < world.trimmed {
         if scenario.mutant == Some(Mutant::SkipsTrimmed) {
-            push(world, Step::Read(node), next, |world| skip(world, node));
+            push(world, Step::Read(node), next, |world| {
+                read_past_trimmed(world, node);
+            });
         }
         return;
     }
     push(world, Step::Read(node), next, |world| {
         world.nodes[node].applied = Some(world.log.len());
-        world.nodes[node].caught_up = true;
+        world.nodes[node].is_caught_up = true;
     });
 }
 
 /// Goes on with the oldest record that is kept, as if there were none before it.
-fn skip(world: &mut World, node: usize) {
+fn read_past_trimmed(world: &mut World, node: usize) {
     let mut state = match world.nodes[node].applied {
         Some(applied) => State::clone(world.state_after(applied)),
         None => State::default(),
     };
-    for (place, entry) in world.log.iter().enumerate().skip(world.trimmed) {
-        let offset = world.base.next + place as u64;
+    for (index, entry) in world.log.iter().enumerate().skip(world.trimmed) {
+        let offset = world.base.next + index as u64;
         state.apply(offset, &entry.proposal.record());
     }
-    take_over(world, node, world.log.len(), &state);
+    install_state(world, node, world.log.len(), &state);
 }
 
 /// Puts `state` in force at `node`, which takes it for that after `applied` records.
-fn take_over(world: &mut World, node: usize, applied: usize, state: &State) {
+fn install_state(world: &mut World, node: usize, applied: usize, state: &State) {
     if *state != **world.state_after(applied) {
         world.broken = Some(Promise::SameState);
     }
@@ -104,29 +106,29 @@
 
 fn load(scenario: &Scenario, world: &World, node: usize, next: &mut Vec<World>) {
     let is_behind = world.nodes[node].applied.unwrap_or(0) < world.trimmed;
-    if !world.log_is_up || world.nodes[node].paused || !is_behind {
+    if !world.log_is_up || world.nodes[node].is_paused || !is_behind {
         return;
     }
     let loaded = if scenario.mutant == Some(Mutant::TakesTornSnapshot) {
-        newest_of_any_kind(world)
+        newest_complete_or_torn(world)
     } else {
         newest_complete(stream(world).iter().map(|record| &**record))
     };
     let Some(state) = loaded else { return };
     push(world, Step::Load(node), next, |world| {
-        let holds = usize::try_from(state.next - world.base.next).unwrap_or(0);
-        take_over(world, node, holds, &state);
+        let records_included = usize::try_from(state.next - world.base.next).unwrap_or(0);
+        install_state(world, node, records_included, &state);
     });
 }
 
 /// The records of the snapshots' stream.
 fn stream(world: &World) -> Vec<Box<str>> {
     let chunks_of = |snapshot: &Snapshot| {
-        let state = world.state_after(snapshot.holds);
-        let text = serde_len(state);
+        let state = world.state_after(snapshot.records_included);
+        let text = encoded_len(state);
         let records = split(
             state,
-            RecordId::from_u128(snapshot.holds as u128),
+            RecordId::from_u128(snapshot.records_included as u128),
             text / CHUNKS + 1,
         );
         records.into_iter().take(snapshot.chunks)
@@ -135,17 +137,17 @@
 }
 
 /// How long the state is as text; one chunk holds all of it if it may be as long.
-fn serde_len(state: &Arc<State>) -> usize {
-    let whole = split(state, RecordId::nil(), usize::MAX);
+fn encoded_len(state: &Arc<State>) -> usize {
+    let complete = split(state, RecordId::nil(), usize::MAX);
     // The chunk's own fields and the escaped quotes make it longer; only the cut depends on it.
-    whole.first().map_or(1, |chunk| chunk.len() * 3 / 4)
+    complete.first().map_or(1, |chunk| chunk.len() * 3 / 4)
 }
 
 /// What a reader would have that doesn't look whether a snapshot is whole: of a torn one, the
 /// records before the snapshot are missing.
-fn newest_of_any_kind(world: &World) -> Option<State> {
+fn newest_complete_or_torn(world: &World) -> Option<State> {
     let newest = world.snapshots.last()?;
-    let mut state = State::clone(world.state_after(newest.holds));
+    let mut state = State::clone(world.state_after(newest.records_included));
     if newest.chunks < CHUNKS {
         let next = state.next;
         state = State::clone(&world.base);
@@ -155,64 +157,66 @@
 }
 
 fn restart(scenario: &Scenario, world: &World, node: usize, next: &mut Vec<World>) {
-    if world.spent.restarts >= scenario.restarts {
+    if world.event_counts.restarts >= scenario.restarts {
         return;
     }
     // What only this node knows, and the log doesn't, is lost with it; no protocol can keep it.
     let other_accepts = world.is_accepting(1 - node);
     let is_logged = world.head().team_of_key(KEY).is_none();
-    let news_stays = !world.nodes[node].news || world.nodes[1 - node].news || is_logged;
-    if !news_stays || !(world.log_is_up || other_accepts) {
+    let withdrawal_survives =
+        !world.nodes[node].knows_withdrawal || world.nodes[1 - node].knows_withdrawal || is_logged;
+    if !withdrawal_survives || !(world.log_is_up || other_accepts) {
         return;
     }
     push(world, Step::Restart(node), next, |world| {
-        world.spent.restarts += 1;
+        world.event_counts.restarts += 1;
         let serves_at_once = scenario.mutant == Some(Mutant::ServesBeforeHead);
-        let serves_unheard = scenario.mutant == Some(Mutant::ServesUnheard);
+        let serves_before_heartbeat = scenario.mutant == Some(Mutant::ServesUnheard);
         world.nodes[node] = Node {
             applied: (serves_at_once && world.trimmed == 0).then_some(0),
-            caught_up: serves_at_once,
-            heard: serves_unheard || serves_at_once,
+            is_caught_up: serves_at_once,
+            has_heard_peer: serves_before_heartbeat || serves_at_once,
             ..Node::default()
         };
     });
 }
 
 fn pause(scenario: &Scenario, world: &World, node: usize, next: &mut Vec<World>) {
-    if world.nodes[node].paused {
+    if world.nodes[node].is_paused {
         push(world, Step::Wake(node), next, |world| {
             let goes_on = scenario.mutant == Some(Mutant::ServesAfterPause);
             let node = &mut world.nodes[node];
-            node.paused = false;
-            node.caught_up = goes_on;
-            node.heard = goes_on;
+            node.is_paused = false;
+            node.is_caught_up = goes_on;
+            node.has_heard_peer = goes_on;
         });
-    } else if world.spent.pauses < scenario.pauses {
+    } else if world.event_counts.pauses < scenario.pauses {
         push(world, Step::Pause(node), next, |world| {
-            world.spent.pauses += 1;
-            world.nodes[node].paused = true;
+            world.event_counts.pauses += 1;
+            world.nodes[node].is_paused = true;
         });
     }
 }
 
-fn hear(world: &World, next: &mut Vec<World>) {
+fn exchange_heartbeats(world: &World, next: &mut Vec<World>) {
     if world
         .nodes
         .iter()
-        .any(|node| node.paused || node.applied.is_none())
+        .any(|node| node.is_paused || node.applied.is_none())
     {
         return;
     }
     push(world, Step::Hear, next, |world| {
-        let news = world.nodes.iter().any(|node| node.news);
-        let most = world.nodes.iter().map(|node| node.applied).max().flatten();
+        let knows_withdrawal = world.nodes.iter().any(|node| node.knows_withdrawal);
+        let max_applied = world.nodes.iter().map(|node| node.applied).max().flatten();
         let log_is_up = world.log_is_up;
         for node in &mut world.nodes {
-            node.news = news;
-            let accepts = node.caught_up && node.heard;
-            node.heard = true;
+            node.knows_withdrawal = knows_withdrawal;
+            let accepts = node.is_caught_up && node.has_heard_peer;
+            node.has_heard_peer = true;
             // A peer that has more says so: the head that was reached is an old one.
-            node.caught_up = accepts || ((node.caught_up || !log_is_up) && node.applied == most);
+            node.is_caught_up =
+                accepts || ((node.is_caught_up || !log_is_up) && node.applied == max_applied);
         }
     });
 }
@@ -224,14 +228,18 @@
     for node in 0..NODES {
         let Some(applied) = world.nodes[node]
             .applied
-            .filter(|_| !world.nodes[node].paused)
+            .filter(|_| !world.nodes[node].is_paused)
         else {
             continue;
         };
         if applied == 0 {
             continue;
         }
-        let written = world.snapshots.iter().find(|s| s.holds == applied).copied();
+        let written = world
+            .snapshots
+            .iter()
+            .find(|s| s.records_included == applied)
+            .copied();
         let is_new = written.is_none();
         if is_new && world.snapshots.len() >= scenario.snapshots {
             continue;
@@ -245,7 +253,7 @@
                 world.snapshots.remove(&snapshot);
             }
             world.snapshots.insert(Snapshot {
-                holds: applied,
+                records_included: applied,
                 chunks: chunks + 1,
             });
         });
@@ -257,11 +265,16 @@
     if scenario.snapshots == 0 {
         return;
     }
-    let whole = world.snapshots.iter().filter(|s| s.chunks == CHUNKS);
-    for snapshot in whole.filter(|s| s.holds > world.trimmed) {
-        push(world, Step::Trim(snapshot.holds), next, |world| {
-            world.trimmed = snapshot.holds;
-        });
+    let complete = world.snapshots.iter().filter(|s| s.chunks == CHUNKS);
+    for snapshot in complete.filter(|s| s.records_included > world.trimmed) {
+        push(
+            world,
+            Step::Trim(snapshot.records_included),
+            next,
+            |world| {
+                world.trimmed = snapshot.records_included;
+            },
+        );
     }
 }
 
@@ -272,15 +285,19 @@
     let are_at_head = world
         .nodes
         .iter()
-        .all(|node| node.paused || node.applied.is_none_or(|applied| applied == head));
+        .all(|node| node.is_paused || node.applied.is_none_or(|applied| applied == head));
     if world.log_is_up && !are_at_head {
         return;
     }
     let is_known = accepting().any(|node| refuses_key(world, node));
     // Heartbeats also reach those that don't take requests yet.
     let is_known_by_all = (0..NODES).all(|node| {
-        let Node { paused, heard, .. } = world.nodes[node];
-        paused || !heard || refuses_key(world, node)
+        let Node {
+            is_paused,
+            has_heard_peer,
+            ..
+        } = world.nodes[node];
+        is_paused || !has_heard_peer || refuses_key(world, node)
     });
     let is_logged = world.head().team_of_key(KEY).is_none();
     if is_known && !(is_known_by_all && (is_logged || !world.log_is_up)) {
--- a/crates/pomelohitch-model/src/scenario.rs
+++ b/crates/pomelohitch-model/src/scenario.rs
@@ -20,10 +20,10 @@
     /// How many instances may fail.
     pub failures: usize,
     /// Whether a planner takes drains back.
-    pub takes_back: bool,
+    pub cancels_drains: bool,
     /// Whether the platform's budget is checked although drains are taken back: it is known to break
     /// then, in the time between a planner's check and its call.
-    pub checks_window: bool,
+    pub checks_call_window: bool,
     /// How many publishes operators send.
     pub publishes: usize,
     /// Whether the key is withdrawn, urgently, at some entry instance.
@@ -109,7 +109,7 @@
         terms: 2,
         instances: 2,
         min_available: 1,
-        takes_back: true,
+        cancels_drains: true,
         ..Scenario::default()
     }
 }
--- a/crates/pomelohitch-model/src/step.rs
+++ b/crates/pomelohitch-model/src/step.rs
@@ -6,7 +6,7 @@
 use pomelohitch_core::{State, Verdict};
 
 use crate::promise;
-use crate::proposal::{FILE, Proposal, What, pools};
+use crate::proposal::{FILE, Payload, Proposal, pools};
 use crate::scenario::{Mutant, Scenario};
 use crate::world::{Entry, World};
 use crate::{planning, publishing, reading};
@@ -44,7 +44,7 @@
     publishing::steps(scenario, world, &mut next);
     for world in &mut next {
         if world.broken.is_none() {
-            world.broken = promise::broken(scenario, world);
+            world.broken = promise::first_broken(scenario, world);
         }
     }
     next
@@ -65,9 +65,9 @@
     proposal: Proposal,
     next: &mut Vec<World>,
 ) {
-    let is_known = world.in_flight.contains(&proposal)
+    let is_duplicate = world.in_flight.contains(&proposal)
         || world.log.iter().any(|entry| entry.proposal == proposal);
-    if is_known || !may_propose(scenario, world) {
+    if is_duplicate || !may_propose(scenario, world) {
         return;
     }
     next.push(after(world, Step::Propose(proposal), |world| {
@@ -91,10 +91,10 @@
         }
         if world.log_is_up
             && world.log.len() < scenario.records
-            && world.spent.lost_answers < scenario.lost_answers
+            && world.event_counts.lost_answers < scenario.lost_answers
         {
             next.push(after(world, Step::LandUnanswered(proposal), |world| {
-                world.spent.lost_answers += 1;
+                world.event_counts.lost_answers += 1;
                 append(scenario, world, proposal);
             }));
         }
@@ -102,9 +102,9 @@
             world.in_flight.remove(&proposal);
         }));
     }
-    if world.log_is_up && world.spent.outages < scenario.outages {
+    if world.log_is_up && world.event_counts.outages < scenario.outages {
         next.push(after(world, Step::LogDown, |world| {
-            world.spent.outages += 1;
+            world.event_counts.outages += 1;
             world.log_is_up = false;
         }));
     }
@@ -130,11 +130,11 @@
     let offset = state.next;
     let mut record = proposal.record();
     match scenario.mutant {
-        Some(Mutant::FoldSkipsBudget) => return without_budget(scenario, state, &record),
+        Some(Mutant::FoldSkipsBudget) => return apply_without_budget(scenario, state, &record),
         Some(Mutant::FoldCountsRepeats) => {
             record.id = pomelohitch_core::id::RecordId::from_u128(u128::from(offset) << 64);
         }
-        Some(Mutant::FoldSkipsSince) => hide_since(state, proposal, &mut record),
+        Some(Mutant::FoldSkipsSince) => match_current_phase(state, proposal, &mut record),
         Some(Mutant::FoldSkipsBase) => {
             let version = state.config.files[FILE].version;
             if let Body::Publish(publish) = &mut record.body {
@@ -153,7 +153,7 @@
     state.apply(offset, &record)
 }
 
-fn without_budget(scenario: &Scenario, state: &mut State, record: &Record) -> Verdict {
+fn apply_without_budget(scenario: &Scenario, state: &mut State, record: &Record) -> Verdict {
     let config = state.config.clone();
     for service in Arc::make_mut(&mut state.config).services.values_mut() {
         service.min_available = 0;
@@ -167,8 +167,8 @@
     verdict
 }
 
-fn hide_since(state: &State, proposal: &Proposal, record: &mut Record) {
-    let What::Fleet {
+fn match_current_phase(state: &State, proposal: &Proposal, record: &mut Record) {
+    let Payload::Fleet {
         instance, change, ..
     } = proposal.what
     else {
@@ -176,7 +176,7 @@
     };
     let since = state.fleet.instances[&crate::proposal::instance(instance)].since;
     let what = match proposal.what {
-        What::Fleet { term, .. } => What::Fleet {
+        Payload::Fleet { term, .. } => Payload::Fleet {
             term,
             instance,
             since,
--- a/crates/pomelohitch-model/src/world.rs
+++ b/crates/pomelohitch-model/src/world.rs
@@ -36,7 +36,7 @@
     /// The entry instances.
     pub nodes: [Node; NODES],
     /// The instances, as the platform has them.
-    pub platform: Vec<Platform>,
+    pub platform: Vec<PlatformInstance>,
     /// The publishes of operators.
     pub operators: Vec<Operator>,
     /// So many records have been in the log for longer than the bound.
@@ -44,7 +44,7 @@
     /// The key's withdrawal has been known for longer than the bound.
     pub is_withdrawal_settled: bool,
     /// What has happened so far of what the scenario bounds.
-    pub spent: Spent,
+    pub event_counts: EventCounts,
     /// The promise that the last step broke.
     pub broken: Option<Promise>,
     /// The last step; no part of the state.
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Snapshot {
     /// How many of the model's records it holds.
-    pub holds: usize,
+    pub records_included: usize,
     /// How many of its chunks were written.
     pub chunks: usize,
 }
@@ -81,13 +81,13 @@
     /// How many of the model's records it has applied; `None` before it has read anything.
     pub applied: Option<usize>,
     /// It has reached the head, or, the log being down, what its peer has.
-    pub caught_up: bool,
+    pub is_caught_up: bool,
     /// It has heard its peer since it started or woke.
-    pub heard: bool,
+    pub has_heard_peer: bool,
     /// It doesn't run for a while.
-    pub paused: bool,
+    pub is_paused: bool,
     /// It knows by bad news that the key is withdrawn.
-    pub news: bool,
+    pub knows_withdrawal: bool,
     /// The effect that it decided on and hasn't asked for yet.
     pub intent: Option<Intent>,
 }
@@ -116,7 +116,7 @@
 
 /// An instance as the platform has it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Platform {
+pub struct PlatformInstance {
     /// It is in the pool with the spares.
     pub is_moved: bool,
     /// It gets no work.
@@ -133,7 +133,7 @@
     /// What was sent.
     pub proposal: Proposal,
     /// What the operator was told.
-    pub told: Option<Answer>,
+    pub received: Option<Answer>,
 }
 
 /// What an operator is told.
@@ -147,7 +147,7 @@
 
 /// What has happened so far of what the scenario bounds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Spent {
+pub struct EventCounts {
     /// Answers lost.
     pub lost_answers: usize,
     /// Instances failed.
@@ -168,8 +168,8 @@
     pub fn new(scenario: &Scenario) -> World {
         let node = Node {
             applied: Some(0),
-            caught_up: true,
-            heard: true,
+            is_caught_up: true,
+            has_heard_peer: true,
             ..Node::default()
         };
         World {
@@ -180,11 +180,11 @@
             in_flight: BTreeSet::new(),
             snapshots: BTreeSet::new(),
             nodes: [node.clone(), node],
-            platform: vec![Platform::default(); scenario.instances],
+            platform: vec![PlatformInstance::default(); scenario.instances],
             operators: Vec::new(),
             settled: 0,
             is_withdrawal_settled: false,
-            spent: Spent::default(),
+            event_counts: EventCounts::default(),
             broken: None,
             last: None,
         }
@@ -209,7 +209,7 @@
     #[must_use]
     pub fn view(&self, node: usize) -> Option<&Arc<State>> {
         let node = &self.nodes[node];
-        let applied = node.applied.filter(|_| !node.paused)?;
+        let applied = node.applied.filter(|_| !node.is_paused)?;
         Some(self.state_after(applied))
     }
 
@@ -217,15 +217,15 @@
     #[must_use]
     pub fn is_accepting(&self, node: usize) -> bool {
         let node = &self.nodes[node];
-        node.applied.is_some() && !node.paused && node.caught_up && node.heard
+        node.applied.is_some() && !node.is_paused && node.is_caught_up && node.has_heard_peer
     }
 
     /// The record of this proposal that was accepted, by its place in the model's log.
     #[must_use]
     pub fn accepted(&self, proposal: &Proposal) -> Option<usize> {
-        let is_it =
+        let is_accepted_copy =
             |entry: &Entry| entry.proposal == *proposal && entry.verdict == Verdict::Accepted;
-        self.log.iter().position(is_it)
+        self.log.iter().position(is_accepted_copy)
     }
 }
 
@@ -238,7 +238,7 @@
         self.in_flight.hash(state);
         self.nodes.hash(state);
         self.platform.hash(state);
-        self.spent.hash(state);
+        self.event_counts.hash(state);
         self.settled.hash(state);
         self.trimmed.hash(state);
         self.snapshots.hash(state);
@@ -262,7 +262,7 @@
             && self.operators == other.operators
             && self.settled == other.settled
             && self.is_withdrawal_settled == other.is_withdrawal_settled
-            && self.spent == other.spent
+            && self.event_counts == other.event_counts
             && self.broken == other.broken
     }
 }
@@ -296,8 +296,11 @@
         term: 1,
     }));
     let changes = [
-        (FILE.into(), first(file(1))),
-        ("pools".into(), first(pools(scenario.min_available))),
+        (FILE.into(), initial_change(file(1))),
+        (
+            "pools".into(),
+            initial_change(pools(scenario.min_available)),
+        ),
     ];
     append(Body::Publish(pomelohitch_core::record::Publish {
         changes: changes.into(),
@@ -317,7 +320,7 @@
     state
 }
 
-fn first(file: pomelohitch_core::FleetFile) -> pomelohitch_core::record::FileChange {
+fn initial_change(file: pomelohitch_core::FleetFile) -> pomelohitch_core::record::FileChange {
     pomelohitch_core::record::FileChange {
         base: None,
         file: Some(file),
