--- a/crates/pomelohitch-maintain/examples/measure.rs
+++ b/crates/pomelohitch-maintain/examples/measure.rs
@@ -1,6 +1,6 @@
-//! Measures waves, moves and control state at the users' sizes of today and of two years on, with baselines,
-//! and prints the tables of `docs/MEASUREMENTS.md`. Waves and moves run in virtual time with fixed
-//! seeds; costs are wall-clock times of this machine.
+//! Benchmarks waves, moves and the control state at current and expected fleet sizes, with
+//! baselines, and prints the tables of `docs/MEASUREMENTS.md`. Waves and moves run in virtual time
+//! with fixed seeds; costs are wall-clock times.
 
 #[path = "measure/costs.rs"]
 mod costs;
@@ -12,7 +12,7 @@
 #[path = "measure/simulation.rs"]
 mod simulation;
 
-/// Without an argument prints everything, else only `rollout`, `load` or `costs`.
+/// Prints all tables, or only those of the first argument: `rollout`, `load` or `costs`.
 fn main() {
     let only = std::env::args().nth(1);
     let is_wanted = |name| only.as_deref().is_none_or(|only| only == name);
--- a/crates/pomelohitch-maintain/examples/measure/costs.rs
+++ b/crates/pomelohitch-maintain/examples/measure/costs.rs
@@ -1,4 +1,4 @@
-//! What control costs a node: folding records, joining from a snapshot, deciding.
+//! Cost of the control state on a node: applying records, loading a snapshot, planning.
 
 use std::time::{Duration, Instant};
 
@@ -36,7 +36,7 @@
     }
 }
 
-/// A fleet of this size, with 240 teams and 37 pools at the most, a file for each team.
+/// Creates a fleet with this number of instances, at most 37 pools, and 240 teams with a file each.
 fn fleet(instances: usize) -> Simulation {
     let pools = POOLS.min(instances / 10).max(1);
     let ids: Vec<String> = (0..pools).map(|n| format!("pool-{n:02}")).collect();
@@ -78,8 +78,10 @@
     })
 }
 
-/// Applies each record as a reader does, which publishes its state after each read, so that the
-/// next record copies what it changes.
+/// Applies `count` records and returns the total time and bytes.
+///
+/// As in a reader that publishes its state after each read, a shared copy of the state is alive
+/// while a record is applied, so the record copies the parts that it changes.
 fn cost_of(
     sim: &mut Simulation,
     count: usize,
@@ -119,7 +121,7 @@
         publish(
             state,
             n % TEAMS,
-            101 + u32::try_from(n / TEAMS).expect("small"),
+            101 + u32::try_from(n / TEAMS).expect("the number of records is small"),
         )
     });
     print_fold("publish of one team's file", count, publishes);
@@ -138,7 +140,12 @@
     });
     print_fold("pause or resume of a pool", 2 * POOLS, waves);
     let drains = cost_of(&mut sim, 300, |state, n| {
-        let (id, instance) = state.fleet.instances.iter().nth(n).expect("enough");
+        let (id, instance) = state
+            .fleet
+            .instances
+            .iter()
+            .nth(n)
+            .expect("the fleet has more instances");
         Body::Fleet(pomelohitch_core::record::FleetDecision {
             term: 1,
             step: pomelohitch_core::record::FleetStep::Fail {
@@ -216,7 +223,7 @@
             sim.now += Duration::from_secs(5);
         }
         let total: Duration = times.iter().sum();
-        let mean = total / u32::try_from(times.len()).expect("few");
+        let mean = total / u32::try_from(times.len()).expect("the number of passes is small");
         let longest = times.iter().max().copied().unwrap_or_default();
         println!(
             "| {instances} | {} | {} | {:.2} ms | {:.2} ms |",
--- a/crates/pomelohitch-maintain/examples/measure/load.rs
+++ b/crates/pomelohitch-maintain/examples/measure/load.rs
@@ -1,4 +1,4 @@
-//! Moves in a day, and what the buffer costs, under load as the users describe it.
+//! Number of moves per day and cost of spare capacity under a daily load with bursts.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 const SLOTS: u32 = 8;
 const STEP: Duration = Duration::from_secs(5);
 const DAY: Duration = Duration::from_hours(24);
-/// A burst asks for five times the mean, for so many steps out of each round.
+/// Number of steps per round in which a pool bursts to `BURST_FACTOR` times its mean load.
 const BURST_STEPS: usize = 4;
 const BURST_FACTOR: f64 = 5.0;
 const IDLE_FACTOR: f64 = 0.05;
@@ -77,7 +77,7 @@
             "| {} | {} | {} | {:.0} | {:.2} |",
             policy.name,
             day.moves,
-            day.rush_moves,
+            day.morning_moves,
             day.buffer_hours,
             100.0 * day.short / day.asked,
         );
@@ -88,7 +88,7 @@
 #[derive(Default)]
 struct Day {
     moves: u32,
-    rush_moves: u32,
+    morning_moves: u32,
     buffer_hours: f64,
     short: f64,
     asked: f64,
@@ -120,7 +120,7 @@
     sim
 }
 
-/// The mean load of a pool at a time of day, in slots: each pool has its own rush.
+/// Mean load of a pool in slots at a time of day; each pool peaks at its own hour.
 fn mean(n: usize, now: Duration) -> f64 {
     let hour = now.as_secs_f64() / 3600.0 % 24.0;
     let peak = [8.0, 9.0, 12.0, 18.0, 20.0][n];
@@ -128,7 +128,9 @@
     20.0 + 45.0 * (-distance * distance / 4.0).exp()
 }
 
-/// Bursts go round the pools, so that a pool's mean over a round is its mean load.
+/// Load offered to a pool in one step, in slots.
+///
+/// The pools burst in turn; the factors average to 1 over a round.
 fn offered_load(n: usize, step: usize, now: Duration, rng: &mut StdRng) -> f64 {
     let is_burst = step % ROUND_STEPS / BURST_STEPS == n;
     let share = 1.0 / (BURST_FACTOR + IDLE_FACTOR * 4.0) * 5.0;
@@ -157,7 +159,7 @@
         let before = sim.moves;
         sim.run_planner();
         if (7..10).contains(&(sim.now.as_secs() / 3600)) {
-            day.rush_moves += sim.moves - before;
+            day.morning_moves += sim.moves - before;
         }
         sim.now += STEP;
         step += 1;
@@ -166,12 +168,13 @@
     day
 }
 
-/// What doesn't fit waits for the next steps; what waits still is short of slots.
+/// Adds one step to the totals of the day. Load above the capacity queues for the next steps, and
+/// queued load counts as a shortage of slots.
 fn record_step(day: &mut Day, queued: &mut f64, busy: f64, active: f64, mean: f64) {
     let slots = active * f64::from(SLOTS);
     let wanted = busy + *queued;
     *queued = (wanted - slots).max(0.0);
-    // Beyond some seconds' worth of slots callers are refused, and don't queue up for hours.
+    // Requests beyond this queue length are refused instead of queued.
     *queued = queued.min(slots * 6.0);
     day.asked += busy;
     day.short += *queued / 6.0;
--- a/crates/pomelohitch-maintain/examples/measure/rollout.rs
+++ b/crates/pomelohitch-maintain/examples/measure/rollout.rs
@@ -1,4 +1,4 @@
-//! How long a wave takes, against the least that the budgets permit.
+//! Duration of a maintenance wave, compared with the lower bound that the budgets permit.
 
 use std::time::Duration;
 
@@ -14,14 +14,14 @@
 const TICK: Duration = Duration::from_secs(1);
 const LIMIT: Duration = Duration::from_hours(24 * 5);
 
-/// A fleet whose pools are all maintained at once.
+/// A fleet in which all pools are maintained at the same time.
 struct Fleet {
     name: &'static str,
     pools: usize,
     instances: usize,
-    /// Of each pool, so many hundredths have to stay.
+    /// Percentage of each pool that must stay active.
     stay: u32,
-    /// Failures in a day over the whole fleet.
+    /// Failures per day over the whole fleet.
     failures: f64,
 }
 
@@ -104,7 +104,7 @@
     (size * fleet.stay).div_ceil(100)
 }
 
-/// The fleet with every instance adopted and a wave begun in each pool.
+/// Creates the fleet, lets the planner adopt every instance and starts a wave in each pool.
 fn start(fleet: &Fleet) -> (Simulation, Duration) {
     let ids = || (0..fleet.pools).map(|n| (n, pool_id(n)));
     let file = FleetFile {
@@ -139,7 +139,7 @@
     let failures_per_tick = fleet.failures * TICK.as_secs_f64() / 86_400.0;
     let mut failed = 0;
     while !sim.state.waves.by_pool.is_empty() {
-        assert!(sim.now < LIMIT, "a wave doesn't end");
+        assert!(sim.now < LIMIT, "a wave did not end in time");
         if rng.random::<f64>() < failures_per_tick {
             fail_one(&mut sim, &mut rng);
             failed += 1;
@@ -157,7 +157,7 @@
         pomelohitch_platform::instances::ListedState::Down;
 }
 
-/// Pools go on side by side, so the slowest one counts.
+/// Longest time over all pools, which are maintained in parallel.
 fn longest(
     sim: &Simulation,
     fleet: &Fleet,
@@ -175,15 +175,16 @@
     (0..fleet.pools).map(of_pool).max().unwrap_or_default()
 }
 
-/// At most `at_once` are out at any time, so the sum of all times takes at least this; and no
-/// wave is shorter than its slowest instance.
+/// Lower bound of a wave's duration with at most `at_once` instances in maintenance at a time: the
+/// sum of all times divided by `at_once`, but at least the time of the slowest instance.
 fn lower_bound(times: &[Duration], at_once: u32) -> Duration {
     let work: Duration = times.iter().sum();
     let slowest = times.iter().copied().max().unwrap_or_default();
     (work / at_once).max(slowest)
 }
 
-/// A tenth of the pool, or one, is taken out together, and the next ones when all are back.
+/// Duration with fixed batches of a tenth of the pool, at least one instance, where each batch
+/// starts when the previous one is complete.
 fn surge_time(times: &[Duration]) -> Duration {
     let batches = times.chunks((times.len() / 10).max(1));
     batches.filter_map(|batch| batch.iter().max()).sum()
--- a/crates/pomelohitch-maintain/examples/measure/simulation.rs
+++ b/crates/pomelohitch-maintain/examples/measure/simulation.rs
@@ -1,4 +1,4 @@
-//! The real fold, a planner and a platform that does what it is asked, in virtual time.
+//! Simulation of the real fold, a planner and a platform in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,17 +11,17 @@
 use pomelohitch_maintain::{Decision, Observation, Plan, Planner};
 use pomelohitch_platform::instances::{Action, Listed, ListedState};
 
-/// When the virtual time begins, on the wall clock.
+/// Wall-clock time at the start of the virtual time.
 pub const EPOCH: Duration = Duration::from_hours(24 * 1000);
 
-/// How long the platform takes.
+/// Durations of the platform's operations.
 #[derive(Debug, Clone)]
 pub struct Times {
-    /// Until a drained instance's last request is done.
+    /// Time until the last request of a draining instance ends.
     pub drain: Duration,
-    /// Until a rebooted instance is back.
+    /// Time for a reboot.
     pub reboot: Duration,
-    /// Until a moved instance is in its pool.
+    /// Time for a move to another pool.
     pub move_time: Duration,
 }
 
@@ -35,35 +35,35 @@
     }
 }
 
-/// Everything.
+/// Folded state, planner and platform.
 pub struct Simulation {
     pub state: State,
     pub planner: Planner,
     pub now: Duration,
     pub times: Times,
     pub platform: BTreeMap<InstanceId, Listed>,
-    /// How long single instances take to drain, where it isn't the usual time.
+    /// Drain times of instances that differ from `times.drain`.
     pub drain_times: BTreeMap<InstanceId, Duration>,
-    /// These never come back from a reboot.
+    /// Instances that never return from a reboot.
     pub never_return: BTreeSet<InstanceId>,
-    /// The list shows what was so at the look before.
+    /// Whether the planner sees the list of the previous pass.
     pub list_lags: bool,
     previous: BTreeMap<InstanceId, Listed>,
-    /// The list doesn't arrive, or is too old.
+    /// Whether the list is unavailable or too old.
     pub list_is_stale: bool,
-    /// Entry instances have applied what is below; `None` for the head.
+    /// Offset below which all entry instances have applied the records; `None` for the head.
     pub known_by_all: Option<Offset>,
     pub needs: BTreeMap<PoolId, u32>,
-    /// When effects began, by the offset of their decision.
+    /// Start times of effects, by the offset of the decision.
     started: BTreeMap<Offset, Duration>,
-    /// Accepted moves.
+    /// Number of accepted moves.
     pub moves: u32,
-    /// What was rejected by the fold.
+    /// Verdicts of rejected decisions.
     pub rejected: Vec<Verdict>,
 }
 
 impl Simulation {
-    /// An empty fleet with a planner and these files.
+    /// Creates a simulation without instances, with `file` published.
     pub fn new(planner: Planner, file: FleetFile) -> Simulation {
         let mut sim = Simulation {
             state: State::default(),
@@ -143,7 +143,7 @@
         assert_eq!(self.append(body), Verdict::Accepted, "{text}");
     }
 
-    /// What the planner is told now.
+    /// Returns the input of the next planning pass.
     pub fn observe(&self) -> Observation {
         let shown = if self.list_lags {
             &self.previous
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Lets the planner look once, and carries out what it decides.
+    /// Runs one planning pass, appends its decisions and requests its effects.
     pub fn run_planner(&mut self) -> Plan {
         let observation = self.observe();
         let plan = self.planner.plan(&self.state, &observation);
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Whether the effect is complete.
+    /// Requests an effect and returns whether it is complete.
     fn call_platform(&mut self, pending: &Wanted) -> bool {
         let effect = &pending.effect;
         let begun = *self.started.entry(effect.op).or_insert(self.now);
@@ -239,7 +239,9 @@
         true
     }
 
-    /// Looks every `tick` until `done`, for at most `limit`; returns how long it took.
+    /// Runs a planning pass every `tick` until `done` returns `true`.
+    ///
+    /// Returns the elapsed time, or `None` after `limit`.
     pub fn run_until(
         &mut self,
         tick: Duration,
@@ -258,7 +260,7 @@
     }
 }
 
-/// A pool.
+/// Creates the configuration of a pool.
 pub fn pool(id: &str, spare: bool, floor: u32) -> Pool {
     Pool {
         id: id.into(),
@@ -267,7 +269,7 @@
     }
 }
 
-/// A service of which `min_available` instances have to stay.
+/// Creates the configuration of a service with `min_available` as its availability budget.
 pub fn service(id: &str, pool: &str, min_available: u32) -> Service {
     Service {
         id: id.into(),
--- a/crates/pomelohitch-maintain/src/conditions.rs
+++ b/crates/pomelohitch-maintain/src/conditions.rs
@@ -1,14 +1,14 @@
-//! Since when something has been so.
+//! Tracks how long conditions have held without interruption.
 //!
-//! The platform's list lags, and one look proves little: an instance that just came back is still
-//! listed as rebooting. Decisions therefore wait until what they rest on has been so for a while.
+//! The platform's list lags: an instance that just returned may still be listed as rebooting.
+//! Decisions therefore wait until their condition has held for some time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use crate::observe::Now;
 
-/// Since when each of several things has been so.
+/// Start time of each condition that has held in every pass since.
 #[derive(Debug, Clone)]
 pub struct ConditionTracker<K> {
     entries: BTreeMap<K, Entry>,
@@ -31,14 +31,14 @@
 }
 
 impl<K: Ord> ConditionTracker<K> {
-    /// Begins a look; what isn't noted until the next one was not so and begins anew.
+    /// Begins a pass and drops the conditions that were not observed in the previous one.
     pub fn begin_pass(&mut self) {
         let last = self.pass;
         self.entries.retain(|_, entry| entry.pass == last);
         self.pass += 1;
     }
 
-    /// Notes that `key` is so now; returns for how long it has been.
+    /// Records that condition `key` holds at `now` and returns for how long it has held.
     pub fn observe(&mut self, key: K, now: Now) -> Duration {
         let pass = self.pass;
         let entry = self
--- a/crates/pomelohitch-maintain/src/demand.rs
+++ b/crates/pomelohitch-maintain/src/demand.rs
@@ -1,39 +1,38 @@
-//! From measured load to instances needed.
+//! Converts the measured load of a pool into a required number of instances.
 //!
-//! Queues in turn ask for five times their mean for some seconds, and a twentieth in between. A move
-//! takes longer than that, so instances aren't moved for a burst; the buffer is there for it. Load is
-//! therefore averaged over windows, and the need is a quantile of the recent windows: what has to be
-//! there most of the time, by measurement instead of by a constant.
+//! Queues burst in turn to five times their mean load for some seconds, and fall to a twentieth of
+//! it in between. A move takes longer than a burst, so spare capacity absorbs bursts instead of
+//! moves. Load is averaged over windows, and the requirement is a quantile of the recent windows.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::observe::Now;
 
-/// What is weighed: few moves and short waits, or a small buffer.
+/// Trade-off between the number of moves and the amount of spare capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weighting {
-    /// A larger buffer, and few moves: for whom roll-out time and moves count most.
+    /// Few moves and more spare capacity, for sites where roll-out time and moves cost most.
     FewMoves,
-    /// A smaller buffer, and more moves: for whom the cost of the buffer counts most.
+    /// Less spare capacity and more moves, for sites where idle instances cost most.
     SmallBuffer,
 }
 
-/// How the need is worked out.
+/// Parameters for computing the required number of instances.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Load is averaged over windows of this length.
+    /// Length of a window over which load is averaged.
     pub window: Duration,
-    /// How many windows are remembered.
+    /// Number of recent windows that are kept.
     pub windows: usize,
-    /// The share of the windows whose load has to fit, 0 to 1.
+    /// Fraction of the kept windows whose load must fit, from 0 to 1.
     pub quantile: f64,
-    /// The share of an instance's slots that is planned to be busy, above 0 and up to 1.
+    /// Planned fraction of busy slots per instance, above 0 and at most 1.
     pub utilisation: f64,
 }
 
 impl Options {
-    /// The options for a weighting.
+    /// Returns the parameters for a trade-off.
     #[must_use]
     pub fn weighted(weighting: Weighting) -> Options {
         let (quantile, utilisation) = match weighting {
@@ -51,8 +50,8 @@
 impl Default for Options {
     fn default() -> Self {
         Options {
-            // Longer than the queues take for their bursts in turn, so that a window holds whole
-            // rounds and not a burst.
+            // Longer than a full round of bursts over the queues, so that a single burst does not
+            // dominate a window.
             window: Duration::from_mins(2),
             windows: 30,
             quantile: 0.95,
@@ -61,7 +60,7 @@
     }
 }
 
-/// The recent load of a pool.
+/// Recent load of a pool, averaged per window.
 #[derive(Debug, Clone, Default)]
 pub struct Load {
     windows: VecDeque<f64>,
@@ -71,7 +70,7 @@
 }
 
 impl Load {
-    /// Adds a measurement: how many slots are busy or asked for now.
+    /// Adds a sample: the number of slots that are busy or requested now.
     pub fn measure(&mut self, options: &Options, now: Now, busy: f64) {
         let window_start = *self.window_start.get_or_insert(now);
         if now.saturating_sub(window_start) >= options.window && self.samples > 0 {
@@ -85,10 +84,12 @@
         self.samples += 1;
     }
 
-    /// How many instances with `slots` each are needed; `None` before enough was measured.
+    /// Returns the required number of instances with `slots` each.
+    ///
+    /// Returns `None` while less than a quarter of the windows is filled, or if `slots` is 0.
     #[must_use]
     pub fn need(&self, options: &Options, slots: u32) -> Option<u32> {
-        // Fewer windows say little, and a planner that just took over has none.
+        // Too few windows give no reliable quantile; a new planner starts with none.
         if self.windows.len() * 4 < options.windows || slots == 0 {
             return None;
         }
--- a/crates/pomelohitch-maintain/src/effects.rs
+++ b/crates/pomelohitch-maintain/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the platform is asked for, and what its answer means.
+//! Platform calls that accepted records require, and the records that follow on completion.
 
 use pomelohitch_core::State;
 use pomelohitch_core::id::InstanceId;
@@ -10,17 +10,17 @@
 use crate::planner::Options;
 use crate::reconcile::Findings;
 
-/// An effect, and what to record once the platform says that it is complete.
+/// An effect to request, and the step to propose once the platform reports completion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wanted {
-    /// The effect, keyed by the offset of the accepted record that asks for it.
+    /// The effect, identified by the offset of the accepted record that requires it.
     pub effect: Effect,
-    /// What to propose once it is complete.
+    /// Step to propose on completion.
     pub then: Option<FleetStep>,
 }
 
 impl Wanted {
-    /// Whether `state` still has the instance in the phase that asks for the effect.
+    /// Whether the instance is still in the phase that requires the effect.
     #[must_use]
     pub fn is_current(&self, state: &State) -> bool {
         let instance = state.fleet.instances.get(&self.effect.instance);
@@ -28,7 +28,7 @@
     }
 }
 
-/// Every effect that the state asks for and that isn't known to be complete.
+/// Returns every effect that the state requires and that is not known to be complete.
 pub(crate) fn pending(
     options: &Options,
     state: &State,
@@ -77,10 +77,10 @@
     Some(Wanted { effect, then })
 }
 
-/// Whether every entry instance has stopped sending to the instance.
+/// Whether every entry instance knows of the drain and sends no new requests to the instance.
 ///
-/// An instance that is idle for a moment counts as drained for the platform. If some entry instance
-/// didn't know yet, it would go on sending, and the reboot would cut its requests.
+/// The platform reports an instance as drained once it is idle for a moment. An entry instance that
+/// had not read the drain yet would keep sending requests, which the reboot would cut off.
 fn is_known_to_entries(
     options: &Options,
     observation: &Observation,
--- a/crates/pomelohitch-maintain/src/lib.rs
+++ b/crates/pomelohitch-maintain/src/lib.rs
@@ -1,20 +1,20 @@
-//! Pools, moves and maintenance waves: what a planner decides, as pure functions.
+//! Planning of instance pools, moves between pools and maintenance waves, without I/O.
 //!
-//! A [`Planner`] is told the state of the log, what the platform shows and the time, and says what
-//! to propose and which effects of accepted records to ask the platform for. It does no I/O and reads
-//! no clock, so that it runs in virtual time in tests and measurements. Whatever it decides is only
-//! a proposal: the fold judges it again at its own offset, so a planner that is wrong or late wastes
-//! work and breaks nothing.
+//! In each planning pass a [`Planner`] takes the folded log, the platform's instance list and the
+//! time, and returns decisions to propose and platform effects that accepted records require. It
+//! reads no clock, so tests and benchmarks run it in virtual time. Decisions are only proposals:
+//! the fold validates each one again at its own offset, so a wrong or outdated planner causes
+//! rejected records but no invalid state.
 //!
-//! * [`planner`]: one look, from state and list to decisions and effects.
-//! * [`observe`]: what a planner is told.
-//! * [`memory`]: since when something has been so.
-//! * [`pools`]: one pass over all instances that the decisions share.
-//! * [`reconcile`]: instances that came, went, failed or are elsewhere than thought.
-//! * [`waves`]: which instances to maintain next.
-//! * [`demand`]: from measured load to instances needed.
-//! * [`moves`]: which instances go to another pool.
-//! * [`effects`]: what the platform is asked for, and what its answer means.
+//! * [`planner`]: a planning pass, its options and its result.
+//! * [`observe`]: the input of a planning pass.
+//! * [`conditions`]: how long a condition has held without interruption.
+//! * [`pools`]: per-pool view of the instances, shared by all decisions of a pass.
+//! * [`reconcile`]: compares the instances in the log with the platform's list.
+//! * [`waves`]: selects the instances to maintain next.
+//! * [`demand`]: converts measured load into a required number of instances.
+//! * [`moves`]: moves instances between pools.
+//! * [`effects`]: platform calls that accepted records require.
 
 pub mod conditions;
 pub mod demand;
--- a/crates/pomelohitch-maintain/src/moves.rs
+++ b/crates/pomelohitch-maintain/src/moves.rs
@@ -1,8 +1,8 @@
-//! Which instances go to another pool.
+//! Moves instances between pools.
 //!
-//! A move costs a drain, a move, and requests that wait meanwhile. A pool therefore gets an
-//! instance only when it has lacked one for a while, and gives one back only when it has had too
-//! many for much longer; in between nothing moves (hysteresis).
+//! A move takes a drain and a platform call, and requests queue meanwhile. Hysteresis limits moves:
+//! a pool receives an instance only after a lasting shortage, and returns one only after a much
+//! longer surplus.
 
 use std::time::Duration;
 
@@ -16,21 +16,21 @@
 use crate::planner::Decision;
 use crate::pools::{Member, Pools};
 
-/// Times and limits of moves.
+/// Timeouts and limits of moves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// A pool gets an instance once it has lacked one for so long.
+    /// A pool receives instances after a shortage of this duration.
     pub shortage_delay: Duration,
-    /// A pool gives an instance back once it has had too many for so long.
+    /// A pool returns instances after a surplus of this duration.
     pub surplus_delay: Duration,
-    /// How many more than needed a pool keeps.
+    /// Number of instances above the requirement that do not count as surplus.
     pub slack: u32,
-    /// How many instances are on their way at once.
+    /// Maximum number of instances being moved at the same time.
     pub max_in_transit: u32,
 }
 
 impl Options {
-    /// The options for a weighting.
+    /// Returns the options for a trade-off.
     #[must_use]
     pub fn weighted(weighting: Weighting) -> Options {
         match weighting {
@@ -49,7 +49,7 @@
     fn default() -> Self {
         Options {
             shortage_delay: Duration::from_mins(2),
-            // Longer than a rush, so that what one rush needed is still there for the next.
+            // Longer than a load peak, so that instances stay from one peak to the next.
             surplus_delay: Duration::from_hours(6),
             slack: 2,
             max_in_transit: 4,
@@ -57,14 +57,14 @@
     }
 }
 
-/// Since when pools have lacked instances or had too many.
+/// Tracks how long pools have had a shortage or surplus of instances.
 #[derive(Debug, Clone, Default)]
 pub struct Imbalances {
     shortage: ConditionTracker<PoolId>,
     surplus: ConditionTracker<PoolId>,
 }
 
-/// Decides about moves.
+/// Decides which instances to drain for a move to another pool.
 pub(crate) fn decide(
     options: &Options,
     imbalances: &mut Imbalances,
@@ -96,7 +96,8 @@
     pools.values().map(|view| view.incoming).sum()
 }
 
-/// The pools that have lacked instances for long enough, and how many each, the neediest first.
+/// Pools with a shortage of at least `shortage_delay` and the number of missing instances, largest
+/// shortage first.
 fn persistent_shortages(
     options: &Options,
     imbalances: &mut Imbalances,
@@ -119,7 +120,7 @@
     shortages
 }
 
-/// The pools that have had too many for long enough, and how many each.
+/// Pools with a surplus of at least `surplus_delay` and the number of surplus instances.
 fn persistent_surpluses(
     options: &Options,
     imbalances: &mut Imbalances,
@@ -142,7 +143,8 @@
     surpluses
 }
 
-/// Where an instance for `to` comes from: spares first, then pools that have had too many.
+/// Selects the pool that an instance for `to` comes from: spare pools first, then pools with a
+/// surplus.
 fn source(
     state: &State,
     pools: &Pools<'_>,
@@ -161,7 +163,7 @@
         .cloned()
 }
 
-/// Sends one instance, unless the pool has none that works.
+/// Drains one instance of `from` for a move to `to`; returns `false` if none can be drained.
 fn drain_one(
     pools: &mut Pools<'_>,
     from: &PoolId,
@@ -177,7 +179,7 @@
         })
     };
     let works = |member: &&Member<'_>| member.can_drain();
-    // The most recently maintained one needs the least work in its new pool.
+    // The most recently maintained instance is due for maintenance last in its new pool.
     let mut working: Vec<_> = view.members.iter().filter(works).collect();
     working.sort_by_key(|member| std::cmp::Reverse(member.instance.maintained));
     let Some(member) = working.into_iter().find(|member| !is_taken(member)) else {
@@ -196,7 +198,7 @@
     true
 }
 
-/// What nobody lacks goes back to the first pool of spares.
+/// Moves remaining surplus instances to the first spare pool.
 fn return_to_spares(
     state: &State,
     pools: &mut Pools<'_>,
--- a/crates/pomelohitch-maintain/src/observe.rs
+++ b/crates/pomelohitch-maintain/src/observe.rs
@@ -1,4 +1,4 @@
-//! What a planner is told.
+//! Input of a planning pass.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,28 +6,28 @@
 use pomelohitch_core::id::{InstanceId, Offset, PoolId, Timestamp};
 use pomelohitch_platform::instances::{List, Listed};
 
-/// A point on the planner's own clock, which only goes forward.
+/// A point in time on the planner's monotonic clock.
 pub type Now = Duration;
 
-/// What a planner is told at one look.
+/// Input of one planning pass.
 #[derive(Debug, Clone, Default)]
 pub struct Observation {
-    /// The planner's own clock.
+    /// Time on the planner's monotonic clock.
     pub now: Now,
-    /// Wall-clock time, for what is due after weeks.
+    /// Wall-clock time, for maintenance intervals of weeks.
     pub wall: Timestamp,
-    /// The platform's instances, if the list is recent enough to start something new by it.
+    /// The platform's instances by id; `None` if the list is unavailable or too old.
     pub listed: Option<BTreeMap<InstanceId, Listed>>,
-    /// Every entry instance has applied the records below this offset.
+    /// Every entry instance has applied all records below this offset.
     pub known_by_all: Offset,
-    /// How many instances each pool needs; pools whose demand isn't measured are missing.
+    /// Required number of instances by pool; pools without measured demand are absent.
     pub needs: BTreeMap<PoolId, u32>,
 }
 
-/// The list by id, or nothing if it is older than `limit`.
+/// Returns the listed instances by id, or `None` if the list is older than `limit`.
 ///
-/// A list that stands still looks like a fleet in which nothing fails. Whoever went on draining by
-/// it would not see the failures that have used up the budget.
+/// A list that is no longer updated hides failures. Draining based on it could exceed the
+/// availability budget that these failures have already used.
 #[must_use]
 pub fn recent(
     list: List,
--- a/crates/pomelohitch-maintain/src/planner.rs
+++ b/crates/pomelohitch-maintain/src/planner.rs
@@ -1,4 +1,4 @@
-//! One look, from state and list to decisions and effects.
+//! A planning pass: turns the folded state and the platform's list into decisions and effects.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,30 +12,35 @@
 use crate::observe::{Now, Observation};
 use crate::{effects, moves, pools, reconcile, waves};
 
-/// Times and limits of a planner.
+/// Timeouts and limits of a planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// How long the list has to say the same before it counts; longer than the list lags.
+    /// How long the list must show a condition before the planner acts on it; longer than the
+    /// list's lag.
     pub confirm_after: Duration,
-    /// An instance listed in another pool or at another address for longer than this is lost.
+    /// An instance that is unlisted, or listed in another pool or at another address, for this long
+    /// is marked as failed.
     pub mismatch_timeout: Duration,
-    /// An instance that recent lists show away for a reboot or move for longer than this is lost.
+    /// An instance that has not returned from a reboot or move within this time is marked as
+    /// failed. Only time covered by recent lists counts.
     pub return_timeout: Duration,
-    /// A drain that isn't done within this is taken back: some request never ends.
+    /// A drain that is not complete within this time is cancelled, because some request may never
+    /// end.
     pub drain_timeout: Duration,
-    /// Minimum time from a drain that was taken back so to the next of the same instance.
+    /// Minimum time from such a cancellation to the next drain of the same instance.
     pub drain_retry_delay: Duration,
     /// Minimum time from a failure in a pool to the next drain for maintenance there.
     pub hold_after_failure: Duration,
-    /// A wave that has lost this many instances in maintenance is paused.
+    /// A wave is paused once this many of its instances have failed during maintenance.
     pub lost_limit: u32,
-    /// A pool gets a wave once its least recently maintained instance has waited this long.
+    /// A wave starts in a pool once its least recently maintained instance has gone this long
+    /// without maintenance.
     pub maintain_after: Duration,
-    /// How many pools have a wave at once, of those that the planner starts.
+    /// The planner starts no further wave while this many pools have one.
     pub max_waves: usize,
-    /// Age from which entry instances surely know an accepted record.
+    /// After this time an accepted record is assumed to be known to every entry instance.
     pub propagation_timeout: Duration,
-    /// Times and limits of moves.
+    /// Timeouts and limits of moves.
     pub moves: moves::Options,
 }
 
@@ -49,7 +54,7 @@
             drain_retry_delay: Duration::from_hours(3),
             hold_after_failure: Duration::from_mins(1),
             lost_limit: 2,
-            // A week before the five that an instance may go without.
+            // One week less than the five weeks that an instance may go without maintenance.
             maintain_after: Duration::from_hours(4 * 7 * 24),
             max_waves: 3,
             propagation_timeout: Duration::from_secs(5),
@@ -58,17 +63,17 @@
     }
 }
 
-/// Something to propose.
+/// A record to propose.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// About an instance or the end of a wave.
+    /// A step for one instance, or the end of a wave.
     Fleet(FleetStep),
-    /// A wave begins or is paused.
+    /// Starts or pauses a wave.
     Maintain(MaintainOrder),
 }
 
 impl Decision {
-    /// The record's body, decided in the state's term.
+    /// Converts the decision into a record body, with the term of `state`.
     #[must_use]
     pub fn body(self, state: &State) -> Body {
         match self {
@@ -81,53 +86,54 @@
     }
 }
 
-/// What one look gives.
+/// Result of a planning pass.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// What to propose, in this order.
+    /// Records to propose, in this order.
     pub decisions: Vec<Decision>,
-    /// What to ask the platform for.
+    /// Effects to request from the platform.
     pub effects: Vec<Wanted>,
 }
 
-/// A fact about an instance that has to last before it counts.
+/// A condition of an instance whose duration is tracked.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct InstanceCondition {
     pub instance: InstanceId,
     pub kind: ConditionKind,
 }
 
-/// What is so.
+/// Condition of an instance, according to the log and the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum ConditionKind {
-    /// It is in the phase that began at this offset.
+    /// In the phase that began at this offset.
     InPhase(u64),
-    /// It is listed as down.
+    /// Listed as down.
     Down,
-    /// It is away for a reboot or a move, by a list that is recent.
+    /// Drained for maintenance or a move and not yet returned, seen with a recent list.
     NotReturned,
-    /// It is not listed at all.
+    /// Absent from the list.
     Unlisted,
-    /// It is listed in another pool or at another address than the log has.
+    /// Listed in another pool or at another address than in the log.
     Mismatched,
-    /// The log has it at work, and it is listed as drained or draining.
+    /// Active in the log, but listed as draining or drained.
     DrainedAtPlatform,
 }
 
-/// A planner: what it remembers from look to look. A new one begins with nothing, and only waits
-/// a little longer.
+/// Plans pass by pass and keeps how long conditions have held.
+///
+/// A new planner starts with empty memory, which only makes it wait longer before it acts.
 #[derive(Debug, Clone, Default)]
 pub struct Planner {
-    /// Times and limits.
+    /// Timeouts and limits.
     pub options: Options,
     pub(crate) conditions: ConditionTracker<InstanceCondition>,
-    /// Instances that didn't get idle, and when their drain was taken back.
+    /// Instances whose drain was cancelled for exceeding `drain_timeout`, and when.
     pub(crate) drain_backoff: BTreeMap<InstanceId, Now>,
     pub(crate) moves: moves::Imbalances,
 }
 
 impl Planner {
-    /// A planner with these times and limits.
+    /// Creates a planner with empty memory.
     #[must_use]
     pub fn new(options: Options) -> Planner {
         Planner {
@@ -136,7 +142,10 @@
         }
     }
 
-    /// Looks once.
+    /// Runs one planning pass.
+    ///
+    /// Without a recent list, only steps that need no list are decided and required effects
+    /// returned.
     pub fn plan(&mut self, state: &State, observation: &Observation) -> Plan {
         self.conditions.begin_pass();
         let retry_delay = self.options.drain_retry_delay;
@@ -148,7 +157,7 @@
         pools::mark_drain_backoff(&mut pools, &self.drain_backoff);
         pools::apply_decisions(&mut pools, state, &decisions);
         waves::cancel_drains(&pools, &mut decisions);
-        // A stale list hides failures, so nothing new is started by it.
+        // A stale list hides failures, so no new wave step or move is based on it.
         if observation.listed.is_some() {
             waves::decide(
                 &self.options,
--- a/crates/pomelohitch-maintain/src/pools.rs
+++ b/crates/pomelohitch-maintain/src/pools.rs
@@ -1,4 +1,4 @@
-//! One pass over all instances that the decisions of a look share.
+//! Per-pool view of the instances, shared by all decisions of a planning pass.
 
 use std::collections::BTreeMap;
 
@@ -14,54 +14,54 @@
 /// An instance of a pool.
 #[derive(Debug, Clone, Copy)]
 pub struct Member<'a> {
-    /// Its id.
+    /// Id of the instance.
     pub id: &'a InstanceId,
-    /// What the log says of it.
+    /// State of the instance in the log.
     pub instance: &'a Instance,
-    /// Whether its last drain never got done, so that it isn't drained again yet.
+    /// Its last drain timed out and `drain_retry_delay` has not passed yet.
     pub in_drain_backoff: bool,
 }
 
 impl Member<'_> {
-    /// Whether it works and may be drained.
+    /// Whether it is active and not in drain backoff.
     #[must_use]
     pub fn can_drain(&self) -> bool {
         self.instance.phase == Phase::Active && !self.in_drain_backoff
     }
 }
 
-/// A pool and its instances, as the decisions so far would leave them.
+/// A pool and its instances, with the decisions of this pass taken into account.
 #[derive(Debug, Clone, Default)]
 pub struct PoolView<'a> {
-    /// Every instance that the log has in the pool.
+    /// Instances of the pool according to the log, except those already decided about.
     pub members: Vec<Member<'a>>,
-    /// How many take work.
+    /// Number of active instances.
     pub active: u32,
-    /// How many neither failed nor are to leave the pool.
+    /// Number of instances that are active or in maintenance, so neither failed nor leaving.
     pub staying: u32,
-    /// How many are on their way to the pool.
+    /// Number of instances being moved to the pool.
     pub incoming: u32,
-    /// The highest availability budget of the pool's services; `None` without services.
+    /// Highest `min_available` of the pool's services; `None` without services.
     pub min_available: Option<u32>,
-    /// How many have to stay whatever other pools ask for.
+    /// Minimum number of instances that moves must leave in the pool.
     pub floor: u32,
-    /// Whether its instances are the first to be lent.
+    /// Whether the pool holds spares, which are moved to other pools first.
     pub spare: bool,
-    /// Where its instances are that are out of work for maintenance.
+    /// Zones and racks of the instances in maintenance.
     pub spread: Spread,
-    /// How many are out of work for maintenance.
+    /// Number of instances draining or drained for maintenance.
     pub in_maintenance: u32,
-    /// Whether this very look found out that it loses an instance.
+    /// Whether reconciliation has failed an instance in this pass, or drained one that is leaving.
     pub lost_instance: bool,
-    /// Whether this very look has decided about one of its instances.
+    /// Whether this pass has already decided about one of its instances.
     pub has_decision: bool,
 }
 
 impl PoolView<'_> {
-    /// How many more may be taken out of work now.
+    /// Number of further instances that may be taken out of service now.
     ///
-    /// A pool without services has no budget that could be broken; a tenth of it at a time, but at
-    /// least one, keeps most of its work going.
+    /// A pool without services has no availability budget. At most a tenth of it, but at least one
+    /// instance, is in maintenance at a time, so that most of its capacity remains.
     #[must_use]
     pub fn headroom(&self) -> u32 {
         match self.min_available {
@@ -72,14 +72,14 @@
         }
     }
 
-    /// How many more would have to take work to meet the budget.
+    /// Number of active instances missing to meet the availability budget.
     #[must_use]
     pub fn deficit(&self) -> u32 {
         let min = self.min_available.unwrap_or(0);
         min.saturating_sub(self.active)
     }
 
-    /// How many may move away now.
+    /// Number of instances that may move to other pools now.
     #[must_use]
     pub fn lendable(&self) -> u32 {
         let above_floor = self.staying.saturating_sub(self.floor);
@@ -88,10 +88,10 @@
     }
 }
 
-/// Every configured pool by its id.
+/// Configured pools by id.
 pub type Pools<'a> = BTreeMap<&'a PoolId, PoolView<'a>>;
 
-/// Looks at every instance once.
+/// Builds the view of every configured pool in one pass over the instances.
 #[must_use]
 pub fn index(state: &State) -> Pools<'_> {
     let mut pools: Pools<'_> = BTreeMap::new();
@@ -125,7 +125,7 @@
     pools
 }
 
-/// Marks the instances that aren't drained again yet.
+/// Marks the instances whose last drain timed out recently.
 pub(crate) fn mark_drain_backoff(pools: &mut Pools<'_>, backoff: &BTreeMap<InstanceId, Now>) {
     if backoff.is_empty() {
         return;
@@ -137,8 +137,10 @@
     }
 }
 
-/// Takes account of the instances about which this look has decided, lost ones above all, before
-/// others are drained: nothing else is decided about them.
+/// Applies the decisions of reconciliation to the views before further instances are drained.
+///
+/// The instances concerned, above all failed ones, leave the member lists, so that nothing else is
+/// decided about them in this pass.
 pub(crate) fn apply_decisions(pools: &mut Pools<'_>, state: &State, decisions: &[Decision]) {
     for decision in decisions {
         let Decision::Fleet(
--- a/crates/pomelohitch-maintain/src/reconcile.rs
+++ b/crates/pomelohitch-maintain/src/reconcile.rs
@@ -1,4 +1,5 @@
-//! Instances that came, went, failed or are elsewhere than thought.
+//! Compares the instances in the log with the platform's list: adopts new instances, and records
+//! those that failed, leave, recovered or are listed elsewhere than in the log.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,16 +13,17 @@
 use crate::observe::Observation;
 use crate::planner::{ConditionKind, Decision, InstanceCondition, Planner};
 
-/// What a look found out about the instances that the log knows.
+/// Findings about instances in the log that later steps of the planning pass use.
 #[derive(Debug, Default)]
 pub(crate) struct Findings {
-    /// For how long each has been in its phase, as far as this planner knows.
+    /// Time each instance has been in its phase, as observed by this planner.
     pub phase_ages: BTreeMap<InstanceId, Duration>,
-    /// The log has these at work, and the platform still has them drained.
+    /// Instances active in the log that the platform has listed as draining or drained for at least
+    /// `confirm_after`.
     pub drained_at_platform: BTreeSet<InstanceId>,
 }
 
-/// Decides what to record about instances.
+/// Decides on records that bring the log in line with the platform's list.
 pub(crate) fn decide(
     planner: &mut Planner,
     state: &State,
@@ -92,8 +94,8 @@
         };
         match (&instance.phase, listed.state) {
             (Phase::Failed, ListedState::Live) => {
-                // It is back. Forgotten now, it is adopted at the next look into the pool in
-                // which the platform has it.
+                // It has recovered. Once forgotten, it is adopted in the next pass into the pool
+                // that the platform lists.
                 (age >= self.options.confirm_after).then(|| forget(id, instance))
             }
             (Phase::Failed, _) => None,
@@ -123,7 +125,8 @@
         }
     }
 
-    /// A request that never ends would hold a part of the budget for ever, and a wave with it.
+    /// Cancels a drain that exceeds `drain_timeout`: a request that never ends would otherwise
+    /// occupy part of the availability budget and block the wave for ever.
     fn cancel_overdue_drain(
         &mut self,
         observation: &Observation,
--- a/crates/pomelohitch-maintain/src/waves.rs
+++ b/crates/pomelohitch-maintain/src/waves.rs
@@ -1,8 +1,8 @@
-//! Which instances to maintain next.
+//! Selects the instances to maintain next.
 //!
-//! A wave goes as fast as the budgets allow: whenever an instance comes back, the next one is
-//! drained. It fills one rack after the other and one availability zone after the other, so that a
-//! rack or zone that fails takes along instances that are out of work anyway.
+//! A wave drains the next instance whenever one returns, as fast as the availability budgets allow.
+//! It works rack by rack and zone by zone, so that the instances in maintenance are concentrated in
+//! few failure domains and the failure of one of these affects fewer active instances.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 use crate::pools::{Member, PoolView, Pools};
 use crate::reconcile::Findings;
 
-/// Takes drains back where a pool has fewer instances at work than its budget: another instance
-/// failed, or an operator raised the budget. What is drained already can't be taken back.
+/// Cancels drains in pools with fewer active instances than their availability budget, because an
+/// instance failed or an operator raised the budget. Completed drains cannot be cancelled.
 pub(crate) fn cancel_drains(pools: &Pools<'_>, decisions: &mut Vec<Decision>) {
     for view in pools.values() {
         let mut deficit = view.deficit();
@@ -27,7 +27,7 @@
             continue;
         }
         let mut draining: Vec<_> = view.members.iter().filter(|m| can_return(m)).collect();
-        // The youngest first: the others are the nearest to being done.
+        // Latest drain first: earlier ones are closer to completion.
         draining.sort_by_key(|member| Reverse(member.instance.since));
         for member in draining {
             if deficit == 0 {
@@ -49,7 +49,7 @@
     )
 }
 
-/// Decides about waves.
+/// Ends, pauses, advances and starts waves.
 pub(crate) fn decide(
     options: &Options,
     state: &State,
@@ -62,7 +62,8 @@
         let Some(view) = pools.get_mut(pool) else {
             continue;
         };
-        // What this look has decided about is counted at the next one.
+        // Instances already decided about in this pass are missing from `members`, so the wave ends
+        // in a later pass at the earliest.
         if !view.has_decision && !view.members.iter().any(|m| wave.covers(m.instance)) {
             decisions.push(Decision::Fleet(FleetStep::EndWave {
                 pool: pool.clone(),
@@ -74,7 +75,7 @@
             continue;
         }
         if wave.lost >= options.lost_limit {
-            // The maintenance itself seems to break instances; a person has to look.
+            // Maintenance itself may break the instances; an operator must investigate and resume.
             let pool = Some(pool.clone());
             decisions.push(Decision::Maintain(MaintainOrder::Pause { pool }));
             continue;
@@ -86,7 +87,9 @@
     start_due(options, state, observation, pools, decisions);
 }
 
-/// A failure may be the first of several, or the maintenance's own doing.
+/// Whether an instance failed within `hold_after_failure`.
+///
+/// Further failures may follow, or the maintenance may have caused it, so no new drain starts.
 fn has_recent_failure(options: &Options, findings: &Findings, view: &PoolView<'_>) -> bool {
     let failed = view
         .members
@@ -109,7 +112,7 @@
             zone: member.instance.zone.clone(),
             rack: member.instance.rack.clone(),
         };
-        // What is begun is finished first; ids only make the order the same for everyone.
+        // Zones and racks already in maintenance come first; ids make the order deterministic.
         let zone_is_new = !spread.zones.contains(&rack.zone);
         let rack_is_new = !spread.racks.contains(&rack);
         (zone_is_new, rack.zone.clone(), rack_is_new, rack, member.id)
@@ -165,7 +168,7 @@
     }
 }
 
-/// For how long the pool's least recently maintained instance has waited.
+/// Time since the maintenance of the pool's least recently maintained instance.
 fn longest_wait(observation: &Observation, view: &PoolView<'_>) -> Option<Duration> {
     let working = view
         .members
--- a/crates/pomelohitch-maintain/tests/planner.rs
+++ b/crates/pomelohitch-maintain/tests/planner.rs
@@ -1,4 +1,4 @@
-//! What a planner decides, over the real fold and a platform in virtual time.
+//! Planning passes over the real fold and a simulated platform in virtual time.
 
 #[allow(dead_code, reason = "shared with the measurements, which use the rest")]
 #[path = "../examples/measure/simulation.rs"]
@@ -26,7 +26,7 @@
     }
 }
 
-/// 12 instances of which 9 have to stay, and 4 spares of which 2 have to stay.
+/// A pool of 12 instances with a budget of 9, and a spare pool of 4 with a floor of 2.
 fn simulation() -> Simulation {
     let mut sim = Simulation::new(Planner::default(), file(9));
     sim.add_instances("web", 12);
@@ -78,7 +78,7 @@
     let web: Vec<_> = sim.state.fleet.in_pool("web").collect();
     assert!(web.iter().all(|(_, i)| i.maintained > since));
     assert_eq!(web.len(), 12);
-    assert_eq!(least, 9, "as fast as the budget allows, and no faster");
+    assert_eq!(least, 9, "the wave uses the whole budget and no more");
     assert!(sim.rejected.is_empty(), "{:?}", sim.rejected);
     insta::assert_debug_snapshot!(took, @"
     Some(
@@ -89,8 +89,8 @@
 
 #[test]
 fn a_failure_during_a_wave_cancels_drains() {
-    // Three instances drain, which is all that the budget allows, and a fourth one fails. Callers
-    // would meet a service below its budget until the slowest of the three has rebooted.
+    // Three instances drain, as many as the budget allows, and a fourth one fails. Without a
+    // cancellation the service stays below its budget until a drained instance returns.
     let mut sim = simulation();
     start_wave(&mut sim);
     sim.run_until(TICK, HOUR, |sim| draining(sim).len() == 3)
@@ -98,7 +98,7 @@
     let victim = instances_in_phase(&sim, |phase| *phase == Phase::Active)
         .into_iter()
         .find(|id| &*sim.platform[id].pool == "web")
-        .expect("others work");
+        .expect("another instance is active");
     set_listed_state(&mut sim, &victim, ListedState::Down);
     sim.run_until(TICK, HOUR, |sim| {
         instances_in_phase(sim, |p| *p == Phase::Failed).len() == 1
@@ -125,8 +125,8 @@
 
 #[test]
 fn a_stale_list_starts_nothing_new() {
-    // The platform's list stands still. It shows no failures any more, so a wave that went on by
-    // it would take instances away on top of those that failed meanwhile.
+    // A list that is no longer updated hides failures, so a wave that continued would drain
+    // instances in addition to those that failed.
     let mut sim = simulation();
     start_wave(&mut sim);
     sim.list_is_stale = true;
@@ -148,13 +148,13 @@
     assert_eq!(draining(&sim).len(), 3);
     sim.list_is_stale = true;
     sim.run_until(TICK, HOUR, |sim| active(sim) == 12)
-        .expect("the three come back");
+        .expect("the three instances return");
 }
 
 #[test]
 fn an_instance_that_never_comes_back_is_lost_and_the_wave_goes_on() {
-    // One instance doesn't survive its reboot. Without a limit it would use up a part of the budget
-    // for ever, and the wave would slow down with each one.
+    // Without a timeout, an instance that fails to reboot occupies part of the budget for ever, and
+    // the wave slows down with each one.
     let mut sim = simulation();
     sim.never_return.insert("instance-00000".into());
     start_wave(&mut sim);
@@ -168,8 +168,7 @@
 
 #[test]
 fn a_wave_that_loses_instances_is_paused_until_an_operator_resumes_it() {
-    // The maintenance itself breaks instances. A wave that went on would break them all, at
-    // night, with nobody watching.
+    // If the maintenance itself breaks instances, a wave that continued would break all of them.
     let mut sim = simulation();
     for n in 0..12 {
         sim.never_return.insert(format!("instance-{n:05}").into());
@@ -192,8 +191,8 @@
 
 #[test]
 fn a_new_planner_completes_a_move_that_its_predecessor_began() {
-    // A planner drained an instance, the platform moved it, and the planner died before it said
-    // so. Its successor remembers nothing; the instance must end in one pool, at work.
+    // The platform has moved a drained instance, and the planner ends before it records this. The
+    // new planner has no memory of it and must bring the instance back as active in its new pool.
     let mut sim = simulation();
     let id = "instance-00012";
     let step = FleetStep::Drain {
@@ -204,12 +203,12 @@
     let body = Decision::Fleet(step).body(&sim.state);
     assert_eq!(sim.append(body), Verdict::Accepted);
     sim.run_until(TICK, HOUR, |sim| drained(sim).len() == 1)
-        .expect("it drains");
+        .expect("the instance is drained");
     sim.platform.get_mut(id).expect("listed").pool = "web".into();
     set_listed_state(&mut sim, id, ListedState::Live);
     sim.planner = Planner::default();
     sim.run_until(TICK, HOUR, |sim| active(sim) == 13)
-        .expect("the successor completes the move");
+        .expect("the new planner completes the move");
     assert_eq!(&*sim.state.fleet.instances[id].pool, "web");
 }
 
@@ -223,13 +222,13 @@
     set_listed_state(&mut sim, id, ListedState::Live);
     sim.platform.get_mut(id).expect("listed").pool = "staff".into();
     sim.run_until(TICK, HOUR, |sim| sim.state.fleet.active_in("staff") == 5)
-        .expect("it is adopted afresh");
+        .expect("it is adopted again");
 }
 
 #[test]
 fn a_drain_waits_until_every_entry_instance_knows() {
-    // An instance that is idle for a moment counts as drained for the platform. One entry instance
-    // hasn't read the drain yet and goes on sending; the reboot would cut its requests.
+    // The platform reports an instance as drained once it is idle for a moment. An entry instance
+    // that has not read the drain yet keeps sending requests, which the reboot would cut off.
     let mut sim = simulation();
     start_wave(&mut sim);
     sim.known_by_all = Some(sim.state.next);
@@ -255,8 +254,8 @@
 
 #[test]
 fn a_drain_that_never_ends_is_cancelled_and_the_wave_goes_on() {
-    // A caller keeps a request open for ever. Its instance would use up a part of the budget until
-    // somebody looks; a reboot would cut the request.
+    // A request that never ends keeps its instance draining. Without a timeout the instance
+    // occupies part of the budget for ever; a reboot would cut the request off.
     let mut sim = simulation();
     let id = "instance-00000";
     sim.drain_times.insert(id.into(), 1000 * HOUR);
@@ -269,18 +268,20 @@
     sim.run_until(TICK, HOUR, others_are_maintained)
         .expect("the others are maintained");
     let is_back = |sim: &Simulation| active(sim) == 12;
-    sim.run_until(TICK, HOUR, is_back).expect("taken back");
+    sim.run_until(TICK, HOUR, is_back)
+        .expect("the drain is cancelled");
     sim.run_until(TICK, HOUR, |_| false);
-    assert_eq!(active(&sim), 12, "not drained again so soon");
+    assert_eq!(active(&sim), 12, "not drained again within the retry delay");
     sim.drain_times.remove(id);
     let ended = |sim: &Simulation| sim.state.waves.by_pool.is_empty();
-    sim.run_until(TICK, 4 * HOUR, ended).expect("later it is");
+    sim.run_until(TICK, 4 * HOUR, ended)
+        .expect("the instance is maintained later");
 }
 
 #[test]
 fn an_instance_that_is_still_drained_at_the_platform_is_undrained() {
-    // A drain was taken back, or a paused planner's call arrived late: the log has the instance at
-    // work, and the platform holds it back.
+    // After a cancelled drain, or a late call of a paused planner, the instance is active in the
+    // log but gets no work from the platform.
     let mut sim = simulation();
     set_listed_state(&mut sim, "instance-00000", ListedState::Drained);
     let live = |sim: &Simulation| sim.platform["instance-00000"].state == ListedState::Live;
@@ -292,7 +293,7 @@
     let mut sim = simulation();
     sim.needs = [("web".into(), 16)].into();
     sim.run_until(TICK, HOUR, |sim| active(sim) == 14)
-        .expect("two spares come");
+        .expect("two spares are moved");
     sim.run_until(TICK, HOUR, |_| false);
     assert_eq!((active(&sim), sim.state.fleet.active_in("staff")), (14, 2));
     assert!(sim.rejected.is_empty(), "{:?}", sim.rejected);
@@ -300,8 +301,8 @@
 
 #[test]
 fn a_burst_of_a_few_seconds_moves_no_instance() {
-    // Each queue in turn asks for five times its mean for some seconds. Instances that were moved
-    // for it would arrive when it is over, and be missing where they came from.
+    // Instances moved for a burst of some seconds would arrive after its end, and be missing in
+    // the pool that they came from.
     let mut sim = simulation();
     for second in 0..600 {
         let need = if second % 40 < 20 { 14 } else { 4 };
@@ -321,15 +322,15 @@
         let busy = if burst { 200.0 } else { 2.0 };
         load.measure(&options, Duration::from_secs(second.into()), busy);
     }
-    // Each window holds two bursts of 10 s: 35 slots on average, at 8 slots an instance of which
-    // 65 % are busy.
+    // Each window holds two bursts of 10 s, 35 busy slots on average. An instance has 8 slots, of
+    // which 65 % are planned to be busy.
     assert_eq!(load.need(&options, 8), Some(7));
     assert_eq!(Load::default().need(&options, 8), None);
 }
 
 #[test]
 fn a_pool_whose_instances_wait_for_weeks_gets_a_wave_by_itself() {
-    // Nobody watches. Every instance has to be maintained once in five weeks.
+    // Every instance must be maintained once in five weeks, also without an order of an operator.
     let mut sim = simulation();
     sim.now += Options::default().maintain_after.saturating_sub(HOUR);
     sim.run_planner();
@@ -345,7 +346,7 @@
         .expect("both pools are maintained");
 }
 
-/// What happens to the fleet between two looks.
+/// Applies a random event between two planning passes, and advances the clock.
 fn apply_event(sim: &mut Simulation, (kind, which): (u8, u8)) {
     let ids: Vec<_> = sim.platform.keys().cloned().collect();
     let id = &ids[usize::from(which) % ids.len()];
@@ -368,8 +369,9 @@
     }
 }
 
-/// Failures, new planners, stale lists, changed budgets and waves, in any order. A fleet that is left
-/// in peace afterwards keeps no instance out of work for ever.
+/// Applies failures, planner restarts, stale lists, budget changes and waves in any order, and
+/// checks that no decision is rejected and that every instance is active again some time after
+/// the last event.
 fn check_recovery(events: &[(u8, u8)]) {
     let mut sim = simulation();
     sim.run_planner();
@@ -400,7 +402,8 @@
     pomelohitch_property::check(|events: &Vec<(u8, u8)>| check_recovery(events));
 }
 
-/// Guards against taking a reboot that went on unseen, behind a stale list, for a failed one.
+/// Time covered by a stale list must not count towards the return timeout: an instance that reboots
+/// meanwhile would be marked as failed.
 #[test]
 fn an_instance_that_reboots_during_a_stale_list_is_not_failed() {
     let seed = 161_786_985_636_042_651_898_766_093_771_730_925_357;
