--- a/crates/pomelohitch-maintain/src/effects.rs
+++ b/crates/pomelohitch-maintain/src/effects.rs
@@ -77,7 +77,8 @@
     Some(Wanted { effect, then })
 }
 
-/// Whether every entry instance knows of the drain and sends no new requests to the instance.
+/// Whether every entry instance knows of the drain and sends no new requests to the instance, or is
+/// assumed to after `propagation_timeout`.
 ///
 /// The platform reports an instance as drained once it is idle for a moment. An entry instance that
 /// had not read the drain yet would keep sending requests, which the reboot would cut off.
--- a/crates/pomelohitch-maintain/src/planner.rs
+++ b/crates/pomelohitch-maintain/src/planner.rs
@@ -144,8 +144,7 @@
 
     /// Runs one planning pass.
     ///
-    /// Without a recent list, only steps that need no list are decided and required effects
-    /// returned.
+    /// Without a recent list, the pass only cancels drains and returns required effects.
     pub fn plan(&mut self, state: &State, observation: &Observation) -> Plan {
         self.conditions.begin_pass();
         let retry_delay = self.options.drain_retry_delay;
--- a/crates/pomelohitch-model/examples/check.rs
+++ b/crates/pomelohitch-model/examples/check.rs
@@ -1,4 +1,4 @@
-//! Checks the core protocol exhaustively and prints how many states were reached.
+//! Checks the core protocol exhaustively and prints the number of states explored.
 
 use std::process::ExitCode;
 use std::time::Instant;
--- a/crates/pomelohitch-model/src/check.rs
+++ b/crates/pomelohitch-model/src/check.rs
@@ -1,4 +1,4 @@
-//! The exhaustive search.
+//! Breadth-first search through all reachable states.
 
 use std::cell::Cell;
 use std::fmt;
@@ -10,19 +10,19 @@
 use crate::step::{Step, successors};
 use crate::world::World;
 
-/// What the search found.
+/// Result of a search.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// How many states were reached and expanded.
+    /// Number of states expanded.
     pub states: usize,
-    /// The shortest way to a broken promise, if there is one.
+    /// A shortest sequence of steps to a broken promise, if one was found.
     pub counterexample: Option<Counterexample>,
 }
 
-/// The shortest way to a broken promise.
+/// A shortest sequence of steps to a broken promise.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Counterexample {
-    /// The promise.
+    /// The broken promise.
     pub promise: Promise,
     /// The steps, in order.
     pub steps: Vec<Step>,
@@ -38,7 +38,8 @@
     }
 }
 
-/// Explores every state that `scenario` can reach, breadth first, until a promise is broken.
+/// Explores every reachable state of `scenario`, breadth first, and stops at the first broken
+/// promise.
 #[must_use]
 pub fn check(scenario: &Scenario) -> Outcome {
     let states = Cell::new(0);
--- a/crates/pomelohitch-model/src/lib.rs
+++ b/crates/pomelohitch-model/src/lib.rs
@@ -1,20 +1,21 @@
-//! A small specification of the core protocol, checked exhaustively over the real fold.
+//! A model of the core protocol, checked exhaustively over the real fold.
 //!
-//! Two entry instances, two operators, a log, a platform with a few instances. Every order in
-//! which their steps can happen is explored, up to the bounds of a [`Scenario`]; whatever the log
-//! takes is judged by [`pomelohitch_core::State::apply`] itself. Each promise is a named
-//! [`Promise`]; a broken one is shown with the shortest sequence of steps that breaks it. A
-//! [`Mutant`] leaves out one mechanism, to show that the check would notice.
-//! `docs/PROTOCOL.md` says what is modelled and what isn't.
+//! The model has two entry instances, a few operators, a log, and a platform with a few instances.
+//! The check explores every interleaving of their steps within the bounds of a [`Scenario`].
+//! Records are evaluated by the real [`pomelohitch_core::State::apply`]. Each invariant is a
+//! [`Promise`]; for a broken one the check reports a shortest sequence of steps that breaks it. A
+//! [`Mutant`] disables one mechanism, to verify that the check finds the resulting fault.
+//! `docs/PROTOCOL.md` describes what is modelled and what is not.
 //!
-//! * [`proposal`]: records in short, and the real ones they stand for.
-//! * [`world`]: one state of the whole system.
-//! * [`step`]: what can happen next.
-//! * [`planning`]: what planners and the platform do.
-//! * [`reading`]: what readers do: follow, restart, load snapshots, pause.
-//! * [`publishing`]: what operators do.
-//! * [`promise`]: what must hold in every state.
-//! * [`check`]: the exhaustive search.
+//! * [`proposal`]: compact records, and their conversion to real ones.
+//! * [`world`]: state of the whole system.
+//! * [`scenario`]: bounds of the exploration, and mutants.
+//! * [`step`]: all transitions, and the implementation of those of the log.
+//! * [`planning`]: transitions of planners and the platform.
+//! * [`reading`]: transitions of readers: read, restart, load snapshots, pause.
+//! * [`publishing`]: transitions of operators.
+//! * [`promise`]: invariants that must hold in every state.
+//! * [`check`]: breadth-first search.
 
 pub mod check;
 pub mod planning;
--- a/crates/pomelohitch-model/src/planning.rs
+++ b/crates/pomelohitch-model/src/planning.rs
@@ -1,8 +1,8 @@
-//! What planners and the platform do.
+//! Transitions of planners and the platform.
 //!
-//! A planner looks at the state in force at its node, which may be old, and proposes whatever
-//! that state allows. An effect on the platform takes two steps, so that anything can happen
-//! between the decision and the call: another planner may have gone on in the meantime.
+//! A planner uses its node's state, which may be outdated, and proposes any decision that this
+//! state permits. An effect on the platform takes two transitions, the decision and the call, so
+//! that others, such as those of another planner, can occur in between.
 
 use pomelohitch_core::State;
 use pomelohitch_core::record::DrainPurpose;
@@ -14,10 +14,10 @@
 use crate::step::{Step as AnyStep, after, propose};
 use crate::world::{Action, Intent, NODES, World};
 
-/// A step of a planner or of the platform.
+/// A transition of a planner or of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// A planner, having read to the head, decides to ask the platform for an effect.
+    /// A planner that has read to the head decides to request an effect from the platform.
     Intend(usize, Intent),
     /// The call reaches the platform.
     Act(usize, Intent),
@@ -25,7 +25,7 @@
     InstanceFails(usize),
 }
 
-/// Adds every step of planners and the platform.
+/// Adds all transitions of planners and the platform.
 pub fn steps(scenario: &Scenario, world: &World, next: &mut Vec<World>) {
     if scenario.instances == 0 {
         return;
@@ -85,7 +85,8 @@
     }
 }
 
-/// What a planner may propose about an instance, by the log and by what the platform shows.
+/// Returns the decisions that a planner may propose for an instance, given its state in the log and
+/// at the platform.
 fn possible_changes(
     scenario: &Scenario,
     world: &World,
@@ -173,7 +174,7 @@
     ));
 }
 
-/// Whether the log has an accepted record at the effect's offset that asks for this very effect.
+/// Whether the record at the effect's offset was accepted and requires this effect.
 fn is_authorised(world: &World, intent: &Intent) -> bool {
     let index = intent.op.checked_sub(world.base.next);
     let index = index.and_then(|index| usize::try_from(index).ok());
@@ -189,7 +190,8 @@
     })
 }
 
-/// The platform does each effect once, and refuses those that its instance's state forbids.
+/// Applies an effect at the platform, which performs each effect once and refuses a move of an
+/// instance that is not drained.
 fn apply(world: &mut World, intent: &Intent) {
     let platform = &mut world.platform[intent.instance];
     if platform.is_down || !platform.ops.insert(intent.op) {
@@ -202,7 +204,7 @@
             platform.is_moved = true;
             platform.is_drained = false;
         }
-        // Refused, so it isn't remembered and can be asked for again.
+        // A refused effect is not remembered, so it can be requested again.
         Action::Move => {
             platform.ops.remove(&intent.op);
         }
--- a/crates/pomelohitch-model/src/promise.rs
+++ b/crates/pomelohitch-model/src/promise.rs
@@ -1,4 +1,4 @@
-//! What must hold in every state.
+//! Invariants that must hold in every state.
 
 use pomelohitch_core::Verdict;
 use pomelohitch_core::state::Phase;
@@ -7,28 +7,29 @@
 use crate::scenario::Scenario;
 use crate::world::{Answer, Entry, NODES, World};
 
-/// What must hold in every state.
+/// An invariant that must hold in every state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Promise {
-    /// Every instance is in one pool, and the platform has it in the same one.
+    /// The log and the platform have each instance in the same pool, except while it moves or after
+    /// it failed.
     OnePool,
-    /// No planned step leaves a service fewer instances than its budget, neither in the log nor
-    /// at the platform.
+    /// No accepted drain leaves a service fewer instances than its availability budget, neither in
+    /// the log nor at the platform.
     Budget,
-    /// An accepted configuration never reverts: not by a later publish that didn't know it, and
-    /// not at an entry instance that starts or wakes.
+    /// Accepted configuration never reverts: neither by a later publish based on an older version,
+    /// nor at an entry instance that restarts or resumes.
     NeverReverts,
-    /// A withdrawn key is not accepted past the bound.
+    /// No entry instance accepts a withdrawn key after the propagation bound.
     KeyWithdrawn,
-    /// The platform is only asked for effects of accepted records.
+    /// Only effects of accepted records are requested from the platform.
     EffectsAccepted,
-    /// What an operator is told of a publish is true, and stays true.
+    /// The answer to an operator's publish is true and stays true.
     TrueAnswer,
-    /// A reader has the state that the records below its offset give.
+    /// A reader's state equals the fold of all records below its offset.
     SameState,
 }
 
-/// Every promise.
+/// All promises.
 pub const ALL: [Promise; 7] = [
     Promise::OnePool,
     Promise::Budget,
@@ -39,7 +40,7 @@
     Promise::SameState,
 ];
 
-/// The first promise that `world` breaks, other than those that a step itself notices.
+/// Returns the first promise that `world` breaks, except those that steps check themselves.
 #[must_use]
 pub fn first_broken(scenario: &Scenario, world: &World) -> Option<Promise> {
     let checks = [
@@ -88,7 +89,9 @@
     drains_leave_enough && (!checks_platform || platform_keeps_budget(world, min as usize))
 }
 
-/// Instances that failed are not the planner's doing; all others are live or were stopped by it.
+/// Whether planned drains leave enough instances at the platform.
+///
+/// Failed instances count as available here, because the planner did not take them out.
 fn platform_keeps_budget(world: &World, min: usize) -> bool {
     let in_web = || world.platform.iter().filter(|p| !p.is_moved);
     let live = in_web().filter(|p| !p.is_drained && !p.is_down).count();
@@ -116,7 +119,7 @@
         || (0..NODES).all(|node| !world.is_accepting(node) || refuses_key(world, node))
 }
 
-/// Whether a node refuses the key.
+/// Whether a node refuses [`KEY`], by its state or because it knows of the withdrawal.
 #[must_use]
 pub fn refuses_key(world: &World, node: usize) -> bool {
     let withdrawn = world
--- a/crates/pomelohitch-model/src/proposal.rs
+++ b/crates/pomelohitch-model/src/proposal.rs
@@ -1,4 +1,4 @@
-//! Records in short, and the real ones they stand for.
+//! Compact representation of records, and their conversion to real ones.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -11,82 +11,82 @@
     WithdrawKey,
 };
 
-/// The one key whose withdrawal is modelled.
+/// The key whose withdrawal is modelled.
 pub const KEY: &str = "key";
-/// The one file over which operators race.
+/// The file that operators publish concurrently.
 pub const FILE: &str = "file";
-/// The pool whose service has a budget.
+/// The pool whose service has an availability budget.
 pub const WEB: &str = "web";
 /// The pool to which instances move.
 pub const SPARE: &str = "spare";
 
-/// A record that somebody sent to the log.
+/// A record that a node has sent to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Proposal {
-    /// Which node sent it.
+    /// The node that sent it.
     pub by: usize,
-    /// The proposer's next offset to read.
+    /// The offset that the proposer would read next.
     pub after: Offset,
-    /// What it proposes.
+    /// The proposed change.
     pub what: Payload,
 }
 
-/// What is proposed.
+/// The change that a proposal makes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Payload {
     /// An operator replaces [`FILE`].
     Publish {
-        /// Which operator.
+        /// Index of the operator.
         operator: usize,
-        /// The version it started from.
+        /// The file version that the change is based on.
         base: Offset,
     },
     /// [`KEY`] is withdrawn.
     Withdraw,
-    /// The proposing node wants to plan.
+    /// The proposing node takes over planning.
     TakeTerm {
-        /// The term.
+        /// The new term.
         term: u64,
     },
-    /// The planner decides about an instance.
+    /// A planner's decision about an instance.
     Fleet {
         /// The term.
         term: u64,
-        /// Which instance.
+        /// Index of the instance.
         instance: usize,
-        /// The phase that was judged.
+        /// Start offset of the phase that the decision is based on.
         since: Offset,
-        /// What is decided.
+        /// The decided change.
         change: Change,
     },
 }
 
-/// What a planner decides about an instance.
+/// A planner's decision about one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Change {
-    /// Drain it, to move it to [`SPARE`].
+    /// Drain it for a move to [`SPARE`].
     Drain,
-    /// Nothing runs on it.
+    /// The drain is complete.
     Drained,
-    /// It takes work again.
+    /// It returns to service.
     Return,
-    /// It is lost.
+    /// It has failed.
     Fail,
 }
 
-/// The id of a node as a member.
+/// Returns the member id of a node.
 #[must_use]
 pub fn member(node: usize) -> Box<str> {
     format!("n{node}").into()
 }
 
-/// The id of an instance.
+/// Returns the id of an instance.
 #[must_use]
 pub fn instance(i: usize) -> InstanceId {
     format!("i{i}").into()
 }
 
-/// The content of [`FILE`] as operator `n` wants it; each has a limit of its own.
+/// Returns content of [`FILE`] with `n` as the team's limit, so that versions differ.
 #[must_use]
 pub fn file(n: u32) -> FleetFile {
     FleetFile {
@@ -100,7 +100,8 @@
     }
 }
 
-/// The pools, and a service of which `min_available` instances have to stay.
+/// Returns a configuration of both pools and a service with the availability budget
+/// `min_available`.
 #[must_use]
 pub fn pools(min_available: u32) -> FleetFile {
     let pool = |id: &str| Pool {
@@ -127,7 +128,7 @@
 }
 
 impl Proposal {
-    /// Sending the same proposal again gives the same id.
+    /// Returns the record id, which is the same when a proposal is sent again.
     #[must_use]
     pub fn id(&self) -> RecordId {
         let mut hasher = DefaultHasher::new();
@@ -135,7 +136,7 @@
         RecordId::from_u128(u128::from(hasher.finish()))
     }
 
-    /// The record that it stands for; node `n` has incarnation `n`.
+    /// Converts the proposal to a real record; node `n` has incarnation `n`.
     #[must_use]
     pub fn record(&self) -> Record {
         Record {
--- a/crates/pomelohitch-model/src/publishing.rs
+++ b/crates/pomelohitch-model/src/publishing.rs
@@ -1,4 +1,4 @@
-//! What operators do: publish over a file that another one changes too, and withdraw a key.
+//! Transitions of operators: publish a file that others publish too, and withdraw a key.
 
 use pomelohitch_core::Verdict;
 
@@ -7,18 +7,18 @@
 use crate::step::{Step as AnyStep, after, may_propose, propose};
 use crate::world::{Answer, NODES, Operator, World};
 
-/// A step of an operator.
+/// A transition of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
-    /// An operator publishes over what this node has in force.
+    /// An operator publishes a change based on this node's configuration.
     Publish(usize),
-    /// An operator is told what became of a publish.
+    /// An operator receives the answer to a publish.
     Tell(usize, Answer),
-    /// An operator withdraws the key at this node's administration port.
+    /// An operator withdraws the key at this node.
     Withdraw(usize),
 }
 
-/// Adds every step of operators.
+/// Adds all transitions of operators.
 pub fn steps(scenario: &Scenario, world: &World, next: &mut Vec<World>) {
     for node in 0..NODES {
         publish(scenario, world, node, next);
@@ -59,8 +59,10 @@
     ));
 }
 
-/// The node tells a verdict once it has read the record; "not in force" without a record only
-/// once the log refused it, so that no copy is on its way.
+/// Adds the answer to a publish.
+///
+/// The node answers with the verdict once it has read the record. Without a record it answers "not
+/// in force" only after the append failed definitively, so that no copy is in flight.
 fn answer_operator(scenario: &Scenario, world: &World, operator: usize, next: &mut Vec<World>) {
     let Operator { proposal, received } = &world.operators[operator];
     if received.is_some() {
@@ -81,7 +83,7 @@
     }
 }
 
-/// What the proposal's node knows of it: of several copies, it tells of the newest that it read.
+/// Returns the answer by the newest copy of the proposal that its node has read.
 fn verdict_read(world: &World, proposal: &Proposal) -> Option<Answer> {
     let applied = world.nodes[proposal.by].applied?;
     let mut copies = world.log[..applied].iter().rev();
@@ -113,7 +115,7 @@
     ));
 }
 
-/// Whoever knows the bad news, and doesn't see it in the log, proposes it.
+/// A node that knows of the withdrawal but does not see it in the log proposes it.
 fn log_withdrawal(scenario: &Scenario, world: &World, node: usize, next: &mut Vec<World>) {
     let Some(state) = world.view(node) else {
         return;
--- a/crates/pomelohitch-model/src/reading.rs
+++ b/crates/pomelohitch-model/src/reading.rs
@@ -1,8 +1,9 @@
-//! What readers do: follow the log, restart, load snapshots, pause, hear one another.
+//! Transitions of readers: read the log, restart, load snapshots, pause, exchange heartbeats.
 //!
-//! Time is modelled by one step, [`Step::BoundPasses`]: it can happen once every node that takes
-//! requests has read to the head, or, the log being down, has exchanged bad news, because that is
-//! what heartbeats and reads do within the bound.
+//! Time is modelled by one transition, [`Step::BoundPasses`], the end of the propagation bound. It
+//! can occur once every running node has read to the head, unless the log is down, and once every
+//! node that heartbeats reach knows of a withdrawal: reads and heartbeats achieve this within the
+//! bound.
 
 use std::sync::Arc;
 
@@ -16,30 +17,31 @@
 use crate::step::{Step as AnyStep, after};
 use crate::world::{CHUNKS, NODES, Node, Snapshot, World};
 
-/// A step of a reader.
+/// A transition of a reader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// A node reads to the head.
     Read(usize),
-    /// A node loads the newest snapshot.
+    /// A node whose next record was trimmed loads the newest snapshot.
     Load(usize),
-    /// A node is replaced by one that knows nothing.
+    /// A node is replaced by one without state.
     Restart(usize),
-    /// A node doesn't run for a while.
+    /// A node is paused.
     Pause(usize),
-    /// It runs again.
+    /// A paused node resumes.
     Wake(usize),
     /// The two nodes exchange heartbeats.
     Hear,
-    /// A chunk of a snapshot is written, by a node with this many records applied.
+    /// A node with this many records applied writes a chunk of a snapshot.
     WriteChunk(usize),
-    /// The log drops its oldest records.
+    /// The log drops this many of its oldest records.
     Trim(usize),
-    /// The time passes within which everything is in force everywhere.
+    /// The propagation bound passes, within which accepted records and withdrawals take effect at
+    /// every node.
     BoundPasses,
 }
 
-/// Adds every step of readers.
+/// Adds all transitions of readers.
 pub fn steps(scenario: &Scenario, world: &World, next: &mut Vec<World>) {
     for node in 0..NODES {
         read(scenario, world, node, next);
@@ -50,7 +52,8 @@
     exchange_heartbeats(world, next);
     write_chunk(scenario, world, next);
     trim(scenario, world, next);
-    // Without these a node never begins to take requests, so the bound changes nothing.
+    // Otherwise no node can start to accept requests with an outdated state, so the bound is
+    // irrelevant.
     if scenario.withdraws || scenario.restarts + scenario.pauses > 0 {
         bound_passes(world, next);
     }
@@ -67,7 +70,7 @@
     if !world.log_is_up || world.nodes[node].is_paused {
         return;
     }
-    // A node that has read nothing starts at the first record, if the log still has it.
+    // A node without state starts at the first record, if the log still has it.
     let applied = world.nodes[node].applied.unwrap_or(0);
     if applied < world.trimmed {
         if scenario.mutant == Some(Mutant::SkipsTrimmed) {
@@ -83,7 +86,7 @@
     });
 }
 
-/// Goes on with the oldest record that is kept, as if there were none before it.
+/// Applies the records that the log still keeps and ignores those that were trimmed.
 fn read_past_trimmed(world: &mut World, node: usize) {
     let mut state = match world.nodes[node].applied {
         Some(applied) => State::clone(world.state_after(applied)),
@@ -96,7 +99,7 @@
     install_state(world, node, world.log.len(), &state);
 }
 
-/// Puts `state` in force at `node`, which takes it for that after `applied` records.
+/// Installs `state` at `node` as the state after `applied` records, and checks that it is.
 fn install_state(world: &mut World, node: usize, applied: usize, state: &State) {
     if *state != **world.state_after(applied) {
         world.broken = Some(Promise::SameState);
@@ -121,7 +124,7 @@
     });
 }
 
-/// The records of the snapshots' stream.
+/// Returns the records of the snapshot stream.
 fn stream(world: &World) -> Vec<Box<str>> {
     let chunks_of = |snapshot: &Snapshot| {
         let state = world.state_after(snapshot.records_included);
@@ -136,15 +139,16 @@
     world.snapshots.iter().flat_map(chunks_of).collect()
 }
 
-/// How long the state is as text; one chunk holds all of it if it may be as long.
+/// Returns the approximate length of the encoded state in bytes.
 fn encoded_len(state: &Arc<State>) -> usize {
     let complete = split(state, RecordId::nil(), usize::MAX);
-    // The chunk's own fields and the escaped quotes make it longer; only the cut depends on it.
+    // A chunk is longer because of its own fields and escaped quotes; the estimate only determines
+    // where chunks are cut.
     complete.first().map_or(1, |chunk| chunk.len() * 3 / 4)
 }
 
-/// What a reader would have that doesn't look whether a snapshot is whole: of a torn one, the
-/// records before the snapshot are missing.
+/// Returns the state of a reader that loads the newest snapshot without checking that it is
+/// complete. An incomplete snapshot lacks the changes of the records that it covers.
 fn newest_complete_or_torn(world: &World) -> Option<State> {
     let newest = world.snapshots.last()?;
     let mut state = State::clone(world.state_after(newest.records_included));
@@ -160,7 +164,8 @@
     if world.event_counts.restarts >= scenario.restarts {
         return;
     }
-    // What only this node knows, and the log doesn't, is lost with it; no protocol can keep it.
+    // A withdrawal that only this node knows and that is not in the log would be lost with the
+    // node, which no protocol can prevent, so this case is excluded.
     let other_accepts = world.is_accepting(1 - node);
     let is_logged = world.head().team_of_key(KEY).is_none();
     let withdrawal_survives =
@@ -214,7 +219,7 @@
             node.knows_withdrawal = knows_withdrawal;
             let accepts = node.is_caught_up && node.has_heard_peer;
             node.has_heard_peer = true;
-            // A peer that has more says so: the head that was reached is an old one.
+            // A peer with more records applied shows that this node's view of the head is outdated.
             node.is_caught_up =
                 accepts || ((node.is_caught_up || !log_is_up) && node.applied == max_applied);
         }
@@ -260,7 +265,8 @@
     }
 }
 
-/// Retention is much longer than the time between snapshots.
+/// Adds transitions that trim the log below a complete snapshot. Log retention is much longer than
+/// the interval between snapshots, so the log is never trimmed further.
 fn trim(scenario: &Scenario, world: &World, next: &mut Vec<World>) {
     if scenario.snapshots == 0 {
         return;
@@ -281,7 +287,7 @@
 fn bound_passes(world: &World, next: &mut Vec<World>) {
     let accepting = || (0..NODES).filter(|node| world.is_accepting(*node));
     let head = world.log.len();
-    // Also those that don't take requests yet: whoever runs keeps reading.
+    // Running nodes that do not accept requests yet keep reading too.
     let are_at_head = world
         .nodes
         .iter()
@@ -290,7 +296,7 @@
         return;
     }
     let is_known = accepting().any(|node| refuses_key(world, node));
-    // Heartbeats also reach those that don't take requests yet.
+    // Heartbeats also reach nodes that do not accept requests yet.
     let is_known_by_all = (0..NODES).all(|node| {
         let Node {
             is_paused,
--- a/crates/pomelohitch-model/src/scenario.rs
+++ b/crates/pomelohitch-model/src/scenario.rs
@@ -1,75 +1,77 @@
-//! What is explored: how much may happen, and which mechanism is left out.
+//! Bounds of the exploration, and the mechanism that a mutant disables.
 
-/// How much may happen, and which mechanism is left out.
+/// Bounds of the exploration, and the mechanism that is disabled, if any.
 #[derive(Debug, Clone, Default)]
 pub struct Scenario {
-    /// Its name.
+    /// Name in reports.
     pub name: &'static str,
-    /// How many records the log takes at the most.
+    /// Maximum number of records appended to the log.
     pub records: usize,
-    /// How many proposals are on their way at once at the most.
+    /// Maximum number of proposals in flight at the same time.
     pub in_flight: usize,
-    /// How many appends land although their answer is lost, so that they are sent again.
+    /// Maximum number of appends that succeed but whose acknowledgement is lost, so that they are
+    /// sent again.
     pub lost_answers: usize,
-    /// How many terms may be taken.
+    /// Highest planner term that may be taken.
     pub terms: u64,
-    /// How many instances there are in the pool with a budget; 0 for no planning at all.
+    /// Number of instances in the pool with an availability budget; 0 disables planning.
     pub instances: usize,
-    /// How many of them the service has to keep.
+    /// The service's availability budget.
     pub min_available: u32,
-    /// How many instances may fail.
+    /// Maximum number of instance failures.
     pub failures: usize,
-    /// Whether a planner takes drains back.
+    /// Whether planners cancel drains.
     pub cancels_drains: bool,
-    /// Whether the platform's budget is checked although drains are taken back: it is known to break
-    /// then, in the time between a planner's check and its call.
+    /// Whether the budget at the platform is checked although drains are cancelled. It is known to
+    /// break in this case, between a planner's check and its call.
     pub checks_call_window: bool,
-    /// How many publishes operators send.
+    /// Maximum number of publishes by operators.
     pub publishes: usize,
-    /// Whether the key is withdrawn, urgently, at some entry instance.
+    /// Whether an operator withdraws the key at an entry instance.
     pub withdraws: bool,
-    /// How often an entry instance is replaced.
+    /// Maximum number of entry instance replacements.
     pub restarts: usize,
-    /// How often an entry instance is paused.
+    /// Maximum number of entry instance pauses.
     pub pauses: usize,
-    /// How many snapshots are written; the log is trimmed only below a whole one.
+    /// Maximum number of snapshots; the log is trimmed only below a complete one.
     pub snapshots: usize,
-    /// How often the log goes down.
+    /// Maximum number of log outages.
     pub outages: usize,
-    /// The mechanism that is left out.
+    /// The mechanism that is disabled.
     pub mutant: Option<Mutant>,
 }
 
-/// A mechanism that is left out, to show that the check would notice.
+/// A mechanism that is disabled, to verify that the check finds the resulting fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mutant {
-    /// The fold doesn't compare the phase that was judged with the one in force.
+    /// The fold does not compare the phase that the decision is based on with the current one.
     FoldSkipsSince,
-    /// The fold doesn't count what a drain leaves.
+    /// The fold does not check whether a drain leaves enough instances for the budget.
     FoldSkipsBudget,
-    /// The fold doesn't compare base versions.
+    /// The fold does not compare the base version of a publish with the current one.
     FoldSkipsBase,
-    /// The fold judges a repeat as if it were new.
+    /// The fold applies a repeated record as if it were new.
     FoldCountsRepeats,
-    /// The fold accepts any planner's decisions, whatever the term.
+    /// The fold accepts planner decisions of any term.
     FoldSkipsTerm,
-    /// A planner asks the platform for an effect as soon as it has sent the proposal.
+    /// A planner requests an effect from the platform once it has sent the proposal, without
+    /// waiting for the verdict.
     EffectBeforeVerdict,
-    /// An entry instance serves as soon as it has started.
+    /// An entry instance serves requests once it has started, before it has read to the head.
     ServesBeforeHead,
-    /// An entry instance that was paused goes on as if nothing had happened.
+    /// An entry instance serves requests after a pause without reading to the head first.
     ServesAfterPause,
-    /// An entry instance serves before it heard a peer.
+    /// An entry instance serves requests before it has exchanged heartbeats with a peer.
     ServesUnheard,
-    /// An operator whose answer was lost is told that nothing happened.
+    /// An operator is told that a publish is not in force before its outcome is known.
     GuessesNotInForce,
-    /// A reader whose next record was trimmed goes on with the oldest one kept.
+    /// A reader whose next record was trimmed continues with the oldest record that is kept.
     SkipsTrimmed,
-    /// A reader takes the newest snapshot, whole or not.
+    /// A reader loads the newest snapshot even if it is incomplete.
     TakesTornSnapshot,
 }
 
-/// The scenarios of the check, without a mutant.
+/// Returns all scenarios, without mutants.
 #[must_use]
 pub fn all() -> Vec<Scenario> {
     vec![
@@ -82,7 +84,7 @@
     ]
 }
 
-/// Two planners move instances away from a pool with a budget, and instances fail.
+/// Two planners move instances out of a pool with an availability budget while instances fail.
 #[must_use]
 pub fn planning() -> Scenario {
     Scenario {
@@ -98,7 +100,7 @@
     }
 }
 
-/// The same with fewer instances, and drains that are taken back.
+/// Two planners move instances out of a pool with an availability budget and cancel drains.
 #[must_use]
 pub fn taking_back() -> Scenario {
     Scenario {
@@ -114,7 +116,7 @@
     }
 }
 
-/// Operators race on one file, at two entry instances.
+/// Operators publish the same file concurrently at two entry instances.
 #[must_use]
 pub fn publishing() -> Scenario {
     Scenario {
@@ -142,7 +144,7 @@
     }
 }
 
-/// Entry instances are replaced and paused while the log goes down.
+/// Entry instances are replaced and paused during log outages.
 #[must_use]
 pub fn outage() -> Scenario {
     Scenario {
@@ -157,7 +159,7 @@
     }
 }
 
-/// A key is withdrawn with the log up or down, while entry instances are replaced and paused.
+/// A key is withdrawn with or without a log outage while entry instances are replaced and paused.
 #[must_use]
 pub fn withdrawing() -> Scenario {
     Scenario {
--- a/crates/pomelohitch-model/src/step.rs
+++ b/crates/pomelohitch-model/src/step.rs
@@ -1,4 +1,4 @@
-//! What can happen next.
+//! Transitions of the model; those of the log are defined here.
 
 use std::sync::Arc;
 
@@ -11,30 +11,30 @@
 use crate::world::{Entry, World};
 use crate::{planning, publishing, reading};
 
-/// One thing that happens.
+/// A transition between two states of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// A node sends a proposal to the log.
     Propose(Proposal),
-    /// An append lands and is answered.
+    /// An append succeeds and is acknowledged.
     Land(Proposal),
-    /// An append lands, its answer is lost, and it will be sent again.
+    /// An append succeeds, its acknowledgement is lost, and the proposal will be sent again.
     LandUnanswered(Proposal),
-    /// An append certainly doesn't land.
+    /// An append fails definitively.
     Refuse(Proposal),
-    /// The log goes down.
+    /// The log becomes unavailable.
     LogDown,
-    /// The log answers again.
+    /// The log becomes available again.
     LogUp,
-    /// A step of a planner or of the platform.
+    /// A transition of a planner or of the platform.
     Planning(planning::Step),
-    /// A step of a reader.
+    /// A transition of a reader.
     Reading(reading::Step),
-    /// A step of an operator.
+    /// A transition of an operator.
     Publishing(publishing::Step),
 }
 
-/// Every world that can follow `world`.
+/// Returns all states that can follow `world`.
 #[must_use]
 pub fn successors(scenario: &Scenario, world: &World) -> Vec<World> {
     let mut next = Vec::new();
@@ -50,7 +50,7 @@
     next
 }
 
-/// `world` after `step`, which `change` carries out.
+/// Returns a copy of `world` with `change` applied and `step` recorded as the last transition.
 pub(crate) fn after(world: &World, step: Step, change: impl FnOnce(&mut World)) -> World {
     let mut next = world.clone();
     next.last = Some(step);
@@ -58,7 +58,8 @@
     next
 }
 
-/// `world` with one more proposal on its way, if it isn't already.
+/// Adds the transition that sends `proposal`, unless it is already in flight or in the log, or the
+/// bounds permit no further proposal.
 pub(crate) fn propose(
     scenario: &Scenario,
     world: &World,
@@ -75,7 +76,7 @@
     }));
 }
 
-/// Whether the scenario's bounds leave room for one more proposal.
+/// Whether the scenario's bounds permit another proposal.
 pub(crate) fn may_propose(scenario: &Scenario, world: &World) -> bool {
     world.in_flight.len() < scenario.in_flight
         && world.log.len() + world.in_flight.len() < scenario.records
@@ -124,8 +125,8 @@
     Arc::make_mut(&mut world.log).push(entry);
 }
 
-/// The real fold, or, for a mutant, the real fold over a state or record that hides from it what
-/// it should have noticed.
+/// Applies a proposal with the real fold. For a mutant that weakens the fold, the state or the
+/// record is changed first so that the fold cannot detect the conflict.
 fn fold(scenario: &Scenario, state: &mut State, proposal: &Proposal) -> Verdict {
     let offset = state.next;
     let mut record = proposal.record();
--- a/crates/pomelohitch-model/src/world.rs
+++ b/crates/pomelohitch-model/src/world.rs
@@ -1,4 +1,4 @@
-//! One state of the whole system.
+//! State of the whole system.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -13,61 +13,61 @@
 use crate::scenario::Scenario;
 use crate::step::Step;
 
-/// How many entry instances there are.
+/// Number of entry instances.
 pub const NODES: usize = 2;
-/// How many chunks a snapshot has.
+/// Number of chunks of a complete snapshot.
 pub const CHUNKS: usize = 2;
 
-/// One state of the whole system.
+/// State of the whole system.
 #[derive(Debug, Clone)]
 pub struct World {
-    /// The state below the first record that the model appends.
+    /// The folded state before the first record that the model appends.
     pub base: Arc<State>,
-    /// The records that the model appended, with what the fold made of them.
+    /// Records appended by the model, with verdicts and resulting states.
     pub log: Arc<Vec<Entry>>,
-    /// How many of them are no longer kept.
+    /// Number of records trimmed from the start of `log`.
     pub trimmed: usize,
-    /// Whether the log answers.
+    /// Whether the log is available.
     pub log_is_up: bool,
-    /// What was sent and may still land.
+    /// Proposals sent whose append may still succeed.
     pub in_flight: BTreeSet<Proposal>,
-    /// Snapshots, by how many records they hold, and how many of their chunks were written.
+    /// Snapshots written, complete or not.
     pub snapshots: BTreeSet<Snapshot>,
     /// The entry instances.
     pub nodes: [Node; NODES],
-    /// The instances, as the platform has them.
+    /// Instances at the platform.
     pub platform: Vec<PlatformInstance>,
-    /// The publishes of operators.
+    /// Publishes by operators.
     pub operators: Vec<Operator>,
-    /// So many records have been in the log for longer than the bound.
+    /// Number of records that have been in the log for longer than the propagation bound.
     pub settled: usize,
-    /// The key's withdrawal has been known for longer than the bound.
+    /// The key's withdrawal has been known for longer than the propagation bound.
     pub is_withdrawal_settled: bool,
-    /// What has happened so far of what the scenario bounds.
+    /// Counts of the events that the scenario bounds.
     pub event_counts: EventCounts,
-    /// The promise that the last step broke.
+    /// The promise that the last step broke, if any.
     pub broken: Option<Promise>,
-    /// The last step; no part of the state.
+    /// The step that led to this state; ignored in comparisons and hashes.
     pub last: Option<Step>,
 }
 
 /// A record in the log.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// What was proposed.
+    /// The proposal that was appended.
     pub proposal: Proposal,
-    /// What the fold made of it.
+    /// The fold's verdict.
     pub verdict: Verdict,
-    /// The state after it.
+    /// The state after the record.
     pub state: Arc<State>,
 }
 
-/// A snapshot in its stream.
+/// A snapshot in the snapshot stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Snapshot {
-    /// How many of the model's records it holds.
+    /// Number of the model's records that it covers.
     pub records_included: usize,
-    /// How many of its chunks were written.
+    /// Number of chunks written.
     pub chunks: usize,
 }
 
@@ -78,92 +78,92 @@
 )]
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Node {
-    /// How many of the model's records it has applied; `None` before it has read anything.
+    /// Number of the model's records it has applied; `None` before it has any state.
     pub applied: Option<usize>,
-    /// It has reached the head, or, the log being down, what its peer has.
+    /// It has read to the head, or, with the log down, as far as its peer.
     pub is_caught_up: bool,
-    /// It has heard its peer since it started or woke.
+    /// It has received a heartbeat of its peer since it started or resumed.
     pub has_heard_peer: bool,
-    /// It doesn't run for a while.
+    /// It is paused.
     pub is_paused: bool,
-    /// It knows by bad news that the key is withdrawn.
+    /// It knows from an operator or from heartbeats that the key is withdrawn.
     pub knows_withdrawal: bool,
-    /// The effect that it decided on and hasn't asked for yet.
+    /// The effect that it has decided on and not yet requested.
     pub intent: Option<Intent>,
 }
 
-/// An effect that a planner is about to ask for.
+/// An effect that a planner is about to request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Intent {
-    /// The instance.
+    /// Index of the instance.
     pub instance: usize,
     /// The offset of the decision.
     pub op: Offset,
-    /// What the platform is to do.
+    /// The requested action.
     pub action: Action,
 }
 
-/// What the platform does.
+/// An action of the platform on an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Lets it finish its work.
+    /// Stops new work and lets running work finish.
     Drain,
-    /// Takes the drain back.
+    /// Cancels a drain.
     Undrain,
-    /// Puts it into the pool with the spares.
+    /// Moves it to the spare pool.
     Move,
 }
 
-/// An instance as the platform has it.
+/// An instance at the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct PlatformInstance {
-    /// It is in the pool with the spares.
+    /// It is in the spare pool.
     pub is_moved: bool,
-    /// It gets no work.
+    /// It is drained.
     pub is_drained: bool,
-    /// It failed.
+    /// It has failed.
     pub is_down: bool,
-    /// The effects that it has seen.
+    /// Offsets of the effects already performed.
     pub ops: BTreeSet<Offset>,
 }
 
-/// A publish as its operator sees it.
+/// A publish, and the answer that its operator received.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Operator {
-    /// What was sent.
+    /// The proposal that the operator's node sent.
     pub proposal: Proposal,
-    /// What the operator was told.
+    /// The answer received, if any.
     pub received: Option<Answer>,
 }
 
-/// What an operator is told.
+/// The answer to a publish.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Answer {
     /// The publish is in force.
     InForce,
-    /// It is not, and won't be.
+    /// The publish is not in force and never will be.
     NotInForce,
 }
 
-/// What has happened so far of what the scenario bounds.
+/// Counts of the events that the scenario bounds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct EventCounts {
-    /// Answers lost.
+    /// Lost acknowledgements of appends.
     pub lost_answers: usize,
-    /// Instances failed.
+    /// Instance failures.
     pub failures: usize,
-    /// Entry instances replaced.
+    /// Entry instance replacements.
     pub restarts: usize,
-    /// Entry instances paused.
+    /// Entry instance pauses.
     pub pauses: usize,
-    /// Outages of the log.
+    /// Log outages.
     pub outages: usize,
-    /// The withdrawal, 1 once it was asked for.
+    /// Key withdrawals, at most 1.
     pub withdrawals: usize,
 }
 
 impl World {
-    /// The system as the scenario begins: both entry instances serve, node 0 plans.
+    /// Creates the initial state: both entry instances accept requests, and node 0 plans.
     #[must_use]
     pub fn new(scenario: &Scenario) -> World {
         let node = Node {
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The state after so many of the model's records.
+    /// Returns the state after this number of the model's records.
     #[must_use]
     pub fn state_after(&self, records: usize) -> &Arc<State> {
         match records {
@@ -199,13 +199,13 @@
         }
     }
 
-    /// The state that the whole log gives.
+    /// Returns the state after all records.
     #[must_use]
     pub fn head(&self) -> &Arc<State> {
         self.state_after(self.log.len())
     }
 
-    /// The state in force at a node that runs and has read something.
+    /// Returns the state at a node; `None` if it is paused or has none.
     #[must_use]
     pub fn view(&self, node: usize) -> Option<&Arc<State>> {
         let node = &self.nodes[node];
@@ -213,14 +213,14 @@
         Some(self.state_after(applied))
     }
 
-    /// Whether a node takes requests.
+    /// Whether a node accepts requests.
     #[must_use]
     pub fn is_accepting(&self, node: usize) -> bool {
         let node = &self.nodes[node];
         node.applied.is_some() && !node.is_paused && node.is_caught_up && node.has_heard_peer
     }
 
-    /// The record of this proposal that was accepted, by its place in the model's log.
+    /// Returns the index in `log` of the accepted record of this proposal.
     #[must_use]
     pub fn accepted(&self, proposal: &Proposal) -> Option<usize> {
         let is_accepted_copy =
@@ -229,7 +229,7 @@
     }
 }
 
-/// Hashing only what differs often keeps it cheap; equality compares the rest.
+/// Hashes only fields that often differ, for speed; equality compares the remaining ones too.
 impl Hash for World {
     fn hash<H: Hasher>(&self, state: &mut H) {
         for entry in self.log.iter() {
@@ -246,7 +246,8 @@
     }
 }
 
-/// The verdicts and states follow from the proposals, because the fold is deterministic.
+/// Compares only the proposals of log entries, because the deterministic fold derives verdicts and
+/// states from them.
 impl PartialEq for World {
     fn eq(&self, other: &World) -> bool {
         let logs_agree = self.log.len() == other.log.len()
--- a/crates/pomelohitch-model/tests/check.rs
+++ b/crates/pomelohitch-model/tests/check.rs
@@ -1,17 +1,17 @@
-//! The check finds nothing in the protocol, and finds what each mutant breaks.
+//! The check finds no broken promise in the protocol, and the expected one for each mutant.
 
 use pomelohitch_model::promise::Promise;
 use pomelohitch_model::scenario::{self, Mutant};
 use pomelohitch_model::{Scenario, check};
 
-/// The shortest way to what `mutant` breaks.
+/// Returns the promise that `mutant` breaks, and a shortest sequence of steps to it.
 fn counterexample_of(mutant: Mutant, scenario: &Scenario) -> (Promise, String) {
     let scenario = Scenario {
         mutant: Some(mutant),
         ..scenario.clone()
     };
     let found = check(&scenario).counterexample;
-    let found = found.expect("the mutant breaks a promise");
+    let found = found.expect("every mutant breaks a promise");
     (found.promise, found.to_string())
 }
 
@@ -24,8 +24,8 @@
 
 #[test]
 fn no_promise_needs_terms() {
-    // Terms only keep the waste small. With the decisions of any planner accepted in any term, every
-    // promise still holds, so a planner that was paused and wakes can do no harm.
+    // Terms only reduce wasted work. Every promise also holds if decisions of any term are
+    // accepted, so a planner that resumes after a pause breaks no promise.
     let scenario = Scenario {
         records: 3,
         mutant: Some(Mutant::FoldSkipsTerm),
@@ -36,8 +36,8 @@
 
 #[test]
 fn a_fold_that_ignores_the_expected_phase_puts_an_instance_in_two_pools() {
-    // A "take the drain back" lands after the instance was drained. The log then has it at work in
-    // the pool that it was to move to, and the platform in the one it came from.
+    // A cancellation is appended after the instance was drained. The log then has the instance
+    // active in the pool that it was to move to, while the platform has it in its old pool.
     let (promise, path) = counterexample_of(Mutant::FoldSkipsSince, &scenario::taking_back());
     assert_eq!(promise, Promise::OnePool);
     insta::assert_snapshot!(path);
@@ -45,7 +45,7 @@
 
 #[test]
 fn a_fold_that_ignores_the_budget_breaks_it() {
-    // Two planners, or one with an old view, each drain an instance of the same pool.
+    // Two planners, or one with an outdated state, each drain an instance of the same pool.
     let (promise, path) = counterexample_of(Mutant::FoldSkipsBudget, &scenario::planning());
     assert_eq!(promise, Promise::Budget);
     insta::assert_snapshot!(path);
@@ -53,7 +53,8 @@
 
 #[test]
 fn a_fold_that_ignores_base_versions_reverts_a_publish() {
-    // The second of two operators never saw the first one's change, and undoes it.
+    // The second of two operators publishes a change that is not based on the first one's and
+    // reverts it.
     let (promise, path) = counterexample_of(Mutant::FoldSkipsBase, &scenario::publishing());
     assert_eq!(promise, Promise::NeverReverts);
     insta::assert_snapshot!(path);
@@ -61,8 +62,9 @@
 
 #[test]
 fn a_fold_that_applies_repeats_makes_an_answer_false() {
-    // The answer of an append is lost, so it is sent again. Judged anew, the second copy meets its
-    // own first one as a conflict, and the operator is told that nothing is in force.
+    // The acknowledgement of an append is lost, so the proposal is sent again. Evaluated as a new
+    // record, the second copy conflicts with the first, and the operator is told that the publish
+    // is not in force.
     let (promise, path) = counterexample_of(Mutant::FoldCountsRepeats, &scenario::publishing());
     assert_eq!(promise, Promise::TrueAnswer);
     insta::assert_snapshot!(path);
@@ -70,15 +72,17 @@
 
 #[test]
 fn an_answer_given_before_the_outcome_is_known_is_false() {
-    // The append is still on its way when the operator is told that it didn't happen.
+    // The operator is told that the publish is not in force, but its append may already have
+    // succeeded or may still succeed.
     let (promise, path) = counterexample_of(Mutant::GuessesNotInForce, &scenario::publishing());
     assert_eq!(promise, Promise::TrueAnswer);
     insta::assert_snapshot!(path);
 }
 
 #[test]
-fn an_effect_requested_before_the_verdict_is_found() {
-    // A planner drains an instance at the platform although the log may yet reject the drain.
+fn an_effect_without_an_accepted_record_is_detected() {
+    // A planner drains an instance at the platform before the drain is accepted, and it may still
+    // be rejected.
     let (promise, path) = counterexample_of(Mutant::EffectBeforeVerdict, &scenario::planning());
     assert_eq!(promise, Promise::EffectsAccepted);
     insta::assert_snapshot!(path);
@@ -86,7 +90,7 @@
 
 #[test]
 fn an_entry_instance_that_serves_before_the_head_reverts_configuration() {
-    // A replaced entry instance takes requests with the configuration of long ago.
+    // A replaced entry instance accepts requests with an outdated configuration.
     let (promise, path) = counterexample_of(Mutant::ServesBeforeHead, &scenario::outage());
     assert_eq!(promise, Promise::NeverReverts);
     insta::assert_snapshot!(path);
@@ -94,7 +98,8 @@
 
 #[test]
 fn an_entry_instance_that_wakes_and_goes_on_reverts_configuration() {
-    // An entry instance was frozen for minutes; its callers meet what was in force before.
+    // An entry instance resumes after a pause and serves requests with the configuration from
+    // before the pause.
     let (promise, path) = counterexample_of(Mutant::ServesAfterPause, &scenario::outage());
     assert_eq!(promise, Promise::NeverReverts);
     insta::assert_snapshot!(path);
@@ -102,8 +107,8 @@
 
 #[test]
 fn an_entry_instance_that_serves_before_a_heartbeat_accepts_a_withdrawn_key() {
-    // A key is withdrawn while the log is down. An entry instance that starts just after the log
-    // came back reads to the head, where the withdrawal doesn't stand yet.
+    // A key is withdrawn during a log outage. A replaced entry instance reads to the head as soon
+    // as the log is back, but the withdrawal is not in the log yet.
     let (promise, path) = counterexample_of(Mutant::ServesUnheard, &scenario::withdrawing());
     assert_eq!(promise, Promise::KeyWithdrawn);
     insta::assert_snapshot!(path);
@@ -111,8 +116,8 @@
 
 #[test]
 fn a_reader_that_skips_trimmed_records_diverges() {
-    // The log dropped the records that a new reader needs; going on without them, it knows no
-    // members, no pools and no keys.
+    // A new reader needs records that were trimmed. Without them its state lacks the members,
+    // pools and keys.
     let (promise, path) = counterexample_of(Mutant::SkipsTrimmed, &scenario::joining());
     assert_eq!(promise, Promise::SameState);
     insta::assert_snapshot!(path);
@@ -120,7 +125,7 @@
 
 #[test]
 fn a_reader_that_loads_a_torn_snapshot_diverges() {
-    // Whoever wrote the newest snapshot died half-way.
+    // The writer of the newest snapshot ended before writing all of its chunks.
     let (promise, path) = counterexample_of(Mutant::TakesTornSnapshot, &scenario::joining());
     assert_eq!(promise, Promise::SameState);
     insta::assert_snapshot!(path);
@@ -128,10 +133,10 @@
 
 #[test]
 fn the_window_between_check_and_call_is_known() {
-    // Not a mutant, but what remains: a planner read to the head, decided to drain, and was paused
-    // right before the call. Meanwhile the drain was taken back and another instance drained. Its
-    // call then reaches a platform that doesn't compare offsets. The instance finishes its work and
-    // gets no new requests from the platform until the planner undrains it.
+    // A known limitation without a mutant: a planner reads to the head, decides to drain, and
+    // pauses before the call. Meanwhile the drain is cancelled and another instance is drained. The
+    // platform does not compare offsets and accepts the late call: the instance finishes its work
+    // and gets no new requests until the planner undrains it.
     let scenario = Scenario {
         checks_call_window: true,
         records: 5,
@@ -139,7 +144,7 @@
         ..scenario::taking_back()
     };
     let found = check(&scenario).counterexample;
-    let found = found.expect("the window is there");
+    let found = found.expect("the late call breaks the budget");
     assert_eq!(found.promise, Promise::Budget);
     insta::assert_snapshot!(found.to_string());
 }
