--- a/crates/pomelohitch-maintain/examples/measure/costs.rs
+++ b/crates/pomelohitch-maintain/examples/measure/costs.rs
@@ -100,13 +100,13 @@
         };
         let text = record.encode();
         bytes += text.len();
-        let in_force = sim.state.clone();
+        let shared_copy = sim.state.clone();
         let begun = Instant::now();
         let record = Record::decode(&text).expect("it was just encoded");
         let verdict = sim.state.apply(offset, &record);
         total += begun.elapsed();
         assert_eq!(verdict, Verdict::Accepted);
-        drop(in_force);
+        drop(shared_copy);
     }
     (total, bytes)
 }
@@ -139,7 +139,7 @@
         })
     });
     print_fold("pause or resume of a pool", 2 * POOLS, waves);
-    let drains = cost_of(&mut sim, 300, |state, n| {
+    let instance_steps = cost_of(&mut sim, 300, |state, n| {
         let (id, instance) = state
             .fleet
             .instances
@@ -154,7 +154,7 @@
             },
         })
     });
-    print_fold("a step about one instance", 300, drains);
+    print_fold("a step about one instance", 300, instance_steps);
     println!();
 }
 
--- a/crates/pomelohitch-maintain/examples/measure/load.rs
+++ b/crates/pomelohitch-maintain/examples/measure/load.rs
@@ -79,7 +79,7 @@
             day.moves,
             day.morning_moves,
             day.buffer_hours,
-            100.0 * day.short / day.asked,
+            100.0 * day.shortage / day.offered,
         );
     }
     println!();
@@ -90,8 +90,8 @@
     moves: u32,
     morning_moves: u32,
     buffer_hours: f64,
-    short: f64,
-    asked: f64,
+    shortage: f64,
+    offered: f64,
 }
 
 fn pool_id(n: usize) -> Box<str> {
@@ -176,8 +176,8 @@
     *queued = (wanted - slots).max(0.0);
     // Requests beyond this queue length are refused instead of queued.
     *queued = queued.min(slots * 6.0);
-    day.asked += busy;
-    day.short += *queued / 6.0;
+    day.offered += busy;
+    day.shortage += *queued / 6.0;
     let used = mean / f64::from(SLOTS);
     day.buffer_hours += (active - used) * STEP.as_secs_f64() / 3600.0;
 }
--- a/crates/pomelohitch-maintain/src/moves.rs
+++ b/crates/pomelohitch-maintain/src/moves.rs
@@ -77,19 +77,19 @@
     imbalances.surplus.begin_pass();
     let shortages = persistent_shortages(options, imbalances, observation, pools);
     let surpluses = persistent_surpluses(options, imbalances, observation, pools);
-    let mut free = options.max_in_transit.saturating_sub(in_transit(pools));
+    let mut remaining = options.max_in_transit.saturating_sub(in_transit(pools));
     for (pool, count) in shortages {
         for _ in 0..count {
             let Some(from) = source(state, pools, &surpluses, &pool) else {
                 break;
             };
-            if free == 0 || !drain_one(pools, &from, &pool, decisions) {
+            if remaining == 0 || !drain_one(pools, &from, &pool, decisions) {
                 break;
             }
-            free -= 1;
+            remaining -= 1;
         }
     }
-    return_to_spares(state, pools, &surpluses, free, decisions);
+    return_to_spares(state, pools, &surpluses, remaining, decisions);
 }
 
 fn in_transit(pools: &Pools<'_>) -> u32 {
@@ -178,11 +178,11 @@
             matches!(decision, Decision::Fleet(FleetStep::Drain { instance, .. }) if instance == member.id)
         })
     };
-    let works = |member: &&Member<'_>| member.can_drain();
+    let is_drainable = |member: &&Member<'_>| member.can_drain();
     // The most recently maintained instance is due for maintenance last in its new pool.
-    let mut working: Vec<_> = view.members.iter().filter(works).collect();
-    working.sort_by_key(|member| std::cmp::Reverse(member.instance.maintained));
-    let Some(member) = working.into_iter().find(|member| !is_taken(member)) else {
+    let mut candidates: Vec<_> = view.members.iter().filter(is_drainable).collect();
+    candidates.sort_by_key(|member| std::cmp::Reverse(member.instance.maintained));
+    let Some(member) = candidates.into_iter().find(|member| !is_taken(member)) else {
         return false;
     };
     decisions.push(Decision::Fleet(FleetStep::Drain {
@@ -203,7 +203,7 @@
     state: &State,
     pools: &mut Pools<'_>,
     surpluses: &[(PoolId, u32)],
-    mut free: u32,
+    mut remaining: u32,
     decisions: &mut Vec<Decision>,
 ) {
     let spare = pools.iter().find(|(_, view)| view.spare);
@@ -212,11 +212,11 @@
     };
     for (pool, surplus) in surpluses.iter().filter(|(pool, _)| *pool != spare) {
         let lendable = pools.get(pool).map_or(0, super::pools::PoolView::lendable);
-        for _ in 0..(*surplus).min(lendable).min(free) {
+        for _ in 0..(*surplus).min(lendable).min(remaining) {
             if state.waves.is_paused(pool) || !drain_one(pools, pool, &spare, decisions) {
                 break;
             }
-            free -= 1;
+            remaining -= 1;
         }
     }
 }
--- a/crates/pomelohitch-maintain/src/waves.rs
+++ b/crates/pomelohitch-maintain/src/waves.rs
@@ -147,7 +147,7 @@
     if state.waves.all_paused {
         return;
     }
-    let mut free = options.max_waves.saturating_sub(state.waves.by_pool.len());
+    let mut remaining = options.max_waves.saturating_sub(state.waves.by_pool.len());
     let mut due: Vec<(Reverse<Duration>, &PoolId)> = pools
         .iter()
         .filter(|(pool, _)| !state.waves.by_pool.contains_key(**pool))
@@ -157,10 +157,10 @@
         .collect();
     due.sort();
     for (_, pool) in due {
-        if free == 0 {
+        if remaining == 0 {
             return;
         }
-        free -= 1;
+        remaining -= 1;
         decisions.push(Decision::Maintain(MaintainOrder::Start {
             pool: pool.clone(),
             limits: WaveLimits::default(),
@@ -170,10 +170,10 @@
 
 /// Time since the maintenance of the pool's least recently maintained instance.
 fn longest_wait(observation: &Observation, view: &PoolView<'_>) -> Option<Duration> {
-    let working = view
+    let unfailed = view
         .members
         .iter()
         .filter(|m| m.instance.phase != Phase::Failed);
-    let oldest = working.map(|m| m.instance.maintained_at).min()?;
+    let oldest = unfailed.map(|m| m.instance.maintained_at).min()?;
     Some(observation.wall.saturating_sub(oldest))
 }
--- a/crates/pomelohitch-model/src/publishing.rs
+++ b/crates/pomelohitch-model/src/publishing.rs
@@ -71,7 +71,7 @@
     let answer = verdict_read(world, proposal).or_else(|| {
         let is_in_log = world.log.iter().any(|entry| entry.proposal == *proposal);
         let is_refused = !is_in_log && !world.in_flight.contains(proposal);
-        let answers_early = scenario.mutant == Some(Mutant::GuessesNotInForce);
+        let answers_early = scenario.mutant == Some(Mutant::AnswersBeforeOutcome);
         (is_refused || answers_early).then_some(Answer::NotInForce)
     });
     if let Some(answer) = answer {
--- a/crates/pomelohitch-model/src/reading.rs
+++ b/crates/pomelohitch-model/src/reading.rs
@@ -112,7 +112,7 @@
     if !world.log_is_up || world.nodes[node].is_paused || !is_behind {
         return;
     }
-    let loaded = if scenario.mutant == Some(Mutant::TakesTornSnapshot) {
+    let loaded = if scenario.mutant == Some(Mutant::LoadsTornSnapshot) {
         newest_complete_or_torn(world)
     } else {
         newest_complete(stream(world).iter().map(|record| &**record))
@@ -176,7 +176,7 @@
     push(world, Step::Restart(node), next, |world| {
         world.event_counts.restarts += 1;
         let serves_at_once = scenario.mutant == Some(Mutant::ServesBeforeHead);
-        let serves_before_heartbeat = scenario.mutant == Some(Mutant::ServesUnheard);
+        let serves_before_heartbeat = scenario.mutant == Some(Mutant::ServesBeforeHeartbeat);
         world.nodes[node] = Node {
             applied: (serves_at_once && world.trimmed == 0).then_some(0),
             is_caught_up: serves_at_once,
--- a/crates/pomelohitch-model/src/scenario.rs
+++ b/crates/pomelohitch-model/src/scenario.rs
@@ -51,7 +51,7 @@
     /// The fold does not compare the base version of a publish with the current one.
     FoldSkipsBase,
     /// The fold applies a repeated record as if it were new.
-    FoldCountsRepeats,
+    FoldAppliesRepeats,
     /// The fold accepts planner decisions of any term.
     FoldSkipsTerm,
     /// A planner requests an effect from the platform once it has sent the proposal, without
@@ -62,13 +62,13 @@
     /// An entry instance serves requests after a pause without reading to the head first.
     ServesAfterPause,
     /// An entry instance serves requests before it has exchanged heartbeats with a peer.
-    ServesUnheard,
+    ServesBeforeHeartbeat,
     /// An operator is told that a publish is not in force before its outcome is known.
-    GuessesNotInForce,
+    AnswersBeforeOutcome,
     /// A reader whose next record was trimmed continues with the oldest record that is kept.
     SkipsTrimmed,
     /// A reader loads the newest snapshot even if it is incomplete.
-    TakesTornSnapshot,
+    LoadsTornSnapshot,
 }
 
 /// Returns all scenarios, without mutants.
--- a/crates/pomelohitch-model/src/step.rs
+++ b/crates/pomelohitch-model/src/step.rs
@@ -132,7 +132,7 @@
     let mut record = proposal.record();
     match scenario.mutant {
         Some(Mutant::FoldSkipsBudget) => return apply_without_budget(scenario, state, &record),
-        Some(Mutant::FoldCountsRepeats) => {
+        Some(Mutant::FoldAppliesRepeats) => {
             record.id = pomelohitch_core::id::RecordId::from_u128(u128::from(offset) << 64);
         }
         Some(Mutant::FoldSkipsSince) => match_current_phase(state, proposal, &mut record),
--- a/crates/pomelohitch-model/tests/check.rs
+++ b/crates/pomelohitch-model/tests/check.rs
@@ -65,7 +65,7 @@
     // The acknowledgement of an append is lost, so the proposal is sent again. Evaluated as a new
     // record, the second copy conflicts with the first, and the operator is told that the publish
     // is not in force.
-    let (promise, path) = counterexample_of(Mutant::FoldCountsRepeats, &scenario::publishing());
+    let (promise, path) = counterexample_of(Mutant::FoldAppliesRepeats, &scenario::publishing());
     assert_eq!(promise, Promise::TrueAnswer);
     insta::assert_snapshot!(path);
 }
@@ -74,7 +74,7 @@
 fn an_answer_given_before_the_outcome_is_known_is_false() {
     // The operator is told that the publish is not in force, but its append may already have
     // succeeded or may still succeed.
-    let (promise, path) = counterexample_of(Mutant::GuessesNotInForce, &scenario::publishing());
+    let (promise, path) = counterexample_of(Mutant::AnswersBeforeOutcome, &scenario::publishing());
     assert_eq!(promise, Promise::TrueAnswer);
     insta::assert_snapshot!(path);
 }
@@ -109,7 +109,8 @@
 fn an_entry_instance_that_serves_before_a_heartbeat_accepts_a_withdrawn_key() {
     // A key is withdrawn during a log outage. A replaced entry instance reads to the head as soon
     // as the log is back, but the withdrawal is not in the log yet.
-    let (promise, path) = counterexample_of(Mutant::ServesUnheard, &scenario::withdrawing());
+    let (promise, path) =
+        counterexample_of(Mutant::ServesBeforeHeartbeat, &scenario::withdrawing());
     assert_eq!(promise, Promise::KeyWithdrawn);
     insta::assert_snapshot!(path);
 }
@@ -126,7 +127,7 @@
 #[test]
 fn a_reader_that_loads_a_torn_snapshot_diverges() {
     // The writer of the newest snapshot ended before writing all of its chunks.
-    let (promise, path) = counterexample_of(Mutant::TakesTornSnapshot, &scenario::joining());
+    let (promise, path) = counterexample_of(Mutant::LoadsTornSnapshot, &scenario::joining());
     assert_eq!(promise, Promise::SameState);
     insta::assert_snapshot!(path);
 }
