--- a/crates/pomelohitch-place/src/health.rs
+++ b/crates/pomelohitch-place/src/health.rs
@@ -10,9 +10,9 @@
 use pomelohitch_core::id::{InstanceId, JobClass};
 
 /// A worker whose failures in a row were less likely than this elsewhere goes into quarantine.
-const UNLIKELY: f64 = 1e-5;
+const MAX_LIKELIHOOD: f64 = 1e-5;
 /// Whatever a class did elsewhere, its next job fails with at least this probability.
-const LEAST_RATE: f64 = 0.05;
+const MIN_FAILURE_RATE: f64 = 0.05;
 /// Outcomes of a class are forgotten by half when there are so many.
 const CLASS_WINDOW: f64 = 64.0;
 /// A class nobody has seen elsewhere is taken to fail this often: a new class that fails at once
@@ -21,27 +21,27 @@
 /// How many outcomes the prior weighs.
 const PRIOR_WEIGHT: f64 = 1.0;
 /// How many workers are judged at once at the most: a bad release makes many suspect.
-const JUDGED_AT_ONCE: usize = 64;
+const MAX_EVALUATED_AT_ONCE: usize = 64;
 /// A worker is looked at after so many failures in a row.
-const FEWEST_FAILURES: u32 = 3;
+const MIN_FAILURES_IN_A_ROW: u32 = 3;
 /// No more than this share of the workers is in quarantine, in percent: if more seem bad, it is
 /// rather something that they share, and taking the fleet away helps nobody.
-const MOST_PERCENT: usize = 10;
+const MAX_QUARANTINED_PERCENT: usize = 10;
 /// How long after the start of a quarantine a worker is probed; doubled after each failed probe.
-const FIRST_PROBE: Duration = Duration::from_mins(5);
+const FIRST_PROBE_AFTER: Duration = Duration::from_mins(5);
 /// The longest time between probes.
-const LONGEST_PROBE: Duration = Duration::from_hours(2);
+const MAX_PROBE_INTERVAL: Duration = Duration::from_hours(2);
 
 /// Failures among recent outcomes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct Tally {
     failed: f64,
-    all: f64,
+    total: f64,
 }
 
 /// A worker's failures since its last success.
 #[derive(Debug, Clone, Default, PartialEq)]
-struct Run {
+struct FailureStreak {
     failures: u32,
     classes: BTreeMap<JobClass, u32>,
 }
@@ -49,18 +49,18 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Quarantine {
     probe_at: Duration,
-    wait: Duration,
+    interval: Duration,
 }
 
 /// What is known of the health of workers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Health {
-    runs: BTreeMap<InstanceId, Run>,
+    streaks: BTreeMap<InstanceId, FailureStreak>,
     classes: BTreeMap<JobClass, Tally>,
     quarantined: BTreeMap<InstanceId, Quarantine>,
     /// Workers to judge, in turn.
     suspects: BTreeSet<InstanceId>,
-    judged_up_to: Option<InstanceId>,
+    evaluated_up_to: Option<InstanceId>,
     has_changed: bool,
 }
 
@@ -75,19 +75,19 @@
 
 impl Health {
     /// An attempt of `class` on `worker` ended.
-    pub fn ended(&mut self, worker: &InstanceId, class: &JobClass, end: AttemptEnd) {
+    pub fn observe_end(&mut self, worker: &InstanceId, class: &JobClass, end: AttemptEnd) {
         self.has_changed = true;
         let tally = self.classes.entry(class.clone()).or_default();
         tally.add(f64::from(u8::from(end == AttemptEnd::Failed)));
         if end == AttemptEnd::Succeeded {
-            self.runs.remove(worker);
+            self.streaks.remove(worker);
             self.suspects.remove(worker);
             return;
         }
-        let run = self.runs.entry(worker.clone()).or_default();
-        run.failures += 1;
-        *run.classes.entry(class.clone()).or_default() += 1;
-        if run.failures >= FEWEST_FAILURES && !self.quarantined.contains_key(worker) {
+        let streak = self.streaks.entry(worker.clone()).or_default();
+        streak.failures += 1;
+        *streak.classes.entry(class.clone()).or_default() += 1;
+        if streak.failures >= MIN_FAILURES_IN_A_ROW && !self.quarantined.contains_key(worker) {
             self.suspects.insert(worker.clone());
         }
     }
@@ -97,43 +97,43 @@
         if !std::mem::take(&mut self.has_changed) {
             return Vec::new();
         }
-        let most = (workers * MOST_PERCENT / 100).max(1);
-        let room = most.saturating_sub(self.quarantined.len());
-        let mut bad = self.next_to_judge();
-        bad.retain(|worker| self.is_unlikely(worker));
-        bad.truncate(room);
-        for worker in &bad {
+        let max_quarantined = (workers * MAX_QUARANTINED_PERCENT / 100).max(1);
+        let allowed = max_quarantined.saturating_sub(self.quarantined.len());
+        let mut faulty = self.next_suspects();
+        faulty.retain(|worker| self.is_likely_faulty(worker));
+        faulty.truncate(allowed);
+        for worker in &faulty {
             self.suspects.remove(worker);
         }
-        bad
+        faulty
     }
 
-    fn next_to_judge(&mut self) -> Vec<InstanceId> {
-        let after = self.judged_up_to.take();
+    fn next_suspects(&mut self) -> Vec<InstanceId> {
+        let after = self.evaluated_up_to.take();
         let is_after = |worker: &&InstanceId| after.as_ref().is_none_or(|after| *worker > after);
         let next = self.suspects.iter().filter(is_after);
-        let next: Vec<_> = next.take(JUDGED_AT_ONCE).cloned().collect();
-        if next.len() == JUDGED_AT_ONCE {
-            self.judged_up_to = next.last().cloned();
+        let next: Vec<_> = next.take(MAX_EVALUATED_AT_ONCE).cloned().collect();
+        if next.len() == MAX_EVALUATED_AT_ONCE {
+            self.evaluated_up_to = next.last().cloned();
             self.has_changed = true;
         }
         next
     }
 
     /// Whether the worker's failures in a row were unlikely elsewhere.
-    fn is_unlikely(&self, worker: &InstanceId) -> bool {
-        let Some(run) = self.runs.get(worker) else {
+    fn is_likely_faulty(&self, worker: &InstanceId) -> bool {
+        let Some(streak) = self.streaks.get(worker) else {
             return false;
         };
-        let log_likelihood: f64 = run
+        let log_likelihood: f64 = streak
             .classes
             .iter()
             .map(|(class, &failures)| {
-                let all = self.classes.get(class).copied().unwrap_or_default();
-                f64::from(failures) * rate_elsewhere(all, failures).ln()
+                let tally = self.classes.get(class).copied().unwrap_or_default();
+                f64::from(failures) * rate_elsewhere(tally, failures).ln()
             })
             .sum();
-        log_likelihood < UNLIKELY.ln()
+        log_likelihood < MAX_LIKELIHOOD.ln()
     }
 
     /// The quarantine of `worker` is in force.
@@ -142,15 +142,15 @@
         self.quarantined
             .entry(worker.clone())
             .or_insert_with(|| Quarantine {
-                probe_at: now + FIRST_PROBE,
-                wait: FIRST_PROBE,
+                probe_at: now + FIRST_PROBE_AFTER,
+                interval: FIRST_PROBE_AFTER,
             });
     }
 
     /// The quarantine of `worker` is over; it starts with a clean slate.
     pub fn release(&mut self, worker: &InstanceId) {
         self.quarantined.remove(worker);
-        self.runs.remove(worker);
+        self.streaks.remove(worker);
         self.suspects.remove(worker);
     }
 
@@ -173,35 +173,35 @@
     }
 
     /// A probe was sent to `worker`, or failed there: the next one waits twice as long.
-    pub fn probed(&mut self, worker: &InstanceId, now: Duration) {
+    pub fn schedule_next_probe(&mut self, worker: &InstanceId, now: Duration) {
         if let Some(quarantine) = self.quarantined.get_mut(worker) {
-            quarantine.wait = (quarantine.wait * 2).min(LONGEST_PROBE);
-            quarantine.probe_at = now + quarantine.wait;
+            quarantine.interval = (quarantine.interval * 2).min(MAX_PROBE_INTERVAL);
+            quarantine.probe_at = now + quarantine.interval;
         }
     }
 
     /// `worker` is gone.
-    pub fn forget(&mut self, worker: &InstanceId) {
-        self.runs.remove(worker);
+    pub fn remove_worker(&mut self, worker: &InstanceId) {
+        self.streaks.remove(worker);
         self.suspects.remove(worker);
     }
 }
 
 /// How often a class fails, leaving out one worker's `failures`.
-fn rate_elsewhere(all: Tally, failures: u32) -> f64 {
-    let own = f64::from(failures).min(all.failed);
-    let failed = all.failed - own + PRIOR_RATE * PRIOR_WEIGHT;
-    let outcomes = all.all - own + PRIOR_WEIGHT;
-    (failed / outcomes).max(LEAST_RATE)
+fn rate_elsewhere(tally: Tally, failures: u32) -> f64 {
+    let own = f64::from(failures).min(tally.failed);
+    let failed = tally.failed - own + PRIOR_RATE * PRIOR_WEIGHT;
+    let outcomes = tally.total - own + PRIOR_WEIGHT;
+    (failed / outcomes).max(MIN_FAILURE_RATE)
 }
 
 impl Tally {
     fn add(&mut self, failed: f64) {
-        if self.all >= CLASS_WINDOW {
+        if self.total >= CLASS_WINDOW {
             self.failed /= 2.0;
-            self.all /= 2.0;
+            self.total /= 2.0;
         }
         self.failed += failed;
-        self.all += 1.0;
+        self.total += 1.0;
     }
 }
--- a/crates/pomelohitch-place/src/index.rs
+++ b/crates/pomelohitch-place/src/index.rs
@@ -26,22 +26,22 @@
     }
 
     /// Sets the room of a slot.
-    pub fn set(&mut self, slot: usize, room: Resources) {
+    pub fn set(&mut self, slot: usize, free: Resources) {
         let mut at = self.leaves + slot;
-        self.nodes[at] = room;
+        self.nodes[at] = free;
         while at > 1 {
             at /= 2;
-            let most = self.nodes[2 * at].larger(&self.nodes[2 * at + 1]);
-            if self.nodes[at] == most {
+            let max = self.nodes[2 * at].larger(&self.nodes[2 * at + 1]);
+            if self.nodes[at] == max {
                 break;
             }
-            self.nodes[at] = most;
+            self.nodes[at] = max;
         }
     }
 
     /// The most of each resource that any slot has.
     #[must_use]
-    pub fn most(&self) -> Resources {
+    pub fn max(&self) -> Resources {
         self.nodes.get(1).copied().unwrap_or_default()
     }
 
@@ -64,7 +64,7 @@
         high: usize,
         range: &std::ops::Range<usize>,
         need: &Resources,
-        is_backwards: bool,
+        is_reverse: bool,
     ) -> Option<usize> {
         let is_outside = high <= range.start || low >= range.end;
         if is_outside || !self.nodes.get(node)?.covers(need) {
@@ -74,10 +74,10 @@
             return Some(low);
         }
         let middle = usize::midpoint(low, high);
-        let left = |index: &Index| index.search(2 * node, low, middle, range, need, is_backwards);
+        let left = |index: &Index| index.search(2 * node, low, middle, range, need, is_reverse);
         let right =
-            |index: &Index| index.search(2 * node + 1, middle, high, range, need, is_backwards);
-        if is_backwards {
+            |index: &Index| index.search(2 * node + 1, middle, high, range, need, is_reverse);
+        if is_reverse {
             right(self).or_else(|| left(self))
         } else {
             left(self).or_else(|| right(self))
--- a/crates/pomelohitch-place/src/planner.rs
+++ b/crates/pomelohitch-place/src/planner.rs
@@ -23,13 +23,13 @@
 use crate::worker::Worker;
 use queue::Queue;
 
-mod books;
-mod patient;
-mod promise;
+mod accounting;
+mod maintenance;
+mod patient_jobs;
 mod queue;
+mod reservations;
 mod search;
-mod upkeep;
-mod urgent;
+mod urgent_jobs;
 
 /// How the planner decides.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -40,18 +40,18 @@
     pub lookahead: usize,
     /// How long a patient job that fits nowhere waits for room to be made by jobs that end;
     /// afterwards it is made by checkpoints.
-    pub patience: Duration,
+    pub reservation_timeout: Duration,
     /// The share of workers that patient work leaves to urgent work, in thousandths, while
     /// there was urgent work lately.
     pub headroom_permille: usize,
     /// How long ago "lately" is.
-    pub headroom_for: Duration,
+    pub headroom_period: Duration,
     /// How long a leaving worker's tasks may go on before they are checkpointed.
     pub drain_grace: Duration,
     /// How long a job may fit no worker before it is refused.
-    pub unfit_grace: Duration,
+    pub unschedulable_grace: Duration,
     /// How long a worker that refused a start gets none.
-    pub shun_for: Duration,
+    pub refusal_backoff: Duration,
     /// How long a throttled task may use too much before it is checkpointed.
     pub throttle_grace: Duration,
 }
@@ -61,12 +61,12 @@
         Options {
             max_placements: pomelohitch_core::record::job::MAX_PLACEMENTS,
             lookahead: 32,
-            patience: Duration::from_mins(5),
+            reservation_timeout: Duration::from_mins(5),
             headroom_permille: 20,
-            headroom_for: Duration::from_mins(30),
+            headroom_period: Duration::from_mins(30),
             drain_grace: Duration::from_secs(20),
-            unfit_grace: Duration::from_mins(1),
-            shun_for: Duration::from_secs(5),
+            unschedulable_grace: Duration::from_mins(1),
+            refusal_backoff: Duration::from_secs(5),
             throttle_grace: Duration::from_secs(20),
         }
     }
@@ -122,7 +122,7 @@
 }
 
 /// The order in which jobs of a team are tried.
-type Seq = (Offset, JobId);
+type QueueKey = (Offset, JobId);
 /// The place of a worker in the order of the index.
 type Slot = usize;
 
@@ -132,8 +132,8 @@
     limit: u32,
     active: u32,
     /// For how many jobs room is being made.
-    promised: u32,
-    promised_room: Resources,
+    reservation_count: u32,
+    reserved: Resources,
     used: Resources,
     /// The part of it whose tasks are being stopped.
     stopping: Resources,
@@ -146,19 +146,19 @@
 struct Job {
     entry: Entry,
     /// When it was first seen to wait.
-    known_since: Duration,
-    place: Place,
+    waiting_since: Duration,
+    status: JobStatus,
 }
 
 /// Where the books have a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Place {
+enum JobStatus {
     /// In its team's queue.
     Queued,
     /// Aside, because it fits no worker.
-    Unfit { since: Duration },
+    Unschedulable { since: Duration },
     /// On a worker.
-    On(Task),
+    Assigned(Task),
     /// Over.
     Ended,
 }
@@ -167,7 +167,7 @@
 struct Task {
     worker: InstanceId,
     /// What counts as used: what is set aside, or more if more was seen.
-    held: Resources,
+    allocated: Resources,
     since: Duration,
     is_stopping: bool,
     throttled: Option<Duration>,
@@ -178,15 +178,15 @@
     worker: Worker,
     slot: Slot,
     tasks: BTreeSet<JobId>,
-    held: Resources,
-    promised: Resources,
+    allocated: Resources,
+    reserved: Resources,
     /// What checkpoints of patient work would free.
     reclaimable: Resources,
 }
 
 /// Room that is being made for a job on a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Promise {
+struct Reservation {
     team: TeamId,
     is_urgent: bool,
     worker: InstanceId,
@@ -203,7 +203,7 @@
     rack_end: Vec<Slot>,
     zones: Vec<(Slot, Slot)>,
     /// The slot after the last worker without accelerators.
-    plain_end: Slot,
+    cpu_only_end: Slot,
     racks: usize,
 }
 
@@ -220,66 +220,66 @@
     reclaimable: Index,
     capacity: Index,
     total: Resources,
-    total_held: Resources,
+    total_allocated: Resources,
     teams: BTreeMap<TeamId, Team>,
     jobs: BTreeMap<JobId, Job>,
     /// Attempts by group, by zone and by rack.
-    groups: BTreeMap<(TeamId, Box<str>), Spread>,
-    promises: BTreeMap<JobId, Promise>,
-    promised_on: BTreeMap<InstanceId, BTreeSet<JobId>>,
+    groups: BTreeMap<(TeamId, Box<str>), GroupCounts>,
+    reservations: BTreeMap<JobId, Reservation>,
+    reservations_on: BTreeMap<InstanceId, BTreeSet<JobId>>,
     /// Workers with promises that changed since these were last looked at.
-    touched: BTreeSet<InstanceId>,
+    changed_workers: BTreeSet<InstanceId>,
     /// When patience with promises ends.
-    promises_due: BTreeSet<(Duration, JobId)>,
-    unfit: BTreeSet<JobId>,
+    reservation_deadlines: BTreeSet<(Duration, JobId)>,
+    unschedulable: BTreeSet<JobId>,
     leaving: BTreeMap<InstanceId, Duration>,
     probes: BTreeMap<JobId, InstanceId>,
     released: BTreeSet<InstanceId>,
     /// Workers that refused a start, and until when they get none.
-    shunned: BTreeMap<InstanceId, Duration>,
-    pressed: Vec<JobId>,
+    backing_off: BTreeMap<InstanceId, Duration>,
+    overusing: Vec<JobId>,
     sizes: Sizes,
     health: Health,
     last_urgent: Option<Duration>,
     /// Where the next search for room by checkpoints begins, so that they spread over workers.
-    turn: Slot,
+    search_start: Slot,
     has_changed: bool,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Spread {
+struct GroupCounts {
     zones: BTreeMap<ZoneId, u32>,
     racks: BTreeMap<(ZoneId, RackId), u32>,
 }
 
 /// What to do in a team's turn.
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Turn {
+enum Action {
     /// This job goes to this worker.
     Place(JobId, InstanceId, Resources),
     /// This job gets room reserved on this worker.
     Reserve(JobId, InstanceId, Resources),
     /// This job fits no worker.
-    Unfit(JobId, Resources),
+    MarkUnschedulable(JobId, Resources),
     /// Nothing of the team can be placed now.
-    Over,
+    Done,
 }
 
 /// Shapes that found no room in this pass: whatever needs at least as much finds none either.
 #[derive(Debug, Default)]
-struct Failed {
+struct UnmetNeeds {
     needs: Vec<Resources>,
     /// Classes none of whose jobs can need less than what found no room.
     classes: BTreeSet<JobClass>,
 }
 
-impl Failed {
+impl UnmetNeeds {
     fn covers(&self, need: &Resources) -> bool {
-        self.needs.iter().any(|failed| need.covers(failed))
+        self.needs.iter().any(|unmet| need.covers(unmet))
     }
 
     fn add(&mut self, need: Resources) {
-        self.needs.retain(|failed| !failed.covers(&need));
+        self.needs.retain(|unmet| !unmet.covers(&need));
         self.needs.push(need);
     }
 }
@@ -298,12 +298,12 @@
     /// Decides what to do now. `now` is any clock that doesn't go back.
     pub fn decide(&mut self, now: Duration) -> Decision {
         let mut decision = Decision::default();
-        self.look_after_workers(now, &mut decision);
-        self.lay_out();
+        self.check_worker_health(now, &mut decision);
+        self.rebuild_layout();
         self.drain(now, &mut decision);
-        self.relieve(now, &mut decision);
-        self.refuse_unfit(now, &mut decision);
-        self.keep_promises(now, &mut decision);
+        self.limit_overuse(now, &mut decision);
+        self.refuse_unschedulable(now, &mut decision);
+        self.fulfill_reservations(now, &mut decision);
         if std::mem::take(&mut self.has_changed) {
             self.place_urgent(now, &mut decision);
             self.place_patient(now, &mut decision);
@@ -316,7 +316,7 @@
     pub fn waiting(&self) -> usize {
         let queues = self.teams.values();
         let queued: usize = queues.map(|t| t.urgent.len() + t.patient.len()).sum();
-        queued + self.unfit.len()
+        queued + self.unschedulable.len()
     }
 
     /// What `team` has set aside.
@@ -331,7 +331,7 @@
     #[must_use]
     pub fn load_of(&self, worker: &str) -> Option<(Resources, Resources)> {
         let machine = self.machines.get(worker)?;
-        Some((machine.held, machine.worker.capacity))
+        Some((machine.allocated, machine.worker.capacity))
     }
 
     /// How long `job` is expected to run.
@@ -343,7 +343,7 @@
     /// What a job of this shape would get set aside now.
     #[must_use]
     pub fn need(&self, entry: &Entry) -> Resources {
-        self.sizes.need(entry, &self.capacity.most())
+        self.sizes.need(entry, &self.capacity.max())
     }
 
     fn is_urgent(entry: &Entry) -> bool {
@@ -352,18 +352,18 @@
 }
 
 /// Parts in a billion of a resource; of no resource at all, none.
-fn part(used: u64, total: u64) -> u64 {
-    const WHOLE: u128 = 1_000_000_000;
+fn fraction_ppb(used: u64, total: u64) -> u64 {
+    const BILLION: u128 = 1_000_000_000;
     if total == 0 {
         return 0;
     }
-    let part = u128::from(used) * WHOLE / u128::from(total);
-    u64::try_from(part).unwrap_or(u64::MAX)
+    let ppb = u128::from(used) * BILLION / u128::from(total);
+    u64::try_from(ppb).unwrap_or(u64::MAX)
 }
 
 /// The largest part of any resource, in billionths.
-fn dominant(used: &Resources, total: &Resources) -> u64 {
-    part(used.cpu_milli, total.cpu_milli)
-        .max(part(used.memory_mib, total.memory_mib))
-        .max(part(used.accelerators, total.accelerators))
+fn dominant_share(used: &Resources, total: &Resources) -> u64 {
+    fraction_ppb(used.cpu_milli, total.cpu_milli)
+        .max(fraction_ppb(used.memory_mib, total.memory_mib))
+        .max(fraction_ppb(used.accelerators, total.accelerators))
 }
--- a/crates/pomelohitch-place/src/planner/books.rs
+++ b/crates/pomelohitch-place/src/planner/accounting.rs
@@ -1,10 +1,10 @@
 //! Workers, teams and jobs.
 
 use super::{
-    AttemptEnd, AttemptId, Duration, Entry, Index, InstanceId, JobId, JobState, Layout, Machine,
-    Place, Planner, Queue, Resources, Seq, Task, Team, TeamId, TeamTerms, Worker,
+    AttemptEnd, AttemptId, Duration, Entry, Index, InstanceId, JobId, JobState, JobStatus, Layout,
+    Machine, Planner, Queue, QueueKey, Resources, Task, Team, TeamId, TeamTerms, Worker,
 };
-use super::{Job, dominant};
+use super::{Job, dominant_share};
 
 impl Planner {
     /// Takes over a worker, new or changed.
@@ -18,7 +18,7 @@
         let id = worker.id.clone();
         match self.machines.get_mut(&id) {
             Some(known) if known.worker == worker => {}
-            Some(known) if is_same_place(&known.worker, &worker) => self.open(worker),
+            Some(known) if has_same_layout(&known.worker, &worker) => self.set_availability(worker),
             Some(known) => {
                 known.worker = worker;
                 self.is_layout_stale = true;
@@ -28,17 +28,17 @@
     }
 
     /// A worker takes work again, or no longer.
-    fn open(&mut self, worker: Worker) {
+    fn set_availability(&mut self, worker: Worker) {
         let id = worker.id.clone();
-        let before = self.open_capacity(&id);
+        let before = self.schedulable_capacity(&id);
         if let Some(machine) = self.machines.get_mut(&id) {
             machine.worker = worker;
         }
-        self.recount_total(&id, &before);
+        self.update_total(&id, &before);
     }
 
     /// What a worker adds to what there is to share out.
-    pub(super) fn open_capacity(&self, id: &InstanceId) -> Resources {
+    pub(super) fn schedulable_capacity(&self, id: &InstanceId) -> Resources {
         match self.machines.get(id) {
             Some(machine) if machine.worker.takes_work && !self.health.is_quarantined(id) => {
                 machine.worker.capacity
@@ -47,9 +47,12 @@
         }
     }
 
-    pub(super) fn recount_total(&mut self, id: &InstanceId, before: &Resources) {
-        self.total = self.total.minus(before).plus(&self.open_capacity(id));
-        self.update(id);
+    pub(super) fn update_total(&mut self, id: &InstanceId, before: &Resources) {
+        self.total = self
+            .total
+            .minus(before)
+            .plus(&self.schedulable_capacity(id));
+        self.update_indices(id);
     }
 
     fn add_machine(&mut self, worker: Worker) {
@@ -57,13 +60,13 @@
         let machine = Machine {
             slot: 0,
             tasks: self.tasks_on(&id),
-            held: Resources::default(),
-            promised: Resources::default(),
+            allocated: Resources::default(),
+            reserved: Resources::default(),
             reclaimable: Resources::default(),
             worker,
         };
         self.machines.insert(id.clone(), machine);
-        self.recount(&id);
+        self.add_existing_tasks(&id);
         self.is_layout_stale = true;
     }
 
@@ -71,10 +74,10 @@
     pub fn remove_worker(&mut self, id: &InstanceId) {
         if self.machines.remove(id).is_some() {
             self.leaving.remove(id);
-            self.health.forget(id);
-            let lost = self.promises.iter().filter(|(_, p)| p.worker == *id);
+            self.health.remove_worker(id);
+            let lost = self.reservations.iter().filter(|(_, p)| p.worker == *id);
             for job in lost.map(|(job, _)| job.clone()).collect::<Vec<_>>() {
-                self.forget_promise(&job);
+                self.remove_reservation(&job);
             }
             self.is_layout_stale = true;
             self.has_changed = true;
@@ -105,17 +108,17 @@
         let current: std::collections::BTreeSet<_> = workers.cloned().collect();
         for worker in &current {
             if !self.health.is_quarantined(worker) {
-                let before = self.open_capacity(worker);
+                let before = self.schedulable_capacity(worker);
                 self.health.quarantine(worker, now);
-                self.recount_total(worker, &before);
+                self.update_total(worker, &before);
             }
         }
-        let is_over = |worker: &&InstanceId| !current.contains(*worker);
-        let over = self.health.quarantined().filter(is_over);
-        for worker in over.cloned().collect::<Vec<_>>() {
-            let before = self.open_capacity(&worker);
+        let is_released = |worker: &&InstanceId| !current.contains(*worker);
+        let released = self.health.quarantined().filter(is_released);
+        for worker in released.cloned().collect::<Vec<_>>() {
+            let before = self.schedulable_capacity(&worker);
             self.health.release(&worker);
-            self.recount_total(&worker, &before);
+            self.update_total(&worker, &before);
             self.has_changed = true;
         }
     }
@@ -123,17 +126,17 @@
     /// Takes over what the log says of a job; `None` if it is no longer kept.
     pub fn set_job(&mut self, id: &JobId, entry: Option<&Entry>, now: Duration) {
         let before = self.jobs.remove(id);
-        let task_before = self.leave(id, before.as_ref());
+        let task_before = self.detach(id, before.as_ref());
         self.has_changed = true;
         let Some(entry) = entry else {
-            self.forget_promise(id);
+            self.remove_reservation(id);
             self.probes.remove(id);
             return;
         };
         let mut job = Job {
             entry: entry.clone(),
-            known_since: before.as_ref().map_or(now, |job| job.known_since),
-            place: Place::Queued,
+            waiting_since: before.as_ref().map_or(now, |job| job.waiting_since),
+            status: JobStatus::Queued,
         };
         match &entry.state {
             JobState::Waiting => {
@@ -141,47 +144,47 @@
                 self.enqueue(id, &mut job, before.as_ref(), now);
             }
             JobState::Ended(_) => {
-                self.forget_promise(id);
+                self.remove_reservation(id);
                 self.probes.remove(id);
                 return;
             }
             state => {
-                self.forget_promise(id);
+                self.remove_reservation(id);
                 let Some(attempt) = entry.attempt() else {
                     return;
                 };
-                let fresh = Task {
+                let new_task = Task {
                     worker: attempt.worker.clone(),
-                    held: attempt.reserve,
+                    allocated: attempt.reserve,
                     since: now,
                     is_stopping: false,
                     throttled: None,
                 };
-                let same = task_before.filter(|task| task.worker == attempt.worker);
-                let mut task = same.unwrap_or(fresh);
-                task.held = task.held.larger(&attempt.reserve);
+                let same_task = task_before.filter(|task| task.worker == attempt.worker);
+                let mut task = same_task.unwrap_or(new_task);
+                task.allocated = task.allocated.larger(&attempt.reserve);
                 task.is_stopping = matches!(state, JobState::Stopping(..));
-                self.enter(id, &mut job, task);
+                self.allocate(id, &mut job, task);
             }
         }
         self.jobs.insert(id.clone(), job);
     }
 
     fn enqueue(&mut self, id: &JobId, job: &mut Job, before: Option<&Job>, now: Duration) {
-        if let Some(Place::Unfit { since }) = before.map(|job| &job.place) {
-            job.place = Place::Unfit { since: *since };
-            self.unfit.insert(id.clone());
+        if let Some(JobStatus::Unschedulable { since }) = before.map(|job| &job.status) {
+            job.status = JobStatus::Unschedulable { since: *since };
+            self.unschedulable.insert(id.clone());
             return;
         }
         let need = self.need(&job.entry);
         let has_workers = !self.is_layout_stale && !self.layout.workers.is_empty();
         if has_workers && !self.fits_some_worker(&need) {
-            job.place = Place::Unfit { since: now };
-            self.unfit.insert(id.clone());
+            job.status = JobStatus::Unschedulable { since: now };
+            self.unschedulable.insert(id.clone());
             return;
         }
         self.queue_of(job)
-            .insert(&job.entry.job.class, seq(id, job));
+            .insert(&job.entry.job.class, queue_key(id, job));
     }
 
     pub(super) fn queue_of(&mut self, job: &Job) -> &mut Queue {
@@ -194,80 +197,80 @@
     }
 
     /// Takes a job out of wherever the books have it, and tells what it was on a worker.
-    fn leave(&mut self, id: &JobId, job: Option<&Job>) -> Option<Task> {
+    fn detach(&mut self, id: &JobId, job: Option<&Job>) -> Option<Task> {
         let job = job?;
-        match &job.place {
-            Place::Queued => self.dequeue(id, job),
-            Place::Unfit { .. } => {
-                self.unfit.remove(id);
+        match &job.status {
+            JobStatus::Queued => self.dequeue(id, job),
+            JobStatus::Unschedulable { .. } => {
+                self.unschedulable.remove(id);
             }
-            Place::On(task) => {
+            JobStatus::Assigned(task) => {
                 let task = task.clone();
-                self.take_off(id, job, &task);
+                self.deallocate(id, job, &task);
                 return Some(task);
             }
-            Place::Ended => {}
+            JobStatus::Ended => {}
         }
         None
     }
 
     pub(super) fn dequeue(&mut self, id: &JobId, job: &Job) {
         self.queue_of(job)
-            .remove(&job.entry.job.class, &seq(id, job));
+            .remove(&job.entry.job.class, &queue_key(id, job));
     }
 
     /// Enters a task on a worker.
-    pub(super) fn enter(&mut self, id: &JobId, job: &mut Job, task: Task) {
-        let held = task.held;
+    pub(super) fn allocate(&mut self, id: &JobId, job: &mut Job, task: Task) {
+        let allocated = task.allocated;
         let worker = task.worker.clone();
         let is_urgent = Planner::is_urgent(&job.entry);
         let team = self.teams.entry(job.entry.job.team.clone()).or_default();
         team.active += 1;
-        team.used = team.used.plus(&held);
+        team.used = team.used.plus(&allocated);
         if task.is_stopping {
-            team.stopping = team.stopping.plus(&held);
+            team.stopping = team.stopping.plus(&allocated);
         }
         if is_urgent {
-            team.urgent_used = team.urgent_used.plus(&held);
+            team.urgent_used = team.urgent_used.plus(&allocated);
         }
-        self.total_held = self.total_held.plus(&held);
+        self.total_allocated = self.total_allocated.plus(&allocated);
         if let Some(machine) = self.machines.get_mut(&worker) {
             machine.tasks.insert(id.clone());
-            machine.held = machine.held.plus(&held);
+            machine.allocated = machine.allocated.plus(&allocated);
             if !is_urgent {
-                machine.reclaimable = machine.reclaimable.plus(&held);
+                machine.reclaimable = machine.reclaimable.plus(&allocated);
             }
         }
         self.count_group(job, &worker, true);
-        job.place = Place::On(task);
-        self.update(&worker);
+        job.status = JobStatus::Assigned(task);
+        self.update_indices(&worker);
     }
 
-    fn take_off(&mut self, id: &JobId, job: &Job, task: &Task) {
+    fn deallocate(&mut self, id: &JobId, job: &Job, task: &Task) {
         let is_urgent = Planner::is_urgent(&job.entry);
         if let Some(team) = self.teams.get_mut(&job.entry.job.team) {
             team.active = team.active.saturating_sub(1);
-            team.used = team.used.minus(&task.held);
+            team.used = team.used.minus(&task.allocated);
             if task.is_stopping {
-                team.stopping = team.stopping.minus(&task.held);
+                team.stopping = team.stopping.minus(&task.allocated);
             }
             if is_urgent {
-                team.urgent_used = team.urgent_used.minus(&task.held);
+                team.urgent_used = team.urgent_used.minus(&task.allocated);
             }
         }
-        self.total_held = self.total_held.minus(&task.held);
+        self.total_allocated = self.total_allocated.minus(&task.allocated);
         if let Some(machine) = self.machines.get_mut(&task.worker) {
             machine.tasks.remove(id);
-            machine.held = machine.held.minus(&task.held);
+            machine.allocated = machine.allocated.minus(&task.allocated);
             if !is_urgent {
-                machine.reclaimable = machine.reclaimable.minus(&task.held);
+                machine.reclaimable = machine.reclaimable.minus(&task.allocated);
             }
         }
         self.count_group(job, &task.worker, false);
-        self.update(&task.worker);
+        self.update_indices(&task.worker);
     }
 
-    fn count_group(&mut self, job: &Job, worker: &InstanceId, is_more: bool) {
+    fn count_group(&mut self, job: &Job, worker: &InstanceId, is_added: bool) {
         let Some(group) = &job.entry.job.group else {
             return;
         };
@@ -277,15 +280,15 @@
         let key = (job.entry.job.team.clone(), group.clone());
         let zone = machine.worker.zone.clone();
         let rack = (zone.clone(), machine.worker.rack.clone());
-        let spread = self.groups.entry(key).or_default();
-        let zones = spread.zones.entry(zone).or_default();
-        let racks = spread.racks.entry(rack).or_default();
-        if is_more {
-            *zones += 1;
-            *racks += 1;
+        let counts = self.groups.entry(key).or_default();
+        let in_zone = counts.zones.entry(zone).or_default();
+        let in_rack = counts.racks.entry(rack).or_default();
+        if is_added {
+            *in_zone += 1;
+            *in_rack += 1;
         } else {
-            *zones = zones.saturating_sub(1);
-            *racks = racks.saturating_sub(1);
+            *in_zone = in_zone.saturating_sub(1);
+            *in_rack = in_rack.saturating_sub(1);
         }
     }
 
@@ -295,13 +298,13 @@
             return;
         };
         let is_current = job.entry.attempt().is_some_and(|a| a.attempt == attempt);
-        if is_current && let Place::On(task) = job.place.clone() {
-            self.sizes.used(&job.entry.job.class, used);
-            let held = task.held.larger(used);
-            if held != task.held {
-                self.take_off(id, &job, &task);
-                self.enter(id, &mut job, Task { held, ..task });
-                self.pressed.push(id.clone());
+        if is_current && let JobStatus::Assigned(task) = job.status.clone() {
+            self.sizes.observe_usage(&job.entry.job.class, used);
+            let allocated = task.allocated.larger(used);
+            if allocated != task.allocated {
+                self.deallocate(id, &job, &task);
+                self.allocate(id, &mut job, Task { allocated, ..task });
+                self.overusing.push(id.clone());
             }
         }
         self.jobs.insert(id.clone(), job);
@@ -310,7 +313,9 @@
     /// An attempt ended by itself.
     pub fn ended(&mut self, id: &JobId, attempt: AttemptId, end: AttemptEnd, now: Duration) {
         let Some(job) = self.jobs.get(id) else { return };
-        let Place::On(task) = &job.place else { return };
+        let JobStatus::Assigned(task) = &job.status else {
+            return;
+        };
         if job.entry.attempt().is_none_or(|a| a.attempt != attempt) {
             return;
         }
@@ -318,9 +323,9 @@
         let worker = task.worker.clone();
         let ran_for = now.saturating_sub(task.since);
         if end == AttemptEnd::Succeeded && !job.entry.checkpointed {
-            self.sizes.ended(&class, ran_for);
+            self.sizes.observe_run_time(&class, ran_for);
         }
-        self.health.ended(&worker, &class, end);
+        self.health.observe_end(&worker, &class, end);
         if self.probes.remove(id).is_some() && end == AttemptEnd::Succeeded {
             self.released.insert(worker);
         }
@@ -329,25 +334,27 @@
     /// A job was killed at this much memory, in mebibytes.
     pub fn memory_killed(&mut self, id: &JobId, memory_mib: u64) {
         if let Some(job) = self.jobs.get(id) {
-            self.sizes.killed(&job.entry.job.class, memory_mib);
+            self.sizes
+                .observe_memory_kill(&job.entry.job.class, memory_mib);
         }
     }
 
     /// What the log remembers of the classes whose jobs were killed.
     pub fn set_killed_at(&mut self, class: &pomelohitch_core::id::JobClass, memory_mib: u64) {
-        self.sizes.killed(class, memory_mib);
+        self.sizes.observe_memory_kill(class, memory_mib);
     }
 
     fn tasks_on(&self, worker: &InstanceId) -> std::collections::BTreeSet<JobId> {
-        let on_worker = |job: &Job| matches!(&job.place, Place::On(task) if task.worker == *worker);
+        let on_worker =
+            |job: &Job| matches!(&job.status, JobStatus::Assigned(task) if task.worker == *worker);
         let tasks = self.jobs.iter().filter(|(_, job)| on_worker(job));
         tasks.map(|(id, _)| id.clone()).collect()
     }
 
     /// Puts a worker's room into the indices.
-    pub(super) fn update(&mut self, worker: &InstanceId) {
-        if self.promised_on.contains_key(worker) {
-            self.touched.insert(worker.clone());
+    pub(super) fn update_indices(&mut self, worker: &InstanceId) {
+        if self.reservations_on.contains_key(worker) {
+            self.changed_workers.insert(worker.clone());
         }
         let Some(machine) = self.machines.get(worker) else {
             return;
@@ -356,10 +363,10 @@
             return;
         }
         let slot = machine.slot;
-        let is_open = machine.worker.takes_work
+        let is_available = machine.worker.takes_work
             && !self.health.is_quarantined(worker)
-            && !self.shunned.contains_key(worker);
-        let (free, reclaimable) = if is_open {
+            && !self.backing_off.contains_key(worker);
+        let (free, reclaimable) = if is_available {
             (machine.free(), machine.after_checkpoints())
         } else {
             Default::default()
@@ -369,13 +376,13 @@
     }
 
     /// Workers come and go rarely; the order of the index is then laid out anew.
-    pub(super) fn lay_out(&mut self) {
+    pub(super) fn rebuild_layout(&mut self) {
         if !std::mem::take(&mut self.is_layout_stale) {
             return;
         }
         let mut order: Vec<_> = self.machines.values().map(|m| m.worker.clone()).collect();
         // Workers with accelerators come last: they are for those who need them.
-        order.sort_by(|a, b| place_of(a).cmp(&place_of(b)));
+        order.sort_by(|a, b| layout_key(a).cmp(&layout_key(b)));
         self.layout = Layout::new(&order);
         self.free = Index::new(order.len());
         self.reclaimable = Index::new(order.len());
@@ -383,19 +390,19 @@
         self.total = Resources::default();
         for (slot, worker) in order.iter().enumerate() {
             self.capacity.set(slot, worker.capacity);
-            self.total = self.total.plus(&self.open_capacity(&worker.id));
+            self.total = self.total.plus(&self.schedulable_capacity(&worker.id));
             if let Some(machine) = self.machines.get_mut(&worker.id) {
                 machine.slot = slot;
             }
-            self.update(&worker.id);
+            self.update_indices(&worker.id);
         }
-        for id in std::mem::take(&mut self.unfit) {
-            self.reconsider(&id);
+        for id in std::mem::take(&mut self.unschedulable) {
+            self.retry_unschedulable(&id);
         }
     }
 
     /// A worker came while the log already had attempts on it.
-    fn recount(&mut self, id: &InstanceId) {
+    fn add_existing_tasks(&mut self, id: &InstanceId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
         };
@@ -403,39 +410,41 @@
             let Some(job) = self.jobs.get(task_id) else {
                 continue;
             };
-            let Place::On(task) = &job.place else {
+            let JobStatus::Assigned(task) = &job.status else {
                 continue;
             };
-            machine.held = machine.held.plus(&task.held);
+            machine.allocated = machine.allocated.plus(&task.allocated);
             if !Planner::is_urgent(&job.entry) {
-                machine.reclaimable = machine.reclaimable.plus(&task.held);
+                machine.reclaimable = machine.reclaimable.plus(&task.allocated);
             }
         }
     }
 
     /// A team's part of the fleet for its weight; the team with the lowest is next.
-    pub(super) fn score(&self, team: &Team) -> u64 {
-        dominant(&team.used, &self.total) / u64::from(team.share.max(1))
+    pub(super) fn weighted_share(&self, team: &Team) -> u64 {
+        dominant_share(&team.used, &self.total) / u64::from(team.share.max(1))
     }
 
     /// A team's part for its weight once promises to it are kept, what is being stopped is gone,
     /// and `more` is added.
-    pub(super) fn score_after(&self, team: &Team, more: &Resources) -> u64 {
-        let used = team.used.plus(&team.promised_room).plus(more);
-        dominant(&used.minus(&team.stopping), &self.total) / u64::from(team.share.max(1))
+    pub(super) fn weighted_share_after(&self, team: &Team, more: &Resources) -> u64 {
+        let used = team.used.plus(&team.reserved).plus(more);
+        dominant_share(&used.minus(&team.stopping), &self.total) / u64::from(team.share.max(1))
     }
 }
 
 impl Machine {
     /// What is neither held nor promised.
     pub(super) fn free(&self) -> Resources {
-        self.worker.capacity.minus(&self.held.plus(&self.promised))
+        self.worker
+            .capacity
+            .minus(&self.allocated.plus(&self.reserved))
     }
 
     /// What is free after every patient task is checkpointed.
     pub(super) fn after_checkpoints(&self) -> Resources {
-        let kept = self.held.minus(&self.reclaimable);
-        self.worker.capacity.minus(&kept.plus(&self.promised))
+        let in_use = self.allocated.minus(&self.reclaimable);
+        self.worker.capacity.minus(&in_use.plus(&self.reserved))
     }
 }
 
@@ -446,12 +455,12 @@
             rack_end: vec![0; order.len()],
             ..Layout::default()
         };
-        let domain = |worker: &Worker| (worker.capacity.accelerators > 0, worker.zone.clone());
+        let zone_of = |worker: &Worker| (worker.capacity.accelerators > 0, worker.zone.clone());
         let mut start = 0;
-        for zone in order.chunk_by(|a, b| domain(a) == domain(b)) {
+        for zone in order.chunk_by(|a, b| zone_of(a) == zone_of(b)) {
             layout.zones.push((start, start + zone.len()));
             if zone[0].capacity.accelerators == 0 {
-                layout.plain_end = start + zone.len();
+                layout.cpu_only_end = start + zone.len();
             }
             for rack in zone.chunk_by(|a, b| a.rack == b.rack) {
                 let end = start + rack.len();
@@ -464,17 +473,17 @@
     }
 }
 
-fn is_same_place(a: &Worker, b: &Worker) -> bool {
+fn has_same_layout(a: &Worker, b: &Worker) -> bool {
     a.zone == b.zone && a.rack == b.rack && a.capacity == b.capacity
 }
 
-type Order<'a> = (bool, &'a str, &'a str, &'a str);
+type LayoutKey<'a> = (bool, &'a str, &'a str, &'a str);
 
-fn place_of(worker: &Worker) -> Order<'_> {
+fn layout_key(worker: &Worker) -> LayoutKey<'_> {
     let has_accelerators = worker.capacity.accelerators > 0;
     (has_accelerators, &worker.zone, &worker.rack, &worker.id)
 }
 
-pub(super) fn seq(id: &JobId, job: &Job) -> Seq {
+pub(super) fn queue_key(id: &JobId, job: &Job) -> QueueKey {
     (job.entry.submitted, id.clone())
 }
--- a/crates/pomelohitch-place/src/planner/upkeep.rs
+++ b/crates/pomelohitch-place/src/planner/maintenance.rs
@@ -1,9 +1,9 @@
 //! Leaving workers, quarantine, jobs that fit nowhere, tasks that use too much.
 
-use super::{Decision, Duration, InstanceId, JobId, Place, Planner, Resources, Task, Throttle};
+use super::{Decision, Duration, InstanceId, JobId, JobStatus, Planner, Resources, Task, Throttle};
 
 /// How many waiting jobs are looked at for one that may probe a worker.
-const PROBES_TRIED: usize = 64;
+const MAX_PROBE_CANDIDATES: usize = 64;
 
 impl Planner {
     /// What a leaving worker still runs is checkpointed, unless it is about to end by itself.
@@ -14,16 +14,16 @@
             let Some(machine) = self.machines.get(worker) else {
                 continue;
             };
-            let is_over = now.saturating_sub(*since) >= grace;
+            let is_overdue = now.saturating_sub(*since) >= grace;
             tasks.extend(machine.tasks.iter().filter(|id| {
                 let Some(job) = self.jobs.get(*id) else {
                     return false;
                 };
-                let Place::On(task) = &job.place else {
+                let JobStatus::Assigned(task) = &job.status else {
                     return false;
                 };
                 let ends = task.since + self.sizes.run_time(&job.entry);
-                !task.is_stopping && (is_over || ends > *since + grace)
+                !task.is_stopping && (is_overdue || ends > *since + grace)
             }));
         }
         let tasks: Vec<JobId> = tasks.into_iter().cloned().collect();
@@ -32,18 +32,18 @@
 
     /// A worker whose tasks use more than it has kills one of them sooner or later. The task that
     /// took more than was set aside is slowed down first, and checkpointed if that doesn't help.
-    pub(super) fn relieve(&mut self, now: Duration, decision: &mut Decision) {
-        for id in std::mem::take(&mut self.pressed) {
+    pub(super) fn limit_overuse(&mut self, now: Duration, decision: &mut Decision) {
+        for id in std::mem::take(&mut self.overusing) {
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let Place::On(task) = &mut job.place else {
+            let JobStatus::Assigned(task) = &mut job.status else {
                 continue;
             };
             let Some(machine) = self.machines.get(&task.worker) else {
                 continue;
             };
-            if machine.worker.capacity.covers(&machine.held) || task.is_stopping {
+            if machine.worker.capacity.covers(&machine.allocated) || task.is_stopping {
                 continue;
             }
             let Some(attempt) = job.entry.attempt().map(|a| a.attempt) else {
@@ -56,11 +56,11 @@
                     worker: task.worker.clone(),
                     attempt,
                 });
-                self.pressed.push(id);
+                self.overusing.push(id);
                 continue;
             };
             if now.saturating_sub(throttled) < self.options.throttle_grace {
-                self.pressed.push(id);
+                self.overusing.push(id);
             } else {
                 self.preempt(&[id], decision);
             }
@@ -69,32 +69,32 @@
 
     /// A worker refused a start although the books say it has room: it gets none for a while.
     pub fn shun(&mut self, worker: &InstanceId, now: Duration) {
-        let until = now + self.options.shun_for;
-        self.shunned.insert(worker.clone(), until);
-        self.update(worker);
+        let until = now + self.options.refusal_backoff;
+        self.backing_off.insert(worker.clone(), until);
+        self.update_indices(worker);
     }
 
-    fn end_shunning(&mut self, now: Duration) {
-        let over = self.shunned.iter().filter(|(_, until)| **until <= now);
+    fn end_backoffs(&mut self, now: Duration) {
+        let over = self.backing_off.iter().filter(|(_, until)| **until <= now);
         for worker in over.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
-            self.shunned.remove(&worker);
-            self.update(&worker);
+            self.backing_off.remove(&worker);
+            self.update_indices(&worker);
             self.has_changed = true;
         }
     }
 
-    pub(super) fn look_after_workers(&mut self, now: Duration, decision: &mut Decision) {
-        self.end_shunning(now);
+    pub(super) fn check_worker_health(&mut self, now: Duration, decision: &mut Decision) {
+        self.end_backoffs(now);
         for worker in self.health.take_suspects(self.machines.len()) {
-            let before = self.open_capacity(&worker);
+            let before = self.schedulable_capacity(&worker);
             self.health.quarantine(&worker, now);
-            self.recount_total(&worker, &before);
+            self.update_total(&worker, &before);
             decision.quarantine.push(worker);
         }
         decision.release.extend(std::mem::take(&mut self.released));
         for worker in self.health.due_probes(now) {
             if self.probe(&worker, now, decision) {
-                self.health.probed(&worker, now);
+                self.health.schedule_next_probe(&worker, now);
             }
         }
     }
@@ -109,8 +109,8 @@
         }
         let free = machine.free();
         let waiting = self.teams.values().filter(|team| team.active < team.limit);
-        let waiting = waiting.flat_map(|team| team.patient.next(|_| false));
-        let waiting = waiting.take(PROBES_TRIED);
+        let waiting = waiting.flat_map(|team| team.patient.first_of_each_class(|_| false));
+        let waiting = waiting.take(MAX_PROBE_CANDIDATES);
         let may_probe = |id: &JobId| {
             let entry = &self.jobs.get(id)?.entry;
             let need = self.need(entry);
@@ -133,7 +133,7 @@
     }
 
     /// Sets a job aside that fits no worker at all, so that it blocks nobody.
-    pub(super) fn set_aside_if_unfit(
+    pub(super) fn mark_if_unschedulable(
         &mut self,
         id: &JobId,
         need: &Resources,
@@ -146,51 +146,51 @@
             return false;
         };
         self.dequeue(id, &job);
-        job.place = Place::Unfit { since: now };
+        job.status = JobStatus::Unschedulable { since: now };
         self.jobs.insert(id.clone(), job);
-        self.unfit.insert(id.clone());
+        self.unschedulable.insert(id.clone());
         true
     }
 
     /// The workers changed: a job that was set aside is tried again.
-    pub(super) fn reconsider(&mut self, id: &JobId) {
+    pub(super) fn retry_unschedulable(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
         let entry = job.entry.clone();
-        let Place::Unfit { .. } = job.place else {
+        let JobStatus::Unschedulable { .. } = job.status else {
             return;
         };
         let need = self.need(&entry);
         if !self.fits_some_worker(&need) {
-            self.unfit.insert(id.clone());
+            self.unschedulable.insert(id.clone());
             return;
         }
         let Some(job) = self.jobs.get_mut(id) else {
             return;
         };
-        job.place = Place::Queued;
+        job.status = JobStatus::Queued;
         let job = job.clone();
-        let seq = super::books::seq(id, &job);
-        self.queue_of(&job).insert(&entry.job.class, seq);
+        let key = super::accounting::queue_key(id, &job);
+        self.queue_of(&job).insert(&entry.job.class, key);
         self.has_changed = true;
     }
 
     /// Ends jobs that fit no worker: not at once, since a large worker may only be rebooting.
-    pub(super) fn refuse_unfit(&mut self, now: Duration, decision: &mut Decision) {
-        let grace = self.options.unfit_grace;
+    pub(super) fn refuse_unschedulable(&mut self, now: Duration, decision: &mut Decision) {
+        let grace = self.options.unschedulable_grace;
         if self.layout.workers.is_empty() {
             return;
         }
-        let is_due = |id: &&JobId| match self.jobs.get(*id).map(|job| &job.place) {
-            Some(Place::Unfit { since }) => now.saturating_sub(*since) >= grace,
+        let is_due = |id: &&JobId| match self.jobs.get(*id).map(|job| &job.status) {
+            Some(JobStatus::Unschedulable { since }) => now.saturating_sub(*since) >= grace,
             _ => false,
         };
-        let due: Vec<_> = self.unfit.iter().filter(is_due).cloned().collect();
+        let due: Vec<_> = self.unschedulable.iter().filter(is_due).cloned().collect();
         for id in &due {
-            self.unfit.remove(id);
+            self.unschedulable.remove(id);
             if let Some(job) = self.jobs.get_mut(id) {
-                job.place = Place::Ended;
+                job.status = JobStatus::Ended;
             }
         }
         decision.refuse.extend(due);
@@ -199,7 +199,7 @@
     /// How many tasks are on workers, for the metrics.
     #[must_use]
     pub fn tasks(&self) -> usize {
-        let is_on = |job: &&super::Job| matches!(job.place, Place::On(Task { .. }));
+        let is_on = |job: &&super::Job| matches!(job.status, JobStatus::Assigned(Task { .. }));
         self.jobs.values().filter(is_on).count()
     }
 }
--- a/crates/pomelohitch-place/src/planner/patient.rs
+++ b/crates/pomelohitch-place/src/planner/patient_jobs.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeSet;
 
+use super::{Action, JobStatus, Task, TeamId};
 use super::{
-    Decision, Duration, Entry, Failed, InstanceId, Job, JobId, Placement, Planner, Resources,
+    Decision, Duration, Entry, InstanceId, Job, JobId, Placement, Planner, Resources, UnmetNeeds,
 };
-use super::{Place, Task, TeamId, Turn};
 
 impl Planner {
     pub(super) fn place_patient(&mut self, now: Duration, decision: &mut Decision) {
@@ -13,38 +13,40 @@
             .teams
             .iter()
             .filter(|(_, team)| !team.patient.is_empty())
-            .map(|(id, team)| (self.score(team), id.clone()))
+            .map(|(id, team)| (self.weighted_share(team), id.clone()))
             .collect();
-        let mut failed = Failed::default();
+        let mut unmet = UnmetNeeds::default();
         while let Some((_, team)) = order.pop_first() {
             if decision.place.len() >= self.options.max_placements {
                 self.has_changed = true;
                 return;
             }
-            match self.turn_of(&team, now, &mut failed) {
-                Turn::Place(id, worker, need) => self.place(&id, &worker, need, now, decision),
-                Turn::Reserve(id, worker, need) => self.promise(&id, &worker, need, now),
-                Turn::Unfit(id, need) => drop(self.set_aside_if_unfit(&id, &need, now)),
-                Turn::Over => continue,
+            match self.next_action(&team, now, &mut unmet) {
+                Action::Place(id, worker, need) => self.place(&id, &worker, need, now, decision),
+                Action::Reserve(id, worker, need) => self.reserve(&id, &worker, need, now),
+                Action::MarkUnschedulable(id, need) => {
+                    self.mark_if_unschedulable(&id, &need, now);
+                }
+                Action::Done => continue,
             }
-            order.insert((self.score(&self.teams[&team]), team));
+            order.insert((self.weighted_share(&self.teams[&team]), team));
         }
     }
 
     /// The first of the team's next jobs that finds room. If the very first finds none, room is
     /// reserved for it, so that smaller jobs can't keep it waiting for ever.
-    fn turn_of(&self, team: &TeamId, now: Duration, failed: &mut Failed) -> Turn {
-        let book = &self.teams[team];
-        if book.active + book.promised >= book.limit {
-            return Turn::Over;
+    fn next_action(&self, team: &TeamId, now: Duration, unmet: &mut UnmetNeeds) -> Action {
+        let account = &self.teams[team];
+        if account.active + account.reservation_count >= account.limit {
+            return Action::Done;
         }
-        let is_promised = |id: &JobId| self.promises.contains_key(id);
-        let classes = book.patient.classes().take(self.options.lookahead);
+        let has_reservation = |id: &JobId| self.reservations.contains_key(id);
+        let classes = account.patient.classes().take(self.options.lookahead);
         for (number, class) in classes.enumerate() {
-            if number > 0 && failed.classes.contains(class) {
+            if number > 0 && unmet.classes.contains(class) {
                 continue;
             }
-            let Some(id) = book.patient.first_of(class, is_promised) else {
+            let Some(id) = account.patient.first_of_class(class, has_reservation) else {
                 continue;
             };
             let Some(Job { entry, .. }) = self.jobs.get(id) else {
@@ -52,31 +54,31 @@
             };
             let need = self.need(entry);
             if !self.fits_some_worker(&need) {
-                return Turn::Unfit(id.clone(), need);
+                return Action::MarkUnschedulable(id.clone(), need);
             }
-            if !failed.covers(&need) {
-                if let Some(worker) = self.room_for(entry, &need, now) {
-                    return Turn::Place(id.clone(), worker, need);
+            if !unmet.covers(&need) {
+                if let Some(worker) = self.find_worker(entry, &need, now) {
+                    return Action::Place(id.clone(), worker, need);
                 }
                 if entry.failed_on.is_empty() && entry.job.group.is_none() {
-                    failed.add(need);
+                    unmet.add(need);
                 }
             }
-            if failed.covers(&need) && self.is_least_of_class(entry, &need) {
-                failed.classes.insert(class.clone());
+            if unmet.covers(&need) && self.is_class_minimum(entry, &need) {
+                unmet.classes.insert(class.clone());
             }
             if number == 0
-                && let Some(worker) = self.reservation(id, &need, now)
+                && let Some(worker) = self.worker_to_reserve(id, &need, now)
             {
-                return Turn::Reserve(id.clone(), worker, need);
+                return Action::Reserve(id.clone(), worker, need);
             }
         }
-        Turn::Over
+        Action::Done
     }
 
     /// Whether no job of the class can need less: what is set aside follows from the class alone,
     /// but for a kill, which only raises it, and accelerators, of which this one needs none.
-    fn is_least_of_class(&self, entry: &Entry, need: &Resources) -> bool {
+    fn is_class_minimum(&self, entry: &Entry, need: &Resources) -> bool {
         self.sizes.is_learned(&entry.job.class)
             && entry.memory_floor_mib == 0
             && need.accelerators == 0
@@ -91,20 +93,20 @@
         now: Duration,
         decision: &mut Decision,
     ) {
-        self.forget_promise(id);
+        self.remove_reservation(id);
         let Some(mut job) = self.jobs.remove(id) else {
             return;
         };
         self.dequeue(id, &job);
         let task = Task {
             worker: worker.clone(),
-            held: need,
+            allocated: need,
             since: now,
             is_stopping: false,
             throttled: None,
         };
-        self.enter(id, &mut job, task);
-        debug_assert!(matches!(job.place, Place::On(_)));
+        self.allocate(id, &mut job, task);
+        debug_assert!(matches!(job.status, JobStatus::Assigned(_)));
         self.jobs.insert(id.clone(), job);
         decision.place.push(Placement {
             job: id.clone(),
--- a/crates/pomelohitch-place/src/planner/queue.rs
+++ b/crates/pomelohitch-place/src/planner/queue.rs
@@ -8,14 +8,14 @@
 
 use pomelohitch_core::id::{JobClass, JobId};
 
-use super::Seq;
+use super::QueueKey;
 
 /// Waiting jobs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Queue {
-    by_class: BTreeMap<JobClass, BTreeSet<Seq>>,
+    by_class: BTreeMap<JobClass, BTreeSet<QueueKey>>,
     /// The first job of each class.
-    heads: BTreeSet<(Seq, JobClass)>,
+    heads: BTreeSet<(QueueKey, JobClass)>,
     len: usize,
 }
 
@@ -28,21 +28,21 @@
         self.len == 0
     }
 
-    pub(super) fn insert(&mut self, class: &JobClass, seq: Seq) {
-        self.change(class, |jobs| jobs.insert(seq));
+    pub(super) fn insert(&mut self, class: &JobClass, key: QueueKey) {
+        self.update_class(class, |jobs| jobs.insert(key));
     }
 
-    pub(super) fn remove(&mut self, class: &JobClass, seq: &Seq) {
-        self.change(class, |jobs| jobs.remove(seq));
+    pub(super) fn remove(&mut self, class: &JobClass, key: &QueueKey) {
+        self.update_class(class, |jobs| jobs.remove(key));
     }
 
     /// The jobs to try, one of each class, in their order.
-    pub(super) fn next<'a>(
+    pub(super) fn first_of_each_class<'a>(
         &'a self,
-        is_passed_over: impl Fn(&JobId) -> bool + 'a,
+        is_skipped: impl Fn(&JobId) -> bool + 'a,
     ) -> impl Iterator<Item = &'a JobId> {
         let classes = self.classes();
-        classes.filter_map(move |class| self.first_of(class, &is_passed_over))
+        classes.filter_map(move |class| self.first_of_class(class, &is_skipped))
     }
 
     /// The classes, in the order of their first jobs.
@@ -51,17 +51,21 @@
     }
 
     /// The first job of a class that isn't passed over.
-    pub(super) fn first_of(
+    pub(super) fn first_of_class(
         &self,
         class: &JobClass,
-        is_passed_over: impl Fn(&JobId) -> bool,
+        is_skipped: impl Fn(&JobId) -> bool,
     ) -> Option<&JobId> {
         let mut jobs = self.by_class.get(class)?.iter().map(|(_, id)| id);
-        jobs.find(|id| !is_passed_over(id))
+        jobs.find(|id| !is_skipped(id))
     }
 
     /// Changes the jobs of a class, and keeps its head in step.
-    fn change(&mut self, class: &JobClass, change: impl FnOnce(&mut BTreeSet<Seq>) -> bool) {
+    fn update_class(
+        &mut self,
+        class: &JobClass,
+        change: impl FnOnce(&mut BTreeSet<QueueKey>) -> bool,
+    ) {
         let jobs = self.by_class.entry(class.clone()).or_default();
         let (head, len) = (jobs.first().cloned(), jobs.len());
         change(jobs);
--- a/crates/pomelohitch-place/src/planner/promise.rs
+++ b/crates/pomelohitch-place/src/planner/reservations.rs
@@ -5,13 +5,13 @@
 //! the team, so that nobody else takes it in between.
 
 use super::{
-    Decision, Duration, InstanceId, JobId, Machine, Place, Planner, Preemption, Promise, Resources,
-    Slot, TeamId, dominant,
+    Decision, Duration, InstanceId, JobId, JobStatus, Machine, Planner, Preemption, Reservation,
+    Resources, Slot, TeamId, dominant_share,
 };
 use std::collections::BTreeSet;
 
 /// How many workers are weighed against one another before room is made on one.
-const CANDIDATES: usize = 12;
+const MAX_CANDIDATES: usize = 12;
 
 /// Tasks whose checkpoints make room on a worker.
 #[derive(Debug)]
@@ -25,30 +25,31 @@
 
 impl Planner {
     /// Makes room for an urgent job by checkpoints. Returns whether it could.
-    pub(super) fn make_room(
+    pub(super) fn preempt_for_urgent(
         &mut self,
         id: &JobId,
         need: &Resources,
         now: Duration,
         decision: &mut Decision,
     ) -> bool {
-        let found = self.candidates(
+        let found = self.preemption_candidates(
             id,
             need,
             self.layout.workers.len(),
             self.layout.workers.len(),
         );
         let team = self.jobs[id].entry.job.team.clone();
-        let takes_all = self.may_take_from_others(&team, need);
-        let own = self.score_after(&self.teams[&team], need);
-        let nothing = Resources::default();
-        let has_more = |owner: &TeamId| self.score_after(&self.teams[owner], &nothing) > own;
+        let may_take_all = self.may_preempt_others(&team, need);
+        let own_share = self.weighted_share_after(&self.teams[&team], need);
+        let no_more = Resources::default();
+        let has_more =
+            |owner: &TeamId| self.weighted_share_after(&self.teams[owner], &no_more) > own_share;
         let mut best: Option<Victims> = None;
         for slot in found {
             let worker = self.layout.workers[slot].clone();
             let machine = &self.machines[&worker];
             let victims = self.victims(machine, need, now, |owner| {
-                takes_all || *owner == team || has_more(owner)
+                may_take_all || *owner == team || has_more(owner)
             });
             if let Some(victims) = victims
                 && best.as_ref().is_none_or(|best| victims.cost < best.cost)
@@ -57,28 +58,38 @@
             }
         }
         let Some(victims) = best else { return false };
-        self.promise(id, &victims.worker, *need, now);
-        if let Some(promise) = self.promises.get_mut(id) {
-            promise.has_preempted = true;
+        self.reserve(id, &victims.worker, *need, now);
+        if let Some(reservation) = self.reservations.get_mut(id) {
+            reservation.has_preempted = true;
         }
         self.preempt(&victims.tasks, decision);
         true
     }
 
     /// Workers on which checkpoints could make room, from the turn on, but for those from
-    /// `left` up to `left_end`.
-    fn candidates(&self, id: &JobId, need: &Resources, left: Slot, left_end: Slot) -> Vec<Slot> {
+    /// `left` up to `headroom_end`.
+    fn preemption_candidates(
+        &self,
+        id: &JobId,
+        need: &Resources,
+        headroom_start: Slot,
+        headroom_end: Slot,
+    ) -> Vec<Slot> {
         let entry = &self.jobs[id].entry;
         let mut found = Vec::new();
-        for (start, end) in [(self.turn, self.layout.workers.len()), (0, self.turn)] {
+        for (start, end) in [
+            (self.search_start, self.layout.workers.len()),
+            (0, self.search_start),
+        ] {
             let mut from = start;
-            while found.len() < CANDIDATES {
-                let Some(slot) = self.first(&self.reclaimable, from, end, entry, need) else {
+            while found.len() < MAX_CANDIDATES {
+                let Some(slot) = self.first_allowed(&self.reclaimable, from, end, entry, need)
+                else {
                     break;
                 };
                 from = slot + 1;
-                if (left..left_end).contains(&slot) {
-                    from = left_end;
+                if (headroom_start..headroom_end).contains(&slot) {
+                    from = headroom_end;
                 } else {
                     found.push(slot);
                 }
@@ -102,54 +113,54 @@
             .iter()
             .filter_map(|id| Some((id, self.jobs.get(id)?)))
             .filter(|(_, job)| !Planner::is_urgent(&job.entry) && may_take(&job.entry.job.team))
-            .filter_map(|(id, job)| match &job.place {
-                Place::On(task) if !task.is_stopping && job.entry.attempt().is_some() => {
+            .filter_map(|(id, job)| match &job.status {
+                JobStatus::Assigned(task) if !task.is_stopping && job.entry.attempt().is_some() => {
                     Some((id, task))
                 }
                 _ => None,
             })
             .collect();
         tasks.sort_by(|(a_id, a), (b_id, b)| {
-            let size = b.held.cpu_milli.cmp(&a.held.cpu_milli);
+            let size = b.allocated.cpu_milli.cmp(&a.allocated.cpu_milli);
             size.then(b.since.cmp(&a.since)).then(a_id.cmp(b_id))
         });
         // What is being stopped already makes room for what is promised already; counted as
         // kept, it would be made twice.
-        let kept = machine.held.minus(&self.stopping_on(machine));
-        let mut kept = kept.plus(&machine.promised);
-        let mut taken = Vec::new();
+        let in_use = machine.allocated.minus(&self.stopping_on(machine));
+        let mut in_use = in_use.plus(&machine.reserved);
+        let mut victims = Vec::new();
         let mut freed = 0;
-        let mut lost = Duration::ZERO;
-        let is_enough = |kept: &Resources| machine.worker.capacity.covers(&kept.plus(need));
-        let alone = tasks
+        let mut run_time = Duration::ZERO;
+        let is_enough = |in_use: &Resources| machine.worker.capacity.covers(&in_use.plus(need));
+        let single = tasks
             .iter()
-            .rposition(|(_, task)| is_enough(&kept.minus(&task.held)));
-        if let Some(alone) = alone {
-            tasks = vec![tasks.swap_remove(alone)];
+            .rposition(|(_, task)| is_enough(&in_use.minus(&task.allocated)));
+        if let Some(single) = single {
+            tasks = vec![tasks.swap_remove(single)];
         }
         for (id, task) in tasks {
-            if is_enough(&kept) {
+            if is_enough(&in_use) {
                 break;
             }
-            kept = kept.minus(&task.held);
-            freed += task.held.cpu_milli;
-            lost += now.saturating_sub(task.since);
-            taken.push(id.clone());
+            in_use = in_use.minus(&task.allocated);
+            freed += task.allocated.cpu_milli;
+            run_time += now.saturating_sub(task.since);
+            victims.push(id.clone());
         }
-        is_enough(&kept).then(|| Victims {
+        is_enough(&in_use).then(|| Victims {
             worker: machine.worker.id.clone(),
-            cost: (freed, lost),
-            tasks: taken,
+            cost: (freed, run_time),
+            tasks: victims,
         })
     }
 
     fn stopping_on(&self, machine: &Machine) -> Resources {
         let tasks = machine.tasks.iter().filter_map(|id| self.jobs.get(id));
-        let stopping = tasks.filter_map(|job| match &job.place {
-            Place::On(task) if task.is_stopping => Some(task.held),
+        let stopping = tasks.filter_map(|job| match &job.status {
+            JobStatus::Assigned(task) if task.is_stopping => Some(task.allocated),
             _ => None,
         });
-        stopping.fold(Resources::default(), |sum, held| sum.plus(&held))
+        stopping.fold(Resources::default(), |sum, allocated| sum.plus(&allocated))
     }
 
     /// Enters checkpoints into the books and the decision.
@@ -163,12 +174,12 @@
             let Some(attempt) = job.entry.attempt().map(|a| a.attempt) else {
                 continue;
             };
-            let Place::On(task) = &mut job.place else {
+            let JobStatus::Assigned(task) = &mut job.status else {
                 continue;
             };
             task.is_stopping = true;
             if let Some(team) = self.teams.get_mut(&job.entry.job.team) {
-                team.stopping = team.stopping.plus(&task.held);
+                team.stopping = team.stopping.plus(&task.allocated);
             }
             decision.preempt.push(Preemption {
                 job: id.clone(),
@@ -178,7 +189,7 @@
     }
 
     /// The worker on which a patient job is likely to have room first, if some may be reserved.
-    pub(super) fn reservation(
+    pub(super) fn worker_to_reserve(
         &self,
         id: &JobId,
         need: &Resources,
@@ -187,13 +198,15 @@
         if !self.may_reserve(id, need, now) {
             return None;
         }
-        let [(_, left), (left_end, _)] = self.patient_ranges(now);
-        let found = self.candidates(id, need, left, left_end).into_iter();
-        let soonest = found.min_by_key(|&slot| {
+        let [(_, headroom_start), (headroom_end, _)] = self.patient_ranges(now);
+        let found = self
+            .preemption_candidates(id, need, headroom_start, headroom_end)
+            .into_iter();
+        let earliest = found.min_by_key(|&slot| {
             let machine = &self.machines[&self.layout.workers[slot]];
             (self.free_at(machine, need, now), slot)
         });
-        Some(self.layout.workers[soonest?].clone())
+        Some(self.layout.workers[earliest?].clone())
     }
 
     /// Room that waits for a large job lies idle in part, so that few workers are kept for jobs
@@ -203,15 +216,16 @@
         let Some(job) = self.jobs.get(id) else {
             return false;
         };
-        let has_waited = now.saturating_sub(job.known_since) >= self.options.patience;
-        let part = if has_waited { 4 } else { 20 };
-        let most = (self.layout.workers.len() / part).max(1);
-        if self.promises.len() >= most {
+        let is_overdue = now.saturating_sub(job.waiting_since) >= self.options.reservation_timeout;
+        let workers_per_reservation = if is_overdue { 4 } else { 20 };
+        let max_reservations = (self.layout.workers.len() / workers_per_reservation).max(1);
+        if self.reservations.len() >= max_reservations {
             return false;
         }
         let team = &self.teams[&job.entry.job.team];
-        let wanted = team.used.plus(&team.promised_room).plus(need);
-        team.promised == 0 || dominant(&wanted, &self.total) <= self.owed(team) / 4 * 5
+        let wanted = team.used.plus(&team.reserved).plus(need);
+        team.reservation_count == 0
+            || dominant_share(&wanted, &self.total) <= self.fair_share(team) / 4 * 5
     }
 
     /// When `machine` is expected to have room for `need`, as its tasks end.
@@ -220,30 +234,32 @@
             .tasks
             .iter()
             .filter_map(|id| self.jobs.get(id))
-            .filter_map(|job| match &job.place {
-                Place::On(task) => Some((task.since + self.sizes.run_time(&job.entry), task.held)),
+            .filter_map(|job| match &job.status {
+                JobStatus::Assigned(task) => {
+                    Some((task.since + self.sizes.run_time(&job.entry), task.allocated))
+                }
                 _ => None,
             })
             .collect();
         ends.sort();
-        let mut kept = machine.held.plus(&machine.promised);
-        for (end, held) in ends {
-            if machine.worker.capacity.covers(&kept.plus(need)) {
+        let mut in_use = machine.allocated.plus(&machine.reserved);
+        for (end, allocated) in ends {
+            if machine.worker.capacity.covers(&in_use.plus(need)) {
                 break;
             }
-            kept = kept.minus(&held);
-            if machine.worker.capacity.covers(&kept.plus(need)) {
+            in_use = in_use.minus(&allocated);
+            if machine.worker.capacity.covers(&in_use.plus(need)) {
                 return end.max(now);
             }
         }
-        if machine.worker.capacity.covers(&kept.plus(need)) {
+        if machine.worker.capacity.covers(&in_use.plus(need)) {
             now
         } else {
             Duration::MAX
         }
     }
 
-    pub(super) fn promise(
+    pub(super) fn reserve(
         &mut self,
         id: &JobId,
         worker: &InstanceId,
@@ -252,9 +268,9 @@
     ) {
         // The next search begins after this worker, so that promises spread.
         let slot = self.machines.get(worker).map_or(0, |machine| machine.slot);
-        self.turn = (slot + 1) % self.layout.workers.len().max(1);
+        self.search_start = (slot + 1) % self.layout.workers.len().max(1);
         let Some(job) = self.jobs.get(id) else { return };
-        let promise = Promise {
+        let reservation = Reservation {
             team: job.entry.job.team.clone(),
             is_urgent: Planner::is_urgent(&job.entry),
             worker: worker.clone(),
@@ -262,147 +278,156 @@
             since: now,
             has_preempted: false,
         };
-        let on_worker = self.promised_on.entry(worker.clone()).or_default();
+        let on_worker = self.reservations_on.entry(worker.clone()).or_default();
         on_worker.insert(id.clone());
-        self.promises_due
-            .insert((now + self.options.patience, id.clone()));
-        self.count_promise(&promise, true);
-        self.promises.insert(id.clone(), promise);
+        self.reservation_deadlines
+            .insert((now + self.options.reservation_timeout, id.clone()));
+        self.count_reservation(&reservation, true);
+        self.reservations.insert(id.clone(), reservation);
     }
 
-    pub(super) fn forget_promise(&mut self, id: &JobId) {
-        if let Some(promise) = self.promises.remove(id) {
-            if let Some(on_worker) = self.promised_on.get_mut(&promise.worker) {
+    pub(super) fn remove_reservation(&mut self, id: &JobId) {
+        if let Some(reservation) = self.reservations.remove(id) {
+            if let Some(on_worker) = self.reservations_on.get_mut(&reservation.worker) {
                 on_worker.remove(id);
                 if on_worker.is_empty() {
-                    self.promised_on.remove(&promise.worker);
+                    self.reservations_on.remove(&reservation.worker);
                 }
             }
-            let due = promise.since + self.options.patience;
-            self.promises_due.remove(&(due, id.clone()));
-            self.count_promise(&promise, false);
+            let due = reservation.since + self.options.reservation_timeout;
+            self.reservation_deadlines.remove(&(due, id.clone()));
+            self.count_reservation(&reservation, false);
         }
     }
 
-    fn count_promise(&mut self, promise: &Promise, is_more: bool) {
+    fn count_reservation(&mut self, reservation: &Reservation, is_added: bool) {
         let change = |sum: Resources| {
-            if is_more {
-                sum.plus(&promise.need)
+            if is_added {
+                sum.plus(&reservation.need)
             } else {
-                sum.minus(&promise.need)
+                sum.minus(&reservation.need)
             }
         };
-        if let Some(machine) = self.machines.get_mut(&promise.worker) {
-            machine.promised = change(machine.promised);
+        if let Some(machine) = self.machines.get_mut(&reservation.worker) {
+            machine.reserved = change(machine.reserved);
         }
-        let team = self.teams.entry(promise.team.clone()).or_default();
-        team.promised_room = change(team.promised_room);
-        if promise.is_urgent {
+        let team = self.teams.entry(reservation.team.clone()).or_default();
+        team.reserved = change(team.reserved);
+        if reservation.is_urgent {
             team.urgent_used = change(team.urgent_used);
         }
-        team.promised = if is_more {
-            team.promised + 1
+        team.reservation_count = if is_added {
+            team.reservation_count + 1
         } else {
-            team.promised.saturating_sub(1)
+            team.reservation_count.saturating_sub(1)
         };
-        self.update(&promise.worker);
+        self.update_indices(&reservation.worker);
     }
 
     /// Places jobs whose room is there, and makes it by checkpoints where it took too long.
     /// Looks only at promises whose worker changed or whose time has come.
-    pub(super) fn keep_promises(&mut self, now: Duration, decision: &mut Decision) {
+    pub(super) fn fulfill_reservations(&mut self, now: Duration, decision: &mut Decision) {
         let mut jobs = BTreeSet::new();
-        for worker in std::mem::take(&mut self.touched) {
-            jobs.extend(self.promised_on.get(&worker).into_iter().flatten().cloned());
+        for worker in std::mem::take(&mut self.changed_workers) {
+            jobs.extend(
+                self.reservations_on
+                    .get(&worker)
+                    .into_iter()
+                    .flatten()
+                    .cloned(),
+            );
         }
         while self
-            .promises_due
+            .reservation_deadlines
             .first()
             .is_some_and(|(due, _)| *due <= now)
         {
-            jobs.extend(self.promises_due.pop_first().map(|(_, id)| id));
+            jobs.extend(self.reservation_deadlines.pop_first().map(|(_, id)| id));
         }
         for id in jobs {
-            if let Some(promise) = self.promises.get(&id).cloned() {
-                self.keep_promise(&id, &promise, now, decision);
+            if let Some(reservation) = self.reservations.get(&id).cloned() {
+                self.fulfill_reservation(&id, &reservation, now, decision);
             }
         }
     }
 
-    fn keep_promise(
+    fn fulfill_reservation(
         &mut self,
         id: &JobId,
-        promise: &Promise,
+        reservation: &Reservation,
         now: Duration,
         decision: &mut Decision,
     ) {
         let Some(job) = self.jobs.get(id) else {
-            self.forget_promise(id);
+            self.remove_reservation(id);
             return;
         };
-        let is_open = self.machines.get(&promise.worker).is_some_and(|machine| {
-            machine.worker.takes_work && !self.health.is_quarantined(&promise.worker)
-        });
-        if !is_open || job.entry.failed_on.contains(&promise.worker) {
-            self.forget_promise(id);
+        let is_available = self
+            .machines
+            .get(&reservation.worker)
+            .is_some_and(|machine| {
+                machine.worker.takes_work && !self.health.is_quarantined(&reservation.worker)
+            });
+        if !is_available || job.entry.failed_on.contains(&reservation.worker) {
+            self.remove_reservation(id);
             self.has_changed = true;
             return;
         }
-        let machine = &self.machines[&promise.worker];
+        let machine = &self.machines[&reservation.worker];
         let team = &self.teams[&job.entry.job.team];
         if machine
             .worker
             .capacity
-            .covers(&machine.held.plus(&promise.need))
+            .covers(&machine.allocated.plus(&reservation.need))
         {
-            let has_room = decision.place.len() < self.options.max_placements;
-            if team.active < team.limit && has_room {
-                self.place(id, &promise.worker, promise.need, now, decision);
+            let is_below_max_placements = decision.place.len() < self.options.max_placements;
+            if team.active < team.limit && is_below_max_placements {
+                self.place(id, &reservation.worker, reservation.need, now, decision);
             } else {
-                self.touched.insert(promise.worker.clone());
+                self.changed_workers.insert(reservation.worker.clone());
             }
             return;
         }
-        if promise.has_preempted {
-            if !self.is_anything_stopping(machine) {
+        if reservation.has_preempted {
+            if !self.is_any_task_stopping(machine) {
                 // The room was made and is gone again: a task that stayed uses more than was
                 // thought. Without a new search the job would wait for this worker for ever.
-                self.forget_promise(id);
+                self.remove_reservation(id);
                 self.has_changed = true;
             }
             return;
         }
-        if now.saturating_sub(promise.since) >= self.options.patience {
-            self.make_room_at_last(id, promise, now, decision);
+        if now.saturating_sub(reservation.since) >= self.options.reservation_timeout {
+            self.preempt_after_timeout(id, reservation, now, decision);
         }
     }
 
-    fn is_anything_stopping(&self, machine: &Machine) -> bool {
+    fn is_any_task_stopping(&self, machine: &Machine) -> bool {
         let mut tasks = machine.tasks.iter().filter_map(|id| self.jobs.get(id));
-        tasks.any(|job| matches!(&job.place, Place::On(task) if task.is_stopping))
+        tasks.any(|job| matches!(&job.status, JobStatus::Assigned(task) if task.is_stopping))
     }
 
-    fn make_room_at_last(
+    fn preempt_after_timeout(
         &mut self,
         id: &JobId,
-        promise: &Promise,
+        reservation: &Reservation,
         now: Duration,
         decision: &mut Decision,
     ) {
-        let machine = &self.machines[&promise.worker];
+        let machine = &self.machines[&reservation.worker];
         // The promise itself is part of what is promised on the worker.
-        let without = Machine {
-            promised: machine.promised.minus(&promise.need),
+        let without_own = Machine {
+            reserved: machine.reserved.minus(&reservation.need),
             ..machine.clone()
         };
-        let Some(victims) = self.victims(&without, &promise.need, now, |_| true) else {
+        let Some(victims) = self.victims(&without_own, &reservation.need, now, |_| true) else {
             // Urgent work holds the worker; another one is sought.
-            self.forget_promise(id);
+            self.remove_reservation(id);
             self.has_changed = true;
             return;
         };
-        if let Some(promise) = self.promises.get_mut(id) {
-            promise.has_preempted = true;
+        if let Some(reservation) = self.reservations.get_mut(id) {
+            reservation.has_preempted = true;
         }
         self.preempt(&victims.tasks, decision);
     }
--- a/crates/pomelohitch-place/src/planner/search.rs
+++ b/crates/pomelohitch-place/src/planner/search.rs
@@ -8,26 +8,26 @@
 use super::{Index, InstanceId, Planner, Slot};
 
 /// With fewer workers than this, none is left to urgent work alone.
-const FEW_WORKERS: usize = 10;
+const MIN_WORKERS_FOR_HEADROOM: usize = 10;
 /// With fewer racks than this, a job that failed on one may go to the same rack again.
-const FEW_RACKS: usize = 4;
+const MIN_RACKS_TO_AVOID_ONE: usize = 4;
 /// How many racks of a zone are looked at for a job of a group.
-const RACKS_TRIED: usize = 16;
+const MAX_RACKS_TRIED: usize = 16;
 
 impl Planner {
     /// A worker with room for a patient job: the first one, so that room stays together at the
     /// end of the order.
-    pub(super) fn room_for(
+    pub(super) fn find_worker(
         &self,
         entry: &Entry,
         need: &Resources,
         now: Duration,
     ) -> Option<InstanceId> {
         let slot = if entry.job.group.is_some() {
-            self.spread(entry, need)
+            self.slot_for_group(entry, need)
         } else {
             let mut ranges = self.patient_ranges(now).into_iter();
-            ranges.find_map(|(start, end)| self.first(&self.free, start, end, entry, need))
+            ranges.find_map(|(start, end)| self.first_allowed(&self.free, start, end, entry, need))
         };
         Some(self.layout.workers[slot?].clone())
     }
@@ -36,35 +36,39 @@
     /// accelerators are left to it: placing on free room costs milliseconds, a checkpoint costs
     /// somebody's work. Room spread over all workers would be too little on each.
     pub(super) fn patient_ranges(&self, now: Duration) -> [(Slot, Slot); 2] {
-        let (plain, all) = (self.layout.plain_end, self.layout.workers.len());
-        let is_lately = |at: Duration| now.saturating_sub(at) <= self.options.headroom_for;
-        if !self.last_urgent.is_some_and(is_lately) {
-            return [(0, plain), (plain, all)];
+        let (cpu_only, all) = (self.layout.cpu_only_end, self.layout.workers.len());
+        let is_recent = |at: Duration| now.saturating_sub(at) <= self.options.headroom_period;
+        if !self.last_urgent.is_some_and(is_recent) {
+            return [(0, cpu_only), (cpu_only, all)];
         }
-        let left = (plain * self.options.headroom_permille).div_ceil(1000);
+        let headroom = (cpu_only * self.options.headroom_permille).div_ceil(1000);
         // With very few workers none can be spared.
-        let left = if plain < FEW_WORKERS { 0 } else { left };
-        [(0, plain - left), (plain, all)]
+        let headroom = if cpu_only < MIN_WORKERS_FOR_HEADROOM {
+            0
+        } else {
+            headroom
+        };
+        [(0, cpu_only - headroom), (cpu_only, all)]
     }
 
     /// A worker with room for an urgent job: the last one without accelerators, where patient
     /// work doesn't go or comes last, and one with accelerators if there is no other.
-    pub(super) fn urgent_room_for(
+    pub(super) fn find_urgent_worker(
         &self,
         entry: &Entry,
         need: &Resources,
         now: Duration,
     ) -> Option<InstanceId> {
         if entry.job.group.is_some() {
-            return self.room_for(entry, need, now);
+            return self.find_worker(entry, need, now);
         }
-        let (plain, all) = (self.layout.plain_end, self.layout.workers.len());
-        let slot = self.last(plain, entry, need);
-        let slot = slot.or_else(|| self.last(all, entry, need));
+        let (cpu_only, all) = (self.layout.cpu_only_end, self.layout.workers.len());
+        let slot = self.last_allowed(cpu_only, entry, need);
+        let slot = slot.or_else(|| self.last_allowed(all, entry, need));
         Some(self.layout.workers[slot?].clone())
     }
 
-    fn last(&self, end: Slot, entry: &Entry, need: &Resources) -> Option<Slot> {
+    fn last_allowed(&self, end: Slot, entry: &Entry, need: &Resources) -> Option<Slot> {
         let mut end = end;
         loop {
             let slot = self.free.last(end, need)?;
@@ -76,7 +80,7 @@
     }
 
     /// The first slot with room in `index` that the job doesn't avoid.
-    pub(super) fn first(
+    pub(super) fn first_allowed(
         &self,
         index: &Index,
         from: Slot,
@@ -106,29 +110,29 @@
                 return false;
             };
             let is_same_rack = self.layout.rack_end.get(machine.slot) == Some(&end);
-            machine.slot == slot || (is_same_rack && self.layout.racks >= FEW_RACKS)
+            machine.slot == slot || (is_same_rack && self.layout.racks >= MIN_RACKS_TO_AVOID_ONE)
         })
     }
 
     /// The zone, and in it the rack, with the fewest of the job's group, so that a failing rack
     /// or zone takes few of them along.
-    fn spread(&self, entry: &Entry, need: &Resources) -> Option<Slot> {
+    fn slot_for_group(&self, entry: &Entry, need: &Resources) -> Option<Slot> {
         let group = entry.job.group.clone()?;
-        let spread = self.groups.get(&(entry.job.team.clone(), group));
+        let counts = self.groups.get(&(entry.job.team.clone(), group));
         let mut best: Option<((u32, u32), Slot)> = None;
         for &(start, end) in &self.layout.zones {
             let mut from = start;
-            for _ in 0..RACKS_TRIED {
-                let Some(slot) = self.first(&self.free, from, end, entry, need) else {
+            for _ in 0..MAX_RACKS_TRIED {
+                let Some(slot) = self.first_allowed(&self.free, from, end, entry, need) else {
                     break;
                 };
                 let worker = &self.machines[&self.layout.workers[slot]].worker;
-                let count = spread.map_or((0, 0), |spread| {
+                let count = counts.map_or((0, 0), |counts| {
                     let rack = (worker.zone.clone(), worker.rack.clone());
-                    let zones = spread.zones.get(&worker.zone).copied().unwrap_or(0);
-                    (zones, spread.racks.get(&rack).copied().unwrap_or(0))
+                    let in_zone = counts.zones.get(&worker.zone).copied().unwrap_or(0);
+                    (in_zone, counts.racks.get(&rack).copied().unwrap_or(0))
                 });
-                if best.is_none_or(|(fewest, _)| count < fewest) {
+                if best.is_none_or(|(least, _)| count < least) {
                     best = Some((count, slot));
                 }
                 from = self.layout.rack_end[slot];
--- a/crates/pomelohitch-place/src/planner/urgent.rs
+++ b/crates/pomelohitch-place/src/planner/urgent_jobs.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeSet;
 
-use super::{Decision, Duration, Failed, JobId, Planner, Resources, Team, TeamId, dominant};
+use super::{
+    Decision, Duration, JobId, Planner, Resources, Team, TeamId, UnmetNeeds, dominant_share,
+};
 
 impl Planner {
     pub(super) fn place_urgent(&mut self, now: Duration, decision: &mut Decision) {
@@ -10,19 +12,19 @@
             .teams
             .iter()
             .filter(|(_, team)| !team.urgent.is_empty())
-            .map(|(id, team)| (dominant(&team.urgent_used, &self.total), id.clone()))
+            .map(|(id, team)| (dominant_share(&team.urgent_used, &self.total), id.clone()))
             .collect();
         if !order.is_empty() {
             self.last_urgent = Some(now);
         }
-        let mut failed = Failed::default();
+        let mut unmet = UnmetNeeds::default();
         while let Some((_, team)) = order.pop_first() {
             if decision.place.len() >= self.options.max_placements {
                 self.has_changed = true;
                 return;
             }
-            if self.place_first_urgent(&team, now, &mut failed, decision) {
-                let used = dominant(&self.teams[&team].urgent_used, &self.total);
+            if self.place_first_urgent(&team, now, &mut unmet, decision) {
+                let used = dominant_share(&self.teams[&team].urgent_used, &self.total);
                 order.insert((used, team));
             }
         }
@@ -34,7 +36,7 @@
         &mut self,
         team: &TeamId,
         now: Duration,
-        failed: &mut Failed,
+        unmet: &mut UnmetNeeds,
         decision: &mut Decision,
     ) -> bool {
         for id in self.next_urgent(team) {
@@ -43,22 +45,22 @@
             };
             let entry = job.entry.clone();
             let need = self.need(&entry);
-            if self.set_aside_if_unfit(&id, &need, now) {
+            if self.mark_if_unschedulable(&id, &need, now) {
                 return true;
             }
-            if let Some(worker) = self.urgent_room_for(&entry, &need, now) {
+            if let Some(worker) = self.find_urgent_worker(&entry, &need, now) {
                 self.place(&id, &worker, need, now, decision);
                 return true;
             }
-            if failed.covers(&need) {
+            if unmet.covers(&need) {
                 continue;
             }
-            if self.make_room(&id, &need, now, decision) {
+            if self.preempt_for_urgent(&id, &need, now, decision) {
                 return true;
             }
             // A team beyond its share may fail where another one doesn't.
-            if self.may_take_from_others(team, &need) {
-                failed.add(need);
+            if self.may_preempt_others(team, &need) {
+                unmet.add(need);
             }
         }
         false
@@ -67,11 +69,13 @@
     /// The team's next urgent jobs for which no room is being made yet, one of each class, if
     /// the team may have more running.
     fn next_urgent(&self, team: &TeamId) -> Vec<JobId> {
-        let book = &self.teams[team];
-        if book.active + book.promised >= book.limit {
+        let account = &self.teams[team];
+        if account.active + account.reservation_count >= account.limit {
             return Vec::new();
         }
-        let next = book.urgent.next(|id| self.promises.contains_key(id));
+        let next = account
+            .urgent
+            .first_of_each_class(|id| self.reservations.contains_key(id));
         next.take(self.options.lookahead).cloned().collect()
     }
 
@@ -79,18 +83,18 @@
     /// urgent work alone stays within the team's share. Beyond that it takes from teams that
     /// have more for their weight; whoever calls all of its work urgent would otherwise get the
     /// whole fleet.
-    pub(super) fn may_take_from_others(&self, team: &str, need: &Resources) -> bool {
-        let book = &self.teams[team];
-        dominant(&book.urgent_used.plus(need), &self.total) <= self.owed(book)
+    pub(super) fn may_preempt_others(&self, team: &str, need: &Resources) -> bool {
+        let account = &self.teams[team];
+        dominant_share(&account.urgent_used.plus(need), &self.total) <= self.fair_share(account)
     }
 
     /// A team's part of the fleet, in billionths, among the teams that have or want something.
-    pub(super) fn owed(&self, book: &Team) -> u64 {
+    pub(super) fn fair_share(&self, account: &Team) -> u64 {
         let shares = self
             .teams
             .values()
             .filter(|team| team.active > 0 || !team.urgent.is_empty() || !team.patient.is_empty());
         let all: u64 = shares.map(|team| u64::from(team.share.max(1))).sum();
-        super::part(u64::from(book.share.max(1)), all)
+        super::fraction_ppb(u64::from(account.share.max(1)), all)
     }
 }
--- a/crates/pomelohitch-place/tests/place/health.rs
+++ b/crates/pomelohitch-place/tests/place/health.rs
@@ -12,7 +12,7 @@
     } else {
         AttemptEnd::Failed
     };
-    health.ended(&format!("w{worker:02}").into(), &class.into(), end);
+    health.observe_end(&format!("w{worker:02}").into(), &class.into(), end);
 }
 
 /// A worker with a broken disk fails everything within a second and so gets job after job.
@@ -90,7 +90,7 @@
         let now = Duration::from_mins(minute);
         if !health.due_probes(now).is_empty() {
             times.push(minute);
-            health.probed(&worker, now);
+            health.schedule_next_probe(&worker, now);
         }
     }
     assert_eq!(times, vec![5, 15, 35, 75]);
