--- a/crates/pomelohitch-place/tests/place.rs
+++ b/crates/pomelohitch-place/tests/place.rs
@@ -1,9 +1,9 @@
 //! Decisions of the planner.
 
-#[path = "place/books.rs"]
-mod books;
 #[path = "place/decisions.rs"]
 mod decisions;
+#[path = "place/harness.rs"]
+mod harness;
 #[path = "place/health.rs"]
 mod health;
 #[path = "place/index.rs"]
--- a/crates/pomelohitch-place/tests/place/decisions.rs
+++ b/crates/pomelohitch-place/tests/place/decisions.rs
@@ -6,17 +6,17 @@
 use pomelohitch_core::record::job::{Job, Resources};
 use pomelohitch_place::Worker;
 
-use crate::books::{Site, job, show, urgent, worker};
+use crate::harness::{TestFleet, job, show, urgent, worker};
 
 /// Urgent work goes first, whatever came before it, and away from where patient work gathers.
 #[test]
 fn urgent_work_is_placed_before_patient_work() {
-    let mut site = Site::new(2);
-    site.team("a", 1, 99);
-    site.submit(job("p1", "a", 4));
-    site.submit(job("p2", "a", 4));
-    site.submit(urgent("u1", "a", 4));
-    insta::assert_snapshot!(show(&site.decide()), @r"
+    let mut fleet = TestFleet::new(2);
+    fleet.team("a", 1, 99);
+    fleet.submit(job("p1", "a", 4));
+    fleet.submit(job("p2", "a", 4));
+    fleet.submit(urgent("u1", "a", 4));
+    insta::assert_snapshot!(show(&fleet.decide()), @r"
     place u1 on w01 (4000)
     place p1 on w00 (4000)
     place p2 on w00 (4000)
@@ -27,18 +27,18 @@
 /// makes enough room is checkpointed, and the room is kept for the urgent job.
 #[test]
 fn a_full_fleet_makes_room_for_urgent_work() {
-    let mut site = Site::new(1);
-    site.team("a", 1, 99);
+    let mut fleet = TestFleet::new(1);
+    fleet.team("a", 1, 99);
     for (id, processors) in [("p1", 8), ("p2", 4), ("p3", 4)] {
-        site.submit(job(id, "a", processors));
+        fleet.submit(job(id, "a", processors));
     }
-    site.decide();
-    site.submit(urgent("u1", "a", 3));
-    insta::assert_snapshot!(show(&site.decide()), @"preempt p3");
-    site.submit(job("p4", "a", 1));
-    assert!(site.decide().place.is_empty(), "the room is promised");
-    site.finish_checkpoints();
-    let decision = site.decide();
+    fleet.decide();
+    fleet.submit(urgent("u1", "a", 3));
+    insta::assert_snapshot!(show(&fleet.decide()), @"preempt p3");
+    fleet.submit(job("p4", "a", 1));
+    assert!(fleet.decide().place.is_empty(), "the room is promised");
+    fleet.finish_checkpoints();
+    let decision = fleet.decide();
     assert_eq!(&*decision.place[0].job, "u1");
 }
 
@@ -46,24 +46,24 @@
 /// that only from whoever has more than it has.
 #[test]
 fn urgent_work_beyond_its_share_takes_nothing_from_others() {
-    let mut site = Site::new(4);
-    site.team("greedy", 1, 999);
-    site.team("modest", 1, 999);
+    let mut fleet = TestFleet::new(4);
+    fleet.team("greedy", 1, 999);
+    fleet.team("modest", 1, 999);
     for number in 0..16 {
-        site.submit(job(&format!("p{number:02}"), "modest", 4));
+        fleet.submit(job(&format!("p{number:02}"), "modest", 4));
     }
-    site.decide();
+    fleet.decide();
     for number in 0..16 {
-        site.submit(urgent(&format!("u{number:02}"), "greedy", 4));
+        fleet.submit(urgent(&format!("u{number:02}"), "greedy", 4));
     }
     for _ in 0..20 {
-        site.decide();
-        site.finish_checkpoints();
-        site.after(Duration::from_secs(2));
+        fleet.decide();
+        fleet.finish_checkpoints();
+        fleet.advance(Duration::from_secs(2));
     }
     let runs = |prefix: &str| {
-        let ids = site.entries.keys().filter(|id| id.starts_with(prefix));
-        ids.filter(|id| site.worker_of(id).is_some()).count()
+        let ids = fleet.entries.keys().filter(|id| id.starts_with(prefix));
+        ids.filter(|id| fleet.worker_of(id).is_some()).count()
     };
     assert_eq!((runs("u"), runs("p")), (8, 8));
 }
@@ -71,15 +71,15 @@
 /// Three teams of weights 2, 1 and 1 ask for more than there is.
 #[test]
 fn shares_decide_when_everything_is_full() {
-    let mut site = Site::new(8);
+    let mut fleet = TestFleet::new(8);
     for (team, share) in [("a", 2), ("b", 1), ("c", 1)] {
-        site.team(team, share, 999);
+        fleet.team(team, share, 999);
         for number in 0..200 {
-            site.submit(job(&format!("{team}{number:03}"), team, 1));
+            fleet.submit(job(&format!("{team}{number:03}"), team, 1));
         }
     }
-    site.decide();
-    let has = |team: &str| site.planner.used_by(team).cpu_milli / 1000;
+    fleet.decide();
+    let has = |team: &str| fleet.planner.used_by(team).cpu_milli / 1000;
     assert_eq!((has("a"), has("b"), has("c")), (64, 32, 32));
 }
 
@@ -87,31 +87,34 @@
 /// the stated patience it has one.
 #[test]
 fn a_large_job_is_not_starved_by_small_ones() {
-    let mut site = Site::new(2);
-    site.team("a", 1, 999);
+    let mut fleet = TestFleet::new(2);
+    fleet.team("a", 1, 999);
     let mut number = 0;
-    let mut next_small = |site: &mut Site| {
+    let mut next_small = |fleet: &mut TestFleet| {
         number += 1;
-        site.submit(job(&format!("s{number:04}"), "a", 4));
+        fleet.submit(job(&format!("s{number:04}"), "a", 4));
     };
     for _ in 0..8 {
-        next_small(&mut site);
+        next_small(&mut fleet);
     }
-    site.decide();
-    site.submit(job("z-large", "a", 16));
+    fleet.decide();
+    fleet.submit(job("z-large", "a", 16));
     let mut seconds = 0;
-    while site.worker_of("z-large").is_none() {
+    while fleet.worker_of("z-large").is_none() {
         // The oldest small job ends, and another one comes.
-        let oldest = site.entries.keys().find(|id| site.worker_of(id).is_some());
+        let oldest = fleet
+            .entries
+            .keys()
+            .find(|id| fleet.worker_of(id).is_some());
         if seconds % 30 == 0
             && let Some(oldest) = oldest.cloned()
         {
-            site.end(&oldest);
+            fleet.end(&oldest);
         }
-        next_small(&mut site);
-        site.decide();
-        site.finish_checkpoints();
-        site.after(Duration::from_secs(1));
+        next_small(&mut fleet);
+        fleet.decide();
+        fleet.finish_checkpoints();
+        fleet.advance(Duration::from_secs(1));
         seconds += 1;
         assert!(seconds <= 660, "twice the patience and a minute are over");
     }
@@ -121,24 +124,24 @@
 /// away, and is then refused; meanwhile it blocks nobody.
 #[test]
 fn a_job_that_fits_no_worker_is_refused_and_blocks_nobody() {
-    let mut site = Site::new(2);
-    site.team("a", 1, 99);
-    site.submit(job("giant", "a", 64));
-    site.submit(job("p1", "a", 4));
-    insta::assert_snapshot!(show(&site.decide()), @"place p1 on w00 (4000)");
-    site.after(Duration::from_secs(59));
-    assert!(site.decide().refuse.is_empty());
-    site.after(Duration::from_secs(2));
-    insta::assert_snapshot!(show(&site.decide()), @"refuse giant");
+    let mut fleet = TestFleet::new(2);
+    fleet.team("a", 1, 99);
+    fleet.submit(job("giant", "a", 64));
+    fleet.submit(job("p1", "a", 4));
+    insta::assert_snapshot!(show(&fleet.decide()), @"place p1 on w00 (4000)");
+    fleet.advance(Duration::from_secs(59));
+    assert!(fleet.decide().refuse.is_empty());
+    fleet.advance(Duration::from_secs(2));
+    insta::assert_snapshot!(show(&fleet.decide()), @"refuse giant");
 }
 
 /// A large worker comes back within the minute.
 #[test]
 fn a_job_set_aside_runs_when_a_large_worker_comes() {
-    let mut site = Site::new(2);
-    site.team("a", 1, 99);
-    site.submit(job("giant", "a", 64));
-    site.decide();
+    let mut fleet = TestFleet::new(2);
+    fleet.team("a", 1, 99);
+    fleet.submit(job("giant", "a", 64));
+    fleet.decide();
     let large = Worker {
         capacity: Resources {
             cpu_milli: 64_000,
@@ -147,56 +150,67 @@
         },
         ..worker(9)
     };
-    site.planner.set_worker(large, site.now);
-    insta::assert_snapshot!(show(&site.decide()), @"place giant on w09 (64000)");
+    fleet.planner.set_worker(large, fleet.now);
+    insta::assert_snapshot!(show(&fleet.decide()), @"place giant on w09 (64000)");
 }
 
 /// A worker is drained for maintenance: it gets nothing new, and what would run too long is
 /// checkpointed and goes elsewhere.
 #[test]
 fn a_leaving_worker_is_emptied_in_time() {
-    let mut site = Site::new(2);
-    site.team("a", 1, 99);
-    site.submit(job("long", "a", 4));
-    site.submit(Job {
+    let mut fleet = TestFleet::new(2);
+    fleet.team("a", 1, 99);
+    fleet.submit(job("long", "a", 4));
+    fleet.submit(Job {
         run_time: Duration::from_secs(10),
         class: "short".into(),
         ..job("short", "a", 4)
     });
-    site.decide();
+    fleet.decide();
     let leaving = Worker {
         takes_work: false,
         ..worker(0)
     };
-    site.planner.set_worker(leaving, site.now);
-    insta::assert_snapshot!(show(&site.decide()), @"preempt long");
-    site.finish_checkpoints();
-    insta::assert_snapshot!(show(&site.decide()), @"place long on w01 (4000)");
-    site.after(Duration::from_secs(21));
-    insta::assert_snapshot!(show(&site.decide()), @"preempt short");
+    fleet.planner.set_worker(leaving, fleet.now);
+    insta::assert_snapshot!(show(&fleet.decide()), @"preempt long");
+    fleet.finish_checkpoints();
+    insta::assert_snapshot!(show(&fleet.decide()), @"place long on w01 (4000)");
+    fleet.advance(Duration::from_secs(21));
+    insta::assert_snapshot!(show(&fleet.decide()), @"preempt short");
 }
 
 /// A service of several jobs loses few of them with a rack, and few with a zone.
 #[test]
 fn jobs_of_a_group_are_spread_over_zones_and_racks() {
-    let mut site = Site::new(32);
-    site.team("a", 1, 99);
+    let mut fleet = TestFleet::new(32);
+    fleet.team("a", 1, 99);
     for number in 0..8 {
-        site.submit(Job {
+        fleet.submit(Job {
             group: Some("kiosk".into()),
             ..job(&format!("k{number}"), "a", 1)
         });
     }
-    let decision = site.decide();
+    let decision = fleet.decide();
     let racks: BTreeSet<_> = decision
         .place
         .iter()
-        .map(|placement| placement.worker[1..].parse::<usize>().expect("a number") / 4)
+        .map(|placement| {
+            placement.worker[1..]
+                .parse::<usize>()
+                .expect("worker ids end in a number")
+                / 4
+        })
         .collect();
     assert_eq!(racks.len(), 8);
     let first_zones: BTreeSet<_> = decision.place[..4]
         .iter()
-        .map(|placement| placement.worker[1..].parse::<usize>().expect("a number") / 4 % 4)
+        .map(|placement| {
+            placement.worker[1..]
+                .parse::<usize>()
+                .expect("worker ids end in a number")
+                / 4
+                % 4
+        })
         .collect();
     assert_eq!(first_zones.len(), 4);
 }
@@ -204,17 +218,17 @@
 /// A job failed on a worker; its neighbours in the rack may share the fault.
 #[test]
 fn a_job_that_failed_goes_to_another_rack() {
-    let mut site = Site::new(20);
-    site.team("a", 1, 99);
-    site.submit(job("j", "a", 1));
-    site.decide();
-    assert_eq!(site.worker_of("j"), Some("w00"));
-    site.turn(&"j".into(), |entry| {
+    let mut fleet = TestFleet::new(20);
+    fleet.team("a", 1, 99);
+    fleet.submit(job("j", "a", 1));
+    fleet.decide();
+    assert_eq!(fleet.worker_of("j"), Some("w00"));
+    fleet.update(&"j".into(), |entry| {
         entry.failed_on.push("w00".into());
         entry.state = pomelohitch_core::state::JobState::Waiting;
     });
-    site.decide();
-    let worker = site.worker_of("j").expect("there is room");
+    fleet.decide();
+    let worker = fleet.worker_of("j").expect("there is room");
     assert!(worker >= "w04", "{worker}");
 }
 
@@ -222,35 +236,35 @@
 /// while instead of being asked again and again.
 #[test]
 fn a_worker_that_refuses_starts_is_left_alone_for_a_while() {
-    let mut site = Site::new(2);
-    site.team("a", 1, 99);
-    site.planner.shun(&"w00".into(), site.now);
-    site.submit(job("p1", "a", 4));
-    insta::assert_snapshot!(show(&site.decide()), @"place p1 on w01 (4000)");
-    site.after(Duration::from_secs(6));
-    site.submit(job("p2", "a", 4));
-    insta::assert_snapshot!(show(&site.decide()), @"place p2 on w00 (4000)");
+    let mut fleet = TestFleet::new(2);
+    fleet.team("a", 1, 99);
+    fleet.planner.shun(&"w00".into(), fleet.now);
+    fleet.submit(job("p1", "a", 4));
+    insta::assert_snapshot!(show(&fleet.decide()), @"place p1 on w01 (4000)");
+    fleet.advance(Duration::from_secs(6));
+    fleet.submit(job("p2", "a", 4));
+    insta::assert_snapshot!(show(&fleet.decide()), @"place p2 on w00 (4000)");
 }
 
 /// A task uses more than was set aside and its worker is full: it is slowed down first, and
 /// checkpointed only if that doesn't help.
 #[test]
 fn a_task_that_uses_too_much_is_throttled_before_it_is_stopped() {
-    let mut site = Site::new(1);
-    site.team("a", 1, 99);
-    site.submit(job("p1", "a", 8));
-    site.submit(job("p2", "a", 8));
-    site.decide();
-    let attempt = site.entries["p1"].attempt().expect("it runs").attempt;
+    let mut fleet = TestFleet::new(1);
+    fleet.team("a", 1, 99);
+    fleet.submit(job("p1", "a", 8));
+    fleet.submit(job("p2", "a", 8));
+    fleet.decide();
+    let attempt = fleet.entries["p1"].attempt().expect("it runs").attempt;
     let used = Resources {
         cpu_milli: 12_000,
         memory_mib: 8192,
         accelerators: 0,
     };
-    site.planner.used(&"p1".into(), attempt, &used);
-    let decision = site.decide();
+    fleet.planner.used(&"p1".into(), attempt, &used);
+    let decision = fleet.decide();
     assert_eq!(decision.throttle.len(), 1);
     assert!(decision.preempt.is_empty());
-    site.after(Duration::from_secs(21));
-    insta::assert_snapshot!(show(&site.decide()), @"preempt p1");
+    fleet.advance(Duration::from_secs(21));
+    insta::assert_snapshot!(show(&fleet.decide()), @"preempt p1");
 }
--- a/crates/pomelohitch-place/tests/place/books.rs
+++ b/crates/pomelohitch-place/tests/place/harness.rs
@@ -13,26 +13,26 @@
 use pomelohitch_place::{Decision, Options, Planner, Worker};
 
 /// A planner, and what the log has of every job.
-pub struct Site {
+pub struct TestFleet {
     pub planner: Planner,
     pub entries: BTreeMap<JobId, Entry>,
     pub now: Duration,
-    next: u64,
+    next_offset: u64,
 }
 
-impl Site {
+impl TestFleet {
     /// `count` workers of 16 processors and 64 GiB, four in a rack, four zones.
-    pub fn new(count: usize) -> Site {
-        let mut site = Site {
+    pub fn new(count: usize) -> TestFleet {
+        let mut fleet = TestFleet {
             planner: Planner::new(Options::default()),
             entries: BTreeMap::new(),
             now: Duration::ZERO,
-            next: 1,
+            next_offset: 1,
         };
         for number in 0..count {
-            site.planner.set_worker(worker(number), Duration::ZERO);
+            fleet.planner.set_worker(worker(number), Duration::ZERO);
         }
-        site
+        fleet
     }
 
     pub fn team(&mut self, id: &str, share: u32, limit: u32) {
@@ -44,27 +44,27 @@
         let id = job.id.clone();
         let entry = Entry {
             job: Arc::new(job),
-            submitted: self.next,
+            submitted: self.next_offset,
             state: JobState::Waiting,
             attempts: 0,
             checkpointed: false,
             failed_on: Vec::new(),
             memory_floor_mib: 0,
         };
-        self.next += 1;
-        self.set(&id, entry);
+        self.next_offset += 1;
+        self.set_entry(&id, entry);
     }
 
-    pub fn set(&mut self, id: &JobId, entry: Entry) {
+    pub fn set_entry(&mut self, id: &JobId, entry: Entry) {
         self.planner.set_job(id, Some(&entry), self.now);
         self.entries.insert(id.clone(), entry);
     }
 
     /// Changes the state of a job.
-    pub fn turn(&mut self, id: &JobId, change: impl FnOnce(&mut Entry)) {
+    pub fn update(&mut self, id: &JobId, change: impl FnOnce(&mut Entry)) {
         let mut entry = self.entries[id].clone();
         change(&mut entry);
-        self.set(id, entry);
+        self.set_entry(id, entry);
     }
 
     /// Decides, and takes everything over.
@@ -72,18 +72,18 @@
         let decision = self.planner.decide(self.now);
         for placement in &decision.place {
             let attempt = Attempt {
-                attempt: self.next,
+                attempt: self.next_offset,
                 worker: placement.worker.clone(),
                 reserve: placement.reserve,
             };
-            self.next += 1;
-            self.turn(&placement.job, |entry| {
+            self.next_offset += 1;
+            self.update(&placement.job, |entry| {
                 entry.attempts += 1;
                 entry.state = JobState::Running(attempt);
             });
         }
         for preemption in &decision.preempt {
-            self.turn(&preemption.job, |entry| {
+            self.update(&preemption.job, |entry| {
                 let attempt = entry
                     .attempt()
                     .expect("only attempts are preempted")
@@ -109,7 +109,7 @@
         let stopping = self.entries.values().filter(is_stopping);
         let ids: Vec<JobId> = stopping.map(|entry| entry.job.id.clone()).collect();
         for id in ids {
-            self.turn(&id, |entry| {
+            self.update(&id, |entry| {
                 entry.state = JobState::Waiting;
                 entry.checkpointed = true;
             });
@@ -122,7 +122,7 @@
         Some(&attempt.worker)
     }
 
-    pub fn after(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 }
@@ -178,19 +178,19 @@
             "place {} on {} ({cpu})",
             placement.job, placement.worker
         )
-        .expect("a string");
+        .expect("writing to a string never fails");
     }
     for preemption in &decision.preempt {
-        writeln!(text, "preempt {}", preemption.job).expect("a string");
+        writeln!(text, "preempt {}", preemption.job).expect("writing to a string never fails");
     }
     for id in &decision.refuse {
-        writeln!(text, "refuse {id}").expect("a string");
+        writeln!(text, "refuse {id}").expect("writing to a string never fails");
     }
     for worker in &decision.quarantine {
-        writeln!(text, "quarantine {worker}").expect("a string");
+        writeln!(text, "quarantine {worker}").expect("writing to a string never fails");
     }
     for worker in &decision.release {
-        writeln!(text, "release {worker}").expect("a string");
+        writeln!(text, "release {worker}").expect("writing to a string never fails");
     }
     text
 }
--- a/crates/pomelohitch-place/tests/place/index.rs
+++ b/crates/pomelohitch-place/tests/place/index.rs
@@ -19,8 +19,8 @@
             index.set(slot, slots[slot]);
         }
         let need = resources(*cpu, *memory);
-        let first = slots.iter().position(|room| room.covers(&need));
-        let last = slots.iter().rposition(|room| room.covers(&need));
+        let first = slots.iter().position(|free| free.covers(&need));
+        let last = slots.iter().rposition(|free| free.covers(&need));
         assert_eq!(index.first(0, len, &need), first);
         assert_eq!(index.last(len, &need), last);
     });
--- a/crates/pomelohitch-place/tests/place/properties.rs
+++ b/crates/pomelohitch-place/tests/place/properties.rs
@@ -8,7 +8,7 @@
 use pomelohitch_core::state::JobState;
 use pomelohitch_place::{Decision, Worker};
 
-use crate::books::{Site, job, urgent, worker};
+use crate::harness::{TestFleet, job, urgent, worker};
 
 const WORKERS: usize = 6;
 const LIMIT: u32 = 7;
@@ -16,29 +16,29 @@
 /// One thing that happens: a kind, which, and a size.
 type Step = (u8, u8, u8);
 
-fn take(site: &mut Site, (kind, which, size): Step) -> Decision {
+fn apply(fleet: &mut TestFleet, (kind, which, size): Step) -> Decision {
     let team = ["a", "b", "c"][usize::from(which) % 3];
-    let id: JobId = format!("j{}", site.entries.len() + usize::from(which) * 1000).into();
+    let id: JobId = format!("j{}", fleet.entries.len() + usize::from(which) * 1000).into();
     let processors = u64::from(size % 16) + 1;
-    let running = |site: &Site| {
-        let ids = site
+    let running = |fleet: &TestFleet| {
+        let ids = fleet
             .entries
             .keys()
-            .filter(|id| site.worker_of(id).is_some());
+            .filter(|id| fleet.worker_of(id).is_some());
         let ids: Vec<JobId> = ids.cloned().collect();
         ids.get(usize::from(which) % ids.len().max(1)).cloned()
     };
     match kind % 8 {
-        0..=2 if !site.entries.contains_key(&id) => site.submit(job(&id, team, processors)),
-        3 if !site.entries.contains_key(&id) => site.submit(urgent(&id, team, processors)),
+        0..=2 if !fleet.entries.contains_key(&id) => fleet.submit(job(&id, team, processors)),
+        3 if !fleet.entries.contains_key(&id) => fleet.submit(urgent(&id, team, processors)),
         4 => {
-            if let Some(id) = running(site) {
-                site.end(&id);
+            if let Some(id) = running(fleet) {
+                fleet.end(&id);
             }
         }
         5 => {
-            if let Some(id) = running(site) {
-                site.turn(&id, |entry| {
+            if let Some(id) = running(fleet) {
+                fleet.update(&id, |entry| {
                     entry.failed_on.push(format!("w0{}", which % 6).into());
                     entry.state = JobState::Waiting;
                 });
@@ -49,20 +49,20 @@
                 takes_work: size % 2 == 0,
                 ..worker(usize::from(which) % WORKERS)
             };
-            site.planner.set_worker(worker, site.now);
+            fleet.planner.set_worker(worker, fleet.now);
         }
-        _ => site.finish_checkpoints(),
+        _ => fleet.finish_checkpoints(),
     }
-    site.after(Duration::from_secs(u64::from(size)));
-    site.decide()
+    fleet.advance(Duration::from_secs(u64::from(size)));
+    fleet.decide()
 }
 
-fn site() -> Site {
-    let mut site = Site::new(WORKERS);
+fn new_fleet() -> TestFleet {
+    let mut fleet = TestFleet::new(WORKERS);
     for (team, share) in [("a", 1), ("b", 2), ("c", 5)] {
-        site.team(team, share, LIMIT);
+        fleet.team(team, share, LIMIT);
     }
-    site
+    fleet
 }
 
 /// By its own count the planner never gives a worker more than it has, nor a team more than its
@@ -70,30 +70,30 @@
 #[test]
 fn capacity_and_limits_hold_and_decisions_are_repeatable() {
     pomelohitch_property::check(|steps: &Vec<Step>| {
-        let (mut first, mut second) = (site(), site());
+        let (mut first, mut second) = (new_fleet(), new_fleet());
         for step in steps {
-            let decision = take(&mut first, *step);
-            assert_eq!(decision, take(&mut second, *step));
+            let decision = apply(&mut first, *step);
+            assert_eq!(decision, apply(&mut second, *step));
             check(&first);
         }
     });
 }
 
-fn check(site: &Site) {
-    let mut held: BTreeMap<&str, Resources> = BTreeMap::new();
+fn check(fleet: &TestFleet) {
+    let mut allocated: BTreeMap<&str, Resources> = BTreeMap::new();
     let mut active: BTreeMap<&str, u32> = BTreeMap::new();
-    for entry in site.entries.values() {
+    for entry in fleet.entries.values() {
         let Some(attempt) = entry.attempt() else {
             continue;
         };
-        let sum = held.entry(&attempt.worker).or_default();
+        let sum = allocated.entry(&attempt.worker).or_default();
         *sum = sum.plus(&attempt.reserve);
         *active.entry(&entry.job.team).or_default() += 1;
     }
-    for (worker, held) in held {
-        let (booked, capacity) = site.planner.load_of(worker).expect("a known worker");
-        assert!(capacity.covers(&held), "{worker}: {held:?}");
-        assert_eq!(booked, held, "{worker}");
+    for (worker, allocated) in allocated {
+        let (reported, capacity) = fleet.planner.load_of(worker).expect("a known worker");
+        assert!(capacity.covers(&allocated), "{worker}: {allocated:?}");
+        assert_eq!(reported, allocated, "{worker}");
     }
     assert!(active.values().all(|&active| active <= LIMIT));
 }
