--- a/crates/pomelohitch-place/src/health.rs
+++ b/crates/pomelohitch-place/src/health.rs
@@ -1,38 +1,40 @@
-//! Which workers fail what others don't.
+//! Detection of faulty workers.
 //!
-//! A failure speaks against a worker only as far as the same class does well elsewhere: a bad
-//! release of a class fails on every worker, and a bad worker fails every class. For a worker's
-//! failures since its last success, it is asked how likely they were on any other worker.
+//! A failure counts against a worker only as far as jobs of the same class succeed on other
+//! workers: a bad release of a class fails on every worker, whereas a faulty worker fails jobs of
+//! every class. For the failures of a worker since its last success, the likelihood that they would
+//! occur on other workers is computed from the failure rates of the classes; a worker below
+//! `MAX_LIKELIHOOD` is quarantined and probed at growing intervals.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use pomelohitch_core::id::{InstanceId, JobClass};
 
-/// A worker whose failures in a row were less likely than this elsewhere goes into quarantine.
+/// A worker is quarantined if its consecutive failures were less likely than this on other workers.
 const MAX_LIKELIHOOD: f64 = 1e-5;
-/// Whatever a class did elsewhere, its next job fails with at least this probability.
+/// Lower bound of the failure rate of a class, however rarely it failed elsewhere.
 const MIN_FAILURE_RATE: f64 = 0.05;
-/// Outcomes of a class are forgotten by half when there are so many.
+/// Number of outcomes of a class at which its counters are halved, so that older ones weigh less.
 const CLASS_WINDOW: f64 = 64.0;
-/// A class nobody has seen elsewhere is taken to fail this often: a new class that fails at once
-/// says little about its worker.
+/// Assumed failure rate of a class without outcomes on other workers. It is high because failures
+/// of a new class say little about the worker.
 const PRIOR_RATE: f64 = 0.5;
-/// How many outcomes the prior weighs.
+/// Weight of the prior, in outcomes.
 const PRIOR_WEIGHT: f64 = 1.0;
-/// How many workers are judged at once at the most: a bad release makes many suspect.
+/// Maximum number of suspects evaluated in one pass; a bad release can make many workers suspect.
 const MAX_EVALUATED_AT_ONCE: usize = 64;
-/// A worker is looked at after so many failures in a row.
+/// Number of consecutive failures after which a worker is evaluated.
 const MIN_FAILURES_IN_A_ROW: u32 = 3;
-/// No more than this share of the workers is in quarantine, in percent: if more seem bad, it is
-/// rather something that they share, and taking the fleet away helps nobody.
+/// Maximum share of the workers in quarantine, in percent. If more seem faulty, the cause is
+/// probably a shared one, and quarantining them would only remove capacity.
 const MAX_QUARANTINED_PERCENT: usize = 10;
-/// How long after the start of a quarantine a worker is probed; doubled after each failed probe.
+/// Time from the start of a quarantine to the first probe; doubled with each further probe.
 const FIRST_PROBE_AFTER: Duration = Duration::from_mins(5);
-/// The longest time between probes.
+/// Maximum time between probes.
 const MAX_PROBE_INTERVAL: Duration = Duration::from_hours(2);
 
-/// Failures among recent outcomes.
+/// Weighted numbers of failures and of all outcomes of a class.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 struct Tally {
     failed: f64,
@@ -48,33 +50,36 @@
 
 #[derive(Debug, Clone, Default, PartialEq)]
 struct Quarantine {
+    /// When the next probe is due.
     probe_at: Duration,
+    /// Time between the previous probe, or the start of the quarantine, and the next one.
     interval: Duration,
 }
 
-/// What is known of the health of workers.
+/// Failure statistics of workers and classes, and the quarantined workers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Health {
     streaks: BTreeMap<InstanceId, FailureStreak>,
     classes: BTreeMap<JobClass, Tally>,
     quarantined: BTreeMap<InstanceId, Quarantine>,
-    /// Workers to judge, in turn.
+    /// Workers with enough consecutive failures to be evaluated.
     suspects: BTreeSet<InstanceId>,
+    /// Where the next pass continues if the last one reached `MAX_EVALUATED_AT_ONCE`.
     evaluated_up_to: Option<InstanceId>,
     has_changed: bool,
 }
 
-/// How an attempt ended.
+/// Outcome of an attempt that wasn't stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// Well.
+    /// The program succeeded.
     Succeeded,
-    /// Badly.
+    /// The program failed.
     Failed,
 }
 
 impl Health {
-    /// An attempt of `class` on `worker` ended.
+    /// Counts the end of an attempt of `class` on `worker`.
     pub fn observe_end(&mut self, worker: &InstanceId, class: &JobClass, end: AttemptEnd) {
         self.has_changed = true;
         let tally = self.classes.entry(class.clone()).or_default();
@@ -92,7 +97,8 @@
         }
     }
 
-    /// Workers to put into quarantine now, as far as the fleet of `workers` bears it.
+    /// Returns suspects to quarantine and removes them from the suspects. Respects
+    /// `MAX_QUARANTINED_PERCENT` of a fleet of `workers`.
     pub fn take_suspects(&mut self, workers: usize) -> Vec<InstanceId> {
         if !std::mem::take(&mut self.has_changed) {
             return Vec::new();
@@ -120,7 +126,7 @@
         next
     }
 
-    /// Whether the worker's failures in a row were unlikely elsewhere.
+    /// Whether the worker's consecutive failures were unlikely on other workers.
     fn is_likely_faulty(&self, worker: &InstanceId) -> bool {
         let Some(streak) = self.streaks.get(worker) else {
             return false;
@@ -136,7 +142,7 @@
         log_likelihood < MAX_LIKELIHOOD.ln()
     }
 
-    /// The quarantine of `worker` is in force.
+    /// Puts `worker` into quarantine and schedules its first probe.
     pub fn quarantine(&mut self, worker: &InstanceId, now: Duration) {
         self.suspects.remove(worker);
         self.quarantined
@@ -147,7 +153,7 @@
             });
     }
 
-    /// The quarantine of `worker` is over; it starts with a clean slate.
+    /// Releases `worker` from quarantine and resets its failures.
     pub fn release(&mut self, worker: &InstanceId) {
         self.quarantined.remove(worker);
         self.streaks.remove(worker);
@@ -172,7 +178,7 @@
         due.map(|(worker, _)| worker.clone()).collect()
     }
 
-    /// A probe was sent to `worker`, or failed there: the next one waits twice as long.
+    /// Schedules the next probe of `worker` after twice the previous interval.
     pub fn schedule_next_probe(&mut self, worker: &InstanceId, now: Duration) {
         if let Some(quarantine) = self.quarantined.get_mut(worker) {
             quarantine.interval = (quarantine.interval * 2).min(MAX_PROBE_INTERVAL);
@@ -180,14 +186,14 @@
         }
     }
 
-    /// `worker` is gone.
+    /// Removes the failures of a worker that left. A quarantine stays in force.
     pub fn remove_worker(&mut self, worker: &InstanceId) {
         self.streaks.remove(worker);
         self.suspects.remove(worker);
     }
 }
 
-/// How often a class fails, leaving out one worker's `failures`.
+/// Failure rate of a class without one worker's `failures`.
 fn rate_elsewhere(tally: Tally, failures: u32) -> f64 {
     let own = f64::from(failures).min(tally.failed);
     let failed = tally.failed - own + PRIOR_RATE * PRIOR_WEIGHT;
--- a/crates/pomelohitch-place/src/index.rs
+++ b/crates/pomelohitch-place/src/index.rs
@@ -1,21 +1,23 @@
-//! Finds slots with room without looking at all of them.
+//! Search for slots with enough capacity without a scan of all slots.
 
 use pomelohitch_core::record::job::Resources;
 
-/// A tree over slots in a fixed order; each node holds the most of each resource below it.
+/// Segment tree over slots in a fixed order; each node holds the maximum of each resource in its
+/// subtree.
 ///
-/// A change costs the height of the tree. So does a search, unless one worker has the processors
-/// and another the memory: then both halves may have to be entered.
+/// An update takes time proportional to the height of the tree. So does a search, unless a node
+/// covers the need only with the processors of one slot and the memory of another; then both of
+/// its subtrees may have to be searched.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Index {
     /// The number of leaves, a power of two.
     leaves: usize,
-    /// The root stands at 1, the children of `i` at `2 * i` and `2 * i + 1`.
+    /// The root is at 1, the children of `i` are at `2 * i` and `2 * i + 1`.
     nodes: Vec<Resources>,
 }
 
 impl Index {
-    /// An index over `len` slots without room.
+    /// Creates an index over `len` slots without resources.
     #[must_use]
     pub fn new(len: usize) -> Index {
         let leaves = len.next_power_of_two();
@@ -25,7 +27,7 @@
         }
     }
 
-    /// Sets the room of a slot.
+    /// Sets the resources of a slot.
     pub fn set(&mut self, slot: usize, free: Resources) {
         let mut at = self.leaves + slot;
         self.nodes[at] = free;
@@ -39,19 +41,19 @@
         }
     }
 
-    /// The most of each resource that any slot has.
+    /// Maximum of each resource over all slots.
     #[must_use]
     pub fn max(&self) -> Resources {
         self.nodes.get(1).copied().unwrap_or_default()
     }
 
-    /// The first slot from `from` on, and before `end`, with room for `need`.
+    /// The first slot in `from..end` that covers `need`.
     #[must_use]
     pub fn first(&self, from: usize, end: usize, need: &Resources) -> Option<usize> {
         self.search(1, 0, self.leaves, &(from..end), need, false)
     }
 
-    /// The last slot with room for `need` before `end`.
+    /// The last slot before `end` that covers `need`.
     #[must_use]
     pub fn last(&self, end: usize, need: &Resources) -> Option<usize> {
         self.search(1, 0, self.leaves, &(0..end), need, true)
--- a/crates/pomelohitch-place/src/lib.rs
+++ b/crates/pomelohitch-place/src/lib.rs
@@ -1,14 +1,15 @@
 //! Placement of batch jobs on workers.
 //!
-//! Pure decisions: [`Planner`] is told what changed and what time it is, and answers with what to
-//! do. Same inputs in the same order give the same decisions. What it costs grows with what
-//! changed since the last decision, not with the number of workers or jobs.
+//! [`Planner`] does no I/O and reads no clock: it takes changes of workers, teams and jobs and the
+//! current time, and returns a [`Decision`]. The same inputs in the same order give the same
+//! decisions. The cost of a decision grows with the changes since the previous one, not with the
+//! number of workers or jobs.
 //!
-//! * [`worker`]: workers as the planner sees them.
-//! * [`index`]: finds workers with room without looking at all of them.
-//! * [`sizes`]: what jobs of a class really need, learned from usage.
-//! * [`health`]: which workers fail what others don't.
-//! * [`planner`]: the books, and the decisions.
+//! * [`worker`]: the planner's input for a worker.
+//! * [`index`]: finds workers with enough free capacity without a scan of all workers.
+//! * [`sizes`]: estimates resources and run times of job classes from past usage.
+//! * [`health`]: detects faulty workers by their failures.
+//! * [`planner`]: the accounting and the decisions.
 
 #![deny(missing_docs, rust_2018_idioms)]
 
--- a/crates/pomelohitch-place/src/planner.rs
+++ b/crates/pomelohitch-place/src/planner.rs
@@ -1,13 +1,17 @@
-//! The books, and the decisions.
+//! The accounting of workers, teams and jobs, and the placement decisions.
 //!
-//! The books hold what every worker has set aside and what every team has. [`Planner::decide`]
-//! enters its own placements into them at once, so that the next decision builds on them; what
-//! the log then says of a job ([`Planner::set_job`]) corrects them.
+//! The accounting holds the allocated resources of every worker and team. [`Planner::decide`]
+//! applies its own placements to it immediately, so that the next decision builds on them;
+//! [`Planner::set_job`] then corrects it with the job's entry from the replicated log.
 //!
-//! * [`books`](self): workers, teams and jobs.
-//! * `urgent`, `patient`: who is placed next, and where.
-//! * `promise`: room that is being made for a job.
-//! * `upkeep`: leaving workers, quarantine, jobs that fit nowhere.
+//! * `accounting`: applies changes of workers, teams and jobs.
+//! * `queue`: the waiting jobs of a team.
+//! * `urgent_jobs`, `patient_jobs`: choose the next job of each urgency and place it.
+//! * `search`: finds a worker with enough free capacity for a job.
+//! * `reservations`: reserves capacity on a worker for a job until it can be placed, and preempts
+//!   other tasks to free it.
+//! * `maintenance`: drains leaving workers, throttles tasks, probes quarantined workers, and
+//!   refuses jobs that fit no worker.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -31,28 +35,29 @@
 mod search;
 mod urgent_jobs;
 
-/// How the planner decides.
+/// Settings of the planner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// The most placements of one decision.
+    /// Maximum number of placements in one decision.
     pub max_placements: usize,
-    /// Of how many classes of a team a waiting job is tried when the first one finds no room.
+    /// Number of job classes of a team that are tried in one pass when no worker has enough free
+    /// capacity for the first ones.
     pub lookahead: usize,
-    /// How long a patient job that fits nowhere waits for room to be made by jobs that end;
-    /// afterwards it is made by checkpoints.
+    /// How long a patient job with a reservation waits for running tasks to end; afterwards
+    /// patient tasks on the reserved worker are preempted.
     pub reservation_timeout: Duration,
-    /// The share of workers that patient work leaves to urgent work, in thousandths, while
-    /// there was urgent work lately.
+    /// Share of the workers without accelerators, in thousandths, that is kept free of patient
+    /// jobs if urgent jobs were waiting within the last `headroom_period`.
     pub headroom_permille: usize,
-    /// How long ago "lately" is.
+    /// How long the headroom is kept after the last urgent job waited.
     pub headroom_period: Duration,
-    /// How long a leaving worker's tasks may go on before they are checkpointed.
+    /// How long tasks on a leaving worker may continue before they are preempted.
     pub drain_grace: Duration,
-    /// How long a job may fit no worker before it is refused.
+    /// How long a job may be unschedulable before it is refused.
     pub unschedulable_grace: Duration,
-    /// How long a worker that refused a start gets none.
+    /// How long no job is placed on a worker after it refused to start one.
     pub refusal_backoff: Duration,
-    /// How long a throttled task may use too much before it is checkpointed.
+    /// How long a throttled task may keep its worker over capacity before it is preempted.
     pub throttle_grace: Duration,
 }
 
@@ -72,25 +77,25 @@
     }
 }
 
-/// What to do.
+/// Placements, preemptions and other actions to carry out.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Decision {
-    /// Which job goes where.
+    /// Jobs to start, with worker and resources.
     pub place: Vec<Placement>,
-    /// Attempts that are checkpointed.
+    /// Attempts to stop with a checkpoint.
     pub preempt: Vec<Preemption>,
-    /// Jobs that can never run.
+    /// Jobs to end because they fit no worker.
     pub refuse: Vec<JobId>,
-    /// Workers that go into quarantine.
+    /// Workers to put into quarantine.
     pub quarantine: Vec<InstanceId>,
-    /// Workers that come out of it.
+    /// Workers to release from quarantine.
     pub release: Vec<InstanceId>,
-    /// Tasks that use more than their worker can bear; no record is needed for these.
+    /// Tasks to slow down because they exceed their worker's capacity; not recorded in the log.
     pub throttle: Vec<Throttle>,
 }
 
 impl Decision {
-    /// Whether nothing has to be recorded.
+    /// Whether the decision has nothing to record in the log; `throttle` does not count.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.place.is_empty()
@@ -101,42 +106,46 @@
     }
 }
 
-/// A task to slow down.
+/// Request to slow down a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Throttle {
-    /// The job.
+    /// Id of the job.
     pub job: JobId,
-    /// Where it runs.
+    /// Id of the worker that runs it.
     pub worker: InstanceId,
-    /// Its attempt.
+    /// Id of the job's current attempt.
     pub attempt: AttemptId,
 }
 
-/// A team as the planner sees it.
+/// Share and limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TeamTerms {
-    /// Its weight when everything is full.
+    /// Weight of the team when the fleet is fully allocated.
     pub share: u32,
-    /// The most attempts that it may have.
+    /// Maximum number of attempts at a time.
     pub limit: u32,
 }
 
-/// The order in which jobs of a team are tried.
+/// Sort key of a team's waiting jobs: the offset of the submission, then the id.
 type QueueKey = (Offset, JobId);
-/// The place of a worker in the order of the index.
+/// Position of a worker in the indices.
 type Slot = usize;
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Team {
     share: u32,
     limit: u32,
+    /// Number of attempts.
     active: u32,
-    /// For how many jobs room is being made.
+    /// Number of jobs with a reservation.
     reservation_count: u32,
+    /// Sum of the reservations.
     reserved: Resources,
+    /// Allocated resources.
     used: Resources,
-    /// The part of it whose tasks are being stopped.
+    /// The part of `used` whose tasks are being stopped.
     stopping: Resources,
+    /// Allocated and reserved resources of urgent jobs.
     urgent_used: Resources,
     urgent: Queue,
     patient: Queue,
@@ -145,34 +154,35 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Job {
     entry: Entry,
-    /// When it was first seen to wait.
+    /// When the planner first received the job.
     waiting_since: Duration,
     status: JobStatus,
 }
 
-/// Where the books have a job.
+/// State of a job in the accounting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum JobStatus {
-    /// In its team's queue.
+    /// Waits in its team's queue.
     Queued,
-    /// Aside, because it fits no worker.
+    /// Fits no worker, even an empty one; not in the queue.
     Unschedulable { since: Duration },
-    /// On a worker.
+    /// Has resources allocated on a worker.
     Assigned(Task),
-    /// Over.
+    /// Refused or ended.
     Ended,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Task {
     worker: InstanceId,
-    /// What counts as used: what is set aside, or more if more was seen.
+    /// The resources reserved by the placement, raised to the reported usage where that is higher.
     allocated: Resources,
     since: Duration,
     is_stopping: bool,
     throttled: Option<Duration>,
 }
 
+/// A worker with the resources that are allocated and reserved on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Machine {
     worker: Worker,
@@ -180,11 +190,11 @@
     tasks: BTreeSet<JobId>,
     allocated: Resources,
     reserved: Resources,
-    /// What checkpoints of patient work would free.
+    /// Allocated resources of patient tasks, which preemption would free.
     reclaimable: Resources,
 }
 
-/// Room that is being made for a job on a worker.
+/// Capacity that is kept on a worker for a waiting job until enough of it is free.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Reservation {
     team: TeamId,
@@ -195,81 +205,94 @@
     has_preempted: bool,
 }
 
-/// Workers in the order of the index, and the racks and zones they lie in.
+/// Order of the workers in the indices, with the bounds of racks and zones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Layout {
     workers: Vec<InstanceId>,
-    /// For each slot, the slot after the last one of its rack.
+    /// For each slot, the end (exclusive) of its rack.
     rack_end: Vec<Slot>,
+    /// Start and end (exclusive) of each zone, for workers without and with accelerators.
     zones: Vec<(Slot, Slot)>,
-    /// The slot after the last worker without accelerators.
+    /// End (exclusive) of the workers without accelerators.
     cpu_only_end: Slot,
+    /// Number of racks; one that has workers with and without accelerators counts twice.
     racks: usize,
 }
 
-/// The books of batch work and the decisions.
+/// Keeps the accounting of batch jobs and decides on placements.
 #[derive(Debug, Clone, Default)]
 pub struct Planner {
     options: Options,
     machines: BTreeMap<InstanceId, Machine>,
     layout: Layout,
     is_layout_stale: bool,
-    /// Room for patient work, which keeps away from workers in quarantine.
+    /// Free capacity by slot; zero for workers that take no jobs, such as quarantined ones.
     free: Index,
-    /// Room after every patient task is checkpointed.
+    /// Free capacity by slot if all patient tasks were preempted.
     reclaimable: Index,
+    /// Total capacity by slot.
     capacity: Index,
+    /// Sum of the capacity of the workers that take jobs.
     total: Resources,
     total_allocated: Resources,
     teams: BTreeMap<TeamId, Team>,
     jobs: BTreeMap<JobId, Job>,
-    /// Attempts by group, by zone and by rack.
+    /// Number of attempts of each job group by zone and by rack.
     groups: BTreeMap<(TeamId, Box<str>), GroupCounts>,
     reservations: BTreeMap<JobId, Reservation>,
     reservations_on: BTreeMap<InstanceId, BTreeSet<JobId>>,
-    /// Workers with promises that changed since these were last looked at.
+    /// Workers with reservations whose accounting changed since the reservations were checked.
     changed_workers: BTreeSet<InstanceId>,
-    /// When patience with promises ends.
+    /// When each reservation reaches `reservation_timeout`.
     reservation_deadlines: BTreeSet<(Duration, JobId)>,
     unschedulable: BTreeSet<JobId>,
+    /// Workers that take no new jobs, with the time since when.
     leaving: BTreeMap<InstanceId, Duration>,
+    /// Jobs that probe a quarantined worker.
     probes: BTreeMap<JobId, InstanceId>,
+    /// Workers whose probe succeeded, to be released from quarantine by the next decision.
     released: BTreeSet<InstanceId>,
-    /// Workers that refused a start, and until when they get none.
+    /// Workers that refused to start a job, with the time until which none is placed there.
     backing_off: BTreeMap<InstanceId, Duration>,
+    /// Jobs whose usage exceeded their allocation.
     overusing: Vec<JobId>,
     sizes: Sizes,
     health: Health,
+    /// When an urgent job last waited.
     last_urgent: Option<Duration>,
-    /// Where the next search for room by checkpoints begins, so that they spread over workers.
+    /// Where the next search for preemption candidates starts, which spreads preemptions over
+    /// the workers.
     search_start: Slot,
+    /// Whether a change may allow further placements.
     has_changed: bool,
 }
 
+/// Number of attempts of a job group by zone and by rack.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct GroupCounts {
     zones: BTreeMap<ZoneId, u32>,
     racks: BTreeMap<(ZoneId, RackId), u32>,
 }
 
-/// What to do in a team's turn.
+/// Next action for the patient jobs of a team.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Action {
-    /// This job goes to this worker.
+    /// Place the job on the worker with these resources.
     Place(JobId, InstanceId, Resources),
-    /// This job gets room reserved on this worker.
+    /// Reserve these resources for the job on the worker.
     Reserve(JobId, InstanceId, Resources),
-    /// This job fits no worker.
+    /// Set the job aside, as it fits no worker.
     MarkUnschedulable(JobId, Resources),
-    /// Nothing of the team can be placed now.
+    /// No job of the team can be placed in this pass.
     Done,
 }
 
-/// Shapes that found no room in this pass: whatever needs at least as much finds none either.
+/// Resource needs for which no worker had capacity in this pass. A job that needs at least as much
+/// as one of them is not tried.
 #[derive(Debug, Default)]
 struct UnmetNeeds {
     needs: Vec<Resources>,
-    /// Classes none of whose jobs can need less than what found no room.
+    /// Classes of which no job can need less than one of `needs`.
     classes: BTreeSet<JobClass>,
 }
 
@@ -285,7 +308,7 @@
 }
 
 impl Planner {
-    /// A planner that knows of nothing yet.
+    /// Creates a planner without workers, teams or jobs.
     #[must_use]
     pub fn new(options: Options) -> Planner {
         Planner {
@@ -295,7 +318,8 @@
         }
     }
 
-    /// Decides what to do now. `now` is any clock that doesn't go back.
+    /// Decides on the next actions and applies them to the accounting. `now` is the reading of a
+    /// monotonic clock.
     pub fn decide(&mut self, now: Duration) -> Decision {
         let mut decision = Decision::default();
         self.check_worker_health(now, &mut decision);
@@ -311,7 +335,7 @@
         decision
     }
 
-    /// How many jobs wait.
+    /// Number of waiting jobs, including those that fit no worker.
     #[must_use]
     pub fn waiting(&self) -> usize {
         let queues = self.teams.values();
@@ -319,7 +343,7 @@
         queued + self.unschedulable.len()
     }
 
-    /// What `team` has set aside.
+    /// Resources allocated to `team`.
     #[must_use]
     pub fn used_by(&self, team: &str) -> Resources {
         self.teams
@@ -327,20 +351,20 @@
             .map_or_else(Resources::default, |t| t.used)
     }
 
-    /// What is set aside on `worker`, and what it has.
+    /// Allocated resources and capacity of `worker`.
     #[must_use]
     pub fn load_of(&self, worker: &str) -> Option<(Resources, Resources)> {
         let machine = self.machines.get(worker)?;
         Some((machine.allocated, machine.worker.capacity))
     }
 
-    /// How long `job` is expected to run.
+    /// Expected run time of `job`.
     #[must_use]
     pub fn run_time(&self, job: &str) -> Option<Duration> {
         Some(self.sizes.run_time(&self.jobs.get(job)?.entry))
     }
 
-    /// What a job of this shape would get set aside now.
+    /// Resources that a placement of this job would reserve at present.
     #[must_use]
     pub fn need(&self, entry: &Entry) -> Resources {
         self.sizes.need(entry, &self.capacity.max())
@@ -351,7 +375,7 @@
     }
 }
 
-/// Parts in a billion of a resource; of no resource at all, none.
+/// `used / total` in billionths; 0 if `total` is 0.
 fn fraction_ppb(used: u64, total: u64) -> u64 {
     const BILLION: u128 = 1_000_000_000;
     if total == 0 {
@@ -361,7 +385,7 @@
     u64::try_from(ppb).unwrap_or(u64::MAX)
 }
 
-/// The largest part of any resource, in billionths.
+/// Largest fraction of any one resource that is used, in billionths (dominant share).
 fn dominant_share(used: &Resources, total: &Resources) -> u64 {
     fraction_ppb(used.cpu_milli, total.cpu_milli)
         .max(fraction_ppb(used.memory_mib, total.memory_mib))
--- a/crates/pomelohitch-place/src/planner/accounting.rs
+++ b/crates/pomelohitch-place/src/planner/accounting.rs
@@ -1,4 +1,4 @@
-//! Workers, teams and jobs.
+//! Accounting of workers, teams and jobs.
 
 use super::{
     AttemptEnd, AttemptId, Duration, Entry, Index, InstanceId, JobId, JobState, JobStatus, Layout,
@@ -7,7 +7,7 @@
 use super::{Job, dominant_share};
 
 impl Planner {
-    /// Takes over a worker, new or changed.
+    /// Adds or updates a worker.
     pub fn set_worker(&mut self, worker: Worker, now: Duration) {
         if worker.takes_work {
             self.leaving.remove(&worker.id);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// A worker takes work again, or no longer.
+    /// Updates a worker of which only `takes_work` may have changed.
     fn set_availability(&mut self, worker: Worker) {
         let id = worker.id.clone();
         let before = self.schedulable_capacity(&id);
@@ -37,7 +37,7 @@
         self.update_total(&id, &before);
     }
 
-    /// What a worker adds to what there is to share out.
+    /// The capacity that a worker adds to the total: none if it takes no jobs or is quarantined.
     pub(super) fn schedulable_capacity(&self, id: &InstanceId) -> Resources {
         match self.machines.get(id) {
             Some(machine) if machine.worker.takes_work && !self.health.is_quarantined(id) => {
@@ -47,6 +47,7 @@
         }
     }
 
+    /// Updates the total after a change of a worker whose schedulable capacity was `before`.
     pub(super) fn update_total(&mut self, id: &InstanceId, before: &Resources) {
         self.total = self
             .total
@@ -70,7 +71,8 @@
         self.is_layout_stale = true;
     }
 
-    /// A worker is gone. What ran there stays in the books until the log says what became of it.
+    /// Removes a worker. Its attempts stay in the accounting until [`Planner::set_job`] changes
+    /// them.
     pub fn remove_worker(&mut self, id: &InstanceId) {
         if self.machines.remove(id).is_some() {
             self.leaving.remove(id);
@@ -84,12 +86,12 @@
         }
     }
 
-    /// The ids of the known workers.
+    /// Ids of the known workers.
     pub fn workers(&self) -> impl Iterator<Item = &InstanceId> {
         self.machines.keys()
     }
 
-    /// Takes over a team's share and limit.
+    /// Adds a team or updates its share and limit.
     pub fn set_team(&mut self, id: &TeamId, terms: TeamTerms) {
         let team = self.teams.entry(id.clone()).or_default();
         if team.share != terms.share || team.limit != terms.limit {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The workers that the log has in quarantine.
+    /// Replaces the set of quarantined workers by that of the replicated log.
     pub fn set_quarantined<'a>(
         &mut self,
         workers: impl Iterator<Item = &'a InstanceId>,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// Takes over what the log says of a job; `None` if it is no longer kept.
+    /// Applies a job's entry from the replicated log; `None` if the job was removed.
     pub fn set_job(&mut self, id: &JobId, entry: Option<&Entry>, now: Duration) {
         let before = self.jobs.remove(id);
         let task_before = self.detach(id, before.as_ref());
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Takes a job out of wherever the books have it, and tells what it was on a worker.
+    /// Removes a job from its queue or worker. Returns its task if it had one.
     fn detach(&mut self, id: &JobId, job: Option<&Job>) -> Option<Task> {
         let job = job?;
         match &job.status {
@@ -219,7 +221,7 @@
             .remove(&job.entry.job.class, &queue_key(id, job));
     }
 
-    /// Enters a task on a worker.
+    /// Adds a task to its worker, team and group.
     pub(super) fn allocate(&mut self, id: &JobId, job: &mut Job, task: Task) {
         let allocated = task.allocated;
         let worker = task.worker.clone();
@@ -246,6 +248,7 @@
         self.update_indices(&worker);
     }
 
+    /// Removes a task from its worker, team and group.
     fn deallocate(&mut self, id: &JobId, job: &Job, task: &Task) {
         let is_urgent = Planner::is_urgent(&job.entry);
         if let Some(team) = self.teams.get_mut(&job.entry.job.team) {
@@ -292,7 +295,8 @@
         }
     }
 
-    /// An attempt used this much, as its worker reported with a lag.
+    /// Applies a usage report of an attempt, and raises its allocation if it used more. Ignored if
+    /// the attempt is no longer current.
     pub fn used(&mut self, id: &JobId, attempt: AttemptId, used: &Resources) {
         let Some(mut job) = self.jobs.remove(id) else {
             return;
@@ -310,7 +314,7 @@
         self.jobs.insert(id.clone(), job);
     }
 
-    /// An attempt ended by itself.
+    /// Applies the end of an attempt that wasn't stopped; ignored if it is no longer current.
     pub fn ended(&mut self, id: &JobId, attempt: AttemptId, end: AttemptEnd, now: Duration) {
         let Some(job) = self.jobs.get(id) else { return };
         let JobStatus::Assigned(task) = &job.status else {
@@ -331,7 +335,7 @@
         }
     }
 
-    /// A job was killed at this much memory, in mebibytes.
+    /// Raises the need of a job's class after the job was killed for its memory use, in mebibytes.
     pub fn memory_killed(&mut self, id: &JobId, memory_mib: u64) {
         if let Some(job) = self.jobs.get(id) {
             self.sizes
@@ -339,7 +343,8 @@
         }
     }
 
-    /// What the log remembers of the classes whose jobs were killed.
+    /// Applies the memory use, in mebibytes, at which the replicated log has jobs of `class` as
+    /// killed.
     pub fn set_killed_at(&mut self, class: &pomelohitch_core::id::JobClass, memory_mib: u64) {
         self.sizes.observe_memory_kill(class, memory_mib);
     }
@@ -351,7 +356,7 @@
         tasks.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Puts a worker's room into the indices.
+    /// Updates the free and reclaimable capacity of a worker in the indices.
     pub(super) fn update_indices(&mut self, worker: &InstanceId) {
         if self.reservations_on.contains_key(worker) {
             self.changed_workers.insert(worker.clone());
@@ -375,13 +380,14 @@
         self.reclaimable.set(slot, reclaimable);
     }
 
-    /// Workers come and go rarely; the order of the index is then laid out anew.
+    /// Rebuilds the order of the workers and the indices if workers were added, removed or moved.
+    /// This is rare enough for a full rebuild.
     pub(super) fn rebuild_layout(&mut self) {
         if !std::mem::take(&mut self.is_layout_stale) {
             return;
         }
         let mut order: Vec<_> = self.machines.values().map(|m| m.worker.clone()).collect();
-        // Workers with accelerators come last: they are for those who need them.
+        // Workers with accelerators come last, so that jobs that need none fill them last.
         order.sort_by(|a, b| layout_key(a).cmp(&layout_key(b)));
         self.layout = Layout::new(&order);
         self.free = Index::new(order.len());
@@ -401,7 +407,7 @@
         }
     }
 
-    /// A worker came while the log already had attempts on it.
+    /// Adds the attempts that were placed on a worker before the planner knew it.
     fn add_existing_tasks(&mut self, id: &InstanceId) {
         let Some(machine) = self.machines.get_mut(id) else {
             return;
@@ -420,13 +426,13 @@
         }
     }
 
-    /// A team's part of the fleet for its weight; the team with the lowest is next.
+    /// The team's dominant share divided by its weight; the team with the lowest is next.
     pub(super) fn weighted_share(&self, team: &Team) -> u64 {
         dominant_share(&team.used, &self.total) / u64::from(team.share.max(1))
     }
 
-    /// A team's part for its weight once promises to it are kept, what is being stopped is gone,
-    /// and `more` is added.
+    /// The team's weighted share with its reservations and `more` added, and without the tasks
+    /// that are being stopped.
     pub(super) fn weighted_share_after(&self, team: &Team, more: &Resources) -> u64 {
         let used = team.used.plus(&team.reserved).plus(more);
         dominant_share(&used.minus(&team.stopping), &self.total) / u64::from(team.share.max(1))
@@ -434,14 +440,14 @@
 }
 
 impl Machine {
-    /// What is neither held nor promised.
+    /// Capacity that is neither allocated nor reserved.
     pub(super) fn free(&self) -> Resources {
         self.worker
             .capacity
             .minus(&self.allocated.plus(&self.reserved))
     }
 
-    /// What is free after every patient task is checkpointed.
+    /// Capacity that would be free if all patient tasks were preempted.
     pub(super) fn after_checkpoints(&self) -> Resources {
         let in_use = self.allocated.minus(&self.reclaimable);
         self.worker.capacity.minus(&in_use.plus(&self.reserved))
--- a/crates/pomelohitch-place/src/planner/maintenance.rs
+++ b/crates/pomelohitch-place/src/planner/maintenance.rs
@@ -1,12 +1,14 @@
-//! Leaving workers, quarantine, jobs that fit nowhere, tasks that use too much.
+//! Drains leaving workers, throttles tasks that exceed their worker's capacity, probes quarantined
+//! workers, and refuses jobs that fit no worker.
 
 use super::{Decision, Duration, InstanceId, JobId, JobStatus, Planner, Resources, Task, Throttle};
 
-/// How many waiting jobs are looked at for one that may probe a worker.
+/// Maximum number of waiting jobs that are tried as the probe of a worker.
 const MAX_PROBE_CANDIDATES: usize = 64;
 
 impl Planner {
-    /// What a leaving worker still runs is checkpointed, unless it is about to end by itself.
+    /// Preempts the tasks on leaving workers: immediately, or after `drain_grace` if they are
+    /// expected to end within it.
     pub(super) fn drain(&mut self, now: Duration, decision: &mut Decision) {
         let grace = self.options.drain_grace;
         let mut tasks = Vec::new();
@@ -30,8 +32,9 @@
         self.preempt(&tasks, decision);
     }
 
-    /// A worker whose tasks use more than it has kills one of them sooner or later. The task that
-    /// took more than was set aside is slowed down first, and checkpointed if that doesn't help.
+    /// Limits tasks whose usage exceeds their allocation on a worker that is over capacity, before
+    /// the worker runs out and kills a task: throttles such a task first, and preempts it if the
+    /// worker is still over capacity after `throttle_grace`.
     pub(super) fn limit_overuse(&mut self, now: Duration, decision: &mut Decision) {
         for id in std::mem::take(&mut self.overusing) {
             let Some(job) = self.jobs.get_mut(&id) else {
@@ -67,7 +70,8 @@
         }
     }
 
-    /// A worker refused a start although the books say it has room: it gets none for a while.
+    /// Places no job on `worker` for `refusal_backoff`, after it refused to start one although the
+    /// accounting has enough free capacity there.
     pub fn shun(&mut self, worker: &InstanceId, now: Duration) {
         let until = now + self.options.refusal_backoff;
         self.backing_off.insert(worker.clone(), until);
@@ -83,6 +87,8 @@
         }
     }
 
+    /// Ends backoffs that are over, quarantines faulty workers, releases those whose probe
+    /// succeeded, and starts probes that are due.
     pub(super) fn check_worker_health(&mut self, now: Duration, decision: &mut Decision) {
         self.end_backoffs(now);
         for worker in self.health.take_suspects(self.machines.len()) {
@@ -99,7 +105,8 @@
         }
     }
 
-    /// Sends one job that may run twice to a worker in quarantine, to see whether it is well.
+    /// Places one idempotent job on a quarantined worker, to find out whether the worker has
+    /// recovered. Returns whether a suitable job was found.
     fn probe(&mut self, worker: &InstanceId, now: Duration, decision: &mut Decision) -> bool {
         let Some(machine) = self.machines.get(worker) else {
             return false;
@@ -126,13 +133,14 @@
         true
     }
 
-    /// Whether any worker, empty, has room for `need`.
+    /// Whether `need` is within the total capacity of any worker.
     pub(super) fn fits_some_worker(&self, need: &Resources) -> bool {
         let len = self.layout.workers.len();
         self.capacity.first(0, len, need).is_some()
     }
 
-    /// Sets a job aside that fits no worker at all, so that it blocks nobody.
+    /// Takes a job that fits no worker out of its queue, so that it doesn't block other jobs.
+    /// Returns whether it did.
     pub(super) fn mark_if_unschedulable(
         &mut self,
         id: &JobId,
@@ -152,7 +160,7 @@
         true
     }
 
-    /// The workers changed: a job that was set aside is tried again.
+    /// Queues an unschedulable job again if it fits a worker after a change of the workers.
     pub(super) fn retry_unschedulable(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else {
             return;
@@ -176,7 +184,8 @@
         self.has_changed = true;
     }
 
-    /// Ends jobs that fit no worker: not at once, since a large worker may only be rebooting.
+    /// Refuses jobs that have been unschedulable for `unschedulable_grace`; not earlier, since a
+    /// large worker may only be rebooting.
     pub(super) fn refuse_unschedulable(&mut self, now: Duration, decision: &mut Decision) {
         let grace = self.options.unschedulable_grace;
         if self.layout.workers.is_empty() {
@@ -196,7 +205,7 @@
         decision.refuse.extend(due);
     }
 
-    /// How many tasks are on workers, for the metrics.
+    /// Number of tasks on workers, for the metrics.
     #[must_use]
     pub fn tasks(&self) -> usize {
         let is_on = |job: &&super::Job| matches!(job.status, JobStatus::Assigned(Task { .. }));
--- a/crates/pomelohitch-place/src/planner/patient_jobs.rs
+++ b/crates/pomelohitch-place/src/planner/patient_jobs.rs
@@ -1,4 +1,4 @@
-//! Patient work: by weighted dominant shares, and no job is passed over for ever.
+//! Placement of patient jobs by weighted dominant shares, with reservations against starvation.
 
 use std::collections::BTreeSet;
 
@@ -33,8 +33,9 @@
         }
     }
 
-    /// The first of the team's next jobs that finds room. If the very first finds none, room is
-    /// reserved for it, so that smaller jobs can't keep it waiting for ever.
+    /// The next action for a team: places the first of its next jobs that fits a worker at
+    /// present. If the first job fits none, capacity is reserved for it, so that smaller jobs
+    /// can't starve it.
     fn next_action(&self, team: &TeamId, now: Duration, unmet: &mut UnmetNeeds) -> Action {
         let account = &self.teams[team];
         if account.active + account.reservation_count >= account.limit {
@@ -76,15 +77,16 @@
         Action::Done
     }
 
-    /// Whether no job of the class can need less: what is set aside follows from the class alone,
-    /// but for a kill, which only raises it, and accelerators, of which this one needs none.
+    /// Whether no job of the class can need less than `need`. For a learned class, the need
+    /// depends on the class alone except for a memory floor, which only raises it, and
+    /// accelerators; so this holds for a job without either.
     fn is_class_minimum(&self, entry: &Entry, need: &Resources) -> bool {
         self.sizes.is_learned(&entry.job.class)
             && entry.memory_floor_mib == 0
             && need.accelerators == 0
     }
 
-    /// Enters a placement into the books and the decision.
+    /// Adds a placement to the accounting and the decision.
     pub(super) fn place(
         &mut self,
         id: &JobId,
--- a/crates/pomelohitch-place/src/planner/queue.rs
+++ b/crates/pomelohitch-place/src/planner/queue.rs
@@ -1,8 +1,7 @@
-//! The waiting jobs of a team, in order, by class.
+//! Queue of a team's waiting jobs, in order of submission, by class.
 //!
-//! Jobs of one class need about the same. When the first of a class finds no room, its followers
-//! won't either, and must not hide what waits behind them: what is tried next is the first job
-//! of another class.
+//! Jobs of one class have similar needs: if the first one fits no worker, the others of its class
+//! are unlikely to. To avoid head-of-line blocking, the first job of the next class is then tried.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +9,7 @@
 
 use super::QueueKey;
 
-/// Waiting jobs.
+/// Queue of waiting jobs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Queue {
     by_class: BTreeMap<JobClass, BTreeSet<QueueKey>>,
@@ -36,7 +35,7 @@
         self.update_class(class, |jobs| jobs.remove(key));
     }
 
-    /// The jobs to try, one of each class, in their order.
+    /// The first job of each class that isn't skipped, ordered by the first jobs of the classes.
     pub(super) fn first_of_each_class<'a>(
         &'a self,
         is_skipped: impl Fn(&JobId) -> bool + 'a,
@@ -45,12 +44,12 @@
         classes.filter_map(move |class| self.first_of_class(class, &is_skipped))
     }
 
-    /// The classes, in the order of their first jobs.
+    /// The classes, ordered by their first jobs.
     pub(super) fn classes(&self) -> impl Iterator<Item = &JobClass> {
         self.heads.iter().map(|(_, class)| class)
     }
 
-    /// The first job of a class that isn't passed over.
+    /// The first job of a class that isn't skipped.
     pub(super) fn first_of_class(
         &self,
         class: &JobClass,
@@ -60,7 +59,7 @@
         jobs.find(|id| !is_skipped(id))
     }
 
-    /// Changes the jobs of a class, and keeps its head in step.
+    /// Changes the jobs of a class, and updates `len` and `heads` to match.
     fn update_class(
         &mut self,
         class: &JobClass,
--- a/crates/pomelohitch-place/src/planner/reservations.rs
+++ b/crates/pomelohitch-place/src/planner/reservations.rs
@@ -1,8 +1,9 @@
-//! Room that is being made for a job.
+//! Reservations of capacity for jobs that fit no worker at present, and preemption.
 //!
-//! An urgent job gets room by checkpoints at once, a patient one that fits nowhere by jobs that
-//! end, and after [`Options::patience`](super::Options::patience) by checkpoints. What is promised counts as used on the worker and by
-//! the team, so that nobody else takes it in between.
+//! For an urgent job, patient tasks are preempted immediately. A patient job waits for running
+//! tasks to end; after [`Options::reservation_timeout`](super::Options::reservation_timeout),
+//! patient tasks are preempted for it too. Reserved resources count as used on the worker and by
+//! the team, so that no other job takes them.
 
 use super::{
     Decision, Duration, InstanceId, JobId, JobStatus, Machine, Planner, Preemption, Reservation,
@@ -10,21 +11,22 @@
 };
 use std::collections::BTreeSet;
 
-/// How many workers are weighed against one another before room is made on one.
+/// Maximum number of workers that are compared for a preemption or reservation.
 const MAX_CANDIDATES: usize = 12;
 
-/// Tasks whose checkpoints make room on a worker.
+/// Tasks to preempt on a worker to free enough capacity for a job.
 #[derive(Debug)]
 struct Victims {
     worker: InstanceId,
     tasks: Vec<JobId>,
-    /// Lower is better: how much is freed, in thousandths of a processor, then for how long
-    /// the tasks have run.
+    /// Lower is better: freed processors in thousandths, then the summed run time of the tasks so
+    /// far.
     cost: (u64, Duration),
 }
 
 impl Planner {
-    /// Makes room for an urgent job by checkpoints. Returns whether it could.
+    /// Preempts patient tasks for an urgent job on the worker where this costs least, and reserves
+    /// the capacity for the job. Returns whether a worker was found.
     pub(super) fn preempt_for_urgent(
         &mut self,
         id: &JobId,
@@ -66,8 +68,8 @@
         true
     }
 
-    /// Workers on which checkpoints could make room, from the turn on, but for those from
-    /// `left` up to `headroom_end`.
+    /// Workers on which preemption could free enough capacity, beginning at `search_start` and
+    /// wrapping around, without those in `headroom_start..headroom_end`.
     fn preemption_candidates(
         &self,
         id: &JobId,
@@ -98,9 +100,9 @@
         found
     }
 
-    /// Patient tasks on `machine` that make room for `need`: the smallest one that does it alone,
-    /// or else the largest first. A large task checkpointed for a small one would have to find
-    /// a whole worker again.
+    /// Patient tasks on `machine` whose preemption frees enough for `need`: the smallest single
+    /// task that suffices, or else tasks from the largest down. The smallest is preferred because
+    /// a large task is hard to place again: it may need a whole worker.
     fn victims(
         &self,
         machine: &Machine,
@@ -124,8 +126,8 @@
             let size = b.allocated.cpu_milli.cmp(&a.allocated.cpu_milli);
             size.then(b.since.cmp(&a.since)).then(a_id.cmp(b_id))
         });
-        // What is being stopped already makes room for what is promised already; counted as
-        // kept, it would be made twice.
+        // Tasks that are being stopped already free capacity for existing reservations. If they
+        // counted as in use, tasks would be preempted twice for the same reservation.
         let in_use = machine.allocated.minus(&self.stopping_on(machine));
         let mut in_use = in_use.plus(&machine.reserved);
         let mut victims = Vec::new();
@@ -154,6 +156,7 @@
         })
     }
 
+    /// Allocated resources of the tasks on `machine` that are being stopped.
     fn stopping_on(&self, machine: &Machine) -> Resources {
         let tasks = machine.tasks.iter().filter_map(|id| self.jobs.get(id));
         let stopping = tasks.filter_map(|job| match &job.status {
@@ -163,14 +166,14 @@
         stopping.fold(Resources::default(), |sum, allocated| sum.plus(&allocated))
     }
 
-    /// Enters checkpoints into the books and the decision.
+    /// Adds preemptions to the accounting and the decision.
     pub(super) fn preempt(&mut self, tasks: &[JobId], decision: &mut Decision) {
         for id in tasks {
             let Some(job) = self.jobs.get_mut(id) else {
                 continue;
             };
-            // What was placed in this very decision has no attempt yet; it is dealt with once
-            // the log says that it has one.
+            // A job placed in this same decision has no attempt yet; it can be preempted once its
+            // entry in the log has one.
             let Some(attempt) = job.entry.attempt().map(|a| a.attempt) else {
                 continue;
             };
@@ -188,7 +191,8 @@
         }
     }
 
-    /// The worker on which a patient job is likely to have room first, if some may be reserved.
+    /// The worker expected to have enough free capacity for a patient job first; `None` if the job
+    /// may have no reservation or no worker qualifies.
     pub(super) fn worker_to_reserve(
         &self,
         id: &JobId,
@@ -209,9 +213,10 @@
         Some(self.layout.workers[earliest?].clone())
     }
 
-    /// Room that waits for a large job lies idle in part, so that few workers are kept for jobs
-    /// that came lately, and more for those that have waited long; and a team's reservations stay
-    /// within its share.
+    /// Whether a patient job may have a reservation. Reserved capacity is partly idle, so
+    /// reservations are limited to a twentieth of the workers, or a quarter for jobs that have
+    /// waited for `reservation_timeout`, but at least one. A team may have more than one only
+    /// within its fair share, with a tolerance of a quarter.
     fn may_reserve(&self, id: &JobId, need: &Resources, now: Duration) -> bool {
         let Some(job) = self.jobs.get(id) else {
             return false;
@@ -228,7 +233,8 @@
             || dominant_share(&wanted, &self.total) <= self.fair_share(team) / 4 * 5
     }
 
-    /// When `machine` is expected to have room for `need`, as its tasks end.
+    /// When `machine` is expected to have enough free capacity for `need`, by the expected ends of
+    /// its tasks.
     fn free_at(&self, machine: &Machine, need: &Resources, now: Duration) -> Duration {
         let mut ends: Vec<_> = machine
             .tasks
@@ -259,6 +265,7 @@
         }
     }
 
+    /// Reserves `need` on `worker` for a job.
     pub(super) fn reserve(
         &mut self,
         id: &JobId,
@@ -266,7 +273,7 @@
         need: Resources,
         now: Duration,
     ) {
-        // The next search begins after this worker, so that promises spread.
+        // The next search starts after this worker, which spreads reservations over the workers.
         let slot = self.machines.get(worker).map_or(0, |machine| machine.slot);
         self.search_start = (slot + 1) % self.layout.workers.len().max(1);
         let Some(job) = self.jobs.get(id) else { return };
@@ -300,6 +307,7 @@
         }
     }
 
+    /// Adds a reservation to its worker and team, or subtracts it.
     fn count_reservation(&mut self, reservation: &Reservation, is_added: bool) {
         let change = |sum: Resources| {
             if is_added {
@@ -324,8 +332,9 @@
         self.update_indices(&reservation.worker);
     }
 
-    /// Places jobs whose room is there, and makes it by checkpoints where it took too long.
-    /// Looks only at promises whose worker changed or whose time has come.
+    /// Places jobs whose reserved capacity is free, and preempts tasks for reservations that have
+    /// reached `reservation_timeout`. Checks only reservations that reached it or whose worker
+    /// changed.
     pub(super) fn fulfill_reservations(&mut self, now: Duration, decision: &mut Decision) {
         let mut jobs = BTreeSet::new();
         for worker in std::mem::take(&mut self.changed_workers) {
@@ -390,8 +399,9 @@
         }
         if reservation.has_preempted {
             if !self.is_any_task_stopping(machine) {
-                // The room was made and is gone again: a task that stayed uses more than was
-                // thought. Without a new search the job would wait for this worker for ever.
+                // The preempted tasks are gone, but the capacity is still not free: a remaining
+                // task uses more than its allocation. Without a new search, the job would wait
+                // for this worker indefinitely.
                 self.remove_reservation(id);
                 self.has_changed = true;
             }
@@ -415,13 +425,13 @@
         decision: &mut Decision,
     ) {
         let machine = &self.machines[&reservation.worker];
-        // The promise itself is part of what is promised on the worker.
+        // The reserved resources of the worker include this reservation.
         let without_own = Machine {
             reserved: machine.reserved.minus(&reservation.need),
             ..machine.clone()
         };
         let Some(victims) = self.victims(&without_own, &reservation.need, now, |_| true) else {
-            // Urgent work holds the worker; another one is sought.
+            // Urgent tasks occupy the worker; drop the reservation and search for another one.
             self.remove_reservation(id);
             self.has_changed = true;
             return;
--- a/crates/pomelohitch-place/src/planner/search.rs
+++ b/crates/pomelohitch-place/src/planner/search.rs
@@ -1,4 +1,4 @@
-//! Where a job finds room.
+//! Search for a worker with enough free capacity for a job.
 
 use std::time::Duration;
 
@@ -7,16 +7,17 @@
 
 use super::{Index, InstanceId, Planner, Slot};
 
-/// With fewer workers than this, none is left to urgent work alone.
+/// With fewer workers without accelerators than this, no headroom is kept for urgent jobs.
 const MIN_WORKERS_FOR_HEADROOM: usize = 10;
-/// With fewer racks than this, a job that failed on one may go to the same rack again.
+/// With fewer racks than this, a job may be placed again on the rack where it failed.
 const MIN_RACKS_TO_AVOID_ONE: usize = 4;
-/// How many racks of a zone are looked at for a job of a group.
+/// Maximum number of racks of a zone that are compared for a job of a group.
 const MAX_RACKS_TRIED: usize = 16;
 
 impl Planner {
-    /// A worker with room for a patient job: the first one, so that room stays together at the
-    /// end of the order.
+    /// Finds a worker with enough free capacity for a patient job: the first one in index order,
+    /// which keeps free capacity contiguous at the end, or for a job of a group the one that
+    /// spreads the group.
     pub(super) fn find_worker(
         &self,
         entry: &Entry,
@@ -32,9 +33,10 @@
         Some(self.layout.workers[slot?].clone())
     }
 
-    /// Where patient work goes. While there was urgent work lately, the last workers without
-    /// accelerators are left to it: placing on free room costs milliseconds, a checkpoint costs
-    /// somebody's work. Room spread over all workers would be too little on each.
+    /// Slot ranges open to patient jobs. If urgent jobs were waiting within `headroom_period`, the
+    /// last workers without accelerators are kept free for them: an urgent job starts within
+    /// milliseconds on free capacity, whereas a preemption loses work of the preempted task. The
+    /// headroom consists of whole workers because a small part of every worker would fit no job.
     pub(super) fn patient_ranges(&self, now: Duration) -> [(Slot, Slot); 2] {
         let (cpu_only, all) = (self.layout.cpu_only_end, self.layout.workers.len());
         let is_recent = |at: Duration| now.saturating_sub(at) <= self.options.headroom_period;
@@ -42,7 +44,7 @@
             return [(0, cpu_only), (cpu_only, all)];
         }
         let headroom = (cpu_only * self.options.headroom_permille).div_ceil(1000);
-        // With very few workers none can be spared.
+        // In a small fleet, one worker of headroom would be too large a part of the capacity.
         let headroom = if cpu_only < MIN_WORKERS_FOR_HEADROOM {
             0
         } else {
@@ -51,8 +53,9 @@
         [(0, cpu_only - headroom), (cpu_only, all)]
     }
 
-    /// A worker with room for an urgent job: the last one without accelerators, where patient
-    /// work doesn't go or comes last, and one with accelerators if there is no other.
+    /// Finds a worker with enough free capacity for an urgent job: the last one without
+    /// accelerators, since patient jobs fill workers from the front, or else the last one with
+    /// accelerators.
     pub(super) fn find_urgent_worker(
         &self,
         entry: &Entry,
@@ -68,6 +71,7 @@
         Some(self.layout.workers[slot?].clone())
     }
 
+    /// The last slot before `end` with enough free capacity that the job doesn't avoid.
     fn last_allowed(&self, end: Slot, entry: &Entry, need: &Resources) -> Option<Slot> {
         let mut end = end;
         loop {
@@ -79,7 +83,7 @@
         }
     }
 
-    /// The first slot with room in `index` that the job doesn't avoid.
+    /// The first slot in `from..end` with enough capacity in `index` that the job doesn't avoid.
     pub(super) fn first_allowed(
         &self,
         index: &Index,
@@ -98,8 +102,9 @@
         }
     }
 
-    /// A rack can be bad as a whole. A job that failed on one of its workers would use up its
-    /// tries on the neighbours and be ended for what isn't its fault, so it goes to other racks.
+    /// Whether the job failed on this worker or, with enough racks, on another one of its rack.
+    /// A fault can affect a whole rack; a job retried there could use up its attempts and be
+    /// ended although it is not at fault.
     fn avoids(&self, entry: &Entry, slot: Slot) -> bool {
         if entry.failed_on.is_empty() {
             return false;
@@ -114,8 +119,8 @@
         })
     }
 
-    /// The zone, and in it the rack, with the fewest of the job's group, so that a failing rack
-    /// or zone takes few of them along.
+    /// Finds a slot in the zone, and within it the rack, with the fewest attempts of the job's
+    /// group, so that the failure of a rack or zone affects few of them.
     fn slot_for_group(&self, entry: &Entry, need: &Resources) -> Option<Slot> {
         let group = entry.job.group.clone()?;
         let counts = self.groups.get(&(entry.job.team.clone(), group));
--- a/crates/pomelohitch-place/src/planner/urgent_jobs.rs
+++ b/crates/pomelohitch-place/src/planner/urgent_jobs.rs
@@ -1,4 +1,4 @@
-//! Urgent work: placed first, and room is made for it.
+//! Placement of urgent jobs: before patient jobs, preempting patient tasks where needed.
 
 use std::collections::BTreeSet;
 
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Places the team's next urgent job, or makes room for it. Returns whether the team may
-    /// have more.
+    /// Places the team's next urgent job, or preempts patient tasks for it. Returns whether the
+    /// team may have further jobs to place in this pass.
     fn place_first_urgent(
         &mut self,
         team: &TeamId,
@@ -58,7 +58,8 @@
             if self.preempt_for_urgent(&id, &need, now, decision) {
                 return true;
             }
-            // A team beyond its share may fail where another one doesn't.
+            // Preemption for a team beyond its fair share is restricted, so that its failure
+            // says nothing about other teams.
             if self.may_preempt_others(team, &need) {
                 unmet.add(need);
             }
@@ -66,8 +67,8 @@
         false
     }
 
-    /// The team's next urgent jobs for which no room is being made yet, one of each class, if
-    /// the team may have more running.
+    /// The team's next urgent jobs without a reservation, one of each class; none if the team is
+    /// at its limit.
     fn next_urgent(&self, team: &TeamId) -> Vec<JobId> {
         let account = &self.teams[team];
         if account.active + account.reservation_count >= account.limit {
@@ -79,16 +80,17 @@
         next.take(self.options.lookahead).cloned().collect()
     }
 
-    /// Whether urgent work of `team` may take room from any team's patient work: as long as its
-    /// urgent work alone stays within the team's share. Beyond that it takes from teams that
-    /// have more for their weight; whoever calls all of its work urgent would otherwise get the
-    /// whole fleet.
+    /// Whether urgent jobs of `team` may preempt patient tasks of any team: only while its urgent
+    /// jobs with `need` stay within the team's fair share. Beyond that they preempt only tasks of
+    /// the team itself and of teams with a higher weighted share. Without this limit, a team that
+    /// marks all of its jobs as urgent would get the whole fleet.
     pub(super) fn may_preempt_others(&self, team: &str, need: &Resources) -> bool {
         let account = &self.teams[team];
         dominant_share(&account.urgent_used.plus(need), &self.total) <= self.fair_share(account)
     }
 
-    /// A team's part of the fleet, in billionths, among the teams that have or want something.
+    /// The team's share of the fleet by weight, in billionths, among the teams with active or
+    /// queued jobs.
     pub(super) fn fair_share(&self, account: &Team) -> u64 {
         let shares = self
             .teams
--- a/crates/pomelohitch-place/src/sizes.rs
+++ b/crates/pomelohitch-place/src/sizes.rs
@@ -1,7 +1,8 @@
-//! What jobs of a class really need, learned from usage.
+//! Estimates of the resources and run times of job classes, learned from usage.
 //!
-//! Declared sizes and run times are far off. Usage is reported with a lag, so a class is believed
-//! only after some of its jobs ended; what was seen is never gone below.
+//! Declared resources and run times are often far off. Usage is reported with a delay, so a class
+//! counts as learned only after several of its jobs have ended. Memory estimates are never lower
+//! than the observed peak.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,14 +11,14 @@
 use pomelohitch_core::record::job::Resources;
 use pomelohitch_core::state::jobs::Entry;
 
-/// After so many ended jobs of a class, what was seen replaces what is declared.
+/// Number of ended jobs of a class after which observed values replace the declared ones.
 const MIN_ENDED: u32 = 5;
-/// Memory set aside above the most that was seen, in percent: more than that kills the job.
+/// Memory reserved above the observed peak, in percent, since a job that exceeds it is killed.
 const MEMORY_MARGIN_PERCENT: u64 = 8;
-/// The weight of the newest run time, in percent.
+/// Weight of the latest run time in the moving average, in percent.
 const NEWEST_WEIGHT_PERCENT: u32 = 20;
 
-/// What was seen of a class.
+/// Observations of a class.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Observed {
     peak: Resources,
@@ -26,20 +27,20 @@
     killed_at_mib: u64,
 }
 
-/// What was seen of every class.
+/// Observations of all classes.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Sizes {
     classes: BTreeMap<JobClass, Observed>,
 }
 
 impl Sizes {
-    /// A job of `class` used this much.
+    /// Raises the peak usage of `class` to `used`.
     pub fn observe_usage(&mut self, class: &JobClass, used: &Resources) {
         let observed = self.classes.entry(class.clone()).or_default();
         observed.peak = observed.peak.larger(used);
     }
 
-    /// A job of `class` ran to its end in `run_time`.
+    /// Adds the run time of a job of `class` that ended.
     pub fn observe_run_time(&mut self, class: &JobClass, run_time: Duration) {
         let observed = self.classes.entry(class.clone()).or_default();
         observed.run_time = if observed.ended == 0 {
@@ -51,15 +52,16 @@
         observed.ended = observed.ended.saturating_add(1);
     }
 
-    /// A job of `class` was killed at this much memory, in mebibytes.
+    /// Adds a kill of a job of `class` at this memory use, in mebibytes.
     pub fn observe_memory_kill(&mut self, class: &JobClass, memory_mib: u64) {
         let observed = self.classes.entry(class.clone()).or_default();
         observed.killed_at_mib = observed.killed_at_mib.max(memory_mib);
     }
 
-    /// What to set aside for a job. Never less than its class was seen to use, nor than what a
-    /// kill showed to be too little; never more than `largest`, the largest worker, unless even
-    /// that was seen to be too little.
+    /// Resources to reserve for a job: by the observed peak of its class and the memory at which
+    /// jobs of the class were killed, or as declared for a class without observations. `largest` is
+    /// the maximum of each resource over the workers. Memory is capped at it unless jobs of the
+    /// class used more or were killed at that much, processors unless more are declared.
     #[must_use]
     pub fn need(&self, entry: &Entry, largest: &Resources) -> Resources {
         let declared = entry.job.need;
@@ -79,7 +81,8 @@
         } else {
             declared.larger(&observed.peak)
         };
-        // Only the job that was killed is sure to need much more; its class gets the margin.
+        // Only the killed job itself certainly needs much more, which its memory floor covers; the
+        // other jobs of the class get the margin above the kill level.
         let kill_level = with_margin(observed.killed_at_mib);
         need.memory_mib = need.memory_mib.max(kill_level);
         let exceeds_largest = need.memory_mib > largest.memory_mib;
@@ -92,14 +95,14 @@
         need.larger(&floor)
     }
 
-    /// Whether what is set aside for a class follows from what was seen of it.
+    /// Whether the needs of a class are taken from observations instead of declarations.
     #[must_use]
     pub fn is_learned(&self, class: &JobClass) -> bool {
         let observed = self.classes.get(class);
         observed.is_some_and(|observed| observed.ended >= MIN_ENDED && observed.peak.cpu_milli > 0)
     }
 
-    /// How long a job is expected to run.
+    /// Expected run time of a job: the average of its class, or else the declared one.
     #[must_use]
     pub fn run_time(&self, entry: &Entry) -> Duration {
         match self.classes.get(&entry.job.class) {
@@ -109,8 +112,9 @@
     }
 }
 
-/// Half as much again may be more than any worker has, although what the job was killed at isn't:
-/// it then gets the largest worker, instead of being refused.
+/// Caps a memory floor, which is 1.5 times the memory at which the job was killed, at the largest
+/// worker if that has more than the job was killed at. Otherwise the job would be refused although
+/// it may fit.
 fn cap_floor(floor: u64, largest: u64) -> u64 {
     let killed_at = floor / 3 * 2;
     if killed_at < largest {
--- a/crates/pomelohitch-place/src/worker.rs
+++ b/crates/pomelohitch-place/src/worker.rs
@@ -1,19 +1,19 @@
-//! Workers as the planner sees them.
+//! The planner's input for a worker.
 
 use pomelohitch_core::id::{InstanceId, RackId, ZoneId};
 use pomelohitch_core::record::job::Resources;
 
-/// A worker.
+/// An instance that runs batch jobs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Worker {
-    /// Its id.
+    /// Id of the instance.
     pub id: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the worker.
     pub zone: ZoneId,
-    /// Its rack.
+    /// Rack within the zone.
     pub rack: RackId,
-    /// What it has.
+    /// Resources of the worker that are available to jobs.
     pub capacity: Resources,
-    /// Whether it takes new work; one that drains or leaves doesn't.
+    /// Whether the worker takes new jobs; `false` while it drains or leaves.
     pub takes_work: bool,
 }
