--- a/crates/pomelohitch-place/src/index.rs
+++ b/crates/pomelohitch-place/src/index.rs
@@ -28,9 +28,9 @@
     }
 
     /// Sets the resources of a slot.
-    pub fn set(&mut self, slot: usize, free: Resources) {
+    pub fn set(&mut self, slot: usize, resources: Resources) {
         let mut at = self.leaves + slot;
-        self.nodes[at] = free;
+        self.nodes[at] = resources;
         while at > 1 {
             at /= 2;
             let max = self.nodes[2 * at].larger(&self.nodes[2 * at + 1]);
--- a/crates/pomelohitch-place/src/planner.rs
+++ b/crates/pomelohitch-place/src/planner.rs
@@ -179,7 +179,7 @@
     allocated: Resources,
     since: Duration,
     is_stopping: bool,
-    throttled: Option<Duration>,
+    throttled_at: Option<Duration>,
 }
 
 /// A worker with the resources that are allocated and reserved on it.
@@ -297,7 +297,8 @@
 }
 
 impl UnmetNeeds {
-    fn covers(&self, need: &Resources) -> bool {
+    /// Whether `need` is at least as much as one of the unmet needs.
+    fn rules_out(&self, need: &Resources) -> bool {
         self.needs.iter().any(|unmet| need.covers(unmet))
     }
 
--- a/crates/pomelohitch-place/src/planner/accounting.rs
+++ b/crates/pomelohitch-place/src/planner/accounting.rs
@@ -160,7 +160,7 @@
                     allocated: attempt.reserve,
                     since: now,
                     is_stopping: false,
-                    throttled: None,
+                    throttled_at: None,
                 };
                 let same_task = task_before.filter(|task| task.worker == attempt.worker);
                 let mut task = same_task.unwrap_or(new_task);
@@ -372,7 +372,7 @@
             && !self.health.is_quarantined(worker)
             && !self.backing_off.contains_key(worker);
         let (free, reclaimable) = if is_available {
-            (machine.free(), machine.after_checkpoints())
+            (machine.free(), machine.free_after_preemption())
         } else {
             Default::default()
         };
@@ -448,7 +448,7 @@
     }
 
     /// Capacity that would be free if all patient tasks were preempted.
-    pub(super) fn after_checkpoints(&self) -> Resources {
+    pub(super) fn free_after_preemption(&self) -> Resources {
         let in_use = self.allocated.minus(&self.reclaimable);
         self.worker.capacity.minus(&in_use.plus(&self.reserved))
     }
--- a/crates/pomelohitch-place/src/planner/maintenance.rs
+++ b/crates/pomelohitch-place/src/planner/maintenance.rs
@@ -52,8 +52,8 @@
             let Some(attempt) = job.entry.attempt().map(|a| a.attempt) else {
                 continue;
             };
-            let Some(throttled) = task.throttled else {
-                task.throttled = Some(now);
+            let Some(throttled_at) = task.throttled_at else {
+                task.throttled_at = Some(now);
                 decision.throttle.push(Throttle {
                     job: id.clone(),
                     worker: task.worker.clone(),
@@ -62,7 +62,7 @@
                 self.overusing.push(id);
                 continue;
             };
-            if now.saturating_sub(throttled) < self.options.throttle_grace {
+            if now.saturating_sub(throttled_at) < self.options.throttle_grace {
                 self.overusing.push(id);
             } else {
                 self.preempt(&[id], decision);
--- a/crates/pomelohitch-place/src/planner/patient_jobs.rs
+++ b/crates/pomelohitch-place/src/planner/patient_jobs.rs
@@ -57,7 +57,7 @@
             if !self.fits_some_worker(&need) {
                 return Action::MarkUnschedulable(id.clone(), need);
             }
-            if !unmet.covers(&need) {
+            if !unmet.rules_out(&need) {
                 if let Some(worker) = self.find_worker(entry, &need, now) {
                     return Action::Place(id.clone(), worker, need);
                 }
@@ -65,7 +65,7 @@
                     unmet.add(need);
                 }
             }
-            if unmet.covers(&need) && self.is_class_minimum(entry, &need) {
+            if unmet.rules_out(&need) && self.is_class_minimum(entry, &need) {
                 unmet.classes.insert(class.clone());
             }
             if number == 0
@@ -105,7 +105,7 @@
             allocated: need,
             since: now,
             is_stopping: false,
-            throttled: None,
+            throttled_at: None,
         };
         self.allocate(id, &mut job, task);
         debug_assert!(matches!(job.status, JobStatus::Assigned(_)));
--- a/crates/pomelohitch-place/src/planner/urgent_jobs.rs
+++ b/crates/pomelohitch-place/src/planner/urgent_jobs.rs
@@ -52,14 +52,14 @@
                 self.place(&id, &worker, need, now, decision);
                 return true;
             }
-            if unmet.covers(&need) {
+            if unmet.rules_out(&need) {
                 continue;
             }
             if self.preempt_for_urgent(&id, &need, now, decision) {
                 return true;
             }
-            // Preemption for a team beyond its fair share is restricted, so that its failure
-            // says nothing about other teams.
+            // A team beyond its fair share may preempt fewer tasks, so a failure there doesn't rule
+            // out the need for other teams.
             if self.may_preempt_others(team, &need) {
                 unmet.add(need);
             }
