--- a/crates/pomelohitch-place/tests/place.rs
+++ b/crates/pomelohitch-place/tests/place.rs
@@ -1,4 +1,4 @@
-//! Decisions of the planner.
+//! Tests of the planner and its parts.
 
 #[path = "place/decisions.rs"]
 mod decisions;
--- a/crates/pomelohitch-place/tests/place/decisions.rs
+++ b/crates/pomelohitch-place/tests/place/decisions.rs
@@ -1,4 +1,4 @@
-//! Who goes where, and who makes room.
+//! Decisions of the planner: placement, preemption, refusal, drains and throttling.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -8,7 +8,8 @@
 
 use crate::harness::{TestFleet, job, show, urgent, worker};
 
-/// Urgent work goes first, whatever came before it, and away from where patient work gathers.
+/// An urgent job is placed before patient jobs that were submitted earlier, and at the other end
+/// of the fleet.
 #[test]
 fn urgent_work_is_placed_before_patient_work() {
     let mut fleet = TestFleet::new(2);
@@ -23,8 +24,8 @@
     ");
 }
 
-/// The fleet is full of patient work when a family waits at the turnstile. The smallest task that
-/// makes enough room is checkpointed, and the room is kept for the urgent job.
+/// Guards against an urgent job that waits, or loses its place, in a fleet full of patient tasks:
+/// the smallest sufficient task is preempted, and its capacity is reserved for the urgent job.
 #[test]
 fn a_full_fleet_makes_room_for_urgent_work() {
     let mut fleet = TestFleet::new(1);
@@ -36,16 +37,17 @@
     fleet.submit(urgent("u1", "a", 3));
     insta::assert_snapshot!(show(&fleet.decide()), @"preempt p3");
     fleet.submit(job("p4", "a", 1));
-    assert!(fleet.decide().place.is_empty(), "the room is promised");
+    assert!(fleet.decide().place.is_empty(), "the capacity is reserved");
     fleet.finish_checkpoints();
     let decision = fleet.decide();
     assert_eq!(&*decision.place[0].job, "u1");
 }
 
-/// One team calls all of its work urgent. It gets room from others up to its share, and beyond
-/// that only from whoever has more than it has.
+/// Guards against a team that gets the whole fleet by marking all of its jobs as urgent. It
+/// preempts tasks of others up to its fair share, and beyond that only those of teams with a
+/// higher weighted share.
 #[test]
-fn urgent_work_beyond_its_share_takes_nothing_from_others() {
+fn urgent_jobs_beyond_the_fair_share_preempt_no_team_below_its_own() {
     let mut fleet = TestFleet::new(4);
     fleet.team("greedy", 1, 999);
     fleet.team("modest", 1, 999);
@@ -68,9 +70,9 @@
     assert_eq!((runs("u"), runs("p")), (8, 8));
 }
 
-/// Three teams of weights 2, 1 and 1 ask for more than there is.
+/// Three teams of weights 2, 1 and 1 submit more jobs than the fleet has capacity for.
 #[test]
-fn shares_decide_when_everything_is_full() {
+fn a_full_fleet_is_divided_by_shares() {
     let mut fleet = TestFleet::new(8);
     for (team, share) in [("a", 2), ("b", 1), ("c", 1)] {
         fleet.team(team, share, 999);
@@ -83,8 +85,8 @@
     assert_eq!((has("a"), has("b"), has("c")), (64, 32, 32));
 }
 
-/// Small jobs come all the time, and a job that needs a whole worker never finds one empty. After
-/// the stated patience it has one.
+/// Guards against starvation of a job that needs a whole worker: with a steady arrival of small
+/// jobs no worker is ever empty. A reservation gets it one.
 #[test]
 fn a_large_job_is_not_starved_by_small_ones() {
     let mut fleet = TestFleet::new(2);
@@ -101,7 +103,7 @@
     fleet.submit(job("z-large", "a", 16));
     let mut seconds = 0;
     while fleet.worker_of("z-large").is_none() {
-        // The oldest small job ends, and another one comes.
+        // Every 30 s a running small job ends; a new one is submitted every second.
         let oldest = fleet
             .entries
             .keys()
@@ -116,14 +118,17 @@
         fleet.finish_checkpoints();
         fleet.advance(Duration::from_secs(1));
         seconds += 1;
-        assert!(seconds <= 660, "twice the patience and a minute are over");
+        assert!(
+            seconds <= 660,
+            "not placed within twice the reservation timeout and a minute"
+        );
     }
 }
 
-/// A job asks for more than any worker has. It waits a minute, since a large worker may only be
-/// away, and is then refused; meanwhile it blocks nobody.
+/// A job that needs more than any worker has is refused after a minute, since a large worker may
+/// only be rebooting. Guards against head-of-line blocking by it in the meantime.
 #[test]
-fn a_job_that_fits_no_worker_is_refused_and_blocks_nobody() {
+fn a_job_that_fits_no_worker_is_refused_and_blocks_no_other_job() {
     let mut fleet = TestFleet::new(2);
     fleet.team("a", 1, 99);
     fleet.submit(job("giant", "a", 64));
@@ -135,9 +140,9 @@
     insta::assert_snapshot!(show(&fleet.decide()), @"refuse giant");
 }
 
-/// A large worker comes back within the minute.
+/// Guards against the refusal of a large job whose worker was only absent for less than a minute.
 #[test]
-fn a_job_set_aside_runs_when_a_large_worker_comes() {
+fn an_unschedulable_job_is_placed_once_a_large_worker_joins() {
     let mut fleet = TestFleet::new(2);
     fleet.team("a", 1, 99);
     fleet.submit(job("giant", "a", 64));
@@ -154,8 +159,8 @@
     insta::assert_snapshot!(show(&fleet.decide()), @"place giant on w09 (64000)");
 }
 
-/// A worker is drained for maintenance: it gets nothing new, and what would run too long is
-/// checkpointed and goes elsewhere.
+/// A worker that leaves for maintenance gets no new jobs. A task that would not end within the
+/// grace period is preempted and placed elsewhere; one that overruns it is preempted at its end.
 #[test]
 fn a_leaving_worker_is_emptied_in_time() {
     let mut fleet = TestFleet::new(2);
@@ -179,7 +184,7 @@
     insta::assert_snapshot!(show(&fleet.decide()), @"preempt short");
 }
 
-/// A service of several jobs loses few of them with a rack, and few with a zone.
+/// Guards against the loss of most jobs of a group with one rack or zone.
 #[test]
 fn jobs_of_a_group_are_spread_over_zones_and_racks() {
     let mut fleet = TestFleet::new(32);
@@ -215,7 +220,7 @@
     assert_eq!(first_zones.len(), 4);
 }
 
-/// A job failed on a worker; its neighbours in the rack may share the fault.
+/// A fault can affect a whole rack. Guards against a job that uses up its attempts on one rack.
 #[test]
 fn a_job_that_failed_goes_to_another_rack() {
     let mut fleet = TestFleet::new(20);
@@ -228,14 +233,16 @@
         entry.state = pomelohitch_core::state::JobState::Waiting;
     });
     fleet.decide();
-    let worker = fleet.worker_of("j").expect("there is room");
+    let worker = fleet
+        .worker_of("j")
+        .expect("a free worker exists in another rack");
     assert!(worker >= "w04", "{worker}");
 }
 
-/// A planner and its log disagree about one worker: it refuses starts. It is left alone for a
-/// while instead of being asked again and again.
+/// A worker refuses a start although the accounting has free capacity there. Guards against
+/// placing jobs there again and again.
 #[test]
-fn a_worker_that_refuses_starts_is_left_alone_for_a_while() {
+fn a_worker_that_refused_a_start_gets_no_job_during_the_backoff() {
     let mut fleet = TestFleet::new(2);
     fleet.team("a", 1, 99);
     fleet.planner.shun(&"w00".into(), fleet.now);
@@ -246,16 +253,19 @@
     insta::assert_snapshot!(show(&fleet.decide()), @"place p2 on w00 (4000)");
 }
 
-/// A task uses more than was set aside and its worker is full: it is slowed down first, and
-/// checkpointed only if that doesn't help.
+/// A task uses more than its allocation on a full worker. It is throttled first, and preempted only
+/// if the worker is still over capacity after the grace period.
 #[test]
-fn a_task_that_uses_too_much_is_throttled_before_it_is_stopped() {
+fn a_task_over_its_allocation_is_throttled_before_it_is_preempted() {
     let mut fleet = TestFleet::new(1);
     fleet.team("a", 1, 99);
     fleet.submit(job("p1", "a", 8));
     fleet.submit(job("p2", "a", 8));
     fleet.decide();
-    let attempt = fleet.entries["p1"].attempt().expect("it runs").attempt;
+    let attempt = fleet.entries["p1"]
+        .attempt()
+        .expect("p1 was placed")
+        .attempt;
     let used = Resources {
         cpu_milli: 12_000,
         memory_mib: 8192,
--- a/crates/pomelohitch-place/tests/place/harness.rs
+++ b/crates/pomelohitch-place/tests/place/harness.rs
@@ -1,4 +1,4 @@
-//! A planner with a log that takes everything over at once.
+//! A simulated fleet: a planner, and a log that accepts every decision immediately.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,7 +12,7 @@
 use pomelohitch_place::planner::TeamTerms;
 use pomelohitch_place::{Decision, Options, Planner, Worker};
 
-/// A planner, and what the log has of every job.
+/// A planner with the job entries that the log would hold.
 pub struct TestFleet {
     pub planner: Planner,
     pub entries: BTreeMap<JobId, Entry>,
@@ -21,7 +21,7 @@
 }
 
 impl TestFleet {
-    /// `count` workers of 16 processors and 64 GiB, four in a rack, four zones.
+    /// Creates `count` workers of 16 processors and 64 GiB, four per rack, in up to four zones.
     pub fn new(count: usize) -> TestFleet {
         let mut fleet = TestFleet {
             planner: Planner::new(Options::default()),
@@ -60,14 +60,14 @@
         self.entries.insert(id.clone(), entry);
     }
 
-    /// Changes the state of a job.
+    /// Changes a job's entry and passes it to the planner.
     pub fn update(&mut self, id: &JobId, change: impl FnOnce(&mut Entry)) {
         let mut entry = self.entries[id].clone();
         change(&mut entry);
         self.set_entry(id, entry);
     }
 
-    /// Decides, and takes everything over.
+    /// Makes a decision and applies it to the entries, as the log would.
     pub fn decide(&mut self) -> Decision {
         let decision = self.planner.decide(self.now);
         for placement in &decision.place {
@@ -97,13 +97,13 @@
         decision
     }
 
-    /// The job is over.
+    /// Removes a job that has ended.
     pub fn end(&mut self, id: &JobId) {
         self.planner.set_job(id, None, self.now);
         self.entries.remove(id);
     }
 
-    /// Every checkpoint that was asked for is done.
+    /// Completes all preemptions that are in progress: their jobs wait again.
     pub fn finish_checkpoints(&mut self) {
         let is_stopping = |entry: &&Entry| matches!(entry.state, JobState::Stopping(..));
         let stopping = self.entries.values().filter(is_stopping);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Where a job runs.
+    /// The worker of a job's current attempt.
     pub fn worker_of(&self, id: &str) -> Option<&str> {
         let attempt = self.entries.get(id)?.attempt()?;
         Some(&attempt.worker)
@@ -141,7 +141,7 @@
     }
 }
 
-/// A patient job of so many processors, for a minute.
+/// A patient job with this many processors and GiB of memory and a run time of one minute.
 pub fn job(id: &str, team: &str, processors: u64) -> Job {
     Job {
         id: id.into(),
@@ -168,7 +168,7 @@
     }
 }
 
-/// A decision as lines of text.
+/// Formats a decision as lines of text.
 pub fn show(decision: &Decision) -> String {
     let mut text = String::new();
     for placement in &decision.place {
--- a/crates/pomelohitch-place/tests/place/health.rs
+++ b/crates/pomelohitch-place/tests/place/health.rs
@@ -1,4 +1,4 @@
-//! Bad workers, and bad releases.
+//! Detection of faulty workers, as opposed to bad releases of jobs.
 
 use std::time::Duration;
 
@@ -15,9 +15,10 @@
     health.observe_end(&format!("w{worker:02}").into(), &class.into(), end);
 }
 
-/// A worker with a broken disk fails everything within a second and so gets job after job.
+/// Guards against a faulty worker that fails every job: jobs there end within a second, so it would
+/// receive and fail one after the other.
 #[test]
-fn a_worker_that_fails_what_others_do_well_is_quarantined() {
+fn a_worker_that_fails_jobs_that_succeed_elsewhere_is_quarantined() {
     let mut health = Health::default();
     for round in 0..4 {
         for worker in 0..FLEET {
@@ -30,8 +31,7 @@
     assert_eq!(health.take_suspects(FLEET), vec!["w07".into()]);
 }
 
-/// A wrong release of one class fails wherever it runs. If workers were blamed, it would take the
-/// fleet away from everyone.
+/// A bad release of one class fails on every worker. Guards against quarantining workers for it.
 #[test]
 fn a_bad_release_of_one_class_quarantines_no_worker() {
     let mut health = Health::default();
@@ -46,9 +46,10 @@
     }
 }
 
-/// The failures come first, and only later does it turn out that the class does well elsewhere.
+/// A worker fails jobs of a class before the class has outcomes elsewhere. It becomes suspect once
+/// other workers report successes.
 #[test]
-fn successes_elsewhere_count_also_when_they_come_later() {
+fn later_successes_elsewhere_count_against_a_failing_worker() {
     let mut health = Health::default();
     for _ in 0..4 {
         outcome(&mut health, 7, "settle", false);
@@ -60,8 +61,8 @@
     assert_eq!(health.take_suspects(FLEET), vec!["w07".into()]);
 }
 
-/// Half of the fleet seems bad at once. It is rather something they share, and without them
-/// nothing runs at all.
+/// Guards against quarantining too much of the fleet: if half of it fails at once, the cause is
+/// probably a shared one.
 #[test]
 fn no_more_than_a_tenth_of_the_fleet_is_quarantined() {
     let mut health = Health::default();
@@ -78,10 +79,9 @@
     assert!(quarantined <= FLEET / 10, "{quarantined}");
 }
 
-/// A quarantined worker was repaired by a reboot. A probe finds out; until then the time between
-/// probes doubles.
+/// A quarantined worker is probed at intervals that double, until it is released.
 #[test]
-fn probes_come_later_and_later() {
+fn the_interval_between_probes_doubles() {
     let mut health = Health::default();
     let worker = "w07".into();
     health.quarantine(&worker, Duration::ZERO);
--- a/crates/pomelohitch-place/tests/place/index.rs
+++ b/crates/pomelohitch-place/tests/place/index.rs
@@ -1,12 +1,12 @@
-//! The index against a scan.
+//! Compares the index with a linear scan.
 
 use pomelohitch_core::record::job::Resources;
 use pomelohitch_place::index::Index;
 
-/// Whatever was set, the tree finds the slot that a scan over all slots finds.
-/// A slot, and the processors and memory that are free there then.
+/// Updates of slots: the slot, and its free processors and memory.
 type Changes = Vec<(u8, u8, u8)>;
 
+/// After any sequence of updates, the index finds the same first and last slot as a linear scan.
 #[test]
 fn the_index_finds_what_a_scan_finds() {
     pomelohitch_property::check(|(changes, len, (cpu, memory)): &(Changes, u8, (u8, u8))| {
--- a/crates/pomelohitch-place/tests/place/properties.rs
+++ b/crates/pomelohitch-place/tests/place/properties.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens.
+//! Invariants of the planner under random sequences of events.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const WORKERS: usize = 6;
 const LIMIT: u32 = 7;
 
-/// One thing that happens: a kind, which, and a size.
+/// A random event: its kind, a number that selects the job or worker, and a size.
 type Step = (u8, u8, u8);
 
 fn apply(fleet: &mut TestFleet, (kind, which, size): Step) -> Decision {
@@ -65,8 +65,9 @@
     fleet
 }
 
-/// By its own count the planner never gives a worker more than it has, nor a team more than its
-/// limit; every entry instance that planned with the same inputs would decide the same.
+/// The planner never allocates more than a worker's capacity or exceeds a team's limit, and its
+/// accounting matches the entries. The same inputs give the same decisions on every entry
+/// instance.
 #[test]
 fn capacity_and_limits_hold_and_decisions_are_repeatable() {
     pomelohitch_property::check(|steps: &Vec<Step>| {
@@ -91,7 +92,10 @@
         *active.entry(&entry.job.team).or_default() += 1;
     }
     for (worker, allocated) in allocated {
-        let (reported, capacity) = fleet.planner.load_of(worker).expect("a known worker");
+        let (reported, capacity) = fleet
+            .planner
+            .load_of(worker)
+            .expect("allocated workers are known");
         assert!(capacity.covers(&allocated), "{worker}: {allocated:?}");
         assert_eq!(reported, allocated, "{worker}");
     }
--- a/crates/pomelohitch-place/tests/place/sizes.rs
+++ b/crates/pomelohitch-place/tests/place/sizes.rs
@@ -1,4 +1,4 @@
-//! Sizes that are declared far off.
+//! Needs of jobs whose declared resources are far off.
 
 use std::time::Duration;
 
@@ -18,12 +18,15 @@
     }
 }
 
-/// Runs one job of the class to its end, using this much memory.
+/// Runs one job of the class to its end with this memory use.
 fn run_one(fleet: &mut TestFleet, number: usize, memory_mib: u64) {
     let id: JobId = format!("j{number}").into();
     fleet.submit(job(&id, "a", 8));
     fleet.decide();
-    let attempt = fleet.entries[&id].attempt().expect("there is room").attempt;
+    let attempt = fleet.entries[&id]
+        .attempt()
+        .expect("the job was placed")
+        .attempt;
     fleet.planner.used(&id, attempt, &used(memory_mib));
     fleet.advance(Duration::from_secs(10));
     let (end, now) = (AttemptEnd::Succeeded, fleet.now);
@@ -39,9 +42,9 @@
     need
 }
 
-/// Jobs that declare eight processors use one. After a few, one is set aside.
+/// Jobs declare eight processors and use one. After five of them, one processor is reserved.
 #[test]
-fn what_is_declared_too_large_is_learned() {
+fn over_declared_needs_are_learned_from_usage() {
     let mut fleet = TestFleet::new(1);
     fleet.team("a", 1, 99);
     for number in 0..4 {
@@ -54,10 +57,9 @@
     assert!(need.memory_mib >= 512 && need.memory_mib < 640);
 }
 
-/// One of the class needed much more than the others. Less than that is never set aside again,
-/// because it would be killed for it.
+/// Guards against memory kills of jobs that need as much as the largest one of their class did.
 #[test]
-fn no_less_is_set_aside_than_was_seen() {
+fn the_memory_need_never_falls_below_the_observed_peak() {
     let mut fleet = TestFleet::new(1);
     fleet.team("a", 1, 99);
     run_one(&mut fleet, 0, 9000);
@@ -67,10 +69,10 @@
     assert!(need_of_next(&mut fleet).memory_mib >= 9000);
 }
 
-/// A job was killed for its memory: it gets half as much again, and its class what the kill
-/// showed to be too little, with a margin.
+/// After a memory kill, the job's need rises to its memory floor, 1.5 times the memory at the kill.
+/// The need of its class rises to the memory at the kill and a margin.
 #[test]
-fn a_kill_raises_the_job_and_its_class() {
+fn a_memory_kill_raises_the_need_of_the_job_and_its_class() {
     let mut fleet = TestFleet::new(1);
     fleet.team("a", 1, 99);
     fleet.submit(job("j", "a", 8));
@@ -85,10 +87,10 @@
     assert!(need_of_next(&mut fleet).memory_mib > 10_000);
 }
 
-/// A job was killed at 50 GiB. Half as much again is more than any worker has, but the largest
-/// one has more than 50 GiB: refusing the job would be wrong.
+/// Guards against the refusal of a job killed at 50 GiB: 1.5 times that is more than any worker
+/// has, but the largest one has more than 50 GiB.
 #[test]
-fn a_raised_job_gets_the_largest_worker_before_it_is_refused() {
+fn a_raised_memory_floor_is_capped_at_the_largest_worker() {
     let mut fleet = TestFleet::new(1);
     fleet.team("a", 1, 99);
     fleet.decide();
