--- a/crates/pomelohitch-place/examples/measure/baseline.rs
+++ b/crates/pomelohitch-place/examples/measure/baseline.rs
@@ -1,4 +1,4 @@
-//! Baselines: first come, first served, with or without priority for urgent work.
+//! Baseline policies: first come, first served, with or without priority for urgent jobs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,20 +9,21 @@
 use pomelohitch_core::state::jobs::Entry;
 use pomelohitch_place::{Decision, Worker};
 
-/// How many waiting jobs are tried in one pass.
-const TRIED: usize = 256;
+/// Maximum number of waiting jobs that are tried in one pass.
+const MAX_JOBS_TRIED: usize = 256;
 
-/// Jobs in their order of arrival, each on the first worker with room for what it declares.
+/// Places jobs in order of arrival, each on the first worker with free capacity for its declared
+/// need.
 #[derive(Debug, Default)]
 pub struct Baseline {
-    /// Whether urgent jobs go first, and patient ones are checkpointed for them.
+    /// Whether urgent jobs are placed first and preempt patient ones.
     pub has_priority: bool,
     pub workers: BTreeMap<InstanceId, Worker>,
-    pub held: BTreeMap<InstanceId, Resources>,
+    pub allocated: BTreeMap<InstanceId, Resources>,
     pub waiting: BTreeSet<(Urgency, u64, JobId)>,
     pub jobs: BTreeMap<JobId, Entry>,
-    pub on: BTreeMap<InstanceId, BTreeSet<JobId>>,
-    pub promised: BTreeMap<JobId, InstanceId>,
+    pub tasks_on: BTreeMap<InstanceId, BTreeSet<JobId>>,
+    pub reserved_on: BTreeMap<JobId, InstanceId>,
 }
 
 impl Baseline {
@@ -30,9 +31,9 @@
         if let Some(before) = self.jobs.remove(id) {
             self.waiting.remove(&self.order(&before));
             if let Some(attempt) = before.attempt() {
-                let held = self.held.entry(attempt.worker.clone()).or_default();
-                *held = held.minus(&attempt.reserve);
-                self.on
+                let allocated = self.allocated.entry(attempt.worker.clone()).or_default();
+                *allocated = allocated.minus(&attempt.reserve);
+                self.tasks_on
                     .entry(attempt.worker.clone())
                     .or_default()
                     .remove(id);
@@ -47,10 +48,10 @@
             _ => {}
         }
         if let Some(attempt) = entry.attempt() {
-            self.promised.remove(id);
-            let held = self.held.entry(attempt.worker.clone()).or_default();
-            *held = held.plus(&attempt.reserve);
-            self.on
+            self.reserved_on.remove(id);
+            let allocated = self.allocated.entry(attempt.worker.clone()).or_default();
+            *allocated = allocated.plus(&attempt.reserve);
+            self.tasks_on
                 .entry(attempt.worker.clone())
                 .or_default()
                 .insert(id.clone());
@@ -72,24 +73,24 @@
         let tried: Vec<JobId> = self
             .waiting
             .iter()
-            .take(TRIED)
+            .take(MAX_JOBS_TRIED)
             .map(|(_, _, id)| id.clone())
             .collect();
         let mut taken: BTreeMap<InstanceId, Resources> = BTreeMap::new();
-        let mut failed: Vec<Resources> = Vec::new();
+        let mut unmet: Vec<Resources> = Vec::new();
         for id in tried {
             let entry = &self.jobs[&id];
             let mut need = entry.job.need;
             need.memory_mib = need.memory_mib.max(entry.memory_floor_mib);
-            if failed.iter().any(|failed| need.covers(failed)) && !self.promised.contains_key(&id) {
+            if unmet.iter().any(|unmet| need.covers(unmet)) && !self.reserved_on.contains_key(&id) {
                 continue;
             }
-            let room = self.workers.values().find(|worker| {
-                let held = self.held.get(&worker.id).copied().unwrap_or_default();
+            let found = self.workers.values().find(|worker| {
+                let allocated = self.allocated.get(&worker.id).copied().unwrap_or_default();
                 let taken = taken.get(&worker.id).copied().unwrap_or_default();
-                worker.takes_work && worker.capacity.covers(&held.plus(&taken).plus(&need))
+                worker.takes_work && worker.capacity.covers(&allocated.plus(&taken).plus(&need))
             });
-            if let Some(worker) = room {
+            if let Some(worker) = found {
                 let taken = taken.entry(worker.id.clone()).or_default();
                 *taken = taken.plus(&need);
                 decision.place.push(Placement {
@@ -97,43 +98,43 @@
                     worker: worker.id.clone(),
                     reserve: need,
                 });
-                self.promised.remove(&id);
+                self.reserved_on.remove(&id);
             } else if self.has_priority
                 && entry.job.urgency == Urgency::Urgent
-                && !self.promised.contains_key(&id)
+                && !self.reserved_on.contains_key(&id)
             {
-                self.evict(&id, &need, &mut decision);
+                self.preempt(&id, &need, &mut decision);
             } else {
-                failed.push(need);
+                unmet.push(need);
             }
         }
         decision
     }
 
-    fn evict(&mut self, id: &JobId, need: &Resources, decision: &mut Decision) {
-        for (worker, on) in &self.on {
+    fn preempt(&mut self, id: &JobId, need: &Resources, decision: &mut Decision) {
+        for (worker, tasks) in &self.tasks_on {
             let Some(known) = self.workers.get(worker).filter(|worker| worker.takes_work) else {
                 continue;
             };
-            let mut held = self.held[worker];
+            let mut allocated = self.allocated[worker];
             let mut victims = Vec::new();
-            for task in on {
+            for task in tasks {
                 let entry = &self.jobs[task];
                 let JobState::Running(attempt) = &entry.state else {
                     continue;
                 };
-                let is_chosen = decision.preempt.iter().any(|p| p.job == *task);
-                if entry.job.urgency == Urgency::Urgent || is_chosen {
+                let is_preempted = decision.preempt.iter().any(|p| p.job == *task);
+                if entry.job.urgency == Urgency::Urgent || is_preempted {
                     continue;
                 }
-                held = held.minus(&attempt.reserve);
+                allocated = allocated.minus(&attempt.reserve);
                 victims.push(Preemption {
                     job: task.clone(),
                     attempt: attempt.attempt,
                 });
-                if known.capacity.covers(&held.plus(need)) {
+                if known.capacity.covers(&allocated.plus(need)) {
                     decision.preempt.extend(victims);
-                    self.promised.insert(id.clone(), worker.clone());
+                    self.reserved_on.insert(id.clone(), worker.clone());
                     return;
                 }
             }
--- a/crates/pomelohitch-place/examples/measure/load.rs
+++ b/crates/pomelohitch-place/examples/measure/load.rs
@@ -1,4 +1,4 @@
-//! Loads with fixed seeds: who submits what, and what jobs truly need.
+//! Generates loads with fixed seeds: the jobs of each team, with their declared and actual needs.
 
 use std::time::Duration;
 
@@ -8,91 +8,99 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// One of the fleets to measure.
+/// Size of a fleet, and duration, tick and seed of its simulation.
 #[derive(Debug, Clone)]
-pub struct Site {
+pub struct Fleet {
     pub name: &'static str,
     pub workers: usize,
     pub cores: u64,
     pub teams: usize,
     pub zones: usize,
-    pub lasts: Duration,
+    pub duration: Duration,
     pub tick: Duration,
     pub seed: u64,
 }
 
-/// A job as declared and as it truly is.
+/// A job as declared, with its actual usage and run time.
 #[derive(Debug, Clone)]
-pub struct TrueJob {
+pub struct SimulatedJob {
     pub at: Duration,
     pub job: Job,
-    pub uses: Resources,
-    pub runs: Duration,
+    pub usage: Resources,
+    pub run_time: Duration,
 }
 
-/// Everything that a run is given.
+/// Input of a simulation.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub workers: Vec<Worker>,
     /// Weight of each team.
     pub shares: Vec<(TeamId, u32)>,
-    pub jobs: Vec<TrueJob>,
-    /// Workers that fail whatever they start, from this time on.
-    pub bad: Vec<(Duration, Box<str>)>,
-    /// Workers that leave and come back a while later.
+    pub jobs: Vec<SimulatedJob>,
+    /// Workers that fail all jobs from this time on.
+    pub faulty: Vec<(Duration, Box<str>)>,
+    /// Workers that leave at this time and return later.
     pub leaving: Vec<(Duration, Box<str>)>,
-    /// When a fifth of the waiting patient jobs is cancelled.
+    /// When a fifth of the waiting patient jobs are cancelled.
     pub cancel_at: Duration,
 }
 
 struct Class {
     name: JobClass,
-    uses: Resources,
+    usage: Resources,
     declared: Resources,
-    runs: Duration,
-    declared_run: Duration,
+    run_time: Duration,
+    declared_run_time: Duration,
 }
 
-/// How much of the fleet's processors patient work asks for.
+/// Work of patient jobs as a fraction of the fleet's processor time.
 const PATIENT_DEMAND: f64 = 1.25;
-/// How much of it urgent work asks for.
+/// Work of urgent jobs as a fraction of the fleet's processor time.
 const URGENT_DEMAND: f64 = 0.04;
-/// One job in so many asks for more than any worker has.
-const IMPOSSIBLE: u32 = 500;
-const MEMORY_PER_WORKER: u64 = 65_536;
+/// One patient job in this many needs more memory than any worker has.
+const JOBS_PER_IMPOSSIBLE: u32 = 500;
+const MEMORY_MIB_PER_WORKER: u64 = 65_536;
 
 impl Load {
-    pub fn new(site: &Site) -> Load {
-        let mut rng = StdRng::seed_from_u64(site.seed);
-        let workers: Vec<_> = (0..site.workers).map(|i| worker(site, i)).collect();
-        let shares: Vec<_> = (0..site.teams)
+    pub fn new(fleet: &Fleet) -> Load {
+        let mut rng = StdRng::seed_from_u64(fleet.seed);
+        let workers: Vec<_> = (0..fleet.workers).map(|i| worker(fleet, i)).collect();
+        let shares: Vec<_> = (0..fleet.teams)
             .map(|i| (format!("team-{i:03}").into(), [4, 2, 1, 1, 1, 1][i % 6]))
             .collect();
-        let patient = classes("patient", 24, site, &mut rng);
-        let urgent = classes("urgent", 6, site, &mut rng);
+        let patient = classes("patient", 24, fleet, &mut rng);
+        let urgent = classes("urgent", 6, fleet, &mut rng);
         let mut jobs = Vec::new();
-        submit(site, &shares, &patient, PATIENT_DEMAND, &mut rng, &mut jobs);
-        submit(site, &shares, &urgent, URGENT_DEMAND, &mut rng, &mut jobs);
+        submit(
+            fleet,
+            &shares,
+            &patient,
+            PATIENT_DEMAND,
+            &mut rng,
+            &mut jobs,
+        );
+        submit(fleet, &shares, &urgent, URGENT_DEMAND, &mut rng, &mut jobs);
         jobs.sort_by(|a, b| a.at.cmp(&b.at).then(a.job.id.cmp(&b.job.id)));
-        let some = |rng: &mut StdRng| workers[rng.random_range(0..workers.len())].id.clone();
-        let bad = (0..2.max(site.workers / 500))
-            .map(|_| (site.lasts / 4, some(&mut rng)))
+        let random_worker =
+            |rng: &mut StdRng| workers[rng.random_range(0..workers.len())].id.clone();
+        let faulty = (0..2.max(fleet.workers / 500))
+            .map(|_| (fleet.duration / 4, random_worker(&mut rng)))
             .collect();
-        let leaving = (0..site.workers / 12)
+        let leaving = (0..fleet.workers / 12)
             .map(|i| {
-                let at = site
-                    .lasts
-                    .mul_f64(0.3 + 0.6 * i as f64 / (site.workers / 12) as f64);
-                (at, some(&mut rng))
+                let at = fleet
+                    .duration
+                    .mul_f64(0.3 + 0.6 * i as f64 / (fleet.workers / 12) as f64);
+                (at, random_worker(&mut rng))
             })
             .collect();
         Load {
             workers,
             shares,
             jobs,
-            bad,
+            faulty,
             leaving,
-            cancel_at: site.lasts.mul_f64(0.6),
+            cancel_at: fleet.duration.mul_f64(0.6),
         }
     }
 
@@ -103,39 +111,39 @@
     }
 }
 
-fn worker(site: &Site, number: usize) -> Worker {
+fn worker(fleet: &Fleet, number: usize) -> Worker {
     let rack = number / 4;
     let has_accelerators = rack % 4 == 3;
     Worker {
         id: format!("w{number:05}").into(),
-        zone: format!("zone-{}", rack % site.zones).into(),
+        zone: format!("zone-{}", rack % fleet.zones).into(),
         rack: format!("rack-{rack:04}").into(),
         capacity: Resources {
-            cpu_milli: site.cores * 1000,
-            memory_mib: MEMORY_PER_WORKER,
+            cpu_milli: fleet.cores * 1000,
+            memory_mib: MEMORY_MIB_PER_WORKER,
             accelerators: if has_accelerators { 4 } else { 0 },
         },
         takes_work: true,
     }
 }
 
-fn classes(name: &str, count: usize, site: &Site, rng: &mut StdRng) -> Vec<Class> {
+fn classes(name: &str, count: usize, fleet: &Fleet, rng: &mut StdRng) -> Vec<Class> {
     (0..count)
         .map(|number| {
             let is_urgent = name == "urgent";
             // Some classes take a whole worker.
             let is_large = !is_urgent && number % 12 == 0;
             let cores = if is_large {
-                site.cores
+                fleet.cores
             } else {
                 rng.random_range(1..=4)
             };
             let memory = if is_large {
-                MEMORY_PER_WORKER * 3 / 4
+                MEMORY_MIB_PER_WORKER * 3 / 4
             } else {
                 cores * rng.random_range(512..=4096)
             };
-            let uses = Resources {
+            let usage = Resources {
                 cpu_milli: cores * 1000,
                 memory_mib: memory,
                 accelerators: u64::from(number % 12 == 5),
@@ -145,58 +153,58 @@
             } else {
                 rng.random_range(40..=400)
             };
-            let runs = Duration::from_secs(secs);
-            // Half of the classes declare far too much, a third too little.
+            let run_time = Duration::from_secs(secs);
+            // Half of the classes declare too much, a third too little.
             let factor = [2.0, 0.5, 3.0, 1.0, 1.5, 0.7][number % 6];
             let scale = |value: u64, most: u64| ((value as f64 * factor) as u64).clamp(1, most);
             Class {
                 name: format!("{name}-{number:02}").into(),
-                uses,
+                usage,
                 declared: Resources {
-                    cpu_milli: scale(uses.cpu_milli, site.cores * 1000),
-                    memory_mib: scale(uses.memory_mib, MEMORY_PER_WORKER),
-                    accelerators: uses.accelerators,
+                    cpu_milli: scale(usage.cpu_milli, fleet.cores * 1000),
+                    memory_mib: scale(usage.memory_mib, MEMORY_MIB_PER_WORKER),
+                    accelerators: usage.accelerators,
                 },
-                runs,
-                declared_run: runs.mul_f64(rng.random_range(0.2..5.0)),
+                run_time,
+                declared_run_time: run_time.mul_f64(rng.random_range(0.2..5.0)),
             }
         })
         .collect()
 }
 
 fn submit(
-    site: &Site,
+    fleet: &Fleet,
     shares: &[(TeamId, u32)],
     classes: &[Class],
     demand: f64,
     rng: &mut StdRng,
-    jobs: &mut Vec<TrueJob>,
+    jobs: &mut Vec<SimulatedJob>,
 ) {
     let all: u32 = shares.iter().map(|(_, share)| share).sum();
-    let cores = (site.workers as u64 * site.cores) as f64;
+    let cores = (fleet.workers as u64 * fleet.cores) as f64;
     let is_urgent = classes[0].name.starts_with("urgent");
     for (team, share) in shares {
-        let part = f64::from(*share) / f64::from(all);
-        let mut owed = cores * part * demand * site.lasts.as_secs_f64();
-        // Patient work begins with a backlog of some minutes, so that the fleet is full.
+        let share_fraction = f64::from(*share) / f64::from(all);
+        let mut remaining_work = cores * share_fraction * demand * fleet.duration.as_secs_f64();
+        // A quarter of the patient jobs are submitted at the start, so that the fleet is full.
         let backlog = if is_urgent { 0.0 } else { 0.25 };
-        while owed > 0.0 {
+        while remaining_work > 0.0 {
             let class = &classes[rng.random_range(0..classes.len())];
-            let spread = rng.random_range(0.6..1.4);
-            let runs = class.runs.mul_f64(spread);
-            owed -= cores_worth(&class.uses, site.cores) * runs.as_secs_f64();
+            let run_time_factor = rng.random_range(0.6..1.4);
+            let run_time = class.run_time.mul_f64(run_time_factor);
+            remaining_work -= cores_worth(&class.usage, fleet.cores) * run_time.as_secs_f64();
             let at = if rng.random_range(0.0..1.0) < backlog {
                 Duration::ZERO
             } else {
-                site.lasts.mul_f64(rng.random_range(0.0..1.0))
+                fleet.duration.mul_f64(rng.random_range(0.0..1.0))
             };
-            let is_impossible = !is_urgent && rng.random_range(0..IMPOSSIBLE) == 0;
-            jobs.push(true_job(
+            let is_impossible = !is_urgent && rng.random_range(0..JOBS_PER_IMPOSSIBLE) == 0;
+            jobs.push(simulated_job(
                 jobs.len(),
                 team,
                 class,
                 at,
-                runs,
+                run_time,
                 is_impossible,
                 rng,
             ));
@@ -204,32 +212,32 @@
     }
 }
 
-/// What a job takes of a worker, in the resource of which it takes most, in processors.
-pub fn cores_worth(uses: &Resources, cores: u64) -> f64 {
-    let memory = uses.memory_mib as f64 / MEMORY_PER_WORKER as f64;
-    let cpu = uses.cpu_milli as f64 / 1000.0 / cores as f64;
+/// Size of a job in processors, by the larger of its fractions of a worker's processors and memory.
+pub fn cores_worth(usage: &Resources, cores: u64) -> f64 {
+    let memory = usage.memory_mib as f64 / MEMORY_MIB_PER_WORKER as f64;
+    let cpu = usage.cpu_milli as f64 / 1000.0 / cores as f64;
     cpu.max(memory) * cores as f64
 }
 
-fn true_job(
+fn simulated_job(
     number: usize,
     team: &TeamId,
     class: &Class,
     at: Duration,
-    runs: Duration,
+    run_time: Duration,
     is_impossible: bool,
     rng: &mut StdRng,
-) -> TrueJob {
+) -> SimulatedJob {
     let mut need = class.declared;
     let mut name = class.name.clone();
     if is_impossible {
-        need.memory_mib = MEMORY_PER_WORKER * 4;
+        need.memory_mib = MEMORY_MIB_PER_WORKER * 4;
         name = "impossible".into();
     }
     let is_urgent = name.starts_with("urgent");
-    let mut uses = class.uses;
-    uses.memory_mib = (uses.memory_mib as f64 * rng.random_range(0.7..1.0)) as u64;
-    TrueJob {
+    let mut usage = class.usage;
+    usage.memory_mib = (usage.memory_mib as f64 * rng.random_range(0.7..1.0)) as u64;
+    SimulatedJob {
         at,
         job: Job {
             id: format!("j{number:07}").into(),
@@ -241,12 +249,12 @@
                 Urgency::Patient
             },
             need,
-            run_time: class.declared_run,
+            run_time: class.declared_run_time,
             idempotent: true,
             command: "".into(),
             group: None,
         },
-        uses,
-        runs,
+        usage,
+        run_time,
     }
 }
