--- a/crates/pomelohitch-place/examples/measure/main.rs
+++ b/crates/pomelohitch-place/examples/measure/main.rs
@@ -149,7 +149,7 @@
 fn print(name: &str, results: &Results) {
     println!("  {name}:");
     println!(
-        "    urgent start p50 {} p99 {} max {} (of {}, {} not started in 4.5 s at the end)",
+        "    urgent wait p50 {} p99 {} max {} (of {}, {} unstarted after more than 4.5 s at the end)",
         seconds(quantile(&results.urgent_waits, 0.5)),
         seconds(quantile(&results.urgent_waits, 0.99)),
         seconds(quantile(&results.urgent_waits, 1.0)),
@@ -157,7 +157,7 @@
         results.urgent_unstarted,
     );
     println!(
-        "    patient wait p50 {} p99 {}, beyond their bound {} of {}, worst {:.2} of its bound",
+        "    patient wait p50 {} p99 {}, over their bound {} of {}, max {:.2} of the bound",
         seconds(quantile(&results.patient_waits, 0.5)),
         seconds(quantile(&results.patient_waits, 0.99)),
         results.beyond_bound,
@@ -165,7 +165,7 @@
         results.max_wait_to_bound,
     );
     println!(
-        "    set aside {:.1}%, truly used {:.1}%, farthest from share {:.1}%, ended {}, oversubscribed {}",
+        "    allocated {:.1}%, used {:.1}%, max deviation from share {:.1}%, ended {}, oversubscribed {}",
         results.allocated * 100.0,
         results.actually_used * 100.0,
         results.max_share_deviation * 100.0,
@@ -186,14 +186,14 @@
         .map(seconds)
         .collect();
     println!(
-        "    impossible jobs refused {} of {}; bad workers quarantined after [{}], wrongly {}",
+        "    impossible jobs refused {} of {}; faulty workers quarantined after [{}], other workers {}",
         results.refused,
         results.impossible,
         quarantined.join(", "),
         results.wrongly_quarantined,
     );
     println!(
-        "    pass p50 {} p99 {} max {} (of {}), {:.1} us a change of a job (of {})",
+        "    decision p50 {} p99 {} max {} (of {}), {:.1} us per job change (of {})",
         micros(quantile(&results.decide_times, 0.5)),
         micros(quantile(&results.decide_times, 0.99)),
         micros(quantile(&results.decide_times, 1.0)),
