--- a/crates/pomelohitch-route/src/budget.rs
+++ b/crates/pomelohitch-route/src/budget.rs
@@ -1,14 +1,15 @@
-//! How many retries there may be.
+//! Limits retries to a fraction of first attempts.
 
-/// A share of first tries, so that retries can't multiply the load when much fails at once.
+/// Token bucket of retries, filled by first attempts, so that retries cannot multiply the load when
+/// many requests fail at once.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBudget {
     tokens: f64,
 }
 
-/// Retries for each first try.
+/// Retries allowed per first attempt.
 pub const RATIO: f64 = 0.05;
-/// The most that can be saved up, so that a quiet hour doesn't pay for a storm.
+/// Capacity of the bucket; limits the number of retries after a period without failures.
 pub const MOST: f64 = 10.0;
 
 impl Default for RetryBudget {
@@ -18,18 +19,18 @@
 }
 
 impl RetryBudget {
-    /// Notes a first try.
+    /// Records a first attempt.
     pub fn first_try(&mut self) {
         self.tokens = (self.tokens + RATIO).min(MOST);
     }
 
-    /// Whether a retry could be paid for.
+    /// Whether the budget allows a retry.
     #[must_use]
     pub fn has_one(&self) -> bool {
         self.tokens >= 1.0
     }
 
-    /// Whether a retry may be made now; if so, it's paid for.
+    /// Takes one retry out of the budget; `false` if none is left.
     #[must_use]
     pub fn take(&mut self) -> bool {
         let may = self.has_one();
--- a/crates/pomelohitch-route/src/dispatch.rs
+++ b/crates/pomelohitch-route/src/dispatch.rs
@@ -1,10 +1,10 @@
-//! Which waiting request goes to which runner now, for one entry instance.
+//! Decides which waiting request goes to which runner, for one entry instance.
 //!
-//! Pure: the owner tells what is in force, what arrived, what ended and what peers said, and asks
-//! what to send. Nothing here waits or looks at a clock.
+//! Performs no I/O and reads no clock: the caller passes in the configuration, arrivals,
+//! completions, messages from peers and the current time, and gets back the requests to send.
 //!
-//! * `parts`: what this entry instance and each of its teams are owed.
-//! * `holdings`: the permits that are held, and what is asked of their homes.
+//! * `parts`: the share of each pool that this entry instance and its teams are entitled to.
+//! * `holdings`: the permits held here, and the requests for permits sent to their homes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,46 +21,47 @@
 mod holdings;
 mod parts;
 
-/// What is in force, as far as requests are concerned.
+/// The part of the fleet's state that dispatching depends on.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct View {
     /// This entry instance.
     pub own: MemberId,
     /// All entry instances, this one included.
     pub members: BTreeSet<MemberId>,
-    /// Every service.
+    /// The configured services.
     pub services: BTreeMap<ServiceId, ServiceTerms>,
-    /// Every team's share.
+    /// Share (relative weight) of each team.
     pub shares: BTreeMap<TeamId, u32>,
-    /// The runners of each pool that take requests.
+    /// Runners of each pool that accept requests.
     pub pools: BTreeMap<PoolId, Vec<Runner>>,
 }
 
-/// What a service states.
+/// Settings of a service that matter for dispatching.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ServiceTerms {
     /// The pool of its runners.
     pub pool: PoolId,
-    /// How many requests one runner runs at once.
+    /// Maximum number of requests that one runner executes concurrently.
     pub slots: u32,
-    /// How many requests wait here at the most.
+    /// Maximum number of requests queued at this entry instance.
     pub queue: usize,
-    /// After this a request that was sent is certainly not running any more.
+    /// Upper bound on the run time of a request: once it has passed since sending, the request has
+    /// certainly stopped.
     pub longest_run: Monotonic,
 }
 
-/// A runner that takes requests.
+/// A runner that accepts requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Runner {
     /// Its id.
     pub id: InstanceId,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
     /// Whether it is in this entry instance's availability zone.
     pub near: bool,
 }
 
-/// A request that is to be sent now; its permits are taken.
+/// A request to be sent now; its permits have been taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Sent {
     /// The service.
@@ -69,42 +70,44 @@
     pub team: TeamId,
     /// The runner.
     pub runner: InstanceId,
-    /// Where it listens.
+    /// Address on which the runner listens.
     pub addr: SocketAddr,
     /// When it was sent.
     pub at: Monotonic,
-    /// Which incarnation's permits it has.
+    /// The incarnation that took its permits.
     generation: Generation,
 }
 
-/// Counts the incarnations of a process: permits of an earlier one aren't given back to a later.
+/// Counts the incarnations of this process. Permits taken by an earlier incarnation are not
+/// returned to a later one.
 pub type Generation = u64;
 
 /// How a request that was sent ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer is there.
+    /// The complete answer has arrived.
     Answered,
-    /// The runner didn't start it.
+    /// The runner refused to start it.
     Refused,
-    /// It couldn't be sent.
+    /// It could not be sent.
     Unsent,
-    /// Nobody knows whether it still runs.
+    /// The answer was lost or late; the request may still be running.
     Unknown,
 }
 
-/// Which homes are asked, besides those to which there is something to say.
+/// Which homes to send an ask to, in addition to those that need one because something changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pace {
-    /// None.
+    /// No others.
     News,
-    /// Those of resources of which less is held here than is meant for this member.
+    /// Homes of resources of which this member holds less than its assigned part.
     Short,
-    /// Every one.
+    /// All homes.
     All,
 }
 
-/// The decisions of one entry instance about requests. `T` is what the owner knows one by.
+/// Queues, picks runners for and retries the requests of one entry instance. `T` identifies a
+/// request to the caller.
 #[derive(Debug)]
 pub struct Dispatcher<T> {
     view: View,
@@ -117,11 +120,11 @@
     running_at: BTreeMap<InstanceId, u32>,
     peers: BTreeMap<MemberId, Vec<Load>>,
     known: BTreeSet<(ServiceId, TeamId)>,
-    /// For each pool the slots of its runners, in the view's order.
+    /// Slot resources of each pool's runners, in the order of the view.
     slots: BTreeMap<PoolId, Vec<Resource>>,
-    /// What the wants were last worked out from; `None` after a change of the view.
+    /// Inputs from which `wants` was last computed; `None` after a change of the view.
     basis: Option<parts::Basis>,
-    /// Whether what is held may have changed since the queues were told.
+    /// Whether held permits may have changed since the queues' slot counts were updated.
     has_exchanged: bool,
     generation: Generation,
     is_leaving: bool,
@@ -129,7 +132,8 @@
 }
 
 impl<T> Dispatcher<T> {
-    /// A dispatcher that knows nothing yet; `seed` breaks ties.
+    /// Creates a dispatcher with an empty view. `seed` initialises the random choice between
+    /// equally good runners.
     #[must_use]
     pub fn new(seed: u64) -> Dispatcher<T> {
         Dispatcher {
@@ -152,14 +156,14 @@
         }
     }
 
-    /// What is in force.
+    /// Returns the current view.
     #[must_use]
     pub fn view(&self) -> &View {
         &self.view
     }
 
-    /// Puts a new view in force. Queues of services that are gone keep what waits in them until it
-    /// expires.
+    /// Replaces the view. Requests queued for services that no longer exist stay queued until they
+    /// expire.
     pub fn set_view(&mut self, view: View) {
         for (id, terms) in &view.services {
             let queue = self.queues.entry(id.clone());
@@ -179,9 +183,10 @@
         self.share_out();
     }
 
-    /// Begins a new incarnation: permits of the one before are no longer this process's.
+    /// Starts a new incarnation: the process no longer holds the permits of the previous one.
     ///
-    /// Requests that still run for the old one are covered by what homes wait for.
+    /// Requests of the previous incarnation that still run are accounted for by the homes, which
+    /// wait until those have certainly stopped before they grant their permits again.
     pub fn forget_permits(&mut self) {
         for holder in self.holders.values_mut() {
             *holder = Holder::default();
@@ -190,18 +195,19 @@
         self.generation += 1;
     }
 
-    /// Whether a request has its permits from the incarnation that lasts.
+    /// Whether the permits of a request were taken by the current incarnation.
     #[must_use]
     pub fn is_current(&self, sent: &Sent) -> bool {
         sent.generation == self.generation
     }
 
-    /// Takes over what a peer has.
+    /// Stores the load that a peer reported.
     pub fn heard(&mut self, member: MemberId, loads: Vec<Load>) {
         self.peers.insert(member, loads);
     }
 
-    /// How many requests of each service run or wait, here and at the peers as they last said.
+    /// Number of requests of each service that run or wait, here and at the peers according to
+    /// their last reports.
     #[must_use]
     pub fn demand(&self) -> BTreeMap<ServiceId, u32> {
         let mut demand = BTreeMap::new();
@@ -215,7 +221,7 @@
         demand
     }
 
-    /// What this entry instance has, for its peers.
+    /// The load of this entry instance, to be reported to its peers.
     #[must_use]
     pub fn loads(&self) -> Vec<Load> {
         let mut loads: BTreeMap<(&ServiceId, &TeamId), Load> = BTreeMap::new();
@@ -239,10 +245,10 @@
         loads.collect()
     }
 
-    /// Takes a request in, or refuses it at once.
+    /// Queues a request, or refuses it immediately.
     ///
     /// # Errors
-    /// If it wouldn't be served before its deadline, with when to come back.
+    /// If the request would not be served before its deadline; the refusal says when to retry.
     ///
     /// # Panics
     /// If `service` isn't in the view.
@@ -263,14 +269,15 @@
         offered
     }
 
-    /// Everything that is to be sent now. `is_fresh` tells whether the lease covers this moment.
+    /// Returns all requests to send now. `is_fresh` says whether this incarnation's lease covers
+    /// the current time; without a lease nothing is sent.
     pub fn dispatch(&mut self, now: Monotonic, is_fresh: bool) -> Vec<(T, Sent)> {
         let mut sent = Vec::new();
         if !is_fresh {
             return sent;
         }
         let services: Vec<_> = self.queues.keys().cloned().collect();
-        // Services of one pool take turns in being first.
+        // Starts at a random service, so that no service of a pool always gets free slots first.
         let first = self.random.next_u64();
         let first = usize::try_from(first % services.len().max(1) as u64).unwrap_or(0);
         for service in services.iter().cycle().skip(first).take(services.len()) {
@@ -295,8 +302,8 @@
         Some((req.token, sent))
     }
 
-    /// Another try for a request whose last one failed, if the retry budget, the permits and the
-    /// runners allow it right now.
+    /// Starts another attempt of a request whose last attempt failed. `None` if the retry budget,
+    /// the permits or the runners do not allow it now.
     pub fn retry(
         &mut self,
         service: &ServiceId,
@@ -315,8 +322,8 @@
         self.begin(service, team, runner, addr, now)
     }
 
-    /// How long a try on a kept connection may stay without an answer before another one is made;
-    /// `None` if another one may not be made.
+    /// Time after which an attempt on a reused connection without an answer is followed by another
+    /// attempt; `None` if no retry is allowed.
     #[must_use]
     pub fn patience(&self, service: &ServiceId) -> Option<Monotonic> {
         let may_retry = self.budgets.get(service).is_some_and(RetryBudget::has_one);
@@ -324,7 +331,8 @@
         may_retry.then(|| LEAST_PATIENCE.max(mean_run * RUNS_OF_PATIENCE))
     }
 
-    /// Takes the permits. The freshness of the lease was checked by the caller, in the same step.
+    /// Takes the permits of a request. The caller has checked in the same step that the lease is
+    /// valid.
     fn begin(
         &mut self,
         service: &ServiceId,
@@ -365,7 +373,7 @@
         let runners = self.view.pools.get(&terms.pool)?;
         let slots = self.slots.get(&terms.pool)?;
         let spares: Vec<_> = slots.iter().map(|s| spare(&self.holders, s)).collect();
-        // Under overload most looks end here.
+        // Returns early in the usual case under overload: no slot is free.
         if spares.iter().all(|spare| *spare == 0) {
             return None;
         }
@@ -386,12 +394,13 @@
         Some((id, runner.addr))
     }
 
-    /// Notes a first try, which pays into the retry budget.
+    /// Records a first attempt, which adds to the retry budget.
     pub fn first_try(&mut self, service: &ServiceId) {
         self.budgets.entry(service.clone()).or_default().first_try();
     }
 
-    /// Notes how a request ended and frees its permits, at once or when it certainly stopped.
+    /// Records how a request ended and returns its permits: at once, or, if it may still be
+    /// running, when it has certainly stopped.
     pub fn end(&mut self, sent: &Sent, end: End, now: Monotonic) {
         let took = now.saturating_sub(sent.at);
         let outcome = match end {
@@ -434,7 +443,7 @@
         }
     }
 
-    /// Requests whose deadline has passed while they waited.
+    /// Removes and returns queued requests whose deadline has passed.
     pub fn expire(&mut self, now: Monotonic) -> Vec<Waiting<T>> {
         for holder in self.holders.values_mut() {
             holder.expire(now);
@@ -443,14 +452,14 @@
         queues.flat_map(|queue| queue.expire(now)).collect()
     }
 
-    /// When the next waiting request expires.
+    /// The earliest deadline of all queued requests.
     #[must_use]
     pub fn first_deadline(&self) -> Option<Monotonic> {
         let queues = self.queues.values();
         queues.filter_map(Queue::first_deadline).min()
     }
 
-    /// How long a refused request of `team` would have to wait.
+    /// Expected time until a new request of `team` would be answered, for use in `Retry-After`.
     #[must_use]
     pub fn expected_wait(&self, service: &ServiceId, team: &TeamId) -> Monotonic {
         let queue = self.queues.get(service);
@@ -460,12 +469,12 @@
     }
 }
 
-/// No connection is taken for silent before so long.
+/// Minimum time without an answer after which a reused connection counts as broken.
 const LEAST_PATIENCE: Monotonic = Monotonic::from_secs(1);
-/// How many mean runs an answer may take before its connection is taken for silent.
+/// Number of mean run times without an answer after which a reused connection counts as broken.
 const RUNS_OF_PATIENCE: u32 = 8;
 
-/// For a service that left the configuration while its requests ran.
+/// Longest run time assumed for a service that was removed while its requests ran.
 const LONGEST_RUN: Monotonic = Monotonic::from_mins(10);
 
 fn spare(holders: &BTreeMap<Resource, Holder>, resource: &Resource) -> u32 {
--- a/crates/pomelohitch-route/src/dispatch/holdings.rs
+++ b/crates/pomelohitch-route/src/dispatch/holdings.rs
@@ -1,4 +1,4 @@
-//! The permits that this entry instance holds, and what it asks of their homes.
+//! The permits that this entry instance holds, and the asks it sends to their homes.
 
 use pomelohitch_core::id::MemberId;
 use pomelohitch_permits::holder::Asker;
@@ -8,11 +8,13 @@
 use super::{Dispatcher, Pace};
 
 impl<T> Dispatcher<T> {
-    /// What to ask of which home, of those that `may_ask` allows. `pace` says what else is asked
-    /// than what there is news of: lost hints don't matter then.
+    /// Returns the asks to send, with the home of each, limited to homes that `may_ask` accepts.
     ///
-    /// A home whose answer is still under way isn't to be asked again: each ask makes the answer
-    /// to the one before worthless.
+    /// Without regard to `pace`, asks are made for resources with changes to report; `pace` selects
+    /// further ones, which repairs the effect of lost recalls.
+    ///
+    /// `may_ask` should reject a home that has not yet answered an earlier ask: each ask
+    /// invalidates the answer to the previous one.
     pub fn asks(
         &mut self,
         asker: &Asker,
@@ -20,12 +22,12 @@
         may_ask: impl Fn(&MemberId) -> bool,
     ) -> Vec<(MemberId, Ask)> {
         let mut asks = Vec::new();
-        // Both maps are in the same order; looking each holder up would cost an entry instance
-        // without requests several percent of a core at thousands of runners.
+        // Both maps have the same order. Looking up each holder separately would cost an idle entry
+        // instance several percent of a core at thousands of runners.
         let mut holders = self.holders.iter_mut();
         for (resource, want) in &self.wants {
             let Some((_, holder)) = holders.find(|(held, _)| *held == resource) else {
-                // Whatever is wanted got a holder when the wants were worked out.
+                // Every entry of `wants` got a holder when `wants` was computed.
                 break;
             };
             let is_due = match pace {
@@ -49,7 +51,7 @@
         asks
     }
 
-    /// Takes over a home's answer.
+    /// Applies a home's reply.
     pub fn on_reply(&mut self, reply: &Reply) {
         if let Some(holder) = self.holders.get_mut(&reply.resource) {
             holder.on_reply(reply);
@@ -57,21 +59,24 @@
         }
     }
 
-    /// The limit of a resource was lowered.
+    /// Stops the use of a resource's permits until its home has confirmed them, after its limit was
+    /// lowered.
     pub fn confirm(&mut self, resource: &Resource) {
         if let Some(holder) = self.holders.get_mut(resource) {
             holder.confirm();
         }
     }
 
-    /// A home hints that another member lacks what is spare here.
+    /// Handles a home's hint that this member should ask, because its number of permits should
+    /// change.
     pub fn recall(&mut self, resource: &Resource) {
         if let Some(holder) = self.holders.get_mut(resource) {
             holder.recall();
         }
     }
 
-    /// From now on nothing is wanted beyond what requests need that are here: the rest goes back.
+    /// Starts leaving: from now on only permits for requests already here are wanted, and the
+    /// others are returned.
     pub fn leave(&mut self) {
         if !self.is_leaving {
             self.is_leaving = true;
@@ -79,7 +84,7 @@
         }
     }
 
-    /// Permits of a resource that are held here and in use.
+    /// Number of permits of a resource that are held here, and how many of those are in use.
     #[must_use]
     pub fn permits(&self, resource: &Resource) -> (u32, u32) {
         let holder = self.holders.get(resource);
--- a/crates/pomelohitch-route/src/dispatch/parts.rs
+++ b/crates/pomelohitch-route/src/dispatch/parts.rs
@@ -1,9 +1,10 @@
-//! What this entry instance and each of its teams are owed of every pool.
+//! Computes the share of every pool that this entry instance and each of its teams are entitled to.
 //!
-//! A team may sit behind one entry instance while others are spread over all. Evened out inside
-//! each entry instance alone, such a team would get a part of that one's slots and no more. So
-//! every member works out what each team is owed of the whole pool, from what all members have,
-//! and each asks for the slots that its teams are owed there.
+//! All callers of a team may reach the fleet through one entry instance, while other teams are
+//! spread over all of them. If each entry instance divided only its own slots, such a team would
+//! get no more than a part of that instance's slots. So every member computes each team's share of
+//! the whole pool from the loads of all members, and asks for the slots that its own teams are
+//! entitled to.
 
 use std::collections::BTreeMap;
 
@@ -13,11 +14,11 @@
 use super::Dispatcher;
 use crate::fair::{self, Claimant};
 
-/// What every member has of every team's requests to a pool.
+/// Demand for a pool in slots, by team and member.
 type Demands<'a> = BTreeMap<&'a TeamId, BTreeMap<&'a MemberId, f64>>;
 
-/// What besides the view decides what is owed and wanted. While it stays the same, so do they,
-/// and an entry instance without requests need not go over every runner to find that out.
+/// Inputs other than the view that determine weights and wanted permits. The results are recomputed
+/// only when these change, so that an idle entry instance does not iterate over all runners.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Basis {
     own: Vec<Load>,
@@ -26,18 +27,18 @@
 }
 
 impl<T> Dispatcher<T> {
-    /// Lets what came lately fade and works out anew what is owed and wanted; to be called once in
-    /// [`FADE_EVERY`](crate::queue::FADE_EVERY).
+    /// Decays the recent arrivals of all queues and recomputes weights and wanted permits; to be
+    /// called once every [`FADE_EVERY`](crate::queue::FADE_EVERY).
     pub fn renew(&mut self) {
-        // Faded first, as what peers have told is: else each would find itself to need more than
-        // the others.
+        // Decays first, since the loads reported by peers are decayed as well. Otherwise each
+        // member would consider its own demand larger than that of the others.
         for queue in self.queues.values_mut() {
             queue.fade();
         }
         self.share_out();
     }
 
-    /// Works out what is owed and wanted.
+    /// Recomputes weights and wanted permits if their inputs have changed.
     pub(super) fn share_out(&mut self) {
         let basis = Basis {
             own: self.loads(),
@@ -66,7 +67,7 @@
             let want = own.map(|load| load.running + load.waiting).sum();
             wants.insert(Resource::Team(team.clone()), want);
         }
-        // What is still held of something that is gone has to be given back.
+        // Permits of resources that no longer exist are returned.
         for (resource, holder) in &self.holders {
             if holder.held() > 0 {
                 wants.entry(resource.clone()).or_insert(0);
@@ -128,7 +129,7 @@
         let owed = fair::water_fill(capacity, &claimants);
         let members: Vec<_> = self.view.members.iter().collect();
         let unused = (capacity - owed.iter().sum::<f64>()).max(0.0);
-        // What nobody asks for is spread evenly: the next burst may arrive anywhere.
+        // Unclaimed capacity is spread evenly, since the next burst may arrive at any member.
         let each = unused / f64::from(u32::try_from(members.len().max(1)).unwrap_or(1));
         let mut parts = vec![each; members.len()];
         if let Some(own) = members.iter().position(|member| **member == self.view.own)
@@ -158,8 +159,8 @@
         }
     }
 
-    /// Tells each queue how many slots it can count on: those that are held, or wanted and soon
-    /// here.
+    /// Sets the number of slots that each queue can expect to use: for each runner the slots held
+    /// or wanted here, whichever is larger.
     fn set_queue_slots(&mut self) {
         for (service, queue) in &mut self.queues {
             let Some(terms) = self.view.services.get(service) else {
--- a/crates/pomelohitch-route/src/fair.rs
+++ b/crates/pomelohitch-route/src/fair.rs
@@ -1,20 +1,20 @@
-//! What each team is owed, over the whole fleet and at one entry instance.
+//! Weighted fair sharing of capacity between teams, and its assignment to runners.
 
-/// One who asks for a part of something.
+/// A participant in the sharing of a capacity.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Claimant {
-    /// Its weight against the others.
+    /// Its weight relative to the others.
     pub share: f64,
-    /// The most that it can use.
+    /// Maximum capacity that it can use.
     pub demand: f64,
 }
 
-/// Shares `capacity` out by weight: nobody gets more than its demand, and what one doesn't use goes
-/// to those that can, again by weight.
+/// Divides `capacity` by weight (max-min fairness): no claimant gets more than its demand, and what
+/// one does not use goes to the others, again by weight.
 #[must_use]
 pub fn water_fill(capacity: f64, claimants: &[Claimant]) -> Vec<f64> {
     let mut order: Vec<usize> = (0..claimants.len()).collect();
-    // Whoever needs least for its weight is satisfied first.
+    // Claimants with the lowest demand relative to their weight are satisfied first.
     let need = |i: usize| claimants[i].demand / claimants[i].share.max(f64::MIN_POSITIVE);
     order.sort_by(|&a, &b| need(a).total_cmp(&need(b)));
     let mut weight: f64 = claimants.iter().map(|c| c.share).sum();
@@ -34,11 +34,11 @@
     parts
 }
 
-/// Turns parts into whole slots laid out over `runners`, in one round after the other.
+/// Converts parts into whole slots and assigns these to `runners` round-robin.
 ///
-/// Every entry instance lays the same parts out in the same order, so that their slots meet
-/// nowhere, each spreads over as many runners as it can, and no runner is given away more than
-/// `slots` times. Returns for each part how many slots it has on each runner.
+/// Every entry instance computes the same assignment from the same parts. So their slots do not
+/// overlap, each part is spread over as many runners as possible, and no more than `slots` are
+/// assigned on any runner. Returns for each part its number of slots on each runner.
 #[must_use]
 pub fn lay_out(parts: &[f64], runners: usize, slots: u32) -> Vec<Vec<u32>> {
     let total = runners * slots as usize;
--- a/crates/pomelohitch-route/src/head.rs
+++ b/crates/pomelohitch-route/src/head.rs
@@ -1,18 +1,18 @@
-//! Reads the head of a caller's request from bytes, within limits.
+//! Parses the head of a caller's request, within size limits.
 //!
-//! Pure: bytes in, a head or a fault out. Whoever reads from the connection decides how long it
-//! waits for more bytes.
+//! Performs no I/O: the caller reads from the connection and decides how long to wait for more
+//! bytes.
 
 use snafu::Snafu;
 
 use crate::headers::Headers;
 
-/// How much a head may take.
+/// Size limits of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, bytes, with the empty line that ends it.
+    /// Maximum length of the head in bytes, including the empty line that ends it.
     pub head_bytes: usize,
-    /// Longest body, bytes.
+    /// Maximum length of the body in bytes.
     pub body_bytes: usize,
 }
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Most headers in a head.
+/// Maximum number of headers.
 pub const MAX_HEADERS: usize = 100;
 
 /// The head of a request.
@@ -35,11 +35,11 @@
     pub method: Box<str>,
     /// Path and query, as sent; starts with `/`.
     pub target: Box<str>,
-    /// Every header in its order.
+    /// All headers, in the order received.
     pub headers: Headers,
-    /// How many bytes the head takes.
+    /// Length of the head in bytes.
     pub length: usize,
-    /// How many bytes of body follow.
+    /// Length of the body in bytes.
     pub body_length: usize,
     /// Whether the caller keeps the connection open for another request.
     pub keep_alive: bool,
@@ -47,11 +47,11 @@
     pub expects_continue: bool,
 }
 
-/// Why a request can't be read. After each the connection has to be closed, since where the next
-/// request would begin isn't known.
+/// Why a request cannot be parsed. The connection has to be closed after any of these, since it is
+/// unknown where the next request begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum Error {
-    /// The bytes aren't HTTP/1.1.
+    /// The bytes are not well-formed HTTP/1.1.
     #[snafu(display("the request isn't well-formed HTTP/1.1"))]
     Malformed,
     /// The head is longer than [`Limits::head_bytes`] or has more than [`MAX_HEADERS`] headers.
@@ -60,22 +60,22 @@
     /// The body is longer than [`Limits::body_bytes`].
     #[snafu(display("the body of the request is too large"))]
     BodyTooLarge,
-    /// The length of the body is stated twice or unreadably.
+    /// The length of the body is stated more than once or is not a number.
     ///
-    /// Two readers that believe different statements would see different requests in the same
-    /// bytes, and a caller could smuggle one past the check of keys.
+    /// Two parsers that use different values would see different requests in the same bytes, and a
+    /// caller could smuggle a request past the key check.
     #[snafu(display("the length of the body is ambiguous"))]
     AmbiguousLength,
-    /// The body comes in chunks of no stated total.
+    /// The body is chunked, so its total length is not stated.
     #[snafu(display("the length of the body has to be stated by Content-Length"))]
     LengthRequired,
-    /// Something other than `100-continue` is expected.
+    /// The `Expect` header has a value other than `100-continue`.
     #[snafu(display("the expectation can't be met"))]
     Expectation,
 }
 
 impl Error {
-    /// The status that tells the caller.
+    /// The HTTP status for this error.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
@@ -91,10 +91,10 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Reads a head from the start of `buf`; `None` if more bytes are needed.
+/// Parses a head at the start of `buf`; `None` if more bytes are needed.
 ///
 /// # Errors
-/// If the bytes can't become a request that is served.
+/// If the request is malformed, too large or not supported.
 pub fn parse(buf: &[u8], limits: &Limits) -> Result<Option<Head>> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut req = httparse::Request::new(&mut slots);
@@ -154,7 +154,7 @@
     if text.is_empty() || !text.bytes().all(|b| b.is_ascii_digit()) {
         return AmbiguousLengthSnafu.fail();
     }
-    // Only digits: what doesn't parse is too large for the type.
+    // The text consists of digits only, so parsing fails only on overflow.
     match text.parse() {
         Ok(length) if length <= limits.body_bytes => Ok(length),
         _ => BodyTooLargeSnafu.fail(),
--- a/crates/pomelohitch-route/src/headers.rs
+++ b/crates/pomelohitch-route/src/headers.rs
@@ -1,12 +1,12 @@
-//! Headers in their order, and which of them pass through.
+//! Header fields, and which of them are forwarded.
 
-/// Names and values in the order in which they came.
+/// Header names and values in the order received.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Headers {
     fields: Vec<(Box<str>, Box<str>)>,
 }
 
-/// Headers that speak of one connection only, RFC 9110 section 7.6.1.
+/// Headers that apply to a single connection only (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "Connection",
     "Keep-Alive",
@@ -19,9 +19,9 @@
     "Upgrade",
 ];
 
-/// Headers that the entry answers to or sets itself.
+/// Headers that the entry interprets or sets itself.
 ///
-/// The key is for the entry: a runner that got it could act as the team.
+/// Authorization is among them because a runner that received the key could act as the team.
 const OWN: [&str; 9] = [
     "Authorization",
     "Content-Length",
@@ -35,12 +35,12 @@
 ];
 
 impl Headers {
-    /// Adds a header at the end.
+    /// Appends a header.
     pub fn add(&mut self, name: &str, value: &str) {
         self.fields.push((name.into(), value.trim().into()));
     }
 
-    /// The first value of `name`.
+    /// Returns the first value of `name`.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&str> {
         let mut fields = self.fields.iter();
@@ -49,7 +49,7 @@
             .map(|(_, value)| &**value)
     }
 
-    /// Every value of `name`.
+    /// Returns all values of `name`.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> {
         let fields = self.fields.iter();
         fields
@@ -65,12 +65,12 @@
             .any(|item| item.trim().eq_ignore_ascii_case(token))
     }
 
-    /// Every header in its order.
+    /// Iterates over all headers, in order.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.fields.iter().map(|(name, value)| (&**name, &**value))
     }
 
-    /// The headers that pass through to the other side.
+    /// Returns the headers to forward: all but hop-by-hop headers and those of the entry.
     #[must_use]
     pub fn end_to_end(&self) -> Headers {
         let passes = |name: &str| {
--- a/crates/pomelohitch-route/src/lib.rs
+++ b/crates/pomelohitch-route/src/lib.rs
@@ -1,16 +1,16 @@
-//! The request path: admit, queue, pick, send, answer.
+//! The request path: admit, queue, pick a runner, send, answer.
 //!
-//! * [`head`]: reads the head of a caller's request from bytes, within limits.
-//! * [`problem`]: answers that aren't the endpoint's own, and what they say of the request.
-//! * [`terms`]: what the caller asks for: deadline, priority, idempotency.
-//! * [`headers`]: which headers pass through.
-//! * [`fair`]: what each team is owed.
-//! * [`queue`]: waiting requests, bounded and fair.
-//! * [`pick`]: which runner gets a request.
-//! * [`budget`]: how many retries there may be.
-//! * [`once`]: what the home of idempotency keys remembers.
-//! * [`dispatch`]: all of these together, with permits, for one entry instance.
-//! * [`send`]: one try of a request at one runner.
+//! * [`head`]: parses the head of a caller's request, within size limits.
+//! * [`problem`]: error answers made by the entry instance itself.
+//! * [`terms`]: deadline, priority and idempotency as the caller states them.
+//! * [`headers`]: header fields, and which of them are forwarded.
+//! * [`fair`]: weighted fair sharing of capacity.
+//! * [`queue`]: bounded, fair queue of waiting requests.
+//! * [`pick`]: choice of a runner for a request.
+//! * [`budget`]: retry budget.
+//! * [`once`]: idempotency keys granted by their home.
+//! * [`dispatch`]: combines these, with permits, for one entry instance.
+//! * [`send`]: sends one attempt of a request to one runner.
 
 pub mod budget;
 pub mod dispatch;
--- a/crates/pomelohitch-route/src/once.rs
+++ b/crates/pomelohitch-route/src/once.rs
@@ -1,28 +1,28 @@
-//! What the home of idempotency keys remembers.
+//! Idempotency keys granted by their home (the member that is responsible for a key).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use crate::queue::Monotonic;
 
-/// How long a key is remembered after a request with it was granted.
+/// Time for which a key is remembered after a request with it was granted.
 pub const WINDOW: Duration = Duration::from_mins(2);
-/// Most keys that are remembered; beyond it new ones are refused, since forgetting one within its
-/// window could run a request twice.
+/// Maximum number of remembered keys. When it is reached new keys are refused, since forgetting a
+/// key within its window could let a request run twice.
 pub const MOST_KEYS: usize = 100_000;
 
-/// What a home says of a key.
+/// A home's answer about a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// The request may run: none with this key was granted within the window.
+    /// The request may run: no other with this key was granted within the window.
     Granted,
-    /// Another request with this key was granted.
+    /// Another request with this key was granted within the window.
     Taken,
-    /// There is no room to remember the key.
+    /// The maximum number of keys is reached.
     Full,
 }
 
-/// The keys of which a process is the home.
+/// Granted keys for which this process is the home.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Keys {
     by_key: BTreeMap<Box<str>, Granted>,
@@ -36,7 +36,8 @@
 }
 
 impl Keys {
-    /// May `request` run under `key`? Asking again for the same request gives the same answer.
+    /// Decides whether `request` may run under `key`. Repeating the call for the same request gives
+    /// the same answer.
     pub fn begin(&mut self, key: &str, request: &str, now: Monotonic) -> Answer {
         self.forget(now);
         if let Some(granted) = self.by_key.get(key) {
@@ -58,7 +59,8 @@
         Answer::Granted
     }
 
-    /// `request` certainly didn't run and won't: another one with the key may.
+    /// Releases `key` because `request` certainly did not and will not run, so that another request
+    /// with the key may.
     pub fn release(&mut self, key: &str, request: &str) {
         if let Some(granted) = self.by_key.get(key)
             && *granted.request == *request
--- a/crates/pomelohitch-route/src/pick.rs
+++ b/crates/pomelohitch-route/src/pick.rs
@@ -1,4 +1,4 @@
-//! Which runner gets a request.
+//! Chooses the runner for a request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,29 +7,30 @@
 
 use crate::queue::Monotonic;
 
-/// What became of a request at a runner.
+/// Result of a request at a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered after so long.
+    /// It answered after this time.
     Answered(Duration),
     /// It refused to start the request.
     Refused,
-    /// It couldn't be reached, or its answer was lost or late.
+    /// It could not be reached, or its answer was lost or late.
     Failed,
 }
 
-/// When a runner is left, and how it is tried again.
+/// When a failing runner is ejected (excluded from the choice), and when it is tried again.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// After so many failures in a row a runner is left.
+    /// Number of consecutive failures after which a runner is ejected.
     pub failures: u32,
-    /// How long it is left at first; doubles each time.
+    /// Duration of the first ejection; doubles with each further one.
     pub leave: Duration,
-    /// The longest time for which it is left.
+    /// Maximum duration of an ejection.
     pub longest_leave: Duration,
-    /// A runner so many times slower than the median is used only if no other is free.
+    /// A runner slower than the median by this factor is used only if no other is free.
     pub slow: f64,
-    /// If more than this part of the runners look bad, the fault lies elsewhere.
+    /// Ejections are ignored if more than this fraction of the runners is ejected, since the fault
+    /// then lies elsewhere.
     pub most_left: f64,
 }
 
@@ -45,42 +46,42 @@
     }
 }
 
-/// What is known of a runner.
+/// Recent results of one runner.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Health {
     failures: u32,
     left: u32,
     left_until: Monotonic,
     is_probed: bool,
-    /// Mean latency, seconds; 0 before the first answer.
+    /// Mean latency in seconds; 0 before the first answer.
     latency: f64,
 }
 
-/// A runner that could take a request now.
+/// A runner considered for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
     /// The runner.
     pub id: &'a InstanceId,
     /// Whether it is in the entry instance's own availability zone.
     pub near: bool,
-    /// Requests that this entry instance has there.
+    /// Number of requests of this entry instance that run there.
     pub running: u32,
-    /// Whether a permit for one more is there.
+    /// Whether this entry instance has a free permit for it.
     pub has_slot: bool,
 }
 
-/// Remembers how runners did.
+/// Chooses runners by load, zone and their recent results.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Picker {
     options: Options,
     health: BTreeMap<InstanceId, Health>,
 }
 
-/// How much the newest answer counts in the mean.
+/// Weight of the newest answer in the mean latency.
 const NEWEST: f64 = 0.1;
 
 impl Picker {
-    /// A picker that knows nothing yet.
+    /// Creates a picker without any results.
     #[must_use]
     pub fn new(options: Options) -> Picker {
         Picker {
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Forgets runners that are gone.
+    /// Drops the results of runners for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(&InstanceId) -> bool) {
         self.health.retain(|id, _| is_known(id));
     }
 
-    /// Picks one of `candidates` that has a slot; `random` breaks ties.
+    /// Picks one of the `candidates` that have a slot; `random` decides between equally good ones.
     ///
-    /// `avoid` is a runner that just failed this very request.
+    /// `avoid` is the runner at which this request has just failed.
     pub fn pick(
         &mut self,
         candidates: &[Candidate<'_>],
@@ -109,8 +110,8 @@
         let score = |c: &Candidate<'_>| {
             let health = self.health.get(c.id);
             let is_slow = health.is_some_and(|h| h.latency > slow);
-            // Near first only among those that are equally busy: else near runners would queue
-            // while far ones idle.
+            // Zone is compared after load. Otherwise requests would queue at runners in this zone
+            // while runners in other zones are idle.
             (is_slow, c.running, !c.near)
         };
         let usable: Vec<_> = candidates
@@ -128,14 +129,14 @@
         Some(id)
     }
 
-    /// Notes how a runner did.
+    /// Records the result of a request at a runner.
     pub fn note(&mut self, id: &InstanceId, outcome: Outcome, now: Monotonic) {
         let options = self.options;
         let health = self.health.entry(id.clone()).or_default();
         health.is_probed = false;
         match outcome {
             Outcome::Answered(latency) => health.answered(latency),
-            // A full runner isn't a bad one.
+            // A runner that refuses a request is full, not faulty.
             Outcome::Refused => {}
             Outcome::Failed => health.failed(&options, now),
         }
@@ -146,19 +147,19 @@
             return true;
         };
         let is_left = health.left > 0;
-        // One request at a time finds out whether it works again.
+        // After the ejection time, one request at a time probes whether the runner works again.
         !is_left || (now >= health.left_until && !health.is_probed)
     }
 
-    /// When most runners fail at once, the fault is likely the network's or this process's, or the
-    /// requests' own. Leaving them all would turn a partial fault into a whole one.
+    /// When most runners fail at once, the likely cause is the network, this process or the
+    /// requests themselves. Ejecting all runners would turn a partial outage into a complete one.
     fn looks_like_another_fault(&self, candidates: &[Candidate<'_>], now: Monotonic) -> bool {
         let left = candidates.iter().filter(|c| !self.may_use(c.id, now));
         let most = self.options.most_left * to_f64(candidates.len());
         to_f64(left.count()) > most
     }
 
-    /// The latency from which a runner counts as slow.
+    /// The latency above which a runner counts as slow.
     fn slow_from(&self, candidates: &[Candidate<'_>]) -> f64 {
         let known = candidates.iter().filter_map(|c| self.health.get(c.id));
         let mut latencies: Vec<_> = known.map(|h| h.latency).filter(|l| *l > 0.0).collect();
--- a/crates/pomelohitch-route/src/problem.rs
+++ b/crates/pomelohitch-route/src/problem.rs
@@ -1,4 +1,4 @@
-//! Answers that aren't the endpoint's own, as problem documents (RFC 9457).
+//! Error answers made by the entry instance itself, as problem documents (RFC 9457).
 
 use std::time::Duration;
 
@@ -8,62 +8,62 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
-    /// It certainly didn't and won't: no byte of it was handed to a connection, or the endpoint
-    /// said that it did not start it.
+    /// It certainly did not and will not run: no byte of it was handed to a connection, or the
+    /// endpoint reported that it did not start it.
     No,
-    /// It may have run, be running or run yet.
+    /// It may have run, may be running, or may still run.
     Unknown,
 }
 
-/// What the entry says in place of the endpoint.
+/// An error answer of the entry instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// What kind of problem.
+    /// The kind of problem.
     pub kind: Kind,
     /// Whether the request ran.
     pub ran: Ran,
-    /// What happened this time.
+    /// Explanation of this occurrence.
     pub detail: Box<str>,
-    /// The peer at which it happened, if it wasn't the entry itself.
+    /// The peer at which it occurred; `None` if at the entry instance itself.
     pub peer: Option<Box<str>>,
-    /// When to come back; only told if the request didn't run.
+    /// Time after which to retry; sent only if the request did not run.
     pub retry_after: Option<Duration>,
 }
 
-/// What kind of problem, each with its status and the step at which it arises.
+/// The kind of problem, which determines the status, the title and the step at which it occurs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// The request can't be read or makes no sense; the status tells more.
+    /// The request is malformed or not supported; the value is the HTTP status.
     BadRequest(u16),
-    /// No key, or one that isn't in force.
+    /// The key is missing or not valid.
     UnknownKey,
-    /// No such service or path.
+    /// There is no such service or path.
     NotFound,
-    /// The key may not be checked now: what this entry knows is too old.
+    /// The key cannot be checked now, because this entry's copy of the configuration is too old.
     StaleKnowledge,
-    /// The entry shuts down or has no room for the connection.
+    /// The entry is shutting down or has reached its maximum number of connections.
     EntryFull,
-    /// The queue has no room, or the wait would outlast the deadline.
+    /// The queue is full, or the expected wait exceeds the deadline.
     QueueFull,
-    /// The deadline passed while the request waited.
+    /// The deadline passed while the request was queued.
     WaitedTooLong,
-    /// The team has as much running as it may.
+    /// The team has reached its limit of running requests.
     TeamLimit,
-    /// No runner takes requests.
+    /// No runner accepts requests.
     NoRunner,
-    /// The runner couldn't be reached, or refused to start the request.
+    /// The runner could not be reached, or refused to start the request.
     RunnerRefused,
-    /// The answer was lost, cut or too large.
+    /// The answer was lost, truncated or too large.
     AnswerLost,
-    /// The answer didn't come before the deadline.
+    /// The answer did not arrive before the deadline.
     AnswerLate,
-    /// A request with this idempotency key runs, or ran, and can't be run again.
+    /// A request with this idempotency key is running or has run, so it is not run again.
     DuplicateKey,
-    /// Who remembers the idempotency key can't be asked.
+    /// The idempotency key could not be checked with its home.
     KeyUnchecked,
 }
 
-/// The common start of the types of problems.
+/// Prefix of the `type` of every problem.
 const TYPE_PREFIX: &str = "urn:pomelohitch:problem:";
 
 impl Kind {
@@ -117,7 +117,7 @@
         self.facts().0
     }
 
-    /// The step at which it arises.
+    /// The step at which it occurs.
     #[must_use]
     pub fn step(self) -> &'static str {
         self.facts().3
@@ -137,7 +137,7 @@
 }
 
 impl Problem {
-    /// A problem after which the request certainly didn't run.
+    /// Creates a problem of a request that certainly did not run.
     #[must_use]
     pub fn not_run(kind: Kind, detail: impl Into<Box<str>>) -> Problem {
         Problem {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// A problem after which nobody can say whether the request ran.
+    /// Creates a problem of a request that may have run.
     #[must_use]
     pub fn unknown(kind: Kind, detail: impl Into<Box<str>>) -> Problem {
         Problem {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The problem, which arose at `peer`.
+    /// Sets the peer at which the problem occurred.
     #[must_use]
     pub fn at(self, peer: impl Into<Box<str>>) -> Problem {
         Problem {
@@ -167,7 +167,7 @@
         }
     }
 
-    /// The problem, with when to come back.
+    /// Sets the time after which to retry.
     #[must_use]
     pub fn retry_after(self, after: Duration) -> Problem {
         Problem {
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The document, as `application/problem+json`.
+    /// Serialises the problem as `application/problem+json`.
     ///
     /// # Panics
     /// Never: strings and integers always serialise.
@@ -195,7 +195,8 @@
         serde_json::to_vec(&document).expect("strings and integers always serialise")
     }
 
-    /// Whole seconds for the `Retry-After` header, at least one.
+    /// Value of the `Retry-After` header in seconds, rounded up, at least 1. `None` if the request
+    /// may have run.
     #[must_use]
     pub fn retry_after_secs(&self) -> Option<u64> {
         let after = self.retry_after.filter(|_| self.ran == Ran::No)?;
--- a/crates/pomelohitch-route/src/queue.rs
+++ b/crates/pomelohitch-route/src/queue.rs
@@ -1,8 +1,8 @@
-//! The queue of one service at one entry instance: bounded, aware of deadlines, fair over teams.
+//! Queue of one service at one entry instance: bounded, deadline-aware and fair between teams.
 //!
-//! Teams are charged for the time that their requests take up slots, over their weight; the team
-//! that was charged least is served next. Inside a team quick requests go before patient ones, but
-//! a part of the turns is the patient ones' own.
+//! Each team is charged the slot time of its requests divided by its weight, and the team with the
+//! lowest charge is served next. Within a team quick requests go before patient ones, except that
+//! every [`PATIENT_TURN`]th request is a patient one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,29 +11,29 @@
 
 use crate::terms::Priority;
 
-/// Time on the process's monotonic clock, from any fixed start.
+/// Time on the process's monotonic clock, since an arbitrary fixed start.
 pub type Monotonic = Duration;
 
-/// One turn in so many is a patient request's if one waits.
+/// One in this many requests served is a patient one, if any waits.
 pub const PATIENT_TURN: u32 = 8;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Waiting<T> {
-    /// Whose it is.
+    /// The team that sent it.
     pub team: TeamId,
-    /// How urgent it is.
+    /// Its priority.
     pub priority: Priority,
-    /// When its caller gives up.
+    /// The time at which its caller stops waiting.
     pub deadline: Monotonic,
-    /// What the queue's owner knows it by.
+    /// Identifies the request to the owner of the queue.
     pub token: T,
 }
 
-/// Why a request isn't taken in.
+/// A request was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// When capacity is expected for it.
+    /// Time after which capacity is expected for it.
     pub retry_after: Duration,
 }
 
@@ -43,11 +43,11 @@
     patient: VecDeque<Waiting<T>>,
     turns: u32,
     weight: f64,
-    /// Slot-seconds charged, over the weight.
+    /// Slot-seconds charged, divided by the weight.
     charged: f64,
-    /// When the last refused request was told to come back.
+    /// The latest retry time given to a refused request.
     booked: Monotonic,
-    /// Requests that came lately, taken in or not; fades with [`fade`](Queue::fade).
+    /// Number of recent arrivals, accepted or refused; decays with [`fade`](Queue::fade).
     came: f64,
 }
 
@@ -65,14 +65,14 @@
     }
 }
 
-/// What the queue goes by.
+/// Settings of a queue.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Most requests that wait.
+    /// Maximum number of queued requests.
     pub bound: usize,
-    /// How long one request is taken to run before any has.
+    /// Assumed run time until the first request has ended.
     pub first_guess: Duration,
-    /// The longest time after which a refused request is told to come back.
+    /// Upper limit of the time after which a refused request may retry.
     pub longest_retry: Duration,
 }
 
@@ -86,31 +86,33 @@
     }
 }
 
-/// The queue.
+/// Queue of one service's requests, ordered by team and priority.
 #[derive(Debug)]
 pub struct Queue<T> {
     options: Options,
     lanes: BTreeMap<TeamId, Lane<T>>,
     waiting: usize,
-    /// How long one request takes up a slot, on average.
+    /// Mean time in seconds for which a request occupies a slot.
     mean_run: f64,
     runs: f64,
     slots: f64,
-    /// The charge of the team served last: where a team begins that had nothing waiting.
+    /// Highest charge at which a team was served (the virtual time of fair queuing). A team that
+    /// had nothing queued starts here.
     level: f64,
 }
 
-/// What came lately is what came within about a second: a quarter of it fades every quarter.
+/// Interval between calls of [`Queue::fade`]. Each call removes a quarter of the recent arrivals,
+/// so that they cover about the last second.
 pub const FADE_EVERY: Duration = Duration::from_millis(250);
-/// Below this a team counts as quiet.
+/// Teams that need less than this, in slots, are left out of [`Queue::needs`].
 const LEAST_NEED: f64 = 0.001;
 
-/// How much the newest run counts in the mean at the least; the first ones count more. Runs differ
-/// widely, and parts that follow each of them would make permits wander to and fro.
+/// Minimum weight of the newest run in the mean; the first runs have more. Run times vary widely,
+/// and with a larger weight permits would move back and forth between members.
 const NEWEST: f64 = 0.004;
 
 impl<T> Queue<T> {
-    /// An empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(options: Options) -> Queue<T> {
         Queue {
@@ -124,36 +126,37 @@
         }
     }
 
-    /// How many requests wait.
+    /// Number of queued requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Whether none waits.
+    /// Whether no request is queued.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
-    /// How many requests of each team wait.
+    /// Number of queued requests of each team.
     pub fn waiting_by_team(&self) -> impl Iterator<Item = (&TeamId, usize)> {
         let lanes = self.lanes.iter();
         lanes.map(|(team, lane)| (team, lane.len()))
     }
 
-    /// Lets what came lately fade; to be called once in [`FADE_EVERY`].
+    /// Decays the recent arrivals; to be called once every [`FADE_EVERY`].
     pub fn fade(&mut self) {
         for lane in self.lanes.values_mut() {
             lane.came *= 1.0 - FADE_EVERY.as_secs_f64();
         }
     }
 
-    /// Slots that each team would need to be served as its requests come, and to have what waits
-    /// served within a second.
+    /// Slots that each team needs to serve its requests at the rate at which they arrive, and its
+    /// queued requests within a second.
     ///
-    /// What runs isn't counted: a team has more running where it is served more, and entry
-    /// instances that each ask for what they already serve would drift apart.
+    /// Running requests are not counted: a team has more running where it is served more, so entry
+    /// instances that counted them would ask for what they already have and their shares would
+    /// diverge.
     pub fn needs(&self) -> impl Iterator<Item = (&TeamId, f64)> {
         let lanes = self.lanes.iter().map(|(team, lane)| {
             let waiting = f64::from(u32::try_from(lane.len()).unwrap_or(u32::MAX));
@@ -162,36 +165,36 @@
         lanes.filter(|(_, need)| *need > LEAST_NEED)
     }
 
-    /// How long one request takes up a slot, on average.
+    /// Mean time for which a request occupies a slot.
     #[must_use]
     pub fn mean_run(&self) -> Duration {
         Duration::from_secs_f64(self.mean_run)
     }
 
-    /// Sets how many slots this entry instance has for the service.
+    /// Sets the number of slots that this entry instance has for the service.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = f64::from(slots);
     }
 
-    /// Sets the bound.
+    /// Sets the maximum number of queued requests.
     pub fn set_bound(&mut self, bound: usize) {
         self.options.bound = bound;
     }
 
-    /// Sets a team's weight: the slots that it is owed at this entry instance.
+    /// Sets a team's weight: the number of slots that it is entitled to at this entry instance.
     pub fn set_weight(&mut self, team: &TeamId, weight: f64) {
         self.lane(team).weight = weight.max(0.01);
     }
 
-    /// Takes a request in, or refuses it at once if it wouldn't be served before its deadline.
+    /// Queues a request, or refuses it immediately if it would not be served before its deadline.
     ///
     /// # Errors
-    /// With the time at which there's room, which differs for each that is refused.
+    /// With the time after which to retry, which differs for each refused request.
     pub fn offer(&mut self, req: Waiting<T>, now: Monotonic) -> Result<(), Refusal> {
         self.lane(&req.team).came += 1.0;
         let wait = self.expected_wait(&req.team, req.priority);
-        // Runs differ and estimates are off: one that would only just be in time would be late
-        // half of the time, after it took up a slot.
+        // Run times vary and the estimate is inexact: a request expected to end just before its
+        // deadline would miss it half of the time, after occupying a slot.
         let run = Duration::from_secs_f64(self.mean_run);
         let served = now + wait + wait / 8 + 2 * run;
         let is_late = !wait.is_zero() && served > req.deadline;
@@ -201,7 +204,7 @@
         let level = self.level;
         let lane = self.lane(&req.team);
         if lane.len() == 0 {
-            // A team that had nothing waiting saves up no claim for later.
+            // A team earns no credit while it has nothing queued.
             lane.charged = lane.charged.max(level);
         }
         match req.priority {
@@ -212,20 +215,20 @@
         Ok(())
     }
 
-    /// Whether `team` has its part of the places.
+    /// Whether `team` has used up its part of the queue.
     ///
-    /// Were the places given to whoever comes first, the team that asks most would take them, and
-    /// a team whose requests can't get in isn't served its share.
+    /// If places were given out in order of arrival, the team with the most requests would take all
+    /// of them, and a team that cannot queue requests does not get its share.
     fn is_full_for(&self, team: &TeamId) -> bool {
         let bound = f64::from(u32::try_from(self.options.bound).unwrap_or(u32::MAX));
         let (own, sum) = self.weights(team);
         let waiting = self.lanes.get(team).map_or(0, Lane::len);
         let has_part = f64::from(u32::try_from(waiting).unwrap_or(u32::MAX)) >= bound * own / sum;
-        // Parts change as teams come and go; together they never hold more than twice the bound.
+        // Parts change as teams start and stop queuing; the total is limited to twice the bound.
         has_part || self.waiting >= 2 * self.options.bound
     }
 
-    /// The weight of `team`, and that of all teams that wait, itself included.
+    /// The weight of `team`, and the sum over all teams with queued requests and `team` itself.
     fn weights(&self, team: &TeamId) -> (f64, f64) {
         let own = self.lanes.get(team).map_or(1.0, |lane| lane.weight);
         let others = self
@@ -235,8 +238,8 @@
         (own, own + others.map(|(_, lane)| lane.weight).sum::<f64>())
     }
 
-    /// Books the time of the next return: callers refused together come back one after another,
-    /// not all at once, and only as fast as there is capacity for them.
+    /// Assigns the next retry time. Callers refused together are told to retry one after another,
+    /// and no faster than capacity becomes available for them.
     fn refuse(&mut self, team: &TeamId, now: Monotonic, wait: Duration) -> Refusal {
         let longest = self.options.longest_retry;
         let apart = Duration::from_secs_f64((1.0 / self.rate_of(team)).min(longest.as_secs_f64()));
@@ -247,7 +250,7 @@
         }
     }
 
-    /// How long a new request would wait, by what its team is owed and how long runs take.
+    /// Expected wait of a new request, from its team's share and the mean run time.
     #[must_use]
     pub fn expected_wait(&self, team: &TeamId, priority: Priority) -> Duration {
         let Some(lane) = self.lanes.get(team) else {
@@ -255,7 +258,7 @@
         };
         let ahead = match priority {
             Priority::Quick => lane.quick.len() + lane.quick.len() / PATIENT_TURN as usize,
-            // Quick requests that arrive meanwhile go first, all but for the patient ones' turns.
+            // Quick requests that arrive meanwhile go first, except in the patient requests' turns.
             Priority::Patient if lane.quick.is_empty() => lane.patient.len(),
             Priority::Patient => (lane.patient.len() + 1) * PATIENT_TURN as usize,
         };
@@ -264,19 +267,21 @@
         Duration::from_secs_f64(wait.min(self.options.longest_retry.as_secs_f64()))
     }
 
-    /// Requests of `team` served in a second while every team that waits now goes on waiting.
+    /// Requests of `team` served per second, assuming that all teams with queued requests keep
+    /// queuing.
     fn rate_of(&self, team: &TeamId) -> f64 {
         let (own, sum) = self.weights(team);
         (self.slots.max(0.1) * own / sum / self.mean_run.max(1e-4)).max(1e-3)
     }
 
-    /// Whether [`next`](Queue::next) would give a request.
+    /// Whether [`next`](Queue::next) would return a request.
     pub fn has_next(&self, mut may_run: impl FnMut(&TeamId) -> bool) -> bool {
         let mut waiting = self.lanes.iter().filter(|(_, lane)| lane.len() > 0);
         waiting.any(|(team, _)| may_run(team))
     }
 
-    /// Takes the next request out whose team may run, and charges its team for it.
+    /// Removes the next request of a team accepted by `may_run`, and charges the mean run time to
+    /// that team.
     pub fn next(&mut self, mut may_run: impl FnMut(&TeamId) -> bool) -> Option<Waiting<T>> {
         let team = self.next_team(&mut may_run)?;
         let mean_run = self.mean_run;
@@ -299,7 +304,8 @@
         team.into_iter().find(|team| may_run(team)).cloned()
     }
 
-    /// Takes out those whose deadline would pass before an answer could come: to be told at once.
+    /// Removes and returns requests whose deadline has passed, so that their callers get an answer
+    /// immediately.
     pub fn expire(&mut self, now: Monotonic) -> Vec<Waiting<T>> {
         let mut expired = Vec::new();
         for lane in self.lanes.values_mut() {
@@ -316,7 +322,7 @@
         expired
     }
 
-    /// The earliest deadline of all that wait.
+    /// The earliest deadline of all queued requests.
     #[must_use]
     pub fn first_deadline(&self) -> Option<Monotonic> {
         let lanes = self.lanes.values();
@@ -326,7 +332,8 @@
             .min()
     }
 
-    /// Notes how long a request took up its slot; its team is charged for that in the end.
+    /// Records how long a request occupied its slot, and corrects the charge of its team
+    /// accordingly.
     pub fn ran(&mut self, team: &TeamId, run: Duration) {
         let charged = self.mean_run;
         let run = run.as_secs_f64();
--- a/crates/pomelohitch-route/src/send.rs
+++ b/crates/pomelohitch-route/src/send.rs
@@ -1,7 +1,7 @@
-//! One try of a request at one runner.
+//! Sends one attempt of a request to one runner.
 //!
-//! What may be said afterwards depends on one fact: whether a byte of the request was handed to
-//! a connection. The transport below notes it; nothing is concluded from kinds of errors.
+//! Whether a request may be reported as not run depends only on whether a byte of it was handed to
+//! a connection. The transport records this; nothing is inferred from the kind of an error.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,55 +13,55 @@
 
 mod transport;
 
-/// A request as it goes to a runner.
+/// A request as sent to a runner.
 #[derive(Debug, Clone, Default)]
 pub struct Outgoing {
     /// The method.
     pub method: Box<str>,
     /// Path and query.
     pub target: Box<str>,
-    /// Headers that pass through and those that the entry adds.
+    /// End-to-end headers of the caller and those that the entry adds.
     pub headers: Headers,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// The whole answer of a runner.
+/// The complete answer of a runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
     /// The status.
     pub status: u16,
-    /// Headers that pass through.
+    /// The runner's end-to-end headers.
     pub headers: Headers,
-    /// The body, whole.
+    /// The complete body.
     pub body: Vec<u8>,
 }
 
-/// A try gave no answer.
+/// Why an attempt gave no answer.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No byte of the request was handed to a connection, so it certainly didn't run.
+    /// No byte of the request was handed to a connection, so it certainly did not run.
     #[snafu(display("connect: {reason}"))]
     Unsent {
-        /// What the HTTP client said.
+        /// Error message of the HTTP client.
         reason: Box<str>,
     },
-    /// The runner said that it didn't start the request.
+    /// The runner reported that it did not start the request.
     #[snafu(display("the runner didn't start the request"))]
     NotStarted,
-    /// Nothing came in time.
+    /// No complete answer arrived within the timeout.
     #[snafu(display("no whole answer in time"))]
     Late,
-    /// The answer was lost, cut or can't be read.
+    /// The answer was lost, truncated or unreadable.
     #[snafu(display("receive: {reason}"))]
     Lost {
-        /// What the HTTP client said.
+        /// Error message of the HTTP client.
         reason: Box<str>,
     },
 }
 
 impl Error {
-    /// Whether the request certainly didn't run.
+    /// Whether the request certainly did not run.
     #[must_use]
     pub fn is_not_run(&self) -> bool {
         matches!(self, Error::Unsent { .. } | Error::NotStarted)
@@ -71,29 +71,29 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Which connections a try may use.
+/// Which connections an attempt may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Connection {
-    /// One that is made for it: the runner has just shown that it can be reached.
+    /// A new connection. Establishing it shows that the runner is reachable.
     Fresh,
-    /// One that was used before, if there is one.
+    /// An idle connection if one is pooled, otherwise a new one.
     Kept,
 }
 
-/// Times and sizes of tries.
+/// Timeouts and sizes that apply to attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
-    /// Longest time to make a connection.
+    /// Timeout for establishing a connection.
     pub connect: Duration,
-    /// Most idle connections kept to one runner.
+    /// Maximum number of idle connections kept per runner.
     ///
-    /// A runner accepts 64 connections and runs 8 requests at once. Sixteen entry instances,
-    /// twice today's number, with three idle ones each leave room for those in use.
+    /// A runner accepts 64 connections and runs 8 requests at once. With 16 entry instances, twice
+    /// the present number, three idle connections each leave enough for those in use.
     pub kept_per_runner: usize,
-    /// How long an idle connection is kept. The longer it is idle, the likelier it is that
-    /// something between the two ends has lost track of it.
+    /// Time after which an idle connection is closed. The longer a connection is idle, the more
+    /// likely a middlebox such as a firewall has dropped its state.
     pub kept_for: Duration,
-    /// Largest answer, bytes.
+    /// Maximum size of an answer body in bytes.
     pub answer_bytes: u64,
 }
 
@@ -120,7 +120,7 @@
 const RAN: &str = "Request-Ran";
 
 impl Sender {
-    /// A sender with `options`.
+    /// Creates a sender with `options`.
     #[must_use]
     pub fn new(options: Options) -> Sender {
         Sender {
@@ -130,10 +130,10 @@
         }
     }
 
-    /// Sends `req` to the runner at `addr` and waits for its whole answer for `timeout`.
+    /// Sends `req` to the runner at `addr` and waits up to `timeout` for the complete answer.
     ///
     /// # Errors
-    /// If there is no whole answer; the error tells whether the request may have run.
+    /// If no complete answer arrives; [`Error::is_not_run`] says whether the request may have run.
     pub fn send(
         &self,
         addr: SocketAddr,
@@ -208,10 +208,10 @@
     builder.body(req.body.clone()).ok()
 }
 
-/// Whether the end of the answer shows that it is whole.
+/// Whether the answer states its length, so that truncation can be detected.
 ///
-/// Without a stated length an answer ends with its connection, and one that was cut by a crash
-/// looks whole. Passing it on would give the caller half of what it paid for.
+/// Without a stated length, an answer ends when its connection closes, and one truncated by a crash
+/// would be forwarded to the caller as complete.
 fn states_length(method: &str, answer: &Answer) -> bool {
     let has_no_body = method == "HEAD" || matches!(answer.status, 204 | 304);
     has_no_body
@@ -222,7 +222,7 @@
 fn headers_of(answer: &ureq::http::Response<ureq::Body>) -> Headers {
     let mut headers = Headers::default();
     for (name, value) in answer.headers() {
-        // A value that isn't text can't be passed on by the callers' side.
+        // The caller-facing side only handles text values; others are dropped.
         if let Ok(value) = value.to_str() {
             headers.add(name.as_str(), value);
         }
@@ -230,8 +230,9 @@
     headers
 }
 
-/// `Unsent` is only said where the transport was never given a byte of this request: a cut
-/// connection, a timeout or an unreadable answer may all follow after the runner began.
+/// Classifies an error of the HTTP client. `Unsent` requires that no byte of the request reached
+/// the transport: a broken connection, a timeout or an unreadable answer may all occur after the
+/// runner started the request.
 fn failed(error: &ureq::Error) -> Error {
     let reason = error.to_string().into();
     if !transport::was_handed() {
--- a/crates/pomelohitch-route/src/send/transport.rs
+++ b/crates/pomelohitch-route/src/send/transport.rs
@@ -1,13 +1,14 @@
-//! Connections to runners that note first bytes and find out when they went silent.
+//! TCP transport that records whether a request was written, and detects dead connections.
 //!
-//! Errors of an HTTP client don't tell whether the request left: a timeout may hit before the
-//! connection was made, or after the runner began. Saying "not run" by the kind of error would be
-//! wrong at times, and a caller who trusts it pays twice. The first byte is noted here, before it
-//! is written, whether or not the write succeeds.
+//! Errors of an HTTP client do not tell whether the request was sent: a timeout may occur before
+//! the connection is established, or after the runner started the request. Deriving "not run" from
+//! the kind of error would sometimes be wrong, and a caller that relies on it would run the request
+//! twice and be charged twice. So the first byte is recorded here before it is written, whether or
+//! not the write succeeds.
 //!
-//! Something between the two ends may lose track of a connection; then nothing arrives any more,
-//! not even an error, and a caller would wait until its own timeout. The kernel is told to probe
-//! connections that are waited on, and to give up those on which nothing is acknowledged.
+//! A middlebox may drop the state of a connection. Then nothing arrives any more, not even an
+//! error, and a caller would wait until its own timeout. So the kernel probes connections that wait
+//! for data (TCP keepalive), and closes those on which nothing is acknowledged.
 
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -23,29 +24,30 @@
 use ureq::{Agent, Error};
 
 thread_local! {
-    /// A call runs on the thread that makes it, one at a time, also when its connection was made
-    /// by another thread earlier.
+    /// Whether a byte of the current call was handed to a connection. Thread-local, since a call
+    /// runs on the thread that starts it, one at a time, even on a connection that another thread
+    /// made.
     static HANDED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// A connection on which nothing is acknowledged for so long is given up.
+/// A connection is closed when sent data stays unacknowledged for this long.
 const SILENT_AFTER: Duration = Duration::from_secs(3);
-/// How often a connection that is waited on is probed.
+/// Idle time before the first keepalive probe, and interval between probes.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Probes without an answer after which it is given up.
+/// Number of unanswered probes after which a connection is closed.
 const PROBES: u32 = 2;
 
-/// Begins a call: no byte of it was handed on yet.
+/// Starts a call: no byte of it has been handed to a connection.
 pub(super) fn begin() {
     HANDED.set(false);
 }
 
-/// Whether a byte of the call was handed to a connection.
+/// Whether a byte of the current call was handed to a connection.
 pub(super) fn was_handed() -> bool {
     HANDED.get()
 }
 
-/// An agent over plain TCP that notes first bytes.
+/// Creates an agent over plain TCP that uses this transport.
 pub(super) fn agent(config: Config) -> Agent {
     Agent::with_parts(config, TcpConnector, DefaultResolver::default())
 }
@@ -131,7 +133,7 @@
         Ok(amount > 0)
     }
 
-    /// Whether a kept connection can be used again: nothing is waiting in it, not even its end.
+    /// Whether an idle connection can be reused: no data and no end of stream is pending.
     fn is_open(&mut self) -> bool {
         let socket = SockRef::from(&self.stream);
         if socket.set_nonblocking(true).is_err() {
@@ -143,7 +145,7 @@
     }
 }
 
-/// A read or write that ran into the limit set for it says "would block".
+/// Converts an I/O error. A read or write that reaches its timeout reports `WouldBlock`.
 fn timed(error: std::io::Error, timeout: NextTimeout) -> Error {
     match error.kind() {
         ErrorKind::WouldBlock => Error::Timeout(timeout.reason),
--- a/crates/pomelohitch-route/src/terms.rs
+++ b/crates/pomelohitch-route/src/terms.rs
@@ -1,4 +1,4 @@
-//! What the caller asks for: deadline, priority, idempotency.
+//! Deadline, priority and idempotency, as the caller states them in headers.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 
 use crate::headers::Headers;
 
-/// How urgent a request is.
+/// Priority of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Somebody waits for it.
+    /// An interactive request; served first.
     #[default]
     Quick,
     /// It may wait while quick requests are served.
     Patient,
 }
 
-/// What the caller asks for.
+/// Terms that a caller states for a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Terms {
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// The caller's name for this request; requests with the same one run once.
+    /// Idempotency key: of the requests with the same key, one runs.
     pub key: Option<Box<str>>,
-    /// How long the caller waits.
+    /// Time that the caller waits for the answer.
     pub timeout: Duration,
-    /// How urgent it is.
+    /// Priority of the request.
     pub priority: Priority,
 }
 
-/// A header has a value that makes no sense.
+/// A header has an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(display("{name} has to be {expected}"))]
 pub struct Error {
@@ -40,9 +40,9 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Longest time that a caller may ask to wait.
+/// Maximum timeout that a caller may state.
 pub const LONGEST_TIMEOUT: Duration = Duration::from_mins(10);
-/// Longest idempotency key, bytes.
+/// Maximum length of an idempotency key in bytes.
 pub const LONGEST_KEY: usize = 128;
 
 const IDEMPOTENT: &str = "Request-Idempotent";
@@ -51,10 +51,10 @@
 const PRIORITY: &str = "Request-Priority";
 
 impl Terms {
-    /// Reads the terms of a request with `method`; without a stated timeout it is `default`.
+    /// Reads the terms of a request with `method`. Without a stated timeout, `default` applies.
     ///
     /// # Errors
-    /// If a header makes no sense: guessing what was meant could run a request twice.
+    /// If a header is invalid: ignoring it could run a request twice.
     pub fn read(method: &str, headers: &Headers, default: Duration) -> Result<Terms> {
         Ok(Terms {
             idempotent: read_idempotent(method, headers)?,
@@ -74,7 +74,7 @@
     }
 }
 
-/// RFC 9110, section 9.2.2.
+/// Whether RFC 9110, section 9.2.2 defines the method as idempotent.
 fn is_idempotent_method(method: &str) -> bool {
     matches!(
         method,
