--- a/crates/pomelohitch-permits/src/holder.rs
+++ b/crates/pomelohitch-permits/src/holder.rs
@@ -1,4 +1,4 @@
-//! The member's side of one resource.
+//! A member's permits of one resource.
 
 use pomelohitch_core::id::{Incarnation, MemberId, Offset};
 
@@ -6,16 +6,16 @@
 use crate::message::{Ask, Reply, Sequence};
 use crate::resource::Resource;
 
-/// Who asks, and by which set of members.
+/// The member that asks, and the set of members it knows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Asker {
     /// The member.
     pub member: MemberId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The epoch of the set of members by which the home was found.
+    /// The epoch of the set of members from which the home was determined.
     pub epoch: Offset,
-    /// Whether it shuts down.
+    /// Whether the member is shutting down.
     pub leaving: bool,
 }
 
@@ -24,35 +24,37 @@
 pub struct Holder {
     held: u32,
     used: u32,
-    /// When what was given up becomes free; each counts in `used` until then.
+    /// Times at which permits of runs with an unknown end become free; they count in `used` until
+    /// then.
     until: Vec<Monotonic>,
     keep: u32,
     want: u32,
     sequence: Sequence,
     awaited: Option<(Offset, Sequence)>,
-    /// The last epoch in which the home answered.
+    /// The last epoch in which a home replied.
     answered: Option<Offset>,
     is_recalled: bool,
     must_confirm: bool,
 }
 
 impl Holder {
-    /// Permits held, in use or not.
+    /// Number of permits held, whether in use or not.
     #[must_use]
     pub fn held(&self) -> u32 {
         self.held
     }
 
-    /// Permits in use.
+    /// Number of permits in use.
     #[must_use]
     pub fn used(&self) -> u32 {
         self.used
     }
 
-    /// Permits that can be taken.
+    /// Number of permits that can be taken.
     ///
-    /// What is held beyond its part isn't taken again: under full load every permit is in use
-    /// nearly always, and one that is taken again at once would never be given back.
+    /// Permits beyond this member's part are not taken again. Under full load nearly all permits
+    /// are in use all the time, and a permit that is reused immediately would never be returned to
+    /// the home.
     #[must_use]
     pub fn spare(&self) -> u32 {
         if self.must_confirm {
@@ -61,8 +63,7 @@
         self.held.min(self.keep).saturating_sub(self.used)
     }
 
-    /// Whether an ask would tell the home something that it doesn't know yet, or get an answer
-    /// that is still missing.
+    /// Whether an ask would report a change to the home, or repeat an ask that is still unanswered.
     #[must_use]
     pub fn has_news(&self, epoch: Offset, want: u32) -> bool {
         let is_owed = self.awaited.is_some() || self.answered != Some(epoch);
@@ -71,22 +72,21 @@
         is_owed || can_give || differs || self.is_recalled || self.must_confirm
     }
 
-    /// Whether this member holds less than the part that its home meant for it when it was last
-    /// asked.
+    /// Whether this member holds less than the part that its home assigned in its last reply.
     ///
-    /// The rest was with others then. A member that waited until it wants a permit would find
-    /// that out too late: if the one that has them dies, nobody may use them until its requests
-    /// have certainly ended.
+    /// The other permits were held by other members then. Asking only when they are needed would be
+    /// too late: if the member that holds them dies, they stay unusable until its requests have
+    /// certainly ended.
     #[must_use]
     pub fn is_short(&self) -> bool {
         self.held < self.keep
     }
 
-    /// Takes a permit for one run, if there is a spare one.
+    /// Takes a permit for one run, if one is free.
     ///
-    /// `is_fresh` tells whether the incarnation's lease covers this moment. A process that was
-    /// paused may have been held for dead meanwhile, and its permits given to others: if it
-    /// went on, more would run than the limit allows.
+    /// `is_fresh` says whether the incarnation's lease covers the current time. A process that was
+    /// paused may have been declared dead meanwhile, and its permits granted to others; if it
+    /// continued, more requests would run than the limit allows.
     #[must_use]
     pub fn take(&mut self, is_fresh: bool) -> bool {
         let may_run = is_fresh && self.spare() > 0;
@@ -96,20 +96,21 @@
         may_run
     }
 
-    /// The run of a permit has certainly ended.
+    /// Returns a permit whose run has certainly ended.
     pub fn give_back(&mut self) {
         self.used = self.used.saturating_sub(1);
     }
 
-    /// Nobody knows whether the run of a permit has ended, but at `until` it certainly has.
+    /// Returns a permit at `until`, when its run has certainly ended; before that, it may still
+    /// run.
     ///
-    /// A caller that hung up, or an answer that was late, doesn't stop the runner. If the permit
-    /// came back at once, the team would have more running than its limit, unseen.
+    /// A caller that disconnects, or a late answer, does not stop the runner. If the permit were
+    /// returned immediately, the team could exceed its limit.
     pub fn give_back_at(&mut self, until: Monotonic) {
         self.until.push(until);
     }
 
-    /// Frees the permits whose time has come.
+    /// Frees the permits whose runs have certainly ended by `now`.
     pub fn expire(&mut self, now: Monotonic) {
         let before = self.until.len();
         self.until.retain(|until| *until > now);
@@ -117,9 +118,9 @@
         self.used = self.used.saturating_sub(freed);
     }
 
-    /// Gives up what the home wants back, then tells it what is held.
+    /// Gives up surplus permits, then returns an ask that states what is held.
     ///
-    /// From now on replies to earlier asks are ignored: what is stated here has to stay true.
+    /// Replies to earlier asks are ignored from now on, so that the stated number stays true.
     pub fn ask(&mut self, resource: &Resource, asker: &Asker, want: u32) -> Ask {
         if self.answered == Some(asker.epoch) {
             self.give_up_surplus();
@@ -144,7 +145,7 @@
         self.held = self.held.min(self.keep).max(self.used);
     }
 
-    /// Takes over what was granted, unless a later ask has said meanwhile what is held.
+    /// Adds the permits granted, unless a later ask has been sent meanwhile.
     pub fn on_reply(&mut self, reply: &Reply) {
         if self.awaited != Some((reply.epoch, reply.sequence)) {
             return;
@@ -155,21 +156,20 @@
         self.keep = reply.keep;
         if std::mem::take(&mut self.must_confirm) {
             self.give_up_surplus();
-            // The home doesn't know yet what was just given up.
+            // The home does not know yet that these permits were given up.
             self.is_recalled = true;
         }
     }
 
-    /// The limit was lowered: what is held was granted under the higher one.
+    /// Handles a lowered limit: what is held was granted under the higher one.
     ///
-    /// No permit is taken until the home has said how much stays. Otherwise members that the home
-    /// doesn't reach would together use up the higher limit, for as long as they please.
+    /// No permit is taken until the home has replied with the new part. Otherwise members that
+    /// cannot reach the home would together go on using the higher limit, for an unlimited time.
     pub fn confirm(&mut self) {
         self.must_confirm = true;
     }
 
-    /// Another member lacks permits and the home would like to be asked. Only a hint: it may be
-    /// lost or come twice.
+    /// Handles a home's hint that this member should ask. The hint may be lost or arrive twice.
     pub fn recall(&mut self) {
         self.is_recalled = true;
     }
--- a/crates/pomelohitch-permits/src/home.rs
+++ b/crates/pomelohitch-permits/src/home.rs
@@ -1,4 +1,4 @@
-//! The home's side of all its resources.
+//! The records of a home on the permits of its resources, and its grants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,73 +9,74 @@
 use crate::resource::Resource;
 use crate::split;
 
-/// A set of members as the log says it.
+/// A set of members, according to the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Epoch {
-    /// The offset at which the set became what it is.
+    /// Offset of the record that last changed the set.
     pub offset: Offset,
-    /// Every member with its incarnation.
+    /// All members with their incarnations.
     pub members: BTreeMap<MemberId, Incarnation>,
-    /// Whether any incarnation ever ended before.
+    /// Whether any incarnation has ended so far.
     pub has_ended: bool,
 }
 
-/// What a home knows of one member's permits.
+/// Record of one member's permits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Note {
     sequence: Sequence,
-    /// What the member holds at the most.
+    /// Upper bound of the permits that the member holds.
     held: u32,
     want: u32,
     leaving: bool,
 }
 
-/// The notes on one resource.
+/// Records on one resource.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Book {
     notes: BTreeMap<MemberId, Note>,
-    /// What the members held together when the last of them had told it.
+    /// Total held by the members when the last of them had reported; `None` until then.
     gathered: Option<u32>,
-    /// Which member is the first to get what can't be split; another one for each resource, or
-    /// one member would get a little of everything.
+    /// Index of the member that gets the remainder of a division first. It differs between
+    /// resources, since otherwise one member would get the remainders of all of them.
     first: usize,
 }
 
-/// All resources of which this process is the home, in one epoch.
+/// All resources for which this process is the home, in one epoch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Homes {
     epoch: Epoch,
     heard: BTreeSet<MemberId>,
-    /// When the last member was heard to know the epoch.
+    /// Time at which every member had sent an ask in this epoch.
     all_heard: Option<Monotonic>,
     books: BTreeMap<Resource, Book>,
     recalls: BTreeSet<(MemberId, Resource)>,
 }
 
-/// What all members together hold and want of a resource.
+/// Permits of a resource held and wanted by all members together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
-    /// They hold no more than this.
+    /// Upper bound of the permits held.
     pub held: u32,
-    /// They want so many.
+    /// Number of permits wanted.
     pub wanted: u32,
 }
 
-/// What an ask is judged by.
+/// Bounds that apply to the grants of a resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The limit of the resource in force here.
+    /// The limit of the resource, according to this process's configuration.
     pub limit: u32,
-    /// After so long, a member that every other member knows to have ended has nothing running
-    /// any more: its lease, a margin for clocks, and the longest run.
+    /// Time after which a member that every other member knows to have ended has certainly nothing
+    /// running: its lease, a margin for clock differences and the longest run.
     pub wait: Monotonic,
 }
 
 impl Homes {
-    /// Begins anew for `epoch`. What was noted before is no longer exact: another member may have
-    /// been the home in between.
+    /// Enters `epoch` with empty records. Earlier records may be wrong, since another member may
+    /// have been the home in between.
     pub fn enter(&mut self, epoch: Epoch) {
-        // Both parts: the first set of members may begin at the same offset as no set at all.
+        // Compares the members as well as the offset: the first set of members may have the same
+        // offset as the empty set.
         if epoch == self.epoch {
             return;
         }
@@ -85,15 +86,16 @@
         };
     }
 
-    /// The epoch.
+    /// The current epoch.
     #[must_use]
     pub fn epoch(&self) -> &Epoch {
         &self.epoch
     }
 
-    /// Notes what the member holds and grants it more if that is certainly free.
+    /// Records what the member holds, and grants it more if that is certainly free.
     ///
-    /// `None` if the ask isn't from a member of the epoch, or is older than one already noted.
+    /// `None` if the sender isn't a member in this epoch, or the ask is older than the last one
+    /// recorded.
     pub fn on_ask(&mut self, ask: &Ask, bounds: &Bounds, now: Monotonic) -> Option<Reply> {
         let is_member = self.epoch.members.get(&ask.member) == Some(&ask.incarnation);
         if ask.epoch != self.epoch.offset || !is_member {
@@ -107,7 +109,7 @@
             first: ask.resource.number(),
             ..Book::default()
         });
-        // A network may deliver an ask late or twice; what it says then isn't true any more.
+        // An ask may arrive late or twice; what it states is then no longer true.
         let is_old = book
             .notes
             .get(&ask.member)
@@ -131,18 +133,20 @@
         })
     }
 
-    /// Members that should ask, since this was last looked at: they hold more than their part
-    /// while another lacks, or less than theirs while some are free.
+    /// Returns, and clears, the members that should send an ask: those that hold more than their
+    /// part while another has less than its part, and those that hold less than their part while
+    /// permits are free.
     ///
-    /// To be told to them as a hint: nothing depends on its arrival but how soon permits move.
+    /// They are notified with a hint. A lost hint only delays the move of permits.
     pub fn take_recalls(&mut self) -> BTreeSet<(MemberId, Resource)> {
         std::mem::take(&mut self.recalls)
     }
 
-    /// Looks for members that hold more than their part of what a resource has left.
+    /// Recalls permits of members that hold more than their part, for resources of which more is
+    /// held than the limit allows.
     ///
-    /// A limit that was lowered is noticed here: a member with nothing to do asks nothing, and
-    /// would go on by the part that it was once granted.
+    /// This detects lowered limits: an idle member sends no asks and would otherwise keep what it
+    /// was granted.
     pub fn review(&mut self, bounds_of: impl Fn(&Resource) -> Bounds, now: Monotonic) {
         for (resource, book) in &self.books {
             let bounds = bounds_of(resource);
@@ -155,8 +159,8 @@
         }
     }
 
-    /// What is asked for and held of a resource, once that is certain: every member has told it,
-    /// and those that ended have certainly stopped. `None` before.
+    /// Returns the permits of a resource that are held and wanted; `None` until every member has
+    /// reported and members that ended have certainly stopped.
     #[must_use]
     pub fn settled(&self, resource: &Resource, bounds: &Bounds, now: Monotonic) -> Option<Demand> {
         let book = self.books.get(resource)?;
@@ -177,11 +181,11 @@
         }
     }
 
-    /// Whether those that ended have certainly stopped.
+    /// Whether incarnations that ended have certainly stopped.
     ///
-    /// An incarnation that ended without knowing it goes on while its lease is renewed by members
-    /// that don't know it either. Once every member knows, the lease runs out; then its last
-    /// requests do.
+    /// An incarnation that does not know that it was ended goes on while members that do not know
+    /// it either renew its lease. Once every member knows, its lease runs out, and after that its
+    /// last requests end.
     fn may_open(&self, bounds: &Bounds, now: Monotonic) -> bool {
         if !self.epoch.has_ended {
             return true;
@@ -211,10 +215,11 @@
         self.notes.values().map(|note| note.held).sum()
     }
 
-    /// Grants what `member` lacks of its part; the grant is noted before it is told.
+    /// Grants what `member` lacks of its part, and records the grant before the reply is sent.
+    /// Returns the number granted and the part.
     fn grant(&mut self, member: &MemberId, limit: u32, may_open: bool) -> (u32, u32) {
         if self.gathered.is_none() {
-            // Nothing is known of the others yet: nobody has to give anything up.
+            // The other members have not all reported, so no member has to return permits.
             return (0, self.notes[member].held);
         }
         let total = self.total(limit, may_open);
@@ -228,8 +233,8 @@
         (granted, keep)
     }
 
-    /// What the members may hold together. Until those that ended have certainly stopped, they may
-    /// have in use whatever the members didn't hold when they were asked.
+    /// Permits that the members may hold together. Until members that ended have certainly stopped,
+    /// those may use everything that the current members did not hold when they first reported.
     fn total(&self, limit: u32, may_open: bool) -> u32 {
         match self.gathered {
             None => 0,
@@ -238,8 +243,8 @@
         }
     }
 
-    /// Those that hold more than their part, if another lacks or all together hold too much, and
-    /// those that lack, if some are free.
+    /// Members that hold more than their part, if another holds less or the total is too high, and
+    /// members that hold less than their part, if permits are free.
     fn members_to_ask(&self, total: u32) -> Vec<MemberId> {
         let mut to_ask = self.below_part(total);
         let lacking = self.members_where(total, |held, part| held < part);
@@ -253,7 +258,7 @@
         self.members_where(total, |held, part| held > part)
     }
 
-    /// Those that could be granted more.
+    /// Members that could be granted more.
     fn below_part(&self, total: u32) -> Vec<MemberId> {
         if self.gathered.is_none() || self.held() >= total {
             return Vec::new();
@@ -273,9 +278,9 @@
         place.map_or(0, |place| parts[place])
     }
 
-    /// The part of each member: by what each wants, and what nobody wants evenly.
+    /// The part of each member: divided by what each wants, and the rest evenly.
     ///
-    /// Everything is handed out, so that little is lost to sight when a home ends.
+    /// All permits are handed out, so that few are unaccounted for when a home ends.
     fn parts(&self, total: u32) -> Vec<u32> {
         let mut claims: Vec<_> = self
             .notes
--- a/crates/pomelohitch-permits/src/lib.rs
+++ b/crates/pomelohitch-permits/src/lib.rs
@@ -1,26 +1,27 @@
 //! Escrow of team limits and runner slots.
 //!
-//! An upper limit that must hold on every request can't be asked for on every request. It is a
-//! conserved number instead, split over the entry instances as permits: whoever holds one may
-//! run one request without asking. For each [`Resource`] one member, its home, hands permits out.
+//! An upper limit that must hold for every request cannot be checked with a remote call on every
+//! request. So it is split over the entry instances as permits: a member that holds a permit may
+//! run one request without a remote call. For each [`Resource`] one member, its home, hands the
+//! permits out.
 //!
-//! What is never exceeded: the permits held by all members, plus what members that ended may
-//! still have running, are no more than the limit. A lost message can only strand permits until
-//! the next one, never make one:
+//! Invariant: the permits held by all members, plus those of requests that members which ended may
+//! still have running, never exceed the limit. A lost message can make permits unusable until the
+//! next message, but cannot create permits:
 //!
-//! * A member takes permits away from itself before it says that it holds fewer.
-//! * A home notes a grant before it tells the member.
-//! * Every [`Ask`] states all that the member holds and ends all earlier ones: a reply to an
-//!   earlier one is ignored from then on. So the home's note is exact again after every ask.
-//! * Whenever the set of members changes, homes begin anew and grant nothing until every member
-//!   has told what it holds. What isn't accounted for may be with members that ended, and isn't
-//!   granted until those have certainly stopped.
+//! * A member gives up permits locally before it reports a lower count.
+//! * A home records a grant before it sends it.
+//! * Every [`Ask`] states the total that the member holds and invalidates all earlier asks: replies
+//!   to those are ignored. So the home's record of a member is exact after each ask.
+//! * Whenever the set of members changes, homes start with empty records, and grant nothing until
+//!   every member has reported what it holds. Permits that are unaccounted for may belong to
+//!   members that ended, and are not granted until those have certainly stopped.
 //!
-//! * [`resource`]: what is limited, and which member is its home.
-//! * [`message`]: what members and homes say to one another.
-//! * [`holder`]: the member's side of one resource.
-//! * [`home`]: the home's side of all its resources.
-//! * [`split`]: how a number is shared out.
+//! * [`resource`]: limited resources and their homes.
+//! * [`message`]: messages between members and homes.
+//! * [`holder`]: a member's permits of one resource.
+//! * [`home`]: the records of a home on all its resources.
+//! * [`split`]: division of a limit by what members want.
 
 pub mod holder;
 pub mod home;
@@ -33,5 +34,5 @@
 pub use message::{Ask, Load, Reply};
 pub use resource::Resource;
 
-/// Time on the process's monotonic clock, from any fixed start.
+/// Time on the process's monotonic clock, since an arbitrary fixed start.
 pub type Monotonic = std::time::Duration;
--- a/crates/pomelohitch-permits/src/message.rs
+++ b/crates/pomelohitch-permits/src/message.rs
@@ -1,60 +1,62 @@
-//! What members and homes say to one another.
+//! Messages between members and homes.
 
 use pomelohitch_core::id::{Incarnation, MemberId, Offset, ServiceId, TeamId};
 
 use crate::resource::Resource;
 
-/// Counts the asks of one holder.
+/// Sequence number of a holder's asks.
 pub type Sequence = u64;
 
-/// A member tells all that it holds of a resource, and what it could use.
+/// A member reports all permits of a resource that it holds, and how many it could use.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ask {
-    /// What it is about.
+    /// The resource.
     pub resource: Resource,
-    /// The epoch of the set of members by which the home was found.
+    /// The epoch of the set of members from which the home was determined.
     pub epoch: Offset,
-    /// Who asks.
+    /// The member that asks.
     pub member: MemberId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Larger than that of every earlier ask of this holder.
+    /// Greater than the number of every earlier ask of this holder.
     pub sequence: Sequence,
-    /// Permits that it holds, in use or not.
+    /// Number of permits that it holds, whether in use or not.
     pub held: u32,
-    /// Permits that it could use.
+    /// Number of permits that it could use.
     pub want: u32,
-    /// Whether it shuts down: nothing is handed out to it beyond what it wants.
+    /// Whether it is shutting down; if so, it gets no more than it wants.
     pub leaving: bool,
 }
 
 /// A home's answer to an [`Ask`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Reply {
-    /// What it is about.
+    /// The resource.
     pub resource: Resource,
     /// The epoch of the ask.
     pub epoch: Offset,
-    /// The ask that is answered.
+    /// Sequence number of the ask.
     pub sequence: Sequence,
-    /// Permits that the member holds from now on, on top of what it stated.
+    /// Number of permits granted in addition to those that the ask states as held.
     pub granted: u32,
-    /// How many permits the member should hold, in use or not; it gives back what is spare above
-    /// that with its next ask.
+    /// Number of permits that the member should hold, whether in use or not. With its next ask it
+    /// returns free permits beyond this.
     pub keep: u32,
 }
 
-/// What a member has of one team's requests to one service; from it members work out their parts.
+/// A member's load of one team's requests to one service. Members compute their parts from the
+/// loads of all.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Load {
     /// The service.
     pub service: ServiceId,
     /// The team.
     pub team: TeamId,
-    /// Requests sent to runners.
+    /// Number of requests sent to runners.
     pub running: u32,
-    /// Requests that wait in the queue.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Thousandths of a slot that its requests would need to be served as they come.
+    /// Capacity needed to serve the requests at the rate at which they arrive, in thousandths of a
+    /// slot.
     pub need: u32,
 }
--- a/crates/pomelohitch-permits/src/resource.rs
+++ b/crates/pomelohitch-permits/src/resource.rs
@@ -1,4 +1,4 @@
-//! What is limited, and which member is its home.
+//! Limited resources, and the member that is the home of each.
 
 use std::hash::{Hash, Hasher};
 
@@ -6,27 +6,28 @@
 use rendezvous_hash::{IdNode, Node, NodeHasher, RendezvousNodes};
 use serde::{Deserialize, Serialize};
 
-/// Something of which only so much may be in use over the whole fleet.
+/// A resource with an upper limit of use over the whole fleet.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Resource {
-    /// What a team may have running.
+    /// Running requests of a team.
     Team(TeamId),
-    /// What a runner runs at once.
+    /// Requests that a runner runs at once.
     Slots(InstanceId),
 }
 
 impl Resource {
-    /// A number that differs between resources more often than not.
+    /// A number that usually differs between resources.
     pub(crate) fn number(&self) -> usize {
         let (Resource::Team(id) | Resource::Slots(id)) = self;
         id.bytes().map(usize::from).sum()
     }
 }
 
-/// The member that hands out the permits of `resource`; `None` without members.
+/// Returns the member that hands out the permits of `resource`; `None` if there are no members.
 ///
-/// Rendezvous hashing: a change of members moves only the resources of those that came or went.
+/// Uses rendezvous hashing: a change of members moves only the resources of members that joined or
+/// left.
 #[must_use]
 pub fn home_of<'a, T: Hash>(
     resource: &T,
@@ -42,8 +43,9 @@
         .map(|node| *node.node_id())
 }
 
-/// Members may run different builds for a while. The standard library's hasher may change between
-/// them, and then they'd disagree on homes and no permit would be handed out; this one can't.
+/// Hasher that gives the same values in all builds. Members may run different builds for a while;
+/// the standard library's hasher may differ between them, so members would disagree on homes and no
+/// permits would be granted.
 #[derive(Debug, Clone, Copy)]
 struct StableHasher;
 
--- a/crates/pomelohitch-permits/src/split.rs
+++ b/crates/pomelohitch-permits/src/split.rs
@@ -1,16 +1,17 @@
-//! How a number is shared out.
+//! Division of a limit by what members want.
 
-/// What one asks for.
+/// One participant's claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Claim {
-    /// What it could use.
+    /// Number that it could use.
     pub want: u32,
-    /// Whether it also takes what nobody wants.
+    /// Whether it also accepts a part of the unclaimed rest.
     pub takes_more: bool,
 }
 
-/// Shares `total` out by `claims`: nobody gets more than it wants while another lacks, and those
-/// that lack get the same. What nobody wants is spread evenly over those that take it.
+/// Divides `total` by `claims`: no participant gets more than it wants while another gets less, and
+/// those that get less than they want get equal parts. The unclaimed rest is spread evenly over the
+/// participants that accept it.
 #[must_use]
 pub fn all(total: u32, claims: &[Claim]) -> Vec<u32> {
     let mut parts = by_wants(total, claims);
@@ -29,7 +30,8 @@
         parts[i] = claims[i].want.min(left / others);
         left -= parts[i];
     }
-    // Rounding down leaves less than one for each; it goes to the first that still lack.
+    // Rounding down leaves a remainder of less than one each, which goes to the first claims that
+    // are not satisfied.
     for (part, claim) in parts.iter_mut().zip(claims) {
         if left > 0 && *part < claim.want {
             *part += 1;
