--- a/crates/pomelohitch-permits/tests/permits/main.rs
+++ b/crates/pomelohitch-permits/tests/permits/main.rs
@@ -1,4 +1,4 @@
-//! Permits: rules of each side, and every interleaving of a few members checked.
+//! Tests of permits: single rules, and a model check of all interleavings of a few members.
 
 #![allow(clippy::unwrap_used, reason = "a panic is how a test fails")]
 
--- a/crates/pomelohitch-permits/tests/permits/model.rs
+++ b/crates/pomelohitch-permits/tests/permits/model.rs
@@ -1,7 +1,8 @@
-//! A small world around the real `Holder` and `Homes`: a log, processes, a network, runs, time.
+//! State space for the model check: the real `Holder` and `Homes` with a modelled log, processes,
+//! network, runs and time.
 //!
-//! The network keeps every message for ever and may deliver it at any time, any number of times
-//! or never: loss, repeats and reordering at once. Processes crash, start again as new
+//! The network keeps every message indefinitely and may deliver it at any time, any number of times
+//! or never, which covers loss, duplication and reordering. Processes crash, restart as new
 //! incarnations, and read the log late or not at all. A paused process is one that takes no step.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,16 +14,16 @@
 use pomelohitch_permits::resource::home_of;
 use pomelohitch_permits::{Ask, Holder, Homes, Monotonic, Reply, Resource};
 
-/// A member's place among the processes.
+/// Index of a member among the processes.
 pub type Place = usize;
 pub type Tick = u8;
 
-/// A lease covers the ticks from its evidence on.
+/// Length of a lease in ticks, counted from the tick in which it is renewed.
 pub const LEASE: Tick = 1;
-/// A run is over this many ticks after its start.
+/// Number of ticks after which a run has ended.
 pub const LONGEST_RUN: Tick = 2;
 
-/// How far the world is explored, and which rule is broken on purpose.
+/// Bounds of the exploration, and the rule that is broken on purpose.
 #[derive(Debug, Clone, Copy)]
 pub struct Scope {
     pub members: usize,
@@ -30,30 +31,30 @@
     pub last_tick: Tick,
     pub last_offset: usize,
     pub last_sequence: u64,
-    /// Whether the messages from before the start may still arrive.
+    /// Whether messages sent before the initial state may still arrive.
     pub has_old_packets: bool,
     pub fault: Fault,
 }
 
-/// A rule that a mutant breaks; the check has to notice each.
+/// A rule that is broken on purpose; the check must detect each of these faults.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// A reply to an earlier ask is taken over.
+    /// A member applies a reply to an earlier ask.
     LateReplyCounts,
-    /// The home believes an ask that a later one has overtaken.
+    /// The home accepts an ask that arrives after a later one.
     OldAskCounts,
-    /// The member says that it holds fewer before it takes them away.
+    /// A member reports a lower count before it gives up the permits.
     SaysBeforeItGives,
-    /// The home grants before every member has told what it holds.
+    /// The home grants before every member has reported what it holds.
     GrantsBeforeGathering,
-    /// The home doesn't wait for those that ended.
+    /// The home does not wait until members that ended have stopped.
     DoesNotWait,
-    /// The home waits for the lease of those that ended, but not for their runs.
+    /// The home waits for the leases of members that ended, but not for their runs.
     WaitsForTheLeaseOnly,
-    /// A permit whose run may go on comes back at once.
+    /// A permit is returned immediately although its run may still be going on.
     ForgetsLateRuns,
-    /// A holder doesn't look at its lease.
+    /// A holder takes permits without a valid lease.
     IgnoresLease,
 }
 
@@ -66,9 +67,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Process {
     pub incarnation: Incarnation,
-    /// How much of the log it has read.
+    /// Number of log records that it has read.
     pub read: usize,
-    /// The last tick that its lease covers; `None` if that is over.
+    /// The last tick that its lease covers; `None` if the lease has expired.
     pub covered: Option<Tick>,
     pub holder: Holder,
     pub homes: Homes,
@@ -85,8 +86,8 @@
     pub log: Vec<Record>,
     pub processes: Vec<Option<Process>>,
     pub packets: BTreeSet<Packet>,
-    /// When each run began that still goes on. Every caller gives up at once, the hardest case:
-    /// nobody hears of a run's end, and only time ends it.
+    /// Start of each run that has not ended. Every caller gives up immediately, the hardest case:
+    /// no member learns that a run has ended, so its permit is freed by time alone.
     pub runs: Vec<Tick>,
     pub now: Tick,
 }
@@ -96,7 +97,7 @@
 }
 
 pub fn resource() -> Resource {
-    // The first member is the first to get what can't be split of this one.
+    // For this resource the first member gets the remainder of a division.
     Resource::Team("hotel".into())
 }
 
@@ -104,7 +105,7 @@
     Duration::from_secs(u64::from(tick))
 }
 
-/// The set of members after the first records of the log.
+/// The set of members after the records of `log`.
 pub fn epoch_of(log: &[Record]) -> Epoch {
     let mut epoch = Epoch::default();
     for (offset, record) in (0u64..).zip(log) {
@@ -119,7 +120,7 @@
 }
 
 impl World {
-    /// All members have joined, and the first holds what its home granted.
+    /// The initial state: all members have joined, and the first holds what its home granted.
     pub fn start(scope: &Scope) -> World {
         let log: Vec<_> = (0..scope.members).map(Record::Join).collect();
         let process = |place| Process {
@@ -146,7 +147,7 @@
         world
     }
 
-    /// Every member asks once and gets its reply, and the first one again for what nobody wants.
+    /// Every member asks once and gets its reply; the first asks again for the unclaimed rest.
     fn settle(&mut self, scope: &Scope) {
         let honest = Scope {
             fault: Fault::None,
@@ -156,7 +157,7 @@
         for place in (0..scope.members).chain([0]) {
             let process = self.processes[place].clone().unwrap();
             *self = self.ask(&honest, place, &process, 0).unwrap();
-            // The ask first, then its reply; both stay and may arrive again at any time.
+            // Delivers the ask, then its reply; both stay in the network and may arrive again.
             for _ in 0..2 {
                 for packet in self.packets.clone() {
                     *self = self.deliver(&honest, &packet).unwrap_or(self.clone());
@@ -174,12 +175,12 @@
         );
     }
 
-    /// Running anywhere, known or not.
+    /// Number of requests that run anywhere, known to a member or not.
     pub fn running(&self) -> u32 {
         u32::try_from(self.runs.len()).unwrap()
     }
 
-    /// Every world that one step can lead to.
+    /// All states that one step can lead to.
     pub fn next(&self, scope: &Scope) -> Vec<World> {
         let mut worlds = Vec::new();
         self.tick(scope, &mut worlds);
@@ -193,7 +194,7 @@
             };
             worlds.push(self.read(place, process));
             worlds.extend(self.hear(place, process));
-            // The first member has no use for its permits, the others want all: permits move.
+            // The first member wants no permits and the others want all, so permits move.
             let want = if place == 0 { 0 } else { scope.limit };
             worlds.extend(self.ask(scope, place, process, want));
             worlds.extend(self.start_run(scope, place, process));
@@ -217,8 +218,8 @@
         worlds.push(world);
     }
 
-    /// Anybody may be held for dead at any time, rightly or not, and a process may end and be
-    /// replaced. One that ended for good is one that takes no step any more.
+    /// Any member may be declared dead at any time, rightly or wrongly, and a process may end and
+    /// be replaced. A process that ended for good is one that takes no more steps.
     fn change_members(&self, scope: &Scope, place: Place, worlds: &mut Vec<World>) {
         if self.log.len() >= scope.last_offset {
             return;
@@ -255,13 +256,13 @@
         if process.read == self.log.len() {
             process.covered = Some(self.now + LEASE - 1);
         }
-        // Whoever learns that it was ended stops; it comes back as a new incarnation.
+        // A process that reads that it was ended stops; it comes back as a new incarnation.
         world.processes[place] = is_member.then_some(process);
         world
     }
 
-    /// With the log down, more than half of the members are heard. One that knows of a later set
-    /// of members doesn't count.
+    /// While the log is unavailable, a lease is renewed if more than half of the members answer.
+    /// Members that know a later set of members do not count.
     fn hear(&self, place: Place, process: &Process) -> Option<World> {
         let epoch = process.homes.epoch();
         let heard = epoch.members.iter().filter(|(id, _)| {
@@ -308,7 +309,7 @@
                     return None;
                 }
                 if scope.fault == Fault::LateReplyCounts {
-                    // The repeat of one reply is noticed all the same, as in the real code.
+                    // A duplicate of a reply is still rejected, as in the real code.
                     world.packets.remove(packet);
                     let process = world.processes[*to].as_mut()?;
                     let mut latest = process.holder.clone();
@@ -359,7 +360,7 @@
         let mut ask = ask.clone();
         let sequence = ask.sequence;
         if scope.fault == Fault::OldAskCounts {
-            // Each delivery looks later than the one before.
+            // Each delivery appears later than the one before.
             ask.sequence = 1000 + self.packets.len() as u64;
         }
         let mut reply = homes.on_ask(&ask, &bounds, time(self.now))?;
@@ -389,8 +390,8 @@
     }
 }
 
-/// The assumption under which the check holds: those that ended are never more than half of any
-/// set of members, unless one of them had read a later set. `docs/design/permits.md`, "not proved".
+/// Assumption of the check: of any set of members at most half have ended, unless one of them had
+/// read a later set. `docs/design/permits.md`, "not proved".
 fn is_minority_gone(scope: &Scope, log: &[Record]) -> bool {
     let now = epoch_of(log);
     (scope.members..log.len()).all(|end| {
--- a/crates/pomelohitch-permits/tests/permits/model_check.rs
+++ b/crates/pomelohitch-permits/tests/permits/model_check.rs
@@ -1,10 +1,11 @@
-//! Every reachable world within a scope keeps the limit, and each broken rule is noticed.
+//! Explores all reachable states within a scope: the limit holds in all of them, and each broken
+//! rule is detected.
 
 use pathfinding::directed::bfs::bfs;
 
 use crate::model::{Fault, Scope, World};
 
-/// No change of members: everything that a network can do to messages.
+/// No change of members; covers loss, duplication and reordering of messages.
 fn messages(fault: Fault) -> Scope {
     Scope {
         members: 2,
@@ -17,7 +18,7 @@
     }
 }
 
-/// One change of members, in every way in which the processes may learn of it.
+/// One change of members, read by the processes in every possible order.
 fn changes(fault: Fault) -> Scope {
     Scope {
         members: 2,
@@ -30,11 +31,11 @@
     }
 }
 
-/// More worlds than this don't fit the memory of the machine that checks.
+/// Upper limit of explored states; more do not fit the memory of the machine that runs the check.
 const MOST_WORLDS: usize = 400_000;
 
-/// The shortest way to a world in which more runs than the limit allows, and how many worlds
-/// were reached.
+/// Returns the number of states explored, and the shortest path to a state in which more requests
+/// run than the limit allows.
 fn explore(scope: &Scope) -> (usize, Option<Vec<World>>) {
     let mut reached = 0;
     let path = bfs(
@@ -66,16 +67,15 @@
     assert!(reached > at_least, "only {reached} worlds");
 }
 
-/// Messages between members are lost, repeated and reordered while callers give up and their
-/// requests run on. In none of the worlds that this can lead to does a team have more running
-/// than its limit.
+/// Messages between members are lost, duplicated and reordered while callers give up and their
+/// requests continue. In no reachable state does a team exceed its limit.
 #[test]
 fn the_limit_holds_whatever_the_network_does() {
     holds(&messages(Fault::None), 1000);
 }
 
-/// Members end, are held for dead while they live, come back, are paused and cut off. In none of
-/// the worlds that this can lead to does a team have more running than its limit.
+/// Members end, are declared dead while alive, come back, pause and are cut off. In no reachable
+/// state does a team exceed its limit.
 #[test]
 fn the_limit_holds_through_a_change_of_members() {
     holds(&changes(Fault::None), 10_000);
--- a/crates/pomelohitch-permits/tests/permits/rules.rs
+++ b/crates/pomelohitch-permits/tests/permits/rules.rs
@@ -1,4 +1,4 @@
-//! Rules of each side, one by one.
+//! Tests of single rules.
 
 use pomelohitch_permits::resource::home_of;
 use pomelohitch_permits::split;
@@ -38,8 +38,8 @@
     assert_eq!(split::all(5, &[leaving]), [1]);
 }
 
-/// The home of a resource is found by each member for itself. If a change of members moved all
-/// homes, every replaced entry instance would stop the handing out of all permits for a moment.
+/// Each member computes homes locally. If a change of members moved all homes, replacing one entry
+/// instance would briefly stop the granting of all permits.
 #[test]
 fn a_member_that_leaves_moves_only_its_own_resources() {
     let members: Vec<Box<str>> = (0..8).map(|i| format!("entry-{i}").into()).collect();
--- a/crates/pomelohitch-permits/tests/permits/spread.rs
+++ b/crates/pomelohitch-permits/tests/permits/spread.rs
@@ -1,4 +1,4 @@
-//! How permits spread over members that want none yet.
+//! Distribution of permits over idle members.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
     Bounds { limit, wait: WAIT }
 }
 
-/// Members that come up one after another, as in a fleet that starts, and one home.
+/// One home, and members that join one after another, as in a fleet that starts.
 struct World {
     homes: Homes,
     holders: BTreeMap<&'static str, Holder>,
@@ -42,7 +42,7 @@
         });
     }
 
-    /// Everyone asks who has a reason to, and hears of recalls.
+    /// Every member with a reason to ask does so, and then receives its recalls.
     fn round(&mut self) {
         let epoch = self.homes.epoch().clone();
         for (id, holder) in &mut self.holders {
@@ -72,10 +72,9 @@
     }
 }
 
-/// A fleet starts, and nobody calls yet. The first entry instance holds every permit; when the
-/// others come up it gives most of them back, but they, wanting none, never ask again. Then the
-/// first one dies. What the others hold is all that they may use until its requests have
-/// certainly ended: nothing. For half a minute every caller is refused.
+/// Guards against permits that no live member may use. In an idle fleet that starts, the first
+/// member holds all permits and returns most when others join; if those never ask again and the
+/// first one dies, every caller is refused until its requests have certainly ended (half a minute).
 #[test]
 fn idle_members_get_their_parts() {
     let mut world = World::new();
@@ -88,7 +87,7 @@
     assert_eq!(world.held(), [LIMIT / 3; 3]);
 }
 
-/// Once each holds its part nobody asks any more: an idle fleet costs nothing.
+/// Once each member holds its part, an idle fleet sends no asks.
 #[test]
 fn idle_members_with_their_parts_are_silent() {
     let mut world = World::new();
@@ -103,8 +102,8 @@
     assert!(holders.all(|holder| !holder.has_news(epoch, 0) && !holder.is_short()));
 }
 
-/// An operator lowers a team's limit at night. Members with nothing to do ask nothing; if they kept
-/// what they hold, the morning's first burst would run under the old limit.
+/// Guards against idle members that keep what a higher limit granted: they send no asks by
+/// themselves, and the next burst would run under the old limit.
 #[test]
 fn idle_members_give_back_what_a_lowered_limit_takes() {
     let mut world = World::new();
@@ -121,8 +120,8 @@
     assert_eq!(world.held(), [1, 1, 1]);
 }
 
-/// A member reads that the limit was lowered, but doesn't reach the home. What it holds was granted
-/// under the old limit; together with others like it, more would run than the new one allows.
+/// A member reads a lowered limit but cannot reach the home. If it went on using permits granted
+/// under the old limit, several such members would together exceed the new one.
 #[test]
 fn a_permit_of_a_higher_limit_is_not_taken_until_it_is_confirmed() {
     let mut world = World::new();
--- a/crates/pomelohitch-route/examples/overload/fleet.rs
+++ b/crates/pomelohitch-route/examples/overload/fleet.rs
@@ -1,4 +1,5 @@
-//! Entry instances with the real decisions, runners that take time, and delays between them.
+//! Simulated fleet: entry instances with the real dispatcher, runners with run times, and network
+//! delays.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -18,18 +19,18 @@
 use crate::load::{Arrival, Arrivals, ENTRIES, RUNNERS, SHARES, SLOTS, Scenario, TIMEOUT};
 use crate::report::Report;
 
-/// How requests are decided on.
+/// How requests are dispatched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The decisions of this crate.
+    /// The dispatcher of this crate.
     Ours,
-    /// The same, but an eighth of every runner's slots for each entry instance.
+    /// The same, but each entry instance has a fixed eighth of every runner's slots.
     StaticSplit,
-    /// A plain queue at each entry instance, over the static split.
+    /// A FIFO queue at each entry instance, over the static split.
     Fifo,
-    /// Every request goes to a random runner at once; a full one refuses.
+    /// Sends every request to a random runner immediately; a full runner refuses it.
     RandomRunner,
-    /// The same, with another runner after each refusal until the caller gives up.
+    /// The same, but tries another runner after each refusal until the caller gives up.
     UnlimitedRetries,
 }
 
@@ -60,9 +61,9 @@
 const TICK: Duration = Duration::from_millis(25);
 const TICKS_PER_SHARE_OUT: u64 = 10;
 const TICKS_PER_REFRESH: u64 = 40;
-/// How soon unlimited retries follow one another.
+/// Interval between unlimited retries.
 const RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Most requests that wait at one entry instance.
+/// Maximum number of requests queued at one entry instance.
 const QUEUE: usize = 1000;
 const SERVICE: &str = "passes";
 const TEAM_LIMIT: u32 = 400;
@@ -72,14 +73,14 @@
 #[derive(Debug)]
 enum Event {
     Arrive(Id),
-    /// A blind sender tries again.
+    /// A request of a blind policy is sent again.
     Again(Id),
     Tick(u64),
     /// A request reaches a runner.
     Start(Id, Option<Sent>, usize),
-    /// A runner is done with a request.
+    /// A runner finishes a request.
     Finish(Id, Option<Sent>, usize),
-    /// The entry instance hears how a request ended.
+    /// The entry instance learns how a request ended.
     Heard(Id, Option<Sent>, usize, End),
     Batch(usize, usize, Vec<Ask>, Vec<Resource>, Vec<Load>),
     Replies(usize, usize, Vec<Reply>),
@@ -159,7 +160,7 @@
     }
 
     fn entry(&self, entry: usize) -> Entry {
-        // With a static split each entry instance is alone with its part of the slots.
+        // With a static split each entry instance is the only member, with its part of the slots.
         let is_alone = self.policy != Policy::Ours;
         let all: Vec<_> = if is_alone {
             vec![entry]
@@ -210,7 +211,7 @@
     }
 
     pub fn run(&mut self) -> Report {
-        // Permits settle before the load begins.
+        // Permits are distributed before the load starts.
         for tick in 0..8 {
             self.at(TICK * tick, Event::Tick(u64::from(tick)));
         }
@@ -431,7 +432,7 @@
         }
     }
 
-    /// What the daemon does at each of its ticks.
+    /// Does what the daemon does at each of its ticks.
     fn talk(&mut self, place: usize, tick: u64) {
         let is_telling = tick.is_multiple_of(TICKS_PER_SHARE_OUT);
         let entry = &mut self.entries[place];
--- a/crates/pomelohitch-route/examples/overload/load.rs
+++ b/crates/pomelohitch-route/examples/overload/load.rs
@@ -1,51 +1,52 @@
-//! What arrives when and where.
+//! Simulated load: arrivals with their times, teams and entry instances.
 
 use std::time::Duration;
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Runners of the pool, and slots of each.
+/// Number of runners in the pool.
 pub const RUNNERS: usize = 50;
 pub const SLOTS: u32 = 8;
 pub const ENTRIES: usize = 8;
-/// Shares of the teams.
+/// Share of each team.
 pub const SHARES: [u32; 6] = [30, 25, 20, 15, 5, 5];
-/// How long a request runs on average.
+/// Mean run time of a request.
 pub const MEAN_RUN: Duration = Duration::from_millis(50);
-/// How long callers wait.
+/// Timeout of the callers.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
-/// Share of quick requests.
+/// Fraction of requests that are quick.
 const QUICK: f64 = 0.7;
 
-/// Requests a second that the pool can run.
+/// Requests per second that the pool can run.
 pub fn capacity() -> f64 {
     f64::from(SLOTS) * RUNNERS as f64 / MEAN_RUN.as_secs_f64()
 }
 
-/// Requests a second that the pool can run if each takes up its slot also on the way there and back.
+/// Requests per second that the pool can run if each also occupies its slot while it travels to the
+/// runner and back.
 pub fn capacity_with(way: Duration) -> f64 {
     let taken = MEAN_RUN + 2 * way;
     f64::from(SLOTS) * RUNNERS as f64 / taken.as_secs_f64()
 }
 
-/// A load and what is broken meanwhile.
+/// A load, and the faults during it.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub name: &'static str,
     pub length: Duration,
-    /// From when on it is measured.
+    /// Start of the measurement.
     pub from: Duration,
-    /// Load against capacity at a time.
+    /// Load relative to capacity at a given time.
     pub load: fn(Duration) -> f64,
-    /// Whether the first team sits behind one entry instance.
+    /// Whether all requests of the first team arrive at one entry instance.
     pub one_entry: bool,
-    /// How many runners lose the connection after they took a request.
+    /// Number of runners that drop the connection after accepting a request.
     pub broken: usize,
 }
 
 impl Scenario {
-    /// Five times what the pool can run, all the time.
+    /// Constant load of five times the capacity.
     pub fn overload() -> Scenario {
         Scenario {
             name: "5x overload",
@@ -57,7 +58,7 @@
         }
     }
 
-    /// The same, with the team of the largest share behind one entry instance.
+    /// The same load, with all requests of the team with the largest share at one entry instance.
     pub fn one_entry() -> Scenario {
         Scenario {
             name: "5x, a team at one entry",
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Five times the mean for 3 s, a twentieth in between; the mean is 30 % of capacity.
+    /// Bursts of five times the mean for 3 s, and a twentieth of it in between. The mean is 30 % of
+    /// capacity.
     pub fn bursts() -> Scenario {
         Scenario {
             name: "bursts of 5x the mean",
@@ -81,7 +83,7 @@
         }
     }
 
-    /// 60 % load while a tenth of the runners loses every request.
+    /// 60 % load while a tenth of the runners fails every request.
     pub fn broken_runners() -> Scenario {
         Scenario {
             name: "a tenth of the runners broken",
@@ -94,7 +96,7 @@
     }
 }
 
-/// A request as its caller sends it.
+/// A request as sent by its caller.
 #[derive(Debug, Clone)]
 pub struct Arrival {
     pub at: Duration,
@@ -104,7 +106,7 @@
     pub run: Duration,
 }
 
-/// Arrivals of a scenario in their order.
+/// Arrivals of a scenario in order of time.
 pub struct Arrivals {
     random: StdRng,
     scenario: Scenario,
@@ -121,7 +123,7 @@
     }
 }
 
-/// An exponentially distributed time.
+/// Draws an exponentially distributed time.
 fn exponential(random: &mut StdRng, mean: f64) -> Duration {
     let uniform: f64 = random.random();
     Duration::from_secs_f64(-(1.0 - uniform).ln() * mean)
@@ -131,7 +133,8 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        // Thinning: candidates at the highest rate, kept by what the load is at their time.
+        // Thinning: draws candidates at the highest rate, and keeps each with the probability that
+        // gives the load at its time.
         let highest = 5.0;
         loop {
             self.now += exponential(&mut self.random, 1.0 / (highest * capacity()));
--- a/crates/pomelohitch-route/examples/overload/main.rs
+++ b/crates/pomelohitch-route/examples/overload/main.rs
@@ -1,9 +1,9 @@
-//! Measures the decisions of the request path under overload, in virtual time.
+//! Simulates the request path under overload, in virtual time.
 //!
-//! Arrivals are open-loop: they come at their times whatever became of those before, and a
-//! latency counts from the time at which the caller sent the request. The same seed gives the same
-//! figures. Baselines run in the same command: a static split of the slots, FIFO queues, a random
-//! runner for each request, and a random runner with unlimited retries.
+//! Arrivals are open-loop: requests arrive at their times regardless of earlier ones, and latency
+//! counts from the time at which the caller sent the request. The same seed gives the same figures.
+//! The baselines run in the same command: a static split of the slots, FIFO queues, a random runner
+//! for each request, and a random runner with unlimited retries.
 //!
 //! `cargo run --release -p pomelohitch-route --example overload`
 
--- a/crates/pomelohitch-route/examples/overload/report.rs
+++ b/crates/pomelohitch-route/examples/overload/report.rs
@@ -1,4 +1,4 @@
-//! Figures of one run.
+//! Results of one simulation run.
 
 use std::time::Duration;
 
@@ -57,7 +57,7 @@
             .expect("the histogram grows by itself");
     }
 
-    /// How far the team farthest from its share is from it, against its share.
+    /// Largest relative deviation of a team's served fraction from its share.
     fn farthest(&self) -> f64 {
         let shares: u32 = SHARES.iter().sum();
         let all: u64 = self.by_team.iter().sum();
--- a/crates/pomelohitch-route/tests/route/dispatch.rs
+++ b/crates/pomelohitch-route/tests/route/dispatch.rs
@@ -39,11 +39,12 @@
     }
 }
 
-/// Entry instances with their homes, whose messages a test may deliver or lose.
+/// Entry instances with their homes; a test delivers or drops their messages.
 struct Fleet {
     entries: Vec<(Dispatcher<u32>, Homes)>,
     now: Duration,
-    /// What truly runs, with when it certainly ends; `None` while its answer may still come.
+    /// Requests that actually run, with the time at which each has certainly ended; `None` while
+    /// its answer may still arrive.
     running: Vec<(usize, Sent, Option<Duration>)>,
 }
 
@@ -68,7 +69,8 @@
         }
     }
 
-    /// One entry instance talks to the homes; `loses` tells which replies are lost.
+    /// One entry instance exchanges messages with the homes; `loses` decides for each reply whether
+    /// it is lost.
     fn talk(&mut self, place: usize, mut loses: impl FnMut() -> bool) {
         let asker = Asker {
             member: member(place),
@@ -126,7 +128,7 @@
     fn pass(&mut self, time: Duration) {
         self.now += time;
         let now = self.now;
-        // A request whose answer never comes is given up by its deadline at the latest.
+        // A request whose answer never arrives ends at its deadline at the latest.
         self.running
             .retain(|(_, _, until)| until.is_none_or(|until| until > now));
         for (dispatcher, _) in &mut self.entries {
@@ -152,9 +154,9 @@
     }
 }
 
-/// Requests arrive anywhere, answers are lost or late, replies of homes are lost. Over all entry
-/// instances no team ever has more running than its limit and no runner more than its slots,
-/// counting also what runs on unseen.
+/// Requests arrive at any entry instance, answers are lost or late, and replies of homes are lost.
+/// Over all entry instances, no team may exceed its limit and no runner its slots, including
+/// requests that run on after their answer was lost.
 #[test]
 fn limits_and_slots_hold_over_all_entries() {
     pomelohitch_property::check(|steps: &Vec<(u8, u8)>| {
@@ -176,8 +178,8 @@
     });
 }
 
-/// The balancer sends a whole team to one entry instance. The slots and permits of the others have
-/// to come there, or the team gets a third of what is free.
+/// The load balancer sends all requests of a team to one entry instance. The slots and permits of
+/// the others have to move there, or the team gets only a third of the free capacity.
 #[test]
 fn idle_slots_come_to_the_entry_that_needs_them() {
     let mut fleet = Fleet::new(3);
@@ -187,7 +189,7 @@
     for _ in 0..100 {
         fleet.offer(0, "b");
     }
-    // Entry 0 tells its peers what it has; they give up, and it asks again.
+    // Entry 0 reports its load to its peers; they return permits, and it asks again.
     let loads = fleet.entries[0].0.loads();
     for peer in [1, 2] {
         fleet.entries[peer].0.heard(member(0), loads.clone());
@@ -200,7 +202,7 @@
     fleet.check();
 }
 
-/// A retry goes to another runner, and only if the budget allows.
+/// A retry goes to another runner, and only if the budget allows it.
 #[test]
 fn a_retry_goes_elsewhere_and_costs_budget() {
     let mut fleet = Fleet::new(1);
@@ -224,8 +226,8 @@
     assert_eq!(retries, 10, "what can be saved up and no more");
 }
 
-/// A process that was paused beyond its lease has queued requests and permits in hand. If it went
-/// on, it would use what was given to others meanwhile.
+/// A process that was paused beyond its lease still has queued requests and permits. If it sent
+/// them, it would use permits that have been granted to others meanwhile.
 #[test]
 fn nothing_is_sent_without_a_lease() {
     let mut fleet = Fleet::new(1);
@@ -236,9 +238,9 @@
     assert_eq!(fleet.entries[0].0.dispatch(fleet.now, true).len(), 1);
 }
 
-/// A team's limit is lowered while its requests wait, and until the home has said what stays no
-/// permit may be used. A request that was taken out of the queue meanwhile would be lost: its
-/// caller would wait out its whole timeout.
+/// A team's limit is lowered while its requests are queued, so no permit may be used until the home
+/// has replied. A request removed from the queue in that time would be lost, and its caller would
+/// wait for its whole timeout.
 #[test]
 fn a_lowered_limit_loses_no_waiting_request() {
     let mut fleet = Fleet::new(1);
@@ -254,8 +256,8 @@
     assert_eq!(fleet.running.len(), 1);
 }
 
-/// Every entry instance lays the same parts out for itself. Were they to overlap, a runner would
-/// be a hot spot that several ask for at once.
+/// Every entry instance computes the same assignment locally. If assignments overlapped, a runner
+/// would become a hot spot requested by several entry instances at once.
 #[test]
 fn a_layout_gives_each_slot_away_once_and_spreads_each_part() {
     pomelohitch_property::check(|parts: &Vec<u8>| {
--- a/crates/pomelohitch-route/tests/route/head.rs
+++ b/crates/pomelohitch-route/tests/route/head.rs
@@ -7,8 +7,8 @@
     }
 }
 
-/// Callers send anything. Whatever the bytes, reading them neither panics nor claims more than
-/// arrived, and a head that was read is read the same when more bytes follow it.
+/// For any input, parsing does not panic and claims no more bytes than arrived, and a parsed head
+/// stays the same when more bytes follow it.
 #[test]
 fn any_bytes_are_read_or_refused() {
     pomelohitch_property::check(|bytes: &Vec<u8>| {
@@ -25,7 +25,7 @@
     });
 }
 
-/// The same with bytes that look like a request, so that the later checks are reached.
+/// The same with input that resembles a request, so that the later checks are reached.
 #[test]
 fn requests_with_any_headers_are_read_or_refused() {
     pomelohitch_property::check(|(picks, ends): &(Vec<(u8, u8, u8)>, bool)| {
--- a/crates/pomelohitch-route/tests/route/main.rs
+++ b/crates/pomelohitch-route/tests/route/main.rs
@@ -1,4 +1,4 @@
-//! The decisions of the request path, without sockets or clocks.
+//! Tests of the request path's decisions, without sockets or clocks.
 
 #![allow(clippy::unwrap_used, reason = "a panic is how a test fails")]
 
--- a/crates/pomelohitch-route/tests/route/once.rs
+++ b/crates/pomelohitch-route/tests/route/once.rs
@@ -5,8 +5,8 @@
 
 const START: Duration = Duration::from_secs(100);
 
-/// A hotel desk gets no answer and sends the same booking again. Both reach the home of the key;
-/// only the first may run, for the whole window.
+/// A caller that gets no answer sends the same request again. Both reach the home of the key, and
+/// only the first may run within the window.
 #[test]
 fn a_key_is_granted_to_one_request_within_the_window() {
     let mut keys = Keys::default();
@@ -27,8 +27,8 @@
     assert_eq!(keys.begin("k", "second", START), Answer::Granted);
 }
 
-/// Half of all tries fail for a while. If each were tried again, the load would double just when
-/// there's least room for it.
+/// If every failed attempt were retried, the load would double just when there is the least
+/// capacity for it.
 #[test]
 fn retries_stay_a_small_share_of_first_tries() {
     let mut budget = RetryBudget::default();
--- a/crates/pomelohitch-route/tests/route/pick.rs
+++ b/crates/pomelohitch-route/tests/route/pick.rs
@@ -38,8 +38,8 @@
     assert!(!near(&picks(&mut picker, &candidates, START)));
 }
 
-/// A runner's process hangs and every request to it is lost. Callers would lose one answer in four
-/// for as long as it goes on being picked; when it works again, it has to be found out gently.
+/// A runner hangs and every request to it is lost. If it were still picked, callers would lose one
+/// answer in four; when it works again, it must be probed with few requests.
 #[test]
 fn a_failing_runner_is_left_and_probed_one_request_at_a_time() {
     let ids = ids(4);
@@ -56,8 +56,8 @@
     assert!(picks(&mut picker, &candidates, later).contains(&ids[0]));
 }
 
-/// A switch goes and all runners fail at once, or the requests themselves are at fault. If they
-/// were all left, nothing would be served although most may work again.
+/// A switch fails and all runners with it, or the requests themselves are at fault. If all runners
+/// were ejected, nothing would be served although most may work again.
 #[test]
 fn everything_failing_at_once_is_not_taken_for_bad_runners() {
     let ids = ids(4);
--- a/crates/pomelohitch-route/tests/route/queue.rs
+++ b/crates/pomelohitch-route/tests/route/queue.rs
@@ -24,8 +24,8 @@
     }
 }
 
-/// A large team floods the entry while a small one asks now and then. Served first come, first
-/// served, the small team's families would wait behind all of the flood.
+/// A large team floods the entry instance while a small one sends few requests. In order of
+/// arrival, the small team's requests would wait behind the whole flood.
 #[test]
 fn teams_are_served_by_weight_and_a_flood_delays_nobody_else() {
     let mut queue = queue();
@@ -46,8 +46,7 @@
     assert!((9..=11).contains(&small), "{small} of 40");
 }
 
-/// Quick requests never stop arriving. Patient ones would wait for ever if quick ones always went
-/// first.
+/// Quick requests arrive without a break. If they always went first, patient ones would starve.
 #[test]
 fn patient_requests_get_their_turns() {
     let mut queue = queue();
@@ -70,8 +69,8 @@
     assert_eq!(served[0].priority, Priority::Quick);
 }
 
-/// A burst brings more than can be served before the deadlines. Those beyond are told so at once,
-/// each to come back at another time, no faster than they can be served.
+/// A burst exceeds what can be served before the deadlines. The excess is refused immediately, with
+/// different retry times, no closer together than requests can be served.
 #[test]
 fn a_burst_is_refused_at_once_and_its_returns_are_spread() {
     let mut queue = queue();
@@ -81,7 +80,7 @@
             told.push(refusal.retry_after);
         }
     }
-    // Ten slots and 100 ms a request serve a hundred a second: about 450 in the 5 s.
+    // Ten slots at 100 ms per request serve 100 per second: about 450 in the 5 s.
     assert!((350..500).contains(&queue.len()), "{} wait", queue.len());
     assert!(told.windows(2).all(|pair| pair[0] < pair[1]), "together");
     let (first, last) = (told[0], told[told.len() - 1]);
@@ -94,8 +93,8 @@
     );
 }
 
-/// One team asks most and fills the queue. Another one has to find a place all the same, or it
-/// would get less than its share however fair the order is.
+/// One team fills the queue. Another one must still be able to queue requests, or it would get less
+/// than its share regardless of the order of service.
 #[test]
 fn a_full_queue_still_has_places_for_others() {
     let mut queue = queue();
@@ -111,8 +110,8 @@
     );
 }
 
-/// Whatever arrives, ends and expires in whatever order: nothing that was taken in is lost or
-/// comes out twice, the bound holds, and refusals are never empty promises.
+/// For any sequence of arrivals, completions and expiries: no accepted request is lost or returned
+/// twice, the bound holds, and every refusal has a retry time in the future.
 #[test]
 fn nothing_is_lost_or_doubled() {
     pomelohitch_property::check(|steps: &Vec<(u8, u8)>| {
