--- a/crates/pomelohitch-permits/src/holder.rs
+++ b/crates/pomelohitch-permits/src/holder.rs
@@ -26,13 +26,13 @@
     used: u32,
     /// Times at which permits of runs with an unknown end become free; they count in `used` until
     /// then.
-    until: Vec<Monotonic>,
+    release_times: Vec<Monotonic>,
     keep: u32,
     want: u32,
     sequence: Sequence,
-    awaited: Option<(Offset, Sequence)>,
+    awaited_reply: Option<(Offset, Sequence)>,
     /// The last epoch in which a home replied.
-    answered: Option<Offset>,
+    answered_epoch: Option<Offset>,
     is_recalled: bool,
     must_confirm: bool,
 }
@@ -65,11 +65,11 @@
 
     /// Whether an ask would report a change to the home, or repeat an ask that is still unanswered.
     #[must_use]
-    pub fn has_news(&self, epoch: Offset, want: u32) -> bool {
-        let is_owed = self.awaited.is_some() || self.answered != Some(epoch);
+    pub fn needs_ask(&self, epoch: Offset, want: u32) -> bool {
+        let awaits_reply = self.awaited_reply.is_some() || self.answered_epoch != Some(epoch);
         let can_give = self.held > self.keep.max(self.used);
         let differs = want != self.want && want != self.held;
-        is_owed || can_give || differs || self.is_recalled || self.must_confirm
+        awaits_reply || can_give || differs || self.is_recalled || self.must_confirm
     }
 
     /// Whether this member holds less than the part that its home assigned in its last reply.
@@ -78,7 +78,7 @@
     /// too late: if the member that holds them dies, they stay unusable until its requests have
     /// certainly ended.
     #[must_use]
-    pub fn is_short(&self) -> bool {
+    pub fn is_below_part(&self) -> bool {
         self.held < self.keep
     }
 
@@ -97,7 +97,7 @@
     }
 
     /// Returns a permit whose run has certainly ended.
-    pub fn give_back(&mut self) {
+    pub fn release(&mut self) {
         self.used = self.used.saturating_sub(1);
     }
 
@@ -106,15 +106,15 @@
     ///
     /// A caller that disconnects, or a late answer, does not stop the runner. If the permit were
     /// returned immediately, the team could exceed its limit.
-    pub fn give_back_at(&mut self, until: Monotonic) {
-        self.until.push(until);
+    pub fn release_at(&mut self, until: Monotonic) {
+        self.release_times.push(until);
     }
 
     /// Frees the permits whose runs have certainly ended by `now`.
     pub fn expire(&mut self, now: Monotonic) {
-        let before = self.until.len();
-        self.until.retain(|until| *until > now);
-        let freed = u32::try_from(before - self.until.len()).unwrap_or(u32::MAX);
+        let before = self.release_times.len();
+        self.release_times.retain(|until| *until > now);
+        let freed = u32::try_from(before - self.release_times.len()).unwrap_or(u32::MAX);
         self.used = self.used.saturating_sub(freed);
     }
 
@@ -122,13 +122,13 @@
     ///
     /// Replies to earlier asks are ignored from now on, so that the stated number stays true.
     pub fn ask(&mut self, resource: &Resource, asker: &Asker, want: u32) -> Ask {
-        if self.answered == Some(asker.epoch) {
+        if self.answered_epoch == Some(asker.epoch) {
             self.give_up_surplus();
         }
         self.want = want;
         self.is_recalled = false;
         self.sequence += 1;
-        self.awaited = Some((asker.epoch, self.sequence));
+        self.awaited_reply = Some((asker.epoch, self.sequence));
         Ask {
             resource: resource.clone(),
             epoch: asker.epoch,
@@ -147,11 +147,11 @@
 
     /// Adds the permits granted, unless a later ask has been sent meanwhile.
     pub fn on_reply(&mut self, reply: &Reply) {
-        if self.awaited != Some((reply.epoch, reply.sequence)) {
+        if self.awaited_reply != Some((reply.epoch, reply.sequence)) {
             return;
         }
-        self.awaited = None;
-        self.answered = Some(reply.epoch);
+        self.awaited_reply = None;
+        self.answered_epoch = Some(reply.epoch);
         self.held += reply.granted;
         self.keep = reply.keep;
         if std::mem::take(&mut self.must_confirm) {
--- a/crates/pomelohitch-permits/src/home.rs
+++ b/crates/pomelohitch-permits/src/home.rs
@@ -22,7 +22,7 @@
 
 /// Record of one member's permits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Note {
+struct MemberRecord {
     sequence: Sequence,
     /// Upper bound of the permits that the member holds.
     held: u32,
@@ -32,23 +32,23 @@
 
 /// Records on one resource.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-struct Book {
-    notes: BTreeMap<MemberId, Note>,
+struct Account {
+    by_member: BTreeMap<MemberId, MemberRecord>,
     /// Total held by the members when the last of them had reported; `None` until then.
-    gathered: Option<u32>,
+    initially_held: Option<u32>,
     /// Index of the member that gets the remainder of a division first. It differs between
     /// resources, since otherwise one member would get the remainders of all of them.
-    first: usize,
+    first_index: usize,
 }
 
 /// All resources for which this process is the home, in one epoch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Homes {
     epoch: Epoch,
-    heard: BTreeSet<MemberId>,
+    reported: BTreeSet<MemberId>,
     /// Time at which every member had sent an ask in this epoch.
-    all_heard: Option<Monotonic>,
-    books: BTreeMap<Resource, Book>,
+    all_reported_at: Option<Monotonic>,
+    accounts: BTreeMap<Resource, Account>,
     recalls: BTreeSet<(MemberId, Resource)>,
 }
 
@@ -101,29 +101,29 @@
         if ask.epoch != self.epoch.offset || !is_member {
             return None;
         }
-        self.hear(&ask.member, now);
-        let may_open = self.may_open(bounds, now);
+        self.record_report(&ask.member, now);
+        let ended_have_stopped = self.ended_have_stopped(bounds, now);
         let members = self.epoch.members.len();
-        let book = self.books.entry(ask.resource.clone());
-        let book = book.or_insert_with(|| Book {
-            first: ask.resource.number(),
-            ..Book::default()
+        let account = self.accounts.entry(ask.resource.clone());
+        let account = account.or_insert_with(|| Account {
+            first_index: ask.resource.byte_sum(),
+            ..Account::default()
         });
         // An ask may arrive late or twice; what it states is then no longer true.
-        let is_old = book
-            .notes
+        let is_old = account
+            .by_member
             .get(&ask.member)
-            .is_some_and(|note| note.sequence >= ask.sequence);
+            .is_some_and(|record| record.sequence >= ask.sequence);
         if is_old {
             return None;
         }
-        book.note(ask);
-        book.gather(members);
-        let (granted, keep) = book.grant(&ask.member, bounds.limit, may_open);
-        let total = book.total(bounds.limit, may_open);
-        let to_ask = book.members_to_ask(total).into_iter();
+        account.record_ask(ask);
+        account.record_initially_held(members);
+        let (granted, keep) = account.grant(&ask.member, bounds.limit, ended_have_stopped);
+        let total = account.total(bounds.limit, ended_have_stopped);
+        let to_recall = account.members_to_recall(total).into_iter();
         self.recalls
-            .extend(to_ask.map(|member| (member, ask.resource.clone())));
+            .extend(to_recall.map(|member| (member, ask.resource.clone())));
         Some(Reply {
             resource: ask.resource.clone(),
             epoch: ask.epoch,
@@ -148,11 +148,11 @@
     /// This detects lowered limits: an idle member sends no asks and would otherwise keep what it
     /// was granted.
     pub fn review(&mut self, bounds_of: impl Fn(&Resource) -> Bounds, now: Monotonic) {
-        for (resource, book) in &self.books {
+        for (resource, account) in &self.accounts {
             let bounds = bounds_of(resource);
-            let total = book.total(bounds.limit, self.may_open(&bounds, now));
-            if book.held() > total {
-                let above = book.above_part(total).into_iter();
+            let total = account.total(bounds.limit, self.ended_have_stopped(&bounds, now));
+            if account.held() > total {
+                let above = account.above_part(total).into_iter();
                 self.recalls
                     .extend(above.map(|member| (member, resource.clone())));
             }
@@ -163,21 +163,21 @@
     /// reported and members that ended have certainly stopped.
     #[must_use]
     pub fn settled(&self, resource: &Resource, bounds: &Bounds, now: Monotonic) -> Option<Demand> {
-        let book = self.books.get(resource)?;
-        let is_settled = book.gathered.is_some() && self.may_open(bounds, now);
-        is_settled.then(|| Demand {
-            held: book.held(),
-            wanted: book.notes.values().map(|note| note.want).sum(),
+        let account = self.accounts.get(resource)?;
+        let is_certain = account.initially_held.is_some() && self.ended_have_stopped(bounds, now);
+        is_certain.then(|| Demand {
+            held: account.held(),
+            wanted: account.by_member.values().map(|record| record.want).sum(),
         })
     }
 
-    fn hear(&mut self, member: &MemberId, now: Monotonic) {
-        if self.all_heard.is_some() {
+    fn record_report(&mut self, member: &MemberId, now: Monotonic) {
+        if self.all_reported_at.is_some() {
             return;
         }
-        self.heard.insert(member.clone());
-        if self.heard.len() == self.epoch.members.len() {
-            self.all_heard = Some(now);
+        self.reported.insert(member.clone());
+        if self.reported.len() == self.epoch.members.len() {
+            self.all_reported_at = Some(now);
         }
     }
 
@@ -186,72 +186,73 @@
     /// An incarnation that does not know that it was ended goes on while members that do not know
     /// it either renew its lease. Once every member knows, its lease runs out, and after that its
     /// last requests end.
-    fn may_open(&self, bounds: &Bounds, now: Monotonic) -> bool {
+    fn ended_have_stopped(&self, bounds: &Bounds, now: Monotonic) -> bool {
         if !self.epoch.has_ended {
             return true;
         }
-        self.all_heard.is_some_and(|at| now >= at + bounds.wait)
+        self.all_reported_at
+            .is_some_and(|at| now >= at + bounds.wait)
     }
 }
 
-impl Book {
-    fn note(&mut self, ask: &Ask) {
-        let note = Note {
+impl Account {
+    fn record_ask(&mut self, ask: &Ask) {
+        let record = MemberRecord {
             sequence: ask.sequence,
             held: ask.held,
             want: ask.want,
             leaving: ask.leaving,
         };
-        self.notes.insert(ask.member.clone(), note);
+        self.by_member.insert(ask.member.clone(), record);
     }
 
-    fn gather(&mut self, members: usize) {
-        if self.gathered.is_none() && self.notes.len() == members {
-            self.gathered = Some(self.held());
+    fn record_initially_held(&mut self, members: usize) {
+        if self.initially_held.is_none() && self.by_member.len() == members {
+            self.initially_held = Some(self.held());
         }
     }
 
     fn held(&self) -> u32 {
-        self.notes.values().map(|note| note.held).sum()
+        self.by_member.values().map(|record| record.held).sum()
     }
 
     /// Grants what `member` lacks of its part, and records the grant before the reply is sent.
     /// Returns the number granted and the part.
-    fn grant(&mut self, member: &MemberId, limit: u32, may_open: bool) -> (u32, u32) {
-        if self.gathered.is_none() {
+    fn grant(&mut self, member: &MemberId, limit: u32, ended_have_stopped: bool) -> (u32, u32) {
+        if self.initially_held.is_none() {
             // The other members have not all reported, so no member has to return permits.
-            return (0, self.notes[member].held);
+            return (0, self.by_member[member].held);
         }
-        let total = self.total(limit, may_open);
+        let total = self.total(limit, ended_have_stopped);
         let free = total.saturating_sub(self.held());
         let keep = self.part_of(member, total);
-        let Some(note) = self.notes.get_mut(member) else {
+        let Some(record) = self.by_member.get_mut(member) else {
             return (0, 0);
         };
-        let granted = keep.saturating_sub(note.held).min(free);
-        note.held += granted;
+        let granted = keep.saturating_sub(record.held).min(free);
+        record.held += granted;
         (granted, keep)
     }
 
     /// Permits that the members may hold together. Until members that ended have certainly stopped,
     /// those may use everything that the current members did not hold when they first reported.
-    fn total(&self, limit: u32, may_open: bool) -> u32 {
-        match self.gathered {
+    fn total(&self, limit: u32, ended_have_stopped: bool) -> u32 {
+        match self.initially_held {
             None => 0,
-            Some(_) if may_open => limit,
-            Some(gathered) => limit.min(gathered),
+            Some(_) if ended_have_stopped => limit,
+            Some(initially_held) => limit.min(initially_held),
         }
     }
 
     /// Members that hold more than their part, if another holds less or the total is too high, and
     /// members that hold less than their part, if permits are free.
-    fn members_to_ask(&self, total: u32) -> Vec<MemberId> {
-        let mut to_ask = self.below_part(total);
+    fn members_to_recall(&self, total: u32) -> Vec<MemberId> {
+        let mut to_recall = self.below_part(total);
         let lacking = self.members_where(total, |held, part| held < part);
         if !lacking.is_empty() || self.held() > total {
-            to_ask.extend(self.above_part(total));
+            to_recall.extend(self.above_part(total));
         }
-        to_ask
+        to_recall
     }
 
     fn above_part(&self, total: u32) -> Vec<MemberId> {
@@ -260,22 +261,22 @@
 
     /// Members that could be granted more.
     fn below_part(&self, total: u32) -> Vec<MemberId> {
-        if self.gathered.is_none() || self.held() >= total {
+        if self.initially_held.is_none() || self.held() >= total {
             return Vec::new();
         }
         self.members_where(total, |held, part| held < part)
     }
 
-    fn members_where(&self, total: u32, is_wanted: impl Fn(u32, u32) -> bool) -> Vec<MemberId> {
-        let notes = self.notes.iter().zip(self.parts(total));
-        let wanted = notes.filter(|((_, note), part)| is_wanted(note.held, *part));
+    fn members_where(&self, total: u32, is_selected: impl Fn(u32, u32) -> bool) -> Vec<MemberId> {
+        let by_member = self.by_member.iter().zip(self.parts(total));
+        let wanted = by_member.filter(|((_, record), part)| is_selected(record.held, *part));
         wanted.map(|((member, _), _)| member.clone()).collect()
     }
 
     fn part_of(&self, member: &MemberId, total: u32) -> u32 {
         let parts = self.parts(total);
-        let place = self.notes.keys().position(|known| known == member);
-        place.map_or(0, |place| parts[place])
+        let index = self.by_member.keys().position(|known| known == member);
+        index.map_or(0, |index| parts[index])
     }
 
     /// The part of each member: divided by what each wants, and the rest evenly.
@@ -283,16 +284,16 @@
     /// All permits are handed out, so that few are unaccounted for when a home ends.
     fn parts(&self, total: u32) -> Vec<u32> {
         let mut claims: Vec<_> = self
-            .notes
+            .by_member
             .values()
-            .map(|note| split::Claim {
-                want: note.want,
-                takes_more: !note.leaving,
+            .map(|record| split::Claim {
+                want: record.want,
+                takes_rest: !record.leaving,
             })
             .collect();
-        let first = self.first % claims.len().max(1);
+        let first = self.first_index % claims.len().max(1);
         claims.rotate_left(first);
-        let mut parts = split::all(total, &claims);
+        let mut parts = split::divide(total, &claims);
         parts.rotate_right(first);
         parts
     }
--- a/crates/pomelohitch-permits/src/resource.rs
+++ b/crates/pomelohitch-permits/src/resource.rs
@@ -18,7 +18,7 @@
 
 impl Resource {
     /// A number that usually differs between resources.
-    pub(crate) fn number(&self) -> usize {
+    pub(crate) fn byte_sum(&self) -> usize {
         let (Resource::Team(id) | Resource::Slots(id)) = self;
         id.bytes().map(usize::from).sum()
     }
--- a/crates/pomelohitch-permits/src/split.rs
+++ b/crates/pomelohitch-permits/src/split.rs
@@ -6,21 +6,21 @@
     /// Number that it could use.
     pub want: u32,
     /// Whether it also accepts a part of the unclaimed rest.
-    pub takes_more: bool,
+    pub takes_rest: bool,
 }
 
 /// Divides `total` by `claims`: no participant gets more than it wants while another gets less, and
 /// those that get less than they want get equal parts. The unclaimed rest is spread evenly over the
 /// participants that accept it.
 #[must_use]
-pub fn all(total: u32, claims: &[Claim]) -> Vec<u32> {
-    let mut parts = by_wants(total, claims);
+pub fn divide(total: u32, claims: &[Claim]) -> Vec<u32> {
+    let mut parts = divide_by_wants(total, claims);
     let given: u32 = parts.iter().sum();
-    spread(total - given, claims, &mut parts);
+    spread_rest(total - given, claims, &mut parts);
     parts
 }
 
-fn by_wants(total: u32, claims: &[Claim]) -> Vec<u32> {
+fn divide_by_wants(total: u32, claims: &[Claim]) -> Vec<u32> {
     let mut parts = vec![0; claims.len()];
     let mut order: Vec<usize> = (0..claims.len()).collect();
     order.sort_by_key(|&i| claims[i].want);
@@ -41,11 +41,11 @@
     parts
 }
 
-fn spread(rest: u32, claims: &[Claim], parts: &mut [u32]) {
+fn spread_rest(rest: u32, claims: &[Claim], parts: &mut [u32]) {
     let takers = claims
         .iter()
         .zip(parts)
-        .filter(|(claim, _)| claim.takes_more);
+        .filter(|(claim, _)| claim.takes_rest);
     let takers: Vec<_> = takers.map(|(_, part)| part).collect();
     let Ok(count @ 1..) = u32::try_from(takers.len()) else {
         return;
--- a/crates/pomelohitch-permits/tests/permits/model.rs
+++ b/crates/pomelohitch-permits/tests/permits/model.rs
@@ -15,7 +15,7 @@
 use pomelohitch_permits::{Ask, Holder, Homes, Monotonic, Reply, Resource};
 
 /// Index of a member among the processes.
-pub type Place = usize;
+pub type MemberIndex = usize;
 pub type Tick = u8;
 
 /// Length of a lease in ticks, counted from the tick in which it is renewed.
@@ -41,27 +41,27 @@
 pub enum Fault {
     None,
     /// A member applies a reply to an earlier ask.
-    LateReplyCounts,
+    AppliesLateReply,
     /// The home accepts an ask that arrives after a later one.
-    OldAskCounts,
+    AcceptsOldAsk,
     /// A member reports a lower count before it gives up the permits.
-    SaysBeforeItGives,
+    ReportsBeforeReleasing,
     /// The home grants before every member has reported what it holds.
-    GrantsBeforeGathering,
+    GrantsBeforeAllReported,
     /// The home does not wait until members that ended have stopped.
     DoesNotWait,
     /// The home waits for the leases of members that ended, but not for their runs.
-    WaitsForTheLeaseOnly,
+    WaitsForLeaseOnly,
     /// A permit is returned immediately although its run may still be going on.
-    ForgetsLateRuns,
+    ReleasesRunningPermit,
     /// A holder takes permits without a valid lease.
     IgnoresLease,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Packet {
-    Ask(Place, Ask),
-    Reply(Place, Incarnation, Reply),
+    Ask(MemberIndex, Ask),
+    Reply(MemberIndex, Incarnation, Reply),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -77,8 +77,8 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Record {
-    Join(Place),
-    End(Place),
+    Join(MemberIndex),
+    End(MemberIndex),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -92,8 +92,8 @@
     pub now: Tick,
 }
 
-pub fn member(place: Place) -> MemberId {
-    format!("entry-{place}").into()
+pub fn member(index: MemberIndex) -> MemberId {
+    format!("entry-{index}").into()
 }
 
 pub fn resource() -> Resource {
@@ -110,8 +110,8 @@
     let mut epoch = Epoch::default();
     for (offset, record) in (0u64..).zip(log) {
         let before = match record {
-            Record::Join(place) => epoch.members.insert(member(*place), offset),
-            Record::End(place) => epoch.members.remove(&member(*place)),
+            Record::Join(index) => epoch.members.insert(member(*index), offset),
+            Record::End(index) => epoch.members.remove(&member(*index)),
         };
         epoch.has_ended |= before.is_some();
         epoch.offset = offset;
@@ -123,8 +123,8 @@
     /// The initial state: all members have joined, and the first holds what its home granted.
     pub fn start(scope: &Scope) -> World {
         let log: Vec<_> = (0..scope.members).map(Record::Join).collect();
-        let process = |place| Process {
-            incarnation: place as Offset,
+        let process = |index| Process {
+            incarnation: index as Offset,
             read: log.len(),
             covered: Some(LEASE - 1),
             holder: Holder::default(),
@@ -132,7 +132,7 @@
         };
         let mut world = World {
             processes: (0..scope.members)
-                .map(|place| Some(process(place)))
+                .map(|index| Some(process(index)))
                 .collect(),
             log,
             packets: BTreeSet::new(),
@@ -143,20 +143,20 @@
         for process in world.processes.iter_mut().flatten() {
             process.homes.enter(epoch.clone());
         }
-        world.settle(scope);
+        world.distribute_permits(scope);
         world
     }
 
     /// Every member asks once and gets its reply; the first asks again for the unclaimed rest.
-    fn settle(&mut self, scope: &Scope) {
+    fn distribute_permits(&mut self, scope: &Scope) {
         let honest = Scope {
             fault: Fault::None,
             last_sequence: u64::MAX,
             ..*scope
         };
-        for place in (0..scope.members).chain([0]) {
-            let process = self.processes[place].clone().unwrap();
-            *self = self.ask(&honest, place, &process, 0).unwrap();
+        for index in (0..scope.members).chain([0]) {
+            let process = self.processes[index].clone().unwrap();
+            *self = self.ask(&honest, index, &process, 0).unwrap();
             // Delivers the ask, then its reply; both stay in the network and may arrive again.
             for _ in 0..2 {
                 for packet in self.packets.clone() {
@@ -187,17 +187,17 @@
         for packet in &self.packets {
             worlds.extend(self.deliver(scope, packet));
         }
-        for place in 0..scope.members {
-            self.change_members(scope, place, &mut worlds);
-            let Some(process) = &self.processes[place] else {
+        for index in 0..scope.members {
+            self.change_members(scope, index, &mut worlds);
+            let Some(process) = &self.processes[index] else {
                 continue;
             };
-            worlds.push(self.read(place, process));
-            worlds.extend(self.hear(place, process));
+            worlds.push(self.read_log(index, process));
+            worlds.extend(self.renew_lease(index, process));
             // The first member wants no permits and the others want all, so permits move.
-            let want = if place == 0 { 0 } else { scope.limit };
-            worlds.extend(self.ask(scope, place, process, want));
-            worlds.extend(self.start_run(scope, place, process));
+            let want = if index == 0 { 0 } else { scope.limit };
+            worlds.extend(self.ask(scope, index, process, want));
+            worlds.extend(self.start_run(scope, index, process));
         }
         worlds.retain(|world| world != self);
         worlds
@@ -220,19 +220,19 @@
 
     /// Any member may be declared dead at any time, rightly or wrongly, and a process may end and
     /// be replaced. A process that ended for good is one that takes no more steps.
-    fn change_members(&self, scope: &Scope, place: Place, worlds: &mut Vec<World>) {
+    fn change_members(&self, scope: &Scope, index: MemberIndex, worlds: &mut Vec<World>) {
         if self.log.len() >= scope.last_offset {
             return;
         }
-        let is_member = epoch_of(&self.log).members.contains_key(&member(place));
+        let is_member = epoch_of(&self.log).members.contains_key(&member(index));
         let mut ended = self.clone();
-        ended.log.push(Record::End(place));
-        if is_member && is_minority_gone(scope, &ended.log) {
+        ended.log.push(Record::End(index));
+        if is_member && ended_are_minority(scope, &ended.log) {
             worlds.push(ended);
         }
         let mut joined = self.clone();
-        joined.log.push(Record::Join(place));
-        if is_minority_gone(scope, &joined.log) {
+        joined.log.push(Record::Join(index));
+        if ended_are_minority(scope, &joined.log) {
             let mut process = Process {
                 incarnation: self.log.len() as Offset,
                 read: joined.log.len(),
@@ -241,57 +241,63 @@
                 homes: Homes::default(),
             };
             process.homes.enter(epoch_of(&joined.log));
-            joined.processes[place] = Some(process);
+            joined.processes[index] = Some(process);
             worlds.push(joined);
         }
     }
 
-    fn read(&self, place: Place, process: &Process) -> World {
+    fn read_log(&self, index: MemberIndex, process: &Process) -> World {
         let mut world = self.clone();
         let mut process = process.clone();
         process.read = (process.read + 1).min(self.log.len());
         let epoch = epoch_of(&self.log[..process.read]);
-        let is_member = epoch.members.get(&member(place)) == Some(&process.incarnation);
+        let is_member = epoch.members.get(&member(index)) == Some(&process.incarnation);
         process.homes.enter(epoch);
         if process.read == self.log.len() {
             process.covered = Some(self.now + LEASE - 1);
         }
         // A process that reads that it was ended stops; it comes back as a new incarnation.
-        world.processes[place] = is_member.then_some(process);
+        world.processes[index] = is_member.then_some(process);
         world
     }
 
     /// While the log is unavailable, a lease is renewed if more than half of the members answer.
     /// Members that know a later set of members do not count.
-    fn hear(&self, place: Place, process: &Process) -> Option<World> {
+    fn renew_lease(&self, index: MemberIndex, process: &Process) -> Option<World> {
         let epoch = process.homes.epoch();
-        let heard = epoch.members.iter().filter(|(id, _)| {
+        let reachable = epoch.members.iter().filter(|(id, _)| {
             let peer = (0..self.processes.len()).find(|&p| member(p) == **id);
             let peer = peer.and_then(|p| self.processes[p].as_ref());
             peer.is_some_and(|peer| peer.homes.epoch().offset <= epoch.offset)
         });
-        if 2 * heard.count() <= epoch.members.len() {
+        if 2 * reachable.count() <= epoch.members.len() {
             return None;
         }
         let mut world = self.clone();
-        world.processes[place].as_mut()?.covered = Some(self.now + LEASE - 1);
+        world.processes[index].as_mut()?.covered = Some(self.now + LEASE - 1);
         Some(world)
     }
 
-    fn ask(&self, scope: &Scope, place: Place, process: &Process, want: u32) -> Option<World> {
+    fn ask(
+        &self,
+        scope: &Scope,
+        index: MemberIndex,
+        process: &Process,
+        want: u32,
+    ) -> Option<World> {
         let epoch = process.homes.epoch();
         let home = home_of(&resource(), epoch.members.keys())?;
         let home = (0..scope.members).find(|&p| member(p) == *home)?;
         let asker = Asker {
-            member: member(place),
+            member: member(index),
             incarnation: process.incarnation,
             epoch: epoch.offset,
             leaving: false,
         };
         let mut world = self.clone();
-        let holder = &mut world.processes[place].as_mut()?.holder;
+        let holder = &mut world.processes[index].as_mut()?.holder;
         let mut ask = holder.ask(&resource(), &asker, want);
-        if scope.fault == Fault::SaysBeforeItGives && holder.held() > holder.used() {
+        if scope.fault == Fault::ReportsBeforeReleasing && holder.held() > holder.used() {
             ask.held -= 1;
         }
         let is_in_scope = ask.sequence <= scope.last_sequence;
@@ -308,7 +314,7 @@
                 if process.incarnation != *incarnation {
                     return None;
                 }
-                if scope.fault == Fault::LateReplyCounts {
+                if scope.fault == Fault::AppliesLateReply {
                     // A duplicate of a reply is still rejected, as in the real code.
                     world.packets.remove(packet);
                     let process = world.processes[*to].as_mut()?;
@@ -333,19 +339,19 @@
         }
     }
 
-    fn deliver_ask(&self, scope: &Scope, to: Place, ask: &Ask) -> Option<World> {
+    fn deliver_ask(&self, scope: &Scope, to: MemberIndex, ask: &Ask) -> Option<World> {
         let mut world = self.clone();
         let homes = &mut world.processes[to].as_mut()?.homes;
         let wait = match scope.fault {
             Fault::DoesNotWait => 0,
-            Fault::WaitsForTheLeaseOnly => LEASE,
+            Fault::WaitsForLeaseOnly => LEASE,
             _ => LEASE + LONGEST_RUN,
         };
         let bounds = Bounds {
             limit: scope.limit,
             wait: time(wait),
         };
-        if scope.fault == Fault::GrantsBeforeGathering {
+        if scope.fault == Fault::GrantsBeforeAllReported {
             let mut alone = homes.epoch().clone();
             alone.members = BTreeMap::from([(ask.member.clone(), ask.incarnation)]);
             alone.has_ended = false;
@@ -359,31 +365,31 @@
         }
         let mut ask = ask.clone();
         let sequence = ask.sequence;
-        if scope.fault == Fault::OldAskCounts {
+        if scope.fault == Fault::AcceptsOldAsk {
             // Each delivery appears later than the one before.
             ask.sequence = 1000 + self.packets.len() as u64;
         }
         let mut reply = homes.on_ask(&ask, &bounds, time(self.now))?;
         reply.sequence = sequence;
         homes.take_recalls();
-        let place = (0..scope.members).find(|&p| member(p) == ask.member)?;
-        let packet = Packet::Reply(place, ask.incarnation, reply);
+        let index = (0..scope.members).find(|&p| member(p) == ask.member)?;
+        let packet = Packet::Reply(index, ask.incarnation, reply);
         world.packets.insert(packet);
         Some(world)
     }
 
-    fn start_run(&self, scope: &Scope, place: Place, process: &Process) -> Option<World> {
+    fn start_run(&self, scope: &Scope, index: MemberIndex, process: &Process) -> Option<World> {
         let is_covered = process.covered.is_some();
         let is_fresh = is_covered || scope.fault == Fault::IgnoresLease;
         let mut world = self.clone();
-        let holder = &mut world.processes[place].as_mut()?.holder;
+        let holder = &mut world.processes[index].as_mut()?.holder;
         if !holder.take(is_fresh) {
             return None;
         }
-        if scope.fault == Fault::ForgetsLateRuns {
-            holder.give_back();
+        if scope.fault == Fault::ReleasesRunningPermit {
+            holder.release();
         } else {
-            holder.give_back_at(time(self.now + LONGEST_RUN));
+            holder.release_at(time(self.now + LONGEST_RUN));
         }
         world.runs.push(self.now);
         Some(world)
@@ -392,7 +398,7 @@
 
 /// Assumption of the check: of any set of members at most half have ended, unless one of them had
 /// read a later set. `docs/design/permits.md`, "not proved".
-fn is_minority_gone(scope: &Scope, log: &[Record]) -> bool {
+fn ended_are_minority(scope: &Scope, log: &[Record]) -> bool {
     let now = epoch_of(log);
     (scope.members..log.len()).all(|end| {
         let then = epoch_of(&log[..end]);
--- a/crates/pomelohitch-permits/tests/permits/model_check.rs
+++ b/crates/pomelohitch-permits/tests/permits/model_check.rs
@@ -32,7 +32,7 @@
 }
 
 /// Upper limit of explored states; more do not fit the memory of the machine that runs the check.
-const MOST_WORLDS: usize = 400_000;
+const MAX_STATES: usize = 400_000;
 
 /// Returns the number of states explored, and the shortest path to a state in which more requests
 /// run than the limit allows.
@@ -42,7 +42,7 @@
         &World::start(scope),
         |world| {
             reached += 1;
-            assert!(reached < MOST_WORLDS, "the scope is too large");
+            assert!(reached < MAX_STATES, "the scope is too large");
             world.next(scope)
         },
         |world| world.running() > scope.limit,
@@ -50,14 +50,14 @@
     (reached, path)
 }
 
-fn is_noticed(scope: &Scope) {
+fn assert_detected(scope: &Scope) {
     let (reached, path) = explore(scope);
     let (fault, steps) = (scope.fault, path.as_ref().map(Vec::len));
     println!("{fault:?}: {steps:?} steps, {reached} worlds");
     assert!(path.is_some(), "not noticed in {reached} worlds");
 }
 
-fn holds(scope: &Scope, at_least: usize) {
+fn assert_limit_holds(scope: &Scope, at_least: usize) {
     let (reached, path) = explore(scope);
     println!("{reached} worlds");
     for world in path.iter().flatten() {
@@ -71,55 +71,55 @@
 /// requests continue. In no reachable state does a team exceed its limit.
 #[test]
 fn the_limit_holds_whatever_the_network_does() {
-    holds(&messages(Fault::None), 1000);
+    assert_limit_holds(&messages(Fault::None), 1000);
 }
 
 /// Members end, are declared dead while alive, come back, pause and are cut off. In no reachable
 /// state does a team exceed its limit.
 #[test]
 fn the_limit_holds_through_a_change_of_members() {
-    holds(&changes(Fault::None), 10_000);
+    assert_limit_holds(&changes(Fault::None), 10_000);
 }
 
 #[test]
-fn taking_over_late_replies_is_noticed() {
-    is_noticed(&Scope {
+fn applying_a_late_reply_is_detected() {
+    assert_detected(&Scope {
         last_sequence: 6,
-        ..messages(Fault::LateReplyCounts)
+        ..messages(Fault::AppliesLateReply)
     });
 }
 
 #[test]
-fn believing_overtaken_asks_is_noticed() {
-    is_noticed(&messages(Fault::OldAskCounts));
+fn accepting_an_old_ask_is_detected() {
+    assert_detected(&messages(Fault::AcceptsOldAsk));
 }
 
 #[test]
-fn saying_before_giving_is_noticed() {
-    is_noticed(&messages(Fault::SaysBeforeItGives));
+fn reporting_before_releasing_is_detected() {
+    assert_detected(&messages(Fault::ReportsBeforeReleasing));
 }
 
 #[test]
-fn granting_before_gathering_is_noticed() {
-    is_noticed(&changes(Fault::GrantsBeforeGathering));
+fn granting_before_all_have_reported_is_detected() {
+    assert_detected(&changes(Fault::GrantsBeforeAllReported));
 }
 
 #[test]
-fn not_waiting_for_those_that_ended_is_noticed() {
-    is_noticed(&changes(Fault::DoesNotWait));
+fn not_waiting_for_ended_members_is_detected() {
+    assert_detected(&changes(Fault::DoesNotWait));
 }
 
 #[test]
-fn waiting_for_the_lease_only_is_noticed() {
-    is_noticed(&changes(Fault::WaitsForTheLeaseOnly));
+fn waiting_for_the_lease_only_is_detected() {
+    assert_detected(&changes(Fault::WaitsForLeaseOnly));
 }
 
 #[test]
-fn forgetting_late_runs_is_noticed() {
-    is_noticed(&messages(Fault::ForgetsLateRuns));
+fn releasing_a_running_permit_is_detected() {
+    assert_detected(&messages(Fault::ReleasesRunningPermit));
 }
 
 #[test]
-fn ignoring_the_lease_is_noticed() {
-    is_noticed(&changes(Fault::IgnoresLease));
+fn ignoring_the_lease_is_detected() {
+    assert_detected(&changes(Fault::IgnoresLease));
 }
--- a/crates/pomelohitch-permits/tests/permits/rules.rs
+++ b/crates/pomelohitch-permits/tests/permits/rules.rs
@@ -4,13 +4,13 @@
 use pomelohitch_permits::split;
 
 #[test]
-fn a_split_hands_out_everything_and_nobody_lacks_while_another_has_too_much() {
+fn a_split_hands_out_everything_and_serves_small_claims_first() {
     let parts = |total, wants: &[u32]| {
         let claims = wants.iter().map(|&want| split::Claim {
             want,
-            takes_more: true,
+            takes_rest: true,
         });
-        split::all(total, &claims.collect::<Vec<_>>())
+        split::divide(total, &claims.collect::<Vec<_>>())
     };
     insta::assert_debug_snapshot!(
         [
@@ -30,12 +30,12 @@
     ]
     "#
     );
-    assert!(split::all(5, &[]).is_empty());
+    assert!(split::divide(5, &[]).is_empty());
     let leaving = split::Claim {
         want: 1,
-        takes_more: false,
+        takes_rest: false,
     };
-    assert_eq!(split::all(5, &[leaving]), [1]);
+    assert_eq!(split::divide(5, &[leaving]), [1]);
 }
 
 /// Each member computes homes locally. If a change of members moved all homes, replacing one entry
--- a/crates/pomelohitch-permits/tests/permits/spread.rs
+++ b/crates/pomelohitch-permits/tests/permits/spread.rs
@@ -43,10 +43,10 @@
     }
 
     /// Every member with a reason to ask does so, and then receives its recalls.
-    fn round(&mut self) {
+    fn exchange_round(&mut self) {
         let epoch = self.homes.epoch().clone();
         for (id, holder) in &mut self.holders {
-            if !holder.has_news(epoch.offset, 0) && !holder.is_short() {
+            if !holder.needs_ask(epoch.offset, 0) && !holder.is_below_part() {
                 continue;
             }
             let asker = Asker {
@@ -81,7 +81,7 @@
     for id in ["a", "b", "c"] {
         world.join(id);
         for _ in 0..4 {
-            world.round();
+            world.exchange_round();
         }
     }
     assert_eq!(world.held(), [LIMIT / 3; 3]);
@@ -89,17 +89,17 @@
 
 /// Once each member holds its part, an idle fleet sends no asks.
 #[test]
-fn idle_members_with_their_parts_are_silent() {
+fn idle_members_with_their_parts_send_no_asks() {
     let mut world = World::new();
     for id in ["a", "b", "c"] {
         world.join(id);
         for _ in 0..4 {
-            world.round();
+            world.exchange_round();
         }
     }
     let epoch = world.homes.epoch().offset;
     let mut holders = world.holders.values();
-    assert!(holders.all(|holder| !holder.has_news(epoch, 0) && !holder.is_short()));
+    assert!(holders.all(|holder| !holder.needs_ask(epoch, 0) && !holder.is_below_part()));
 }
 
 /// Guards against idle members that keep what a higher limit granted: they send no asks by
@@ -110,12 +110,12 @@
     for id in ["a", "b", "c"] {
         world.join(id);
         for _ in 0..4 {
-            world.round();
+            world.exchange_round();
         }
     }
     world.limit = 3;
     for _ in 0..4 {
-        world.round();
+        world.exchange_round();
     }
     assert_eq!(world.held(), [1, 1, 1]);
 }
@@ -127,17 +127,17 @@
     let mut world = World::new();
     world.join("a");
     for _ in 0..4 {
-        world.round();
+        world.exchange_round();
     }
     let holder = world.holders.get_mut("a").unwrap();
     assert!(holder.take(true));
     holder.confirm();
     assert!(!holder.take(true));
     world.limit = 3;
-    world.round();
+    world.exchange_round();
     let holder = world.holders.get_mut("a").unwrap();
     assert_eq!((holder.held(), holder.take(true)), (3, true));
-    world.round();
+    world.exchange_round();
     let demand = world.homes.settled(&world.resource, &bounds(3), WAIT);
     assert_eq!(demand.map(|demand| demand.held), Some(3));
 }
--- a/crates/pomelohitch-route/src/dispatch.rs
+++ b/crates/pomelohitch-route/src/dispatch.rs
@@ -347,7 +347,7 @@
             return None;
         }
         if !self.holders.get_mut(&slot_resource)?.take(true) {
-            self.holders.get_mut(&team_resource)?.give_back();
+            self.holders.get_mut(&team_resource)?.release();
             return None;
         }
         let key = (service.clone(), team.clone());
@@ -437,8 +437,8 @@
                 continue;
             };
             match until {
-                Some(until) => holder.give_back_at(until),
-                None => holder.give_back(),
+                Some(until) => holder.release_at(until),
+                None => holder.release(),
             }
         }
     }
--- a/crates/pomelohitch-route/src/dispatch/holdings.rs
+++ b/crates/pomelohitch-route/src/dispatch/holdings.rs
@@ -32,10 +32,10 @@
             };
             let is_due = match pace {
                 Pace::News => false,
-                Pace::Short => holder.is_short(),
+                Pace::Short => holder.is_below_part(),
                 Pace::All => true,
             };
-            if !is_due && !holder.has_news(asker.epoch, *want) {
+            if !is_due && !holder.needs_ask(asker.epoch, *want) {
                 continue;
             }
             let home = home_of(resource, &self.view.members);
