--- a/crates/pomelohitch-route/examples/overload/fleet.rs
+++ b/crates/pomelohitch-route/examples/overload/fleet.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     /// The dispatcher of this crate.
-    Ours,
+    Pomelohitch,
     /// The same, but each entry instance has a fixed eighth of every runner's slots.
     StaticSplit,
     /// A FIFO queue at each entry instance, over the static split.
@@ -36,7 +36,7 @@
 
 impl Policy {
     pub const ALL: [Policy; 5] = [
-        Policy::Ours,
+        Policy::Pomelohitch,
         Policy::StaticSplit,
         Policy::Fifo,
         Policy::RandomRunner,
@@ -45,7 +45,7 @@
 
     pub fn name(self) -> &'static str {
         match self {
-            Policy::Ours => "pomelohitch",
+            Policy::Pomelohitch => "pomelohitch",
             Policy::StaticSplit => "static split",
             Policy::Fifo => "FIFO",
             Policy::RandomRunner => "random runner",
@@ -53,7 +53,7 @@
         }
     }
 
-    fn is_blind(self) -> bool {
+    fn is_random(self) -> bool {
         matches!(self, Policy::RandomRunner | Policy::UnlimitedRetries)
     }
 }
@@ -62,9 +62,9 @@
 const TICKS_PER_SHARE_OUT: u64 = 10;
 const TICKS_PER_REFRESH: u64 = 40;
 /// Interval between unlimited retries.
-const RETRY_AFTER: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of requests queued at one entry instance.
-const QUEUE: usize = 1000;
+const QUEUE_BOUND: usize = 1000;
 const SERVICE: &str = "passes";
 const TEAM_LIMIT: u32 = 400;
 
@@ -74,14 +74,14 @@
 enum Event {
     Arrive(Id),
     /// A request of a blind policy is sent again.
-    Again(Id),
+    Retry(Id),
     Tick(u64),
     /// A request reaches a runner.
     Start(Id, Option<Sent>, usize),
     /// A runner finishes a request.
     Finish(Id, Option<Sent>, usize),
     /// The entry instance learns how a request ended.
-    Heard(Id, Option<Sent>, usize, End),
+    Ended(Id, Option<Sent>, usize, End),
     Batch(usize, usize, Vec<Ask>, Vec<Resource>, Vec<Load>),
     Replies(usize, usize, Vec<Reply>),
 }
@@ -91,20 +91,20 @@
     homes: Homes,
     fifo: VecDeque<Id>,
     fifo_running: Vec<u32>,
-    busy: BTreeSet<usize>,
+    awaiting_reply: BTreeSet<usize>,
 }
 
 pub struct Fleet {
     policy: Policy,
     scenario: Scenario,
-    zones: Duration,
-    clients: Duration,
+    zone_delay: Duration,
+    client_delay: Duration,
     arrivals: Arrivals,
     requests: Vec<Arrival>,
     entries: Vec<Entry>,
-    at_runner: Vec<u32>,
+    running_at: Vec<u32>,
     events: BinaryHeap<Reverse<(Duration, u64)>>,
-    bodies: BTreeMap<u64, Event>,
+    event_bodies: BTreeMap<u64, Event>,
     next_event: u64,
     random: StdRng,
     report: Report,
@@ -123,7 +123,7 @@
     format!("runner-{runner:02}").into()
 }
 
-fn number(id: &str) -> usize {
+fn number_of(id: &str) -> usize {
     let (_, digits) = id.split_once('-').expect("ids end with a number");
     digits.parse().expect("ids end with a number")
 }
@@ -132,25 +132,25 @@
     pub fn new(
         policy: Policy,
         scenario: &Scenario,
-        zones: Duration,
-        clients: Duration,
+        zone_delay: Duration,
+        client_delay: Duration,
         seed: u64,
     ) -> Fleet {
         let mut fleet = Fleet {
             policy,
             scenario: scenario.clone(),
-            zones,
-            clients,
+            zone_delay,
+            client_delay,
             arrivals: Arrivals::new(scenario, seed),
             requests: Vec::new(),
             entries: Vec::new(),
-            at_runner: vec![0; RUNNERS],
+            running_at: vec![0; RUNNERS],
             events: BinaryHeap::new(),
-            bodies: BTreeMap::new(),
+            event_bodies: BTreeMap::new(),
             next_event: 0,
             random: StdRng::seed_from_u64(seed),
             report: Report {
-                measured: scenario.length.saturating_sub(scenario.from),
+                measured: scenario.length.saturating_sub(scenario.measured_from),
                 ..Report::default()
             },
             now: Duration::ZERO,
@@ -161,7 +161,7 @@
 
     fn entry(&self, entry: usize) -> Entry {
         // With a static split each entry instance is the only member, with its part of the slots.
-        let is_alone = self.policy != Policy::Ours;
+        let is_alone = self.policy != Policy::Pomelohitch;
         let all: Vec<_> = if is_alone {
             vec![entry]
         } else {
@@ -183,7 +183,7 @@
         let terms = ServiceTerms {
             pool: "pool".into(),
             slots: self.slots(),
-            queue: QUEUE,
+            queue: QUEUE_BOUND,
             longest_run: Duration::from_secs(10),
         };
         dispatcher.set_view(View {
@@ -198,12 +198,12 @@
             homes,
             fifo: VecDeque::new(),
             fifo_running: vec![0; RUNNERS],
-            busy: BTreeSet::new(),
+            awaiting_reply: BTreeSet::new(),
         }
     }
 
     fn slots(&self) -> u32 {
-        if self.policy == Policy::Ours {
+        if self.policy == Policy::Pomelohitch {
             SLOTS
         } else {
             SLOTS / ENTRIES as u32
@@ -213,13 +213,16 @@
     pub fn run(&mut self) -> Report {
         // Permits are distributed before the load starts.
         for tick in 0..8 {
-            self.at(TICK * tick, Event::Tick(u64::from(tick)));
+            self.schedule_at(TICK * tick, Event::Tick(u64::from(tick)));
         }
         self.next_arrival();
-        self.at(TICK * 8, Event::Tick(8));
+        self.schedule_at(TICK * 8, Event::Tick(8));
         while let Some(Reverse((at, id))) = self.events.pop() {
             self.now = at;
-            let event = self.bodies.remove(&id).expect("each event has a body");
+            let event = self
+                .event_bodies
+                .remove(&id)
+                .expect("each event has a body");
             self.handle(event);
             if at > self.scenario.length + TIMEOUT {
                 break;
@@ -228,45 +231,48 @@
         std::mem::take(&mut self.report)
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule_at(&mut self, at: Duration, event: Event) {
         self.events.push(Reverse((at, self.next_event)));
-        self.bodies.insert(self.next_event, event);
+        self.event_bodies.insert(self.next_event, event);
         self.next_event += 1;
     }
 
-    fn after(&mut self, delay: Duration, event: Event) {
-        self.at(self.now + delay, event);
+    fn schedule_after(&mut self, delay: Duration, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
     fn next_arrival(&mut self) {
         if let Some(arrival) = self.arrivals.next() {
-            let at = arrival.at + self.clients + Duration::from_millis(500);
+            let at = arrival.at + self.client_delay + Duration::from_millis(500);
             self.requests.push(arrival);
-            self.at(at, Event::Arrive(self.requests.len() - 1));
+            self.schedule_at(at, Event::Arrive(self.requests.len() - 1));
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(id) => self.arrive(id),
-            Event::Again(id) => self.send_blindly(id),
+            Event::Retry(id) => self.send_to_random_runner(id),
             Event::Tick(tick) => self.tick(tick),
             Event::Start(id, sent, place) => self.start(id, sent, place),
             Event::Finish(id, sent, place) => {
-                self.at_runner[place] -= 1;
-                self.after(self.zones, Event::Heard(id, sent, place, End::Answered));
+                self.running_at[place] -= 1;
+                self.schedule_after(
+                    self.zone_delay,
+                    Event::Ended(id, sent, place, End::Answered),
+                );
             }
-            Event::Heard(id, sent, place, end) => self.heard(id, sent.as_ref(), place, end),
+            Event::Ended(id, sent, place, end) => self.on_end(id, sent.as_ref(), place, end),
             Event::Batch(from, to, asks, recalls, loads) => {
                 self.on_batch(from, to, &asks, &recalls, loads);
             }
             Event::Replies(home, to, replies) => {
                 let entry = &mut self.entries[to];
-                entry.busy.remove(&home);
+                entry.awaiting_reply.remove(&home);
                 for reply in &replies {
                     entry.dispatcher.on_reply(reply);
                 }
-                self.pump(to);
+                self.dispatch(to);
             }
         }
     }
@@ -276,7 +282,7 @@
     }
 
     fn is_measured(&self, id: Id) -> bool {
-        self.requests[id].at >= self.scenario.from
+        self.requests[id].at >= self.scenario.measured_from
     }
 
     fn arrive(&mut self, id: Id) {
@@ -286,21 +292,21 @@
             self.report.arrived += 1;
             self.report.arrived_quick += u64::from(arrival.is_quick);
         }
-        if self.policy.is_blind() {
-            self.report.first_tries += 1;
-            self.send_blindly(id);
+        if self.policy.is_random() {
+            self.report.first_attempts += 1;
+            self.send_to_random_runner(id);
             return;
         }
         if self.policy == Policy::Fifo {
-            if self.entries[arrival.entry].fifo.len() >= QUEUE {
+            if self.entries[arrival.entry].fifo.len() >= QUEUE_BOUND {
                 self.report.refused += u64::from(self.is_measured(id));
                 return;
             }
             self.entries[arrival.entry].fifo.push_back(id);
-            self.pump(arrival.entry);
+            self.dispatch(arrival.entry);
             return;
         }
-        let deadline = (self.sent_at(id) + TIMEOUT).saturating_sub(self.clients);
+        let deadline = (self.sent_at(id) + TIMEOUT).saturating_sub(self.client_delay);
         let waiting = Waiting {
             team: team(arrival.team),
             priority: if arrival.is_quick {
@@ -318,38 +324,38 @@
             self.report.refused += u64::from(self.is_measured(id));
             return;
         }
-        self.pump(arrival.entry);
+        self.dispatch(arrival.entry);
     }
 
-    fn give_up(&mut self, id: Id) {
+    fn count_late(&mut self, id: Id) {
         self.report.late += u64::from(self.is_measured(id));
     }
 
-    fn send_blindly(&mut self, id: Id) {
+    fn send_to_random_runner(&mut self, id: Id) {
         let place = self.random.random_range(0..RUNNERS);
-        self.report.tries += 1;
-        self.after(self.zones, Event::Start(id, None, place));
+        self.report.attempts += 1;
+        self.schedule_after(self.zone_delay, Event::Start(id, None, place));
     }
 
     fn start(&mut self, id: Id, sent: Option<Sent>, place: usize) {
-        if self.at_runner[place] >= SLOTS {
-            self.after(self.zones, Event::Heard(id, sent, place, End::Refused));
+        if self.running_at[place] >= SLOTS {
+            self.schedule_after(self.zone_delay, Event::Ended(id, sent, place, End::Refused));
             return;
         }
         if place < self.scenario.broken {
-            self.after(self.zones, Event::Heard(id, sent, place, End::Unknown));
+            self.schedule_after(self.zone_delay, Event::Ended(id, sent, place, End::Unknown));
             return;
         }
-        self.at_runner[place] += 1;
-        self.report.most_at_runner = self.report.most_at_runner.max(self.at_runner[place]);
+        self.running_at[place] += 1;
+        self.report.most_at_runner = self.report.most_at_runner.max(self.running_at[place]);
         let run = self.requests[id].run;
-        self.after(run, Event::Finish(id, sent, place));
+        self.schedule_after(run, Event::Finish(id, sent, place));
     }
 
-    fn heard(&mut self, id: Id, sent: Option<&Sent>, place: usize, end: End) {
+    fn on_end(&mut self, id: Id, sent: Option<&Sent>, place: usize, end: End) {
         let entry = self.requests[id].entry;
         let deadline = self.sent_at(id) + TIMEOUT;
-        let is_in_time = self.now + self.clients <= deadline;
+        let is_in_time = self.now + self.client_delay <= deadline;
         if self.policy == Policy::Fifo {
             self.entries[entry].fifo_running[place] -= 1;
         }
@@ -363,46 +369,46 @@
         }
         match (end, next) {
             (End::Answered, _) if is_in_time => self.answered(id),
-            (End::Answered, _) => self.give_up(id),
+            (End::Answered, _) => self.count_late(id),
             (_, Some(next)) => self.send(id, next),
             (End::Refused, None) if self.policy == Policy::UnlimitedRetries && is_in_time => {
-                self.after(RETRY_AFTER, Event::Again(id));
+                self.schedule_after(RETRY_INTERVAL, Event::Retry(id));
             }
             _ => self.report.refused += u64::from(self.is_measured(id)),
         }
-        self.pump(entry);
+        self.dispatch(entry);
     }
 
     fn answered(&mut self, id: Id) {
         if !self.is_measured(id) {
             return;
         }
-        let latency = (self.now + self.clients).saturating_sub(self.sent_at(id));
+        let latency = (self.now + self.client_delay).saturating_sub(self.sent_at(id));
         let (team, is_quick) = (self.requests[id].team, self.requests[id].is_quick);
         self.report.answered(team, is_quick, latency);
     }
 
     fn send(&mut self, id: Id, sent: Sent) {
-        self.report.tries += 1;
-        let place = number(&sent.runner);
-        self.after(self.zones, Event::Start(id, Some(sent), place));
+        self.report.attempts += 1;
+        let place = number_of(&sent.runner);
+        self.schedule_after(self.zone_delay, Event::Start(id, Some(sent), place));
     }
 
-    fn pump(&mut self, entry: usize) {
+    fn dispatch(&mut self, entry: usize) {
         if self.policy == Policy::Fifo {
-            self.pump_fifo(entry);
+            self.dispatch_fifo(entry);
             return;
         }
-        if self.policy.is_blind() {
+        if self.policy.is_random() {
             return;
         }
         for (id, sent) in self.entries[entry].dispatcher.dispatch(self.now, true) {
-            self.report.first_tries += 1;
+            self.report.first_attempts += 1;
             self.send(id, sent);
         }
     }
 
-    fn pump_fifo(&mut self, entry: usize) {
+    fn dispatch_fifo(&mut self, entry: usize) {
         let slots = self.slots();
         loop {
             let running = &mut self.entries[entry].fifo_running;
@@ -413,31 +419,31 @@
                 return;
             };
             self.entries[entry].fifo_running[place] += 1;
-            self.report.first_tries += 1;
-            self.report.tries += 1;
-            self.after(self.zones, Event::Start(id, None, place));
+            self.report.first_attempts += 1;
+            self.report.attempts += 1;
+            self.schedule_after(self.zone_delay, Event::Start(id, None, place));
         }
     }
 
     fn tick(&mut self, tick: u64) {
         if tick >= 8 && self.now < self.scenario.length + TIMEOUT {
-            self.after(TICK, Event::Tick(tick + 1));
+            self.schedule_after(TICK, Event::Tick(tick + 1));
         }
-        if self.policy.is_blind() || self.policy == Policy::Fifo {
+        if self.policy.is_random() || self.policy == Policy::Fifo {
             return;
         }
         for entry in 0..ENTRIES {
-            self.talk(entry, tick);
-            self.pump(entry);
+            self.exchange_permits(entry, tick);
+            self.dispatch(entry);
         }
     }
 
     /// Does what the daemon does at each of its ticks.
-    fn talk(&mut self, place: usize, tick: u64) {
-        let is_telling = tick.is_multiple_of(TICKS_PER_SHARE_OUT);
+    fn exchange_permits(&mut self, place: usize, tick: u64) {
+        let is_share_tick = tick.is_multiple_of(TICKS_PER_SHARE_OUT);
         let entry = &mut self.entries[place];
         let expired = entry.dispatcher.expire(self.now);
-        if is_telling {
+        if is_share_tick {
             entry.dispatcher.renew();
         }
         let asker = Asker {
@@ -447,21 +453,21 @@
             leaving: false,
         };
         let loads = entry.dispatcher.loads();
-        let busy = std::mem::take(&mut entry.busy);
+        let awaiting_reply = std::mem::take(&mut entry.awaiting_reply);
         let pace = if tick.is_multiple_of(TICKS_PER_REFRESH) && !loads.is_empty() {
             Pace::All
-        } else if is_telling {
+        } else if is_share_tick {
             Pace::Short
         } else {
             Pace::News
         };
-        let asks = entry
-            .dispatcher
-            .asks(&asker, pace, |home| !busy.contains(&number(home)));
-        entry.busy = busy;
+        let asks = entry.dispatcher.asks(&asker, pace, |home| {
+            !awaiting_reply.contains(&number_of(home))
+        });
+        entry.awaiting_reply = awaiting_reply;
         let mut batches: BTreeMap<usize, (Vec<Ask>, Vec<Resource>)> = BTreeMap::new();
         for (home, ask) in asks {
-            let home = number(&home);
+            let home = number_of(&home);
             if home == place {
                 let bounds = bounds(self.policy, &ask);
                 if let Some(reply) = entry.homes.on_ask(&ask, &bounds, self.now) {
@@ -472,28 +478,28 @@
             }
         }
         for (member, resource) in entry.homes.take_recalls() {
-            let member = number(&member);
+            let member = number_of(&member);
             if member == place {
                 entry.dispatcher.recall(&resource);
-            } else if !entry.busy.contains(&member) {
+            } else if !entry.awaiting_reply.contains(&member) {
                 batches.entry(member).or_default().1.push(resource);
             }
         }
-        if is_telling && self.policy == Policy::Ours && !loads.is_empty() {
+        if is_share_tick && self.policy == Policy::Pomelohitch && !loads.is_empty() {
             for other in (0..ENTRIES).filter(|other| *other != place) {
-                if !entry.busy.contains(&other) {
+                if !entry.awaiting_reply.contains(&other) {
                     batches.entry(other).or_default();
                 }
             }
         }
-        entry.busy.extend(batches.keys());
+        entry.awaiting_reply.extend(batches.keys());
         for (to, (asks, recalls)) in batches {
             self.report.messages += 2;
             let event = Event::Batch(place, to, asks, recalls, loads.clone());
-            self.after(self.zones, event);
+            self.schedule_after(self.zone_delay, event);
         }
         for waiting in expired {
-            self.give_up(waiting.token);
+            self.count_late(waiting.token);
         }
     }
 
@@ -515,12 +521,12 @@
             entry.dispatcher.recall(resource);
         }
         entry.dispatcher.heard(member(from), loads);
-        self.after(self.zones, Event::Replies(to, from, replies));
+        self.schedule_after(self.zone_delay, Event::Replies(to, from, replies));
     }
 }
 
 fn bounds(policy: Policy, ask: &Ask) -> Bounds {
-    let parts = if policy == Policy::Ours {
+    let parts = if policy == Policy::Pomelohitch {
         1
     } else {
         ENTRIES as u32
--- a/crates/pomelohitch-route/examples/overload/load.rs
+++ b/crates/pomelohitch-route/examples/overload/load.rs
@@ -16,7 +16,7 @@
 /// Timeout of the callers.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
 /// Fraction of requests that are quick.
-const QUICK: f64 = 0.7;
+const QUICK_FRACTION: f64 = 0.7;
 
 /// Requests per second that the pool can run.
 pub fn capacity() -> f64 {
@@ -25,8 +25,8 @@
 
 /// Requests per second that the pool can run if each also occupies its slot while it travels to the
 /// runner and back.
-pub fn capacity_with(way: Duration) -> f64 {
-    let taken = MEAN_RUN + 2 * way;
+pub fn capacity_with(one_way_delay: Duration) -> f64 {
+    let taken = MEAN_RUN + 2 * one_way_delay;
     f64::from(SLOTS) * RUNNERS as f64 / taken.as_secs_f64()
 }
 
@@ -36,7 +36,7 @@
     pub name: &'static str,
     pub length: Duration,
     /// Start of the measurement.
-    pub from: Duration,
+    pub measured_from: Duration,
     /// Load relative to capacity at a given time.
     pub load: fn(Duration) -> f64,
     /// Whether all requests of the first team arrive at one entry instance.
@@ -51,7 +51,7 @@
         Scenario {
             name: "5x overload",
             length: Duration::from_secs(12),
-            from: Duration::from_secs(2),
+            measured_from: Duration::from_secs(2),
             load: |_| 5.0,
             one_entry: false,
             broken: 0,
@@ -73,7 +73,7 @@
         Scenario {
             name: "bursts of 5x the mean",
             length: Duration::from_secs(30),
-            from: Duration::ZERO,
+            measured_from: Duration::ZERO,
             load: |at| {
                 let is_burst = at.as_millis() % 15_000 < 3_000;
                 if is_burst { 1.5 } else { 0.015 }
@@ -88,7 +88,7 @@
         Scenario {
             name: "a tenth of the runners broken",
             length: Duration::from_secs(12),
-            from: Duration::ZERO,
+            measured_from: Duration::ZERO,
             load: |_| 0.6,
             one_entry: false,
             broken: RUNNERS / 10,
@@ -157,7 +157,7 @@
             at: self.now,
             entry,
             team,
-            is_quick: kind < QUICK,
+            is_quick: kind < QUICK_FRACTION,
             run: exponential(&mut self.random, MEAN_RUN.as_secs_f64()),
         })
     }
--- a/crates/pomelohitch-route/examples/overload/main.rs
+++ b/crates/pomelohitch-route/examples/overload/main.rs
@@ -38,8 +38,8 @@
             Duration::from_millis(3),
         ),
     ];
-    println!("{}", Report::HEAD);
-    for (site, zones, clients) in delays {
+    println!("{}", Report::HEADER);
+    for (site, zone_delay, client_delay) in delays {
         for scenario in [
             Scenario::overload(),
             Scenario::one_entry(),
@@ -47,10 +47,10 @@
             Scenario::broken_runners(),
         ] {
             for policy in Policy::ALL {
-                let mut fleet = Fleet::new(policy, &scenario, zones, clients, SEED);
+                let mut fleet = Fleet::new(policy, &scenario, zone_delay, client_delay, SEED);
                 let report = fleet.run();
 
-                println!("{}", report.row(site, zones, &scenario, policy));
+                println!("{}", report.row(site, zone_delay, &scenario, policy));
             }
         }
     }
--- a/crates/pomelohitch-route/examples/overload/report.rs
+++ b/crates/pomelohitch-route/examples/overload/report.rs
@@ -16,8 +16,8 @@
     pub refused: u64,
     pub late: u64,
     pub by_team: [u64; SHARES.len()],
-    pub tries: u64,
-    pub first_tries: u64,
+    pub attempts: u64,
+    pub first_attempts: u64,
     pub messages: u64,
     pub most_at_runner: u32,
     pub measured: Duration,
@@ -34,8 +34,8 @@
             refused: 0,
             late: 0,
             by_team: [0; SHARES.len()],
-            tries: 0,
-            first_tries: 0,
+            attempts: 0,
+            first_attempts: 0,
             messages: 0,
             most_at_runner: 0,
             measured: Duration::ZERO,
@@ -45,7 +45,7 @@
 }
 
 impl Report {
-    pub const HEAD: &'static str = "| site | load | policy | goodput / capacity | quick in time | farthest from share | tries / first | p50 ms | p99 ms | refused | late | most at a runner | messages / request |\n|---|---|---|---|---|---|---|---|---|---|---|---|---|";
+    pub const HEADER: &'static str = "| site | load | policy | goodput / capacity | quick in time | farthest from share | tries / first | p50 ms | p99 ms | refused | late | most at a runner | messages / request |\n|---|---|---|---|---|---|---|---|---|---|---|---|---|";
 
     pub fn answered(&mut self, team: usize, is_quick: bool, latency: Duration) {
         self.in_time += 1;
@@ -58,7 +58,7 @@
     }
 
     /// Largest relative deviation of a team's served fraction from its share.
-    fn farthest(&self) -> f64 {
+    fn max_share_deviation(&self) -> f64 {
         let shares: u32 = SHARES.iter().sum();
         let all: u64 = self.by_team.iter().sum();
         let teams = self.by_team.iter().zip(SHARES);
@@ -70,22 +70,28 @@
             .fold(0.0, f64::max)
     }
 
-    pub fn row(&self, site: &str, way: Duration, scenario: &Scenario, policy: Policy) -> String {
-        let capacity = load::capacity_with(way);
+    pub fn row(
+        &self,
+        site: &str,
+        one_way_delay: Duration,
+        scenario: &Scenario,
+        policy: Policy,
+    ) -> String {
+        let capacity = load::capacity_with(one_way_delay);
         let goodput = self.in_time as f64 / self.measured.as_secs_f64() / capacity;
         let is_full = (scenario.load)(Duration::from_secs(5)) > 1.0;
-        let farthest = if is_full {
-            format!("{:.1} %", 100.0 * self.farthest())
+        let max_share_deviation = if is_full {
+            format!("{:.1} %", 100.0 * self.max_share_deviation())
         } else {
             "-".into()
         };
         format!(
-            "| {site} | {} | {} | {:.3} | {:.1} % | {farthest} | {:.3} | {:.1} | {:.1} | {} | {} | {} | {:.3} |",
+            "| {site} | {} | {} | {:.3} | {:.1} % | {max_share_deviation} | {:.3} | {:.1} | {:.1} | {} | {} | {} | {:.3} |",
             scenario.name,
             policy.name(),
             goodput,
             100.0 * self.quick_in_time as f64 / self.arrived_quick as f64,
-            self.tries as f64 / self.first_tries.max(1) as f64,
+            self.attempts as f64 / self.first_attempts.max(1) as f64,
             self.latency.value_at_quantile(0.5) as f64 / 1000.0,
             self.latency.value_at_quantile(0.99) as f64 / 1000.0,
             self.refused,
