--- a/crates/pomelohitch-route/src/budget.rs
+++ b/crates/pomelohitch-route/src/budget.rs
@@ -8,32 +8,32 @@
 }
 
 /// Retries allowed per first attempt.
-pub const RATIO: f64 = 0.05;
+pub const RETRIES_PER_ATTEMPT: f64 = 0.05;
 /// Capacity of the bucket; limits the number of retries after a period without failures.
-pub const MOST: f64 = 10.0;
+pub const MAX_TOKENS: f64 = 10.0;
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { tokens: MOST }
+        RetryBudget { tokens: MAX_TOKENS }
     }
 }
 
 impl RetryBudget {
     /// Records a first attempt.
     pub fn first_try(&mut self) {
-        self.tokens = (self.tokens + RATIO).min(MOST);
+        self.tokens = (self.tokens + RETRIES_PER_ATTEMPT).min(MAX_TOKENS);
     }
 
     /// Whether the budget allows a retry.
     #[must_use]
-    pub fn has_one(&self) -> bool {
+    pub fn allows_retry(&self) -> bool {
         self.tokens >= 1.0
     }
 
     /// Takes one retry out of the budget; `false` if none is left.
     #[must_use]
-    pub fn take(&mut self) -> bool {
-        let may = self.has_one();
+    pub fn try_take(&mut self) -> bool {
+        let may = self.allows_retry();
         if may {
             self.tokens -= 1.0;
         }
--- a/crates/pomelohitch-route/src/dispatch.rs
+++ b/crates/pomelohitch-route/src/dispatch.rs
@@ -119,13 +119,13 @@
     running: BTreeMap<(ServiceId, TeamId), u32>,
     running_at: BTreeMap<InstanceId, u32>,
     peers: BTreeMap<MemberId, Vec<Load>>,
-    known: BTreeSet<(ServiceId, TeamId)>,
+    seen_teams: BTreeSet<(ServiceId, TeamId)>,
     /// Slot resources of each pool's runners, in the order of the view.
     slots: BTreeMap<PoolId, Vec<Resource>>,
     /// Inputs from which `wants` was last computed; `None` after a change of the view.
-    basis: Option<parts::Basis>,
+    share_inputs: Option<parts::ShareInputs>,
     /// Whether held permits may have changed since the queues' slot counts were updated.
-    has_exchanged: bool,
+    permits_changed: bool,
     generation: Generation,
     is_leaving: bool,
     random: StdRng,
@@ -146,10 +146,10 @@
             running: BTreeMap::new(),
             running_at: BTreeMap::new(),
             peers: BTreeMap::new(),
-            known: BTreeSet::new(),
+            seen_teams: BTreeSet::new(),
             slots: BTreeMap::new(),
-            basis: None,
-            has_exchanged: true,
+            share_inputs: None,
+            permits_changed: true,
             generation: 0,
             is_leaving: false,
             random: StdRng::seed_from_u64(seed),
@@ -179,8 +179,8 @@
             self.slots.insert(pool.clone(), slots.collect());
         }
         self.view = view;
-        self.basis = None;
-        self.share_out();
+        self.share_inputs = None;
+        self.update_shares();
     }
 
     /// Starts a new incarnation: the process no longer holds the permits of the previous one.
@@ -191,7 +191,7 @@
         for holder in self.holders.values_mut() {
             *holder = Holder::default();
         }
-        self.has_exchanged = true;
+        self.permits_changed = true;
         self.generation += 1;
     }
 
@@ -259,12 +259,12 @@
         now: Monotonic,
     ) -> Result<(), Refusal> {
         let key = (service.clone(), req.team.clone());
-        let is_new = self.known.insert(key);
+        let is_new = self.seen_teams.insert(key);
         let queue = self.queues.get_mut(service);
         let queue = queue.expect("the view has a queue for each of its services");
         let offered = queue.offer(req, now);
         if is_new {
-            self.share_out();
+            self.update_shares();
         }
         offered
     }
@@ -298,7 +298,7 @@
         let holders = &self.holders;
         let may_run = |team: &TeamId| spare(holders, &Resource::Team(team.clone())) > 0;
         let req = self.queues.get_mut(service)?.next(may_run)?;
-        let sent = self.begin(service, &req.team, runner, addr, now)?;
+        let sent = self.take_permits(service, &req.team, runner, addr, now)?;
         Some((req.token, sent))
     }
 
@@ -315,25 +315,28 @@
         if !is_fresh || spare(&self.holders, &Resource::Team(team.clone())) == 0 {
             return None;
         }
-        if !self.budgets.entry(service.clone()).or_default().take() {
+        if !self.budgets.entry(service.clone()).or_default().try_take() {
             return None;
         }
         let (runner, addr) = self.pick(service, Some(avoid), now)?;
-        self.begin(service, team, runner, addr, now)
+        self.take_permits(service, team, runner, addr, now)
     }
 
     /// Time after which an attempt on a reused connection without an answer is followed by another
     /// attempt; `None` if no retry is allowed.
     #[must_use]
     pub fn patience(&self, service: &ServiceId) -> Option<Monotonic> {
-        let may_retry = self.budgets.get(service).is_some_and(RetryBudget::has_one);
+        let may_retry = self
+            .budgets
+            .get(service)
+            .is_some_and(RetryBudget::allows_retry);
         let mean_run = self.queues.get(service)?.mean_run();
-        may_retry.then(|| LEAST_PATIENCE.max(mean_run * RUNS_OF_PATIENCE))
+        may_retry.then(|| MIN_ATTEMPT_TIMEOUT.max(mean_run * ATTEMPT_TIMEOUT_RUNS))
     }
 
     /// Takes the permits of a request. The caller has checked in the same step that the lease is
     /// valid.
-    fn begin(
+    fn take_permits(
         &mut self,
         service: &ServiceId,
         team: &TeamId,
@@ -372,14 +375,14 @@
         let terms = self.view.services.get(service)?;
         let runners = self.view.pools.get(&terms.pool)?;
         let slots = self.slots.get(&terms.pool)?;
-        let spares: Vec<_> = slots.iter().map(|s| spare(&self.holders, s)).collect();
+        let free_slots: Vec<_> = slots.iter().map(|s| spare(&self.holders, s)).collect();
         // Returns early in the usual case under overload: no slot is free.
-        if spares.iter().all(|spare| *spare == 0) {
+        if free_slots.iter().all(|spare| *spare == 0) {
             return None;
         }
         let candidates: Vec<_> = runners
             .iter()
-            .zip(&spares)
+            .zip(&free_slots)
             .map(|(runner, spare)| Candidate {
                 id: &runner.id,
                 near: runner.near,
@@ -411,24 +414,24 @@
         let terms = self.view.services.get(&sent.service);
         if let Some(terms) = terms {
             let picker = self.pickers.entry(terms.pool.clone()).or_default();
-            picker.note(&sent.runner, outcome, now);
+            picker.record(&sent.runner, outcome, now);
         }
-        let longest_run = terms.map_or(LONGEST_RUN, |terms| terms.longest_run);
+        let longest_run = terms.map_or(DEFAULT_LONGEST_RUN, |terms| terms.longest_run);
         let until = (end == End::Unknown).then(|| sent.at + longest_run);
         if sent.generation == self.generation {
-            self.give_back(sent, until.filter(|until| *until > now));
+            self.return_permits(sent, until.filter(|until| *until > now));
         }
         if end == End::Answered
             && let Some(queue) = self.queues.get_mut(&sent.service)
         {
-            queue.ran(&sent.team, took);
+            queue.record_run(&sent.team, took);
         }
         let key = (sent.service.clone(), sent.team.clone());
-        lower(&mut self.running, &key);
-        lower(&mut self.running_at, &sent.runner);
+        decrement(&mut self.running, &key);
+        decrement(&mut self.running_at, &sent.runner);
     }
 
-    fn give_back(&mut self, sent: &Sent, until: Option<Monotonic>) {
+    fn return_permits(&mut self, sent: &Sent, until: Option<Monotonic>) {
         for resource in [
             Resource::Team(sent.team.clone()),
             Resource::Slots(sent.runner.clone()),
@@ -470,12 +473,12 @@
 }
 
 /// Minimum time without an answer after which a reused connection counts as broken.
-const LEAST_PATIENCE: Monotonic = Monotonic::from_secs(1);
+const MIN_ATTEMPT_TIMEOUT: Monotonic = Monotonic::from_secs(1);
 /// Number of mean run times without an answer after which a reused connection counts as broken.
-const RUNS_OF_PATIENCE: u32 = 8;
+const ATTEMPT_TIMEOUT_RUNS: u32 = 8;
 
 /// Longest run time assumed for a service that was removed while its requests ran.
-const LONGEST_RUN: Monotonic = Monotonic::from_mins(10);
+const DEFAULT_LONGEST_RUN: Monotonic = Monotonic::from_mins(10);
 
 fn spare(holders: &BTreeMap<Resource, Holder>, resource: &Resource) -> u32 {
     holders.get(resource).map_or(0, Holder::spare)
@@ -490,7 +493,7 @@
     (number * 1000.0).ceil() as u32
 }
 
-fn lower<K: Ord>(counts: &mut BTreeMap<K, u32>, key: &K) {
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: &K) {
     if let Some(count) = counts.get_mut(key) {
         *count -= 1;
         if *count == 0 {
--- a/crates/pomelohitch-route/src/dispatch/holdings.rs
+++ b/crates/pomelohitch-route/src/dispatch/holdings.rs
@@ -45,7 +45,7 @@
                     ..asker.clone()
                 };
                 asks.push((home.clone(), holder.ask(resource, &asker, *want)));
-                self.has_exchanged = true;
+                self.permits_changed = true;
             }
         }
         asks
@@ -55,7 +55,7 @@
     pub fn on_reply(&mut self, reply: &Reply) {
         if let Some(holder) = self.holders.get_mut(&reply.resource) {
             holder.on_reply(reply);
-            self.has_exchanged = true;
+            self.permits_changed = true;
         }
     }
 
@@ -80,7 +80,7 @@
     pub fn leave(&mut self) {
         if !self.is_leaving {
             self.is_leaving = true;
-            self.share_out();
+            self.update_shares();
         }
     }
 
--- a/crates/pomelohitch-route/src/dispatch/parts.rs
+++ b/crates/pomelohitch-route/src/dispatch/parts.rs
@@ -20,7 +20,7 @@
 /// Inputs other than the view that determine weights and wanted permits. The results are recomputed
 /// only when these change, so that an idle entry instance does not iterate over all runners.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Basis {
+pub(super) struct ShareInputs {
     own: Vec<Load>,
     peers: BTreeMap<MemberId, Vec<Load>>,
     is_leaving: bool,
@@ -28,34 +28,34 @@
 
 impl<T> Dispatcher<T> {
     /// Decays the recent arrivals of all queues and recomputes weights and wanted permits; to be
-    /// called once every [`FADE_EVERY`](crate::queue::FADE_EVERY).
+    /// called once every [`ARRIVAL_DECAY_INTERVAL`](crate::queue::FADE_EVERY).
     pub fn renew(&mut self) {
         // Decays first, since the loads reported by peers are decayed as well. Otherwise each
         // member would consider its own demand larger than that of the others.
         for queue in self.queues.values_mut() {
-            queue.fade();
+            queue.decay_arrivals();
         }
-        self.share_out();
+        self.update_shares();
     }
 
     /// Recomputes weights and wanted permits if their inputs have changed.
-    pub(super) fn share_out(&mut self) {
-        let basis = Basis {
+    pub(super) fn update_shares(&mut self) {
+        let share_inputs = ShareInputs {
             own: self.loads(),
             peers: self.peers.clone(),
             is_leaving: self.is_leaving,
         };
-        if self.basis.as_ref() != Some(&basis) {
-            self.share_out_by(&basis.own);
-            self.basis = Some(basis);
-            self.has_exchanged = true;
+        if self.share_inputs.as_ref() != Some(&share_inputs) {
+            self.compute_shares(&share_inputs.own);
+            self.share_inputs = Some(share_inputs);
+            self.permits_changed = true;
         }
-        if std::mem::take(&mut self.has_exchanged) {
+        if std::mem::take(&mut self.permits_changed) {
             self.set_queue_slots();
         }
     }
 
-    fn share_out_by(&mut self, own_loads: &[Load]) {
+    fn compute_shares(&mut self, own_loads: &[Load]) {
         let mut wants = BTreeMap::new();
         let mut weights = Vec::new();
         for pool in self.view.pools.keys() {
@@ -151,10 +151,10 @@
                 }
             }
         }
-        let layout = fair::lay_out(&parts, runners.len(), slots);
+        let assignment = fair::assign_slots(&parts, runners.len(), slots);
         let own = members.iter().position(|member| **member == self.view.own);
         for (i, runner) in runners.iter().enumerate() {
-            let want = own.map_or(0, |own| layout[own][i]);
+            let want = own.map_or(0, |own| assignment[own][i]);
             wants.insert(Resource::Slots(runner.id.clone()), want);
         }
     }
--- a/crates/pomelohitch-route/src/fair.rs
+++ b/crates/pomelohitch-route/src/fair.rs
@@ -40,16 +40,16 @@
 /// overlap, each part is spread over as many runners as possible, and no more than `slots` are
 /// assigned on any runner. Returns for each part its number of slots on each runner.
 #[must_use]
-pub fn lay_out(parts: &[f64], runners: usize, slots: u32) -> Vec<Vec<u32>> {
+pub fn assign_slots(parts: &[f64], runners: usize, slots: u32) -> Vec<Vec<u32>> {
     let total = runners * slots as usize;
     let sum: f64 = parts.iter().sum();
-    let mut upto = 0.0;
+    let mut cumulative = 0.0;
     let mut next = 0;
-    let mut layout = Vec::with_capacity(parts.len());
+    let mut assignment = Vec::with_capacity(parts.len());
     for part in parts {
-        upto += part;
+        cumulative += part;
         let end = if sum > 0.0 {
-            place(upto / sum, total)
+            slot_boundary(cumulative / sum, total)
         } else {
             0
         };
@@ -58,9 +58,9 @@
             counts[slot % runners] += 1;
         }
         next = end.max(next);
-        layout.push(counts);
+        assignment.push(counts);
     }
-    layout
+    assignment
 }
 
 #[allow(
@@ -69,6 +69,6 @@
     clippy::cast_precision_loss,
     reason = "the fraction is 0 to 1 and a pool has far fewer slots than 2^52"
 )]
-fn place(fraction: f64, total: usize) -> usize {
+fn slot_boundary(fraction: f64, total: usize) -> usize {
     ((fraction * total as f64).round() as usize).min(total)
 }
--- a/crates/pomelohitch-route/src/once.rs
+++ b/crates/pomelohitch-route/src/once.rs
@@ -9,7 +9,7 @@
 pub const WINDOW: Duration = Duration::from_mins(2);
 /// Maximum number of remembered keys. When it is reached new keys are refused, since forgetting a
 /// key within its window could let a request run twice.
-pub const MOST_KEYS: usize = 100_000;
+pub const MAX_KEYS: usize = 100_000;
 
 /// A home's answer about a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,7 +39,7 @@
     /// Decides whether `request` may run under `key`. Repeating the call for the same request gives
     /// the same answer.
     pub fn begin(&mut self, key: &str, request: &str, now: Monotonic) -> Answer {
-        self.forget(now);
+        self.expire(now);
         if let Some(granted) = self.by_key.get(key) {
             return if *granted.request == *request {
                 Answer::Granted
@@ -47,7 +47,7 @@
                 Answer::Taken
             };
         }
-        if self.by_key.len() >= MOST_KEYS {
+        if self.by_key.len() >= MAX_KEYS {
             return Answer::Full;
         }
         let granted = Granted {
@@ -71,7 +71,7 @@
         }
     }
 
-    fn forget(&mut self, now: Monotonic) {
+    fn expire(&mut self, now: Monotonic) {
         while let Some((at, key)) = self.by_time.first() {
             if *at + WINDOW > now {
                 return;
--- a/crates/pomelohitch-route/src/pick.rs
+++ b/crates/pomelohitch-route/src/pick.rs
@@ -24,24 +24,24 @@
     /// Number of consecutive failures after which a runner is ejected.
     pub failures: u32,
     /// Duration of the first ejection; doubles with each further one.
-    pub leave: Duration,
+    pub base_ejection: Duration,
     /// Maximum duration of an ejection.
-    pub longest_leave: Duration,
+    pub max_ejection: Duration,
     /// A runner slower than the median by this factor is used only if no other is free.
-    pub slow: f64,
+    pub slow_factor: f64,
     /// Ejections are ignored if more than this fraction of the runners is ejected, since the fault
     /// then lies elsewhere.
-    pub most_left: f64,
+    pub max_ejected_fraction: f64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
             failures: 3,
-            leave: Duration::from_secs(1),
-            longest_leave: Duration::from_secs(30),
-            slow: 3.0,
-            most_left: 0.5,
+            base_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(30),
+            slow_factor: 3.0,
+            max_ejected_fraction: 0.5,
         }
     }
 }
@@ -50,8 +50,8 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Health {
     failures: u32,
-    left: u32,
-    left_until: Monotonic,
+    ejections: u32,
+    ejected_until: Monotonic,
     is_probed: bool,
     /// Mean latency in seconds; 0 before the first answer.
     latency: f64,
@@ -78,7 +78,7 @@
 }
 
 /// Weight of the newest answer in the mean latency.
-const NEWEST: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 
 impl Picker {
     /// Creates a picker without any results.
@@ -105,8 +105,8 @@
         now: Monotonic,
         random: u64,
     ) -> Option<InstanceId> {
-        let trusts_all = self.looks_like_another_fault(candidates, now);
-        let slow = self.slow_from(candidates);
+        let ignores_ejections = self.has_common_cause(candidates, now);
+        let slow = self.slow_threshold(candidates);
         let score = |c: &Candidate<'_>| {
             let health = self.health.get(c.id);
             let is_slow = health.is_some_and(|h| h.latency > slow);
@@ -117,20 +117,20 @@
         let usable: Vec<_> = candidates
             .iter()
             .filter(|c| c.has_slot && Some(c.id) != avoid)
-            .filter(|c| trusts_all || self.may_use(c.id, now))
+            .filter(|c| ignores_ejections || self.is_available(c.id, now))
             .collect();
         let best = usable.iter().map(|c| score(c)).min()?;
         let ties: Vec<_> = usable.into_iter().filter(|c| score(c) == best).collect();
         let index = usize::try_from(random).unwrap_or(0) % ties.len();
         let id = ties[index].id.clone();
         if let Some(health) = self.health.get_mut(&id) {
-            health.is_probed = health.left > 0;
+            health.is_probed = health.ejections > 0;
         }
         Some(id)
     }
 
     /// Records the result of a request at a runner.
-    pub fn note(&mut self, id: &InstanceId, outcome: Outcome, now: Monotonic) {
+    pub fn record(&mut self, id: &InstanceId, outcome: Outcome, now: Monotonic) {
         let options = self.options;
         let health = self.health.entry(id.clone()).or_default();
         health.is_probed = false;
@@ -142,53 +142,55 @@
         }
     }
 
-    fn may_use(&self, id: &InstanceId, now: Monotonic) -> bool {
+    fn is_available(&self, id: &InstanceId, now: Monotonic) -> bool {
         let Some(health) = self.health.get(id) else {
             return true;
         };
-        let is_left = health.left > 0;
+        let is_ejected = health.ejections > 0;
         // After the ejection time, one request at a time probes whether the runner works again.
-        !is_left || (now >= health.left_until && !health.is_probed)
+        !is_ejected || (now >= health.ejected_until && !health.is_probed)
     }
 
     /// When most runners fail at once, the likely cause is the network, this process or the
     /// requests themselves. Ejecting all runners would turn a partial outage into a complete one.
-    fn looks_like_another_fault(&self, candidates: &[Candidate<'_>], now: Monotonic) -> bool {
-        let left = candidates.iter().filter(|c| !self.may_use(c.id, now));
-        let most = self.options.most_left * to_f64(candidates.len());
-        to_f64(left.count()) > most
+    fn has_common_cause(&self, candidates: &[Candidate<'_>], now: Monotonic) -> bool {
+        let ejected = candidates.iter().filter(|c| !self.is_available(c.id, now));
+        let most = self.options.max_ejected_fraction * to_f64(candidates.len());
+        to_f64(ejected.count()) > most
     }
 
     /// The latency above which a runner counts as slow.
-    fn slow_from(&self, candidates: &[Candidate<'_>]) -> f64 {
+    fn slow_threshold(&self, candidates: &[Candidate<'_>]) -> f64 {
         let known = candidates.iter().filter_map(|c| self.health.get(c.id));
         let mut latencies: Vec<_> = known.map(|h| h.latency).filter(|l| *l > 0.0).collect();
         if latencies.len() < 3 {
             return f64::INFINITY;
         }
         latencies.sort_by(f64::total_cmp);
-        latencies[latencies.len() / 2] * self.options.slow
+        latencies[latencies.len() / 2] * self.options.slow_factor
     }
 }
 
 impl Health {
     fn answered(&mut self, latency: Duration) {
         self.failures = 0;
-        self.left = 0;
+        self.ejections = 0;
         let latency = latency.as_secs_f64();
         if self.latency == 0.0 {
             self.latency = latency;
         }
-        self.latency += NEWEST * (latency - self.latency);
+        self.latency += NEWEST_WEIGHT * (latency - self.latency);
     }
 
     fn failed(&mut self, options: &Options, now: Monotonic) {
         self.failures += 1;
-        let is_over = self.left > 0 && now >= self.left_until;
-        if is_over || (self.left == 0 && self.failures >= options.failures) {
-            let doubled = options.leave.saturating_mul(1 << self.left.min(16));
-            self.left_until = now + doubled.min(options.longest_leave);
-            self.left += 1;
+        let is_over = self.ejections > 0 && now >= self.ejected_until;
+        if is_over || (self.ejections == 0 && self.failures >= options.failures) {
+            let doubled = options
+                .base_ejection
+                .saturating_mul(1 << self.ejections.min(16));
+            self.ejected_until = now + doubled.min(options.max_ejection);
+            self.ejections += 1;
         }
     }
 }
--- a/crates/pomelohitch-route/src/queue.rs
+++ b/crates/pomelohitch-route/src/queue.rs
@@ -2,7 +2,7 @@
 //!
 //! Each team is charged the slot time of its requests divided by its weight, and the team with the
 //! lowest charge is served next. Within a team quick requests go before patient ones, except that
-//! every [`PATIENT_TURN`]th request is a patient one.
+//! every [`PATIENT_INTERVAL`]th request is a patient one.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -15,7 +15,7 @@
 pub type Monotonic = Duration;
 
 /// One in this many requests served is a patient one, if any waits.
-pub const PATIENT_TURN: u32 = 8;
+pub const PATIENT_INTERVAL: u32 = 8;
 
 /// A queued request.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 }
 
 #[derive(Debug)]
-struct Lane<T> {
+struct TeamQueue<T> {
     quick: VecDeque<Waiting<T>>,
     patient: VecDeque<Waiting<T>>,
     turns: u32,
@@ -46,21 +46,21 @@
     /// Slot-seconds charged, divided by the weight.
     charged: f64,
     /// The latest retry time given to a refused request.
-    booked: Monotonic,
-    /// Number of recent arrivals, accepted or refused; decays with [`fade`](Queue::fade).
-    came: f64,
+    retry_at: Monotonic,
+    /// Number of recent arrivals, accepted or refused; decays with [`decay_arrivals`](Queue::fade).
+    recent_arrivals: f64,
 }
 
-impl<T> Default for Lane<T> {
+impl<T> Default for TeamQueue<T> {
     fn default() -> Self {
-        Lane {
+        TeamQueue {
             quick: VecDeque::new(),
             patient: VecDeque::new(),
             turns: 0,
             weight: 1.0,
             charged: 0.0,
-            booked: Monotonic::ZERO,
-            came: 0.0,
+            retry_at: Monotonic::ZERO,
+            recent_arrivals: 0.0,
         }
     }
 }
@@ -71,17 +71,17 @@
     /// Maximum number of queued requests.
     pub bound: usize,
     /// Assumed run time until the first request has ended.
-    pub first_guess: Duration,
+    pub initial_mean_run: Duration,
     /// Upper limit of the time after which a refused request may retry.
-    pub longest_retry: Duration,
+    pub max_retry_after: Duration,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
             bound: 256,
-            first_guess: Duration::from_millis(50),
-            longest_retry: Duration::from_mins(1),
+            initial_mean_run: Duration::from_millis(50),
+            max_retry_after: Duration::from_mins(1),
         }
     }
 }
@@ -90,38 +90,38 @@
 #[derive(Debug)]
 pub struct Queue<T> {
     options: Options,
-    lanes: BTreeMap<TeamId, Lane<T>>,
+    team_queues: BTreeMap<TeamId, TeamQueue<T>>,
     waiting: usize,
     /// Mean time in seconds for which a request occupies a slot.
     mean_run: f64,
-    runs: f64,
+    run_count: f64,
     slots: f64,
     /// Highest charge at which a team was served (the virtual time of fair queuing). A team that
     /// had nothing queued starts here.
-    level: f64,
+    virtual_time: f64,
 }
 
-/// Interval between calls of [`Queue::fade`]. Each call removes a quarter of the recent arrivals,
+/// Interval between calls of [`Queue::decay_arrivals`]. Each call removes a quarter of the recent arrivals,
 /// so that they cover about the last second.
-pub const FADE_EVERY: Duration = Duration::from_millis(250);
+pub const ARRIVAL_DECAY_INTERVAL: Duration = Duration::from_millis(250);
 /// Teams that need less than this, in slots, are left out of [`Queue::needs`].
-const LEAST_NEED: f64 = 0.001;
+const MIN_NEED: f64 = 0.001;
 
 /// Minimum weight of the newest run in the mean; the first runs have more. Run times vary widely,
 /// and with a larger weight permits would move back and forth between members.
-const NEWEST: f64 = 0.004;
+const MIN_NEWEST_WEIGHT: f64 = 0.004;
 
 impl<T> Queue<T> {
     /// Creates an empty queue.
     #[must_use]
     pub fn new(options: Options) -> Queue<T> {
         Queue {
-            lanes: BTreeMap::new(),
+            team_queues: BTreeMap::new(),
             waiting: 0,
-            mean_run: options.first_guess.as_secs_f64(),
-            runs: 1.0,
+            mean_run: options.initial_mean_run.as_secs_f64(),
+            run_count: 1.0,
             slots: 0.0,
-            level: 0.0,
+            virtual_time: 0.0,
             options,
         }
     }
@@ -140,14 +140,14 @@
 
     /// Number of queued requests of each team.
     pub fn waiting_by_team(&self) -> impl Iterator<Item = (&TeamId, usize)> {
-        let lanes = self.lanes.iter();
-        lanes.map(|(team, lane)| (team, lane.len()))
+        let team_queues = self.team_queues.iter();
+        team_queues.map(|(team, team_queue)| (team, team_queue.len()))
     }
 
-    /// Decays the recent arrivals; to be called once every [`FADE_EVERY`].
-    pub fn fade(&mut self) {
-        for lane in self.lanes.values_mut() {
-            lane.came *= 1.0 - FADE_EVERY.as_secs_f64();
+    /// Decays the recent arrivals; to be called once every [`ARRIVAL_DECAY_INTERVAL`].
+    pub fn decay_arrivals(&mut self) {
+        for team_queue in self.team_queues.values_mut() {
+            team_queue.recent_arrivals *= 1.0 - ARRIVAL_DECAY_INTERVAL.as_secs_f64();
         }
     }
 
@@ -158,11 +158,11 @@
     /// instances that counted them would ask for what they already have and their shares would
     /// diverge.
     pub fn needs(&self) -> impl Iterator<Item = (&TeamId, f64)> {
-        let lanes = self.lanes.iter().map(|(team, lane)| {
-            let waiting = f64::from(u32::try_from(lane.len()).unwrap_or(u32::MAX));
-            (team, (lane.came + waiting) * self.mean_run)
+        let team_queues = self.team_queues.iter().map(|(team, team_queue)| {
+            let waiting = f64::from(u32::try_from(team_queue.len()).unwrap_or(u32::MAX));
+            (team, (team_queue.recent_arrivals + waiting) * self.mean_run)
         });
-        lanes.filter(|(_, need)| *need > LEAST_NEED)
+        team_queues.filter(|(_, need)| *need > MIN_NEED)
     }
 
     /// Mean time for which a request occupies a slot.
@@ -183,7 +183,7 @@
 
     /// Sets a team's weight: the number of slots that it is entitled to at this entry instance.
     pub fn set_weight(&mut self, team: &TeamId, weight: f64) {
-        self.lane(team).weight = weight.max(0.01);
+        self.team_queue(team).weight = weight.max(0.01);
     }
 
     /// Queues a request, or refuses it immediately if it would not be served before its deadline.
@@ -191,7 +191,7 @@
     /// # Errors
     /// With the time after which to retry, which differs for each refused request.
     pub fn offer(&mut self, req: Waiting<T>, now: Monotonic) -> Result<(), Refusal> {
-        self.lane(&req.team).came += 1.0;
+        self.team_queue(&req.team).recent_arrivals += 1.0;
         let wait = self.expected_wait(&req.team, req.priority);
         // Run times vary and the estimate is inexact: a request expected to end just before its
         // deadline would miss it half of the time, after occupying a slot.
@@ -201,15 +201,15 @@
         if is_late || self.is_full_for(&req.team) {
             return Err(self.refuse(&req.team, now, wait));
         }
-        let level = self.level;
-        let lane = self.lane(&req.team);
-        if lane.len() == 0 {
+        let virtual_time = self.virtual_time;
+        let team_queue = self.team_queue(&req.team);
+        if team_queue.len() == 0 {
             // A team earns no credit while it has nothing queued.
-            lane.charged = lane.charged.max(level);
+            team_queue.charged = team_queue.charged.max(virtual_time);
         }
         match req.priority {
-            Priority::Quick => lane.quick.push_back(req),
-            Priority::Patient => lane.patient.push_back(req),
+            Priority::Quick => team_queue.quick.push_back(req),
+            Priority::Patient => team_queue.patient.push_back(req),
         }
         self.waiting += 1;
         Ok(())
@@ -222,61 +222,74 @@
     fn is_full_for(&self, team: &TeamId) -> bool {
         let bound = f64::from(u32::try_from(self.options.bound).unwrap_or(u32::MAX));
         let (own, sum) = self.weights(team);
-        let waiting = self.lanes.get(team).map_or(0, Lane::len);
-        let has_part = f64::from(u32::try_from(waiting).unwrap_or(u32::MAX)) >= bound * own / sum;
+        let waiting = self.team_queues.get(team).map_or(0, TeamQueue::len);
+        let is_part_used =
+            f64::from(u32::try_from(waiting).unwrap_or(u32::MAX)) >= bound * own / sum;
         // Parts change as teams start and stop queuing; the total is limited to twice the bound.
-        has_part || self.waiting >= 2 * self.options.bound
+        is_part_used || self.waiting >= 2 * self.options.bound
     }
 
     /// The weight of `team`, and the sum over all teams with queued requests and `team` itself.
     fn weights(&self, team: &TeamId) -> (f64, f64) {
-        let own = self.lanes.get(team).map_or(1.0, |lane| lane.weight);
+        let own = self
+            .team_queues
+            .get(team)
+            .map_or(1.0, |team_queue| team_queue.weight);
         let others = self
-            .lanes
+            .team_queues
             .iter()
-            .filter(|(id, lane)| *id != team && lane.len() > 0);
-        (own, own + others.map(|(_, lane)| lane.weight).sum::<f64>())
+            .filter(|(id, team_queue)| *id != team && team_queue.len() > 0);
+        (
+            own,
+            own + others.map(|(_, team_queue)| team_queue.weight).sum::<f64>(),
+        )
     }
 
     /// Assigns the next retry time. Callers refused together are told to retry one after another,
     /// and no faster than capacity becomes available for them.
     fn refuse(&mut self, team: &TeamId, now: Monotonic, wait: Duration) -> Refusal {
-        let longest = self.options.longest_retry;
-        let apart = Duration::from_secs_f64((1.0 / self.rate_of(team)).min(longest.as_secs_f64()));
-        let lane = self.lane(team);
-        lane.booked = (lane.booked.max(now + wait) + apart).min(now + longest);
+        let longest = self.options.max_retry_after;
+        let interval =
+            Duration::from_secs_f64((1.0 / self.service_rate(team)).min(longest.as_secs_f64()));
+        let team_queue = self.team_queue(team);
+        team_queue.retry_at = (team_queue.retry_at.max(now + wait) + interval).min(now + longest);
         Refusal {
-            retry_after: lane.booked.saturating_sub(now),
+            retry_after: team_queue.retry_at.saturating_sub(now),
         }
     }
 
     /// Expected wait of a new request, from its team's share and the mean run time.
     #[must_use]
     pub fn expected_wait(&self, team: &TeamId, priority: Priority) -> Duration {
-        let Some(lane) = self.lanes.get(team) else {
+        let Some(team_queue) = self.team_queues.get(team) else {
             return Duration::ZERO;
         };
         let ahead = match priority {
-            Priority::Quick => lane.quick.len() + lane.quick.len() / PATIENT_TURN as usize,
+            Priority::Quick => {
+                team_queue.quick.len() + team_queue.quick.len() / PATIENT_INTERVAL as usize
+            }
             // Quick requests that arrive meanwhile go first, except in the patient requests' turns.
-            Priority::Patient if lane.quick.is_empty() => lane.patient.len(),
-            Priority::Patient => (lane.patient.len() + 1) * PATIENT_TURN as usize,
+            Priority::Patient if team_queue.quick.is_empty() => team_queue.patient.len(),
+            Priority::Patient => (team_queue.patient.len() + 1) * PATIENT_INTERVAL as usize,
         };
         let ahead = f64::from(u32::try_from(ahead).unwrap_or(u32::MAX));
-        let wait = ahead / self.rate_of(team);
-        Duration::from_secs_f64(wait.min(self.options.longest_retry.as_secs_f64()))
+        let wait = ahead / self.service_rate(team);
+        Duration::from_secs_f64(wait.min(self.options.max_retry_after.as_secs_f64()))
     }
 
     /// Requests of `team` served per second, assuming that all teams with queued requests keep
     /// queuing.
-    fn rate_of(&self, team: &TeamId) -> f64 {
+    fn service_rate(&self, team: &TeamId) -> f64 {
         let (own, sum) = self.weights(team);
         (self.slots.max(0.1) * own / sum / self.mean_run.max(1e-4)).max(1e-3)
     }
 
     /// Whether [`next`](Queue::next) would return a request.
     pub fn has_next(&self, mut may_run: impl FnMut(&TeamId) -> bool) -> bool {
-        let mut waiting = self.lanes.iter().filter(|(_, lane)| lane.len() > 0);
+        let mut waiting = self
+            .team_queues
+            .iter()
+            .filter(|(_, team_queue)| team_queue.len() > 0);
         waiting.any(|(team, _)| may_run(team))
     }
 
@@ -285,19 +298,19 @@
     pub fn next(&mut self, mut may_run: impl FnMut(&TeamId) -> bool) -> Option<Waiting<T>> {
         let team = self.next_team(&mut may_run)?;
         let mean_run = self.mean_run;
-        let lane = self.lanes.get_mut(&team)?;
-        let req = lane.pop()?;
-        self.level = self.level.max(lane.charged);
-        lane.charged += mean_run / lane.weight;
+        let team_queue = self.team_queues.get_mut(&team)?;
+        let req = team_queue.pop()?;
+        self.virtual_time = self.virtual_time.max(team_queue.charged);
+        team_queue.charged += mean_run / team_queue.weight;
         self.waiting -= 1;
         Some(req)
     }
 
     fn next_team(&self, may_run: &mut impl FnMut(&TeamId) -> bool) -> Option<TeamId> {
         let mut waiting: Vec<_> = self
-            .lanes
+            .team_queues
             .iter()
-            .filter(|(_, lane)| lane.len() > 0)
+            .filter(|(_, team_queue)| team_queue.len() > 0)
             .collect();
         waiting.sort_by(|(_, a), (_, b)| a.charged.total_cmp(&b.charged));
         let team = waiting.into_iter().map(|(team, _)| team);
@@ -308,8 +321,8 @@
     /// immediately.
     pub fn expire(&mut self, now: Monotonic) -> Vec<Waiting<T>> {
         let mut expired = Vec::new();
-        for lane in self.lanes.values_mut() {
-            for queue in [&mut lane.quick, &mut lane.patient] {
+        for team_queue in self.team_queues.values_mut() {
+            for queue in [&mut team_queue.quick, &mut team_queue.patient] {
                 let (late, kept) = std::mem::take(queue)
                     .into_iter()
                     .partition(|req: &Waiting<T>| req.deadline <= now);
@@ -325,36 +338,36 @@
     /// The earliest deadline of all queued requests.
     #[must_use]
     pub fn first_deadline(&self) -> Option<Monotonic> {
-        let lanes = self.lanes.values();
-        lanes
-            .flat_map(|lane| lane.quick.iter().chain(&lane.patient))
+        let team_queues = self.team_queues.values();
+        team_queues
+            .flat_map(|team_queue| team_queue.quick.iter().chain(&team_queue.patient))
             .map(|req| req.deadline)
             .min()
     }
 
     /// Records how long a request occupied its slot, and corrects the charge of its team
     /// accordingly.
-    pub fn ran(&mut self, team: &TeamId, run: Duration) {
+    pub fn record_run(&mut self, team: &TeamId, run: Duration) {
         let charged = self.mean_run;
         let run = run.as_secs_f64();
-        self.runs += 1.0;
-        self.mean_run += NEWEST.max(1.0 / self.runs) * (run - self.mean_run);
-        let lane = self.lane(team);
-        lane.charged += (run - charged) / lane.weight;
+        self.run_count += 1.0;
+        self.mean_run += MIN_NEWEST_WEIGHT.max(1.0 / self.run_count) * (run - self.mean_run);
+        let team_queue = self.team_queue(team);
+        team_queue.charged += (run - charged) / team_queue.weight;
     }
 
-    fn lane(&mut self, team: &TeamId) -> &mut Lane<T> {
-        self.lanes.entry(team.clone()).or_default()
+    fn team_queue(&mut self, team: &TeamId) -> &mut TeamQueue<T> {
+        self.team_queues.entry(team.clone()).or_default()
     }
 }
 
-impl<T> Lane<T> {
+impl<T> TeamQueue<T> {
     fn len(&self) -> usize {
         self.quick.len() + self.patient.len()
     }
 
     fn pop(&mut self) -> Option<Waiting<T>> {
-        self.turns = (self.turns + 1) % PATIENT_TURN;
+        self.turns = (self.turns + 1) % PATIENT_INTERVAL;
         let is_patients_turn = self.turns == 0;
         if (is_patients_turn || self.quick.is_empty())
             && let Some(req) = self.patient.pop_front()
--- a/crates/pomelohitch-route/src/send.rs
+++ b/crates/pomelohitch-route/src/send.rs
@@ -84,26 +84,26 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Options {
     /// Timeout for establishing a connection.
-    pub connect: Duration,
+    pub connect_timeout: Duration,
     /// Maximum number of idle connections kept per runner.
     ///
     /// A runner accepts 64 connections and runs 8 requests at once. With 16 entry instances, twice
     /// the present number, three idle connections each leave enough for those in use.
-    pub kept_per_runner: usize,
+    pub max_idle_per_runner: usize,
     /// Time after which an idle connection is closed. The longer a connection is idle, the more
     /// likely a middlebox such as a firewall has dropped its state.
-    pub kept_for: Duration,
+    pub max_idle_age: Duration,
     /// Maximum size of an answer body in bytes.
-    pub answer_bytes: u64,
+    pub max_answer_bytes: u64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
-            connect: Duration::from_millis(500),
-            kept_per_runner: 3,
-            kept_for: Duration::from_secs(2),
-            answer_bytes: 8 * 1024 * 1024,
+            connect_timeout: Duration::from_millis(500),
+            max_idle_per_runner: 3,
+            max_idle_age: Duration::from_secs(2),
+            max_answer_bytes: 8 * 1024 * 1024,
         }
     }
 }
@@ -111,21 +111,21 @@
 /// Sends requests to runners.
 #[derive(Debug, Clone)]
 pub struct Sender {
-    kept: ureq::Agent,
-    fresh: ureq::Agent,
+    pooled: ureq::Agent,
+    unpooled: ureq::Agent,
     options: Options,
 }
 
 /// The header by which a runner says that it didn't start a request.
-const RAN: &str = "Request-Ran";
+const RAN_HEADER: &str = "Request-Ran";
 
 impl Sender {
     /// Creates a sender with `options`.
     #[must_use]
     pub fn new(options: Options) -> Sender {
         Sender {
-            kept: agent(&options, options.kept_per_runner),
-            fresh: agent(&options, 0),
+            pooled: agent(&options, options.max_idle_per_runner),
+            unpooled: agent(&options, 0),
             options,
         }
     }
@@ -142,25 +142,27 @@
         timeout: Duration,
     ) -> Result<Answer> {
         let agent = match connection {
-            Connection::Fresh => &self.fresh,
-            Connection::Kept => &self.kept,
+            Connection::Fresh => &self.unpooled,
+            Connection::Kept => &self.pooled,
         };
         let Some(built) = build(addr, req) else {
             let reason = "the request can't be passed on".into();
             return UnsentSnafu::<Box<str>> { reason }.fail();
         };
-        transport::begin();
+        transport::begin_call();
         let configured = agent
             .configure_request(built)
             .timeout_global(Some(timeout))
             .build();
-        let mut answer = agent.run(configured).map_err(|error| failed(&error))?;
+        let mut answer = agent
+            .run(configured)
+            .map_err(|error| classify_error(&error))?;
         let body = answer
             .body_mut()
             .with_config()
-            .limit(self.options.answer_bytes)
+            .limit(self.options.max_answer_bytes)
             .read_to_vec()
-            .map_err(|error| failed(&error))?;
+            .map_err(|error| classify_error(&error))?;
         let answer = Answer {
             status: answer.status().as_u16(),
             headers: headers_of(&answer),
@@ -170,7 +172,7 @@
             let reason = "the length of the answer isn't stated".into();
             return LostSnafu::<Box<str>> { reason }.fail();
         }
-        let says_not_run = answer.status == 503 && answer.headers.get(RAN) == Some("no");
+        let says_not_run = answer.status == 503 && answer.headers.get(RAN_HEADER) == Some("no");
         if says_not_run {
             return NotStartedSnafu.fail();
         }
@@ -181,16 +183,16 @@
     }
 }
 
-fn agent(options: &Options, kept: usize) -> ureq::Agent {
+fn agent(options: &Options, max_idle: usize) -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
         .max_redirects(0)
         .max_redirects_will_error(false)
         .allow_non_standard_methods(true)
-        .timeout_connect(Some(options.connect))
-        .max_idle_connections(if kept == 0 { 0 } else { 1000 })
-        .max_idle_connections_per_host(kept)
-        .max_idle_age(options.kept_for)
+        .timeout_connect(Some(options.connect_timeout))
+        .max_idle_connections(if max_idle == 0 { 0 } else { 1000 })
+        .max_idle_connections_per_host(max_idle)
+        .max_idle_age(options.max_idle_age)
         .user_agent("")
         .accept("")
         .accept_encoding("")
@@ -233,9 +235,9 @@
 /// Classifies an error of the HTTP client. `Unsent` requires that no byte of the request reached
 /// the transport: a broken connection, a timeout or an unreadable answer may all occur after the
 /// runner started the request.
-fn failed(error: &ureq::Error) -> Error {
+fn classify_error(error: &ureq::Error) -> Error {
     let reason = error.to_string().into();
-    if !transport::was_handed() {
+    if !transport::has_started_writing() {
         return Error::Unsent { reason };
     }
     match error {
--- a/crates/pomelohitch-route/src/send/transport.rs
+++ b/crates/pomelohitch-route/src/send/transport.rs
@@ -27,24 +27,24 @@
     /// Whether a byte of the current call was handed to a connection. Thread-local, since a call
     /// runs on the thread that starts it, one at a time, even on a connection that another thread
     /// made.
-    static HANDED: Cell<bool> = const { Cell::new(false) };
+    static HAS_STARTED_WRITING: Cell<bool> = const { Cell::new(false) };
 }
 
 /// A connection is closed when sent data stays unacknowledged for this long.
-const SILENT_AFTER: Duration = Duration::from_secs(3);
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 /// Idle time before the first keepalive probe, and interval between probes.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Number of unanswered probes after which a connection is closed.
-const PROBES: u32 = 2;
+const PROBE_COUNT: u32 = 2;
 
 /// Starts a call: no byte of it has been handed to a connection.
-pub(super) fn begin() {
-    HANDED.set(false);
+pub(super) fn begin_call() {
+    HAS_STARTED_WRITING.set(false);
 }
 
 /// Whether a byte of the current call was handed to a connection.
-pub(super) fn was_handed() -> bool {
-    HANDED.get()
+pub(super) fn has_started_writing() -> bool {
+    HAS_STARTED_WRITING.get()
 }
 
 /// Creates an agent over plain TCP that uses this transport.
@@ -56,13 +56,13 @@
 struct TcpConnector;
 
 impl<In: Transport> Connector<In> for TcpConnector {
-    type Out = Link;
+    type Out = TcpTransport;
 
     fn connect(
         &self,
         details: &ConnectionDetails<'_>,
         _: Option<In>,
-    ) -> Result<Option<Link>, Error> {
+    ) -> Result<Option<TcpTransport>, Error> {
         let addr = details.addrs.first().ok_or(Error::HostNotFound)?;
         let socket = Socket::new(
             Domain::for_address(*addr),
@@ -72,7 +72,7 @@
         let limit = details
             .timeout
             .not_zero()
-            .map_or(SILENT_AFTER, |limit| *limit);
+            .map_or(UNACKNOWLEDGED_TIMEOUT, |limit| *limit);
         match socket.connect_timeout(&(*addr).into(), limit) {
             Ok(()) => {}
             Err(error) if error.kind() == ErrorKind::TimedOut => {
@@ -80,32 +80,32 @@
             }
             Err(error) => return Err(error.into()),
         }
-        watch(&socket)?;
+        enable_probes(&socket)?;
         let config = details.config;
-        Ok(Some(Link {
+        Ok(Some(TcpTransport {
             stream: socket.into(),
             buffers: LazyBuffers::new(config.input_buffer_size(), config.output_buffer_size()),
         }))
     }
 }
 
-fn watch(socket: &Socket) -> std::io::Result<()> {
+fn enable_probes(socket: &Socket) -> std::io::Result<()> {
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(SILENT_AFTER))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(PROBE_COUNT);
     socket.set_tcp_keepalive(&probes)
 }
 
 #[derive(Debug)]
-struct Link {
+struct TcpTransport {
     stream: TcpStream,
     buffers: LazyBuffers,
 }
 
-impl Transport for Link {
+impl Transport for TcpTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         &mut self.buffers
     }
@@ -113,10 +113,10 @@
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
         let limit = timeout.not_zero().map(|limit| *limit);
         self.stream.set_write_timeout(limit)?;
-        HANDED.set(true);
+        HAS_STARTED_WRITING.set(true);
         let output = &self.buffers.output()[..amount];
         let written = (&self.stream).write_all(output);
-        written.map_err(|error| timed(error, timeout))
+        written.map_err(|error| map_timeout(error, timeout))
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
@@ -126,7 +126,7 @@
         let amount = loop {
             match (&self.stream).read(input) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                read => break read.map_err(|error| timed(error, timeout))?,
+                read => break read.map_err(|error| map_timeout(error, timeout))?,
             }
         };
         self.buffers.input_appended(amount);
@@ -146,7 +146,7 @@
 }
 
 /// Converts an I/O error. A read or write that reaches its timeout reports `WouldBlock`.
-fn timed(error: std::io::Error, timeout: NextTimeout) -> Error {
+fn map_timeout(error: std::io::Error, timeout: NextTimeout) -> Error {
     match error.kind() {
         ErrorKind::WouldBlock => Error::Timeout(timeout.reason),
         _ => Error::Io(error),
--- a/crates/pomelohitch-route/src/terms.rs
+++ b/crates/pomelohitch-route/src/terms.rs
@@ -41,9 +41,9 @@
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Maximum timeout that a caller may state.
-pub const LONGEST_TIMEOUT: Duration = Duration::from_mins(10);
+pub const MAX_TIMEOUT: Duration = Duration::from_mins(10);
 /// Maximum length of an idempotency key in bytes.
-pub const LONGEST_KEY: usize = 128;
+pub const MAX_KEY_BYTES: usize = 128;
 
 const IDEMPOTENT: &str = "Request-Idempotent";
 const KEY: &str = "Idempotency-Key";
@@ -70,7 +70,7 @@
         None => Ok(is_idempotent_method(method)),
         Some("true") => Ok(true),
         Some("false") => Ok(false),
-        Some(_) => wrong(IDEMPOTENT, "true or false"),
+        Some(_) => invalid(IDEMPOTENT, "true or false"),
     }
 }
 
@@ -85,7 +85,7 @@
 fn read_key(headers: &Headers) -> Result<Option<Box<str>>> {
     let expected = "1 to 128 bytes, stated once";
     match single(headers, KEY, expected)? {
-        Some(key) if key.is_empty() || key.len() > LONGEST_KEY => wrong(KEY, expected),
+        Some(key) if key.is_empty() || key.len() > MAX_KEY_BYTES => invalid(KEY, expected),
         key => Ok(key.map(Into::into)),
     }
 }
@@ -97,8 +97,8 @@
     };
     let timeout = text.parse().ok().map(Duration::from_millis);
     match timeout {
-        Some(timeout) if !timeout.is_zero() && timeout <= LONGEST_TIMEOUT => Ok(timeout),
-        _ => wrong(TIMEOUT, expected),
+        Some(timeout) if !timeout.is_zero() && timeout <= MAX_TIMEOUT => Ok(timeout),
+        _ => invalid(TIMEOUT, expected),
     }
 }
 
@@ -106,7 +106,7 @@
     match single(headers, PRIORITY, "stated once")? {
         None | Some("quick") => Ok(Priority::Quick),
         Some("patient") => Ok(Priority::Patient),
-        Some(_) => wrong(PRIORITY, "quick or patient"),
+        Some(_) => invalid(PRIORITY, "quick or patient"),
     }
 }
 
@@ -119,11 +119,11 @@
     let first = values.next();
     let more = values.next();
     if more.is_some() {
-        return wrong(name, expected);
+        return invalid(name, expected);
     }
     Ok(first)
 }
 
-fn wrong<T>(name: &'static str, expected: &'static str) -> Result<T> {
+fn invalid<T>(name: &'static str, expected: &'static str) -> Result<T> {
     Err(Error { name, expected })
 }
--- a/crates/pomelohitch-route/tests/route/dispatch.rs
+++ b/crates/pomelohitch-route/tests/route/dispatch.rs
@@ -14,13 +14,13 @@
 const TEAM_LIMIT: u32 = 4;
 const LONGEST_RUN: Duration = Duration::from_secs(1);
 
-fn member(place: usize) -> Box<str> {
-    format!("entry-{place}").into()
+fn member(entry: usize) -> Box<str> {
+    format!("entry-{entry}").into()
 }
 
 fn view(own: usize, members: usize) -> View {
-    let runner = |place| Runner {
-        id: format!("runner-{place}").into(),
+    let runner = |number| Runner {
+        id: format!("runner-{number}").into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
         near: true,
     };
@@ -52,18 +52,18 @@
     fn new(members: usize) -> Fleet {
         let epoch = Epoch {
             offset: 7,
-            members: (0..members).map(|place| (member(place), 1)).collect(),
+            members: (0..members).map(|entry| (member(entry), 1)).collect(),
             has_ended: false,
         };
-        let entry = |place| {
+        let new_entry = |entry| {
             let mut dispatcher = Dispatcher::new(1);
-            dispatcher.set_view(view(place, members));
+            dispatcher.set_view(view(entry, members));
             let mut homes = Homes::default();
             homes.enter(epoch.clone());
             (dispatcher, homes)
         };
         Fleet {
-            entries: (0..members).map(entry).collect(),
+            entries: (0..members).map(new_entry).collect(),
             now: Duration::from_secs(100),
             running: Vec::new(),
         }
@@ -71,15 +71,15 @@
 
     /// One entry instance exchanges messages with the homes; `loses` decides for each reply whether
     /// it is lost.
-    fn talk(&mut self, place: usize, mut loses: impl FnMut() -> bool) {
+    fn exchange_permits(&mut self, entry: usize, mut loses: impl FnMut() -> bool) {
         let asker = Asker {
-            member: member(place),
+            member: member(entry),
             incarnation: 1,
             epoch: 7,
             leaving: false,
         };
-        self.entries[place].0.renew();
-        let asks = self.entries[place].0.asks(&asker, Pace::All, |_| true);
+        self.entries[entry].0.renew();
+        let asks = self.entries[entry].0.asks(&asker, Pace::All, |_| true);
         for (home, ask) in asks {
             let home: usize = home.strip_prefix("entry-").unwrap().parse().unwrap();
             let bounds = Bounds {
@@ -91,41 +91,41 @@
             };
             let reply = self.entries[home].1.on_ask(&ask, &bounds, self.now);
             if let Some(reply) = reply.filter(|_| !loses()) {
-                self.entries[place].0.on_reply(&reply);
+                self.entries[entry].0.on_reply(&reply);
             }
         }
     }
 
-    fn dispatch(&mut self, place: usize) {
-        let sent = self.entries[place].0.dispatch(self.now, true);
-        let running = sent.into_iter().map(|(_, sent)| (place, sent, None));
+    fn dispatch(&mut self, entry: usize) {
+        let sent = self.entries[entry].0.dispatch(self.now, true);
+        let running = sent.into_iter().map(|(_, sent)| (entry, sent, None));
         self.running.extend(running);
     }
 
-    fn offer(&mut self, place: usize, team: &str) {
+    fn offer(&mut self, entry: usize, team: &str) {
         let req = Waiting {
             team: team.into(),
             priority: Priority::Quick,
             deadline: self.now + Duration::from_mins(1),
             token: 0,
         };
-        let _ = self.entries[place].0.offer(&"passes".into(), req, self.now);
+        let _ = self.entries[entry].0.offer(&"passes".into(), req, self.now);
     }
 
     fn end(&mut self, index: usize, end: End) {
-        let (place, sent, until) = self.running.remove(index);
+        let (entry, sent, until) = self.running.remove(index);
         if until.is_some() {
-            self.running.push((place, sent, until));
+            self.running.push((entry, sent, until));
             return;
         }
-        self.entries[place].0.end(&sent, end, self.now);
+        self.entries[entry].0.end(&sent, end, self.now);
         let until = sent.at + LONGEST_RUN;
         if end == End::Unknown && until > self.now {
-            self.running.push((place, sent, Some(until)));
+            self.running.push((entry, sent, Some(until)));
         }
     }
 
-    fn pass(&mut self, time: Duration) {
+    fn advance(&mut self, time: Duration) {
         self.now += time;
         let now = self.now;
         // A request whose answer never arrives ends at its deadline at the latest.
@@ -136,7 +136,7 @@
         }
     }
 
-    fn check(&self) {
+    fn assert_limits(&self) {
         let mut by_team = BTreeMap::<_, u32>::new();
         let mut by_runner = BTreeMap::<_, u32>::new();
         for (_, sent, _) in &self.running {
@@ -162,18 +162,18 @@
     pomelohitch_property::check(|steps: &Vec<(u8, u8)>| {
         let mut fleet = Fleet::new(3);
         for (kind, value) in steps {
-            let place = usize::from(*value) % 3;
+            let entry = usize::from(*value) % 3;
             let index = usize::from(*value) % fleet.running.len().max(1);
             let has_running = !fleet.running.is_empty();
             match kind % 8 {
-                0 | 1 => fleet.offer(place, if value % 2 == 0 { "a" } else { "b" }),
-                2 | 3 => fleet.talk(place, || kind % 3 == 0),
-                4 => fleet.dispatch(place),
+                0 | 1 => fleet.offer(entry, if value % 2 == 0 { "a" } else { "b" }),
+                2 | 3 => fleet.exchange_permits(entry, || kind % 3 == 0),
+                4 => fleet.dispatch(entry),
                 5 if has_running => fleet.end(index, End::Answered),
                 6 if has_running => fleet.end(index, End::Unknown),
-                _ => fleet.pass(Duration::from_millis(u64::from(*value) * 5)),
+                _ => fleet.advance(Duration::from_millis(u64::from(*value) * 5)),
             }
-            fleet.check();
+            fleet.assert_limits();
         }
     });
 }
@@ -181,10 +181,10 @@
 /// The load balancer sends all requests of a team to one entry instance. The slots and permits of
 /// the others have to move there, or the team gets only a third of the free capacity.
 #[test]
-fn idle_slots_come_to_the_entry_that_needs_them() {
+fn idle_slots_move_to_the_entry_that_needs_them() {
     let mut fleet = Fleet::new(3);
-    for place in [0, 1, 2, 0, 1, 2] {
-        fleet.talk(place, || false);
+    for entry in [0, 1, 2, 0, 1, 2] {
+        fleet.exchange_permits(entry, || false);
     }
     for _ in 0..100 {
         fleet.offer(0, "b");
@@ -194,20 +194,20 @@
     for peer in [1, 2] {
         fleet.entries[peer].0.heard(member(0), loads.clone());
     }
-    for place in [0, 1, 2, 1, 2, 0, 0] {
-        fleet.talk(place, || false);
+    for entry in [0, 1, 2, 1, 2, 0, 0] {
+        fleet.exchange_permits(entry, || false);
     }
     fleet.dispatch(0);
     assert_eq!(fleet.running.len(), TEAM_LIMIT as usize);
-    fleet.check();
+    fleet.assert_limits();
 }
 
 /// A retry goes to another runner, and only if the budget allows it.
 #[test]
-fn a_retry_goes_elsewhere_and_costs_budget() {
+fn a_retry_goes_to_another_runner_and_uses_the_budget() {
     let mut fleet = Fleet::new(1);
-    fleet.talk(0, || false);
-    fleet.talk(0, || false);
+    fleet.exchange_permits(0, || false);
+    fleet.exchange_permits(0, || false);
     fleet.offer(0, "b");
     fleet.dispatch(0);
     let sent = fleet.running[0].1.clone();
@@ -231,8 +231,8 @@
 #[test]
 fn nothing_is_sent_without_a_lease() {
     let mut fleet = Fleet::new(1);
-    fleet.talk(0, || false);
-    fleet.talk(0, || false);
+    fleet.exchange_permits(0, || false);
+    fleet.exchange_permits(0, || false);
     fleet.offer(0, "b");
     assert!(fleet.entries[0].0.dispatch(fleet.now, false).is_empty());
     assert_eq!(fleet.entries[0].0.dispatch(fleet.now, true).len(), 1);
@@ -244,14 +244,14 @@
 #[test]
 fn a_lowered_limit_loses_no_waiting_request() {
     let mut fleet = Fleet::new(1);
-    fleet.talk(0, || false);
-    fleet.talk(0, || false);
+    fleet.exchange_permits(0, || false);
+    fleet.exchange_permits(0, || false);
     fleet.offer(0, "b");
     let team = Resource::Team("b".into());
     fleet.entries[0].0.confirm(&team);
     fleet.dispatch(0);
     assert!(fleet.running.is_empty());
-    fleet.talk(0, || false);
+    fleet.exchange_permits(0, || false);
     fleet.dispatch(0);
     assert_eq!(fleet.running.len(), 1);
 }
@@ -259,15 +259,15 @@
 /// Every entry instance computes the same assignment locally. If assignments overlapped, a runner
 /// would become a hot spot requested by several entry instances at once.
 #[test]
-fn a_layout_gives_each_slot_away_once_and_spreads_each_part() {
+fn slots_are_assigned_once_and_each_part_is_spread() {
     pomelohitch_property::check(|parts: &Vec<u8>| {
         let parts: Vec<f64> = parts.iter().take(8).map(|p| f64::from(*p)).collect();
-        let layout = fair::lay_out(&parts, 10, 8);
+        let assignment = fair::assign_slots(&parts, 10, 8);
         for runner in 0..10 {
-            let given: u32 = layout.iter().map(|counts| counts[runner]).sum();
+            let given: u32 = assignment.iter().map(|counts| counts[runner]).sum();
             assert!(given <= 8);
         }
-        for counts in &layout {
+        for counts in &assignment {
             let distinct: BTreeSet<_> = counts.iter().collect();
             let (least, most) = (distinct.first(), distinct.last());
             assert!(least.zip(most).is_none_or(|(l, m)| **m - **l <= 1));
--- a/crates/pomelohitch-route/tests/route/head.rs
+++ b/crates/pomelohitch-route/tests/route/head.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_length_that_only_looks_like_a_number_is_ambiguous() {
+fn a_length_that_is_not_a_plain_number_is_ambiguous() {
     for value in ["+5", "5 5", "0x5", "5,5", ""] {
         let bytes = format!("POST / HTTP/1.1\r\nHost: e\r\nContent-Length: {value}\r\n\r\n");
         let parsed = head::parse(bytes.as_bytes(), &limits());
--- a/crates/pomelohitch-route/tests/route/once.rs
+++ b/crates/pomelohitch-route/tests/route/once.rs
@@ -35,7 +35,7 @@
     let mut retries = 0;
     for _ in 0..10_000 {
         budget.first_try();
-        while budget.take() {
+        while budget.try_take() {
             retries += 1;
         }
     }
--- a/crates/pomelohitch-route/tests/route/pick.rs
+++ b/crates/pomelohitch-route/tests/route/pick.rs
@@ -41,30 +41,30 @@
 /// A runner hangs and every request to it is lost. If it were still picked, callers would lose one
 /// answer in four; when it works again, it must be probed with few requests.
 #[test]
-fn a_failing_runner_is_left_and_probed_one_request_at_a_time() {
+fn a_failing_runner_is_ejected_and_probed_one_request_at_a_time() {
     let ids = ids(4);
     let mut picker = Picker::default();
     let candidates = idle(&ids);
     for _ in 0..3 {
-        picker.note(&ids[0], Outcome::Failed, START);
+        picker.record(&ids[0], Outcome::Failed, START);
     }
     assert!(!picks(&mut picker, &candidates, START).contains(&ids[0]));
     let later = START + Duration::from_secs(2);
     let probes = picks(&mut picker, &candidates, later);
     assert_eq!(probes.iter().filter(|id| **id == ids[0]).count(), 1);
-    picker.note(&ids[0], Outcome::Answered(Duration::from_millis(5)), later);
+    picker.record(&ids[0], Outcome::Answered(Duration::from_millis(5)), later);
     assert!(picks(&mut picker, &candidates, later).contains(&ids[0]));
 }
 
 /// A switch fails and all runners with it, or the requests themselves are at fault. If all runners
 /// were ejected, nothing would be served although most may work again.
 #[test]
-fn everything_failing_at_once_is_not_taken_for_bad_runners() {
+fn runners_are_not_ejected_when_all_fail_at_once() {
     let ids = ids(4);
     let mut picker = Picker::default();
     for id in &ids {
         for _ in 0..5 {
-            picker.note(id, Outcome::Failed, START);
+            picker.record(id, Outcome::Failed, START);
         }
     }
     assert!(picker.pick(&idle(&ids), None, START, 0).is_some());
@@ -75,9 +75,9 @@
     let ids = ids(4);
     let mut picker = Picker::default();
     for id in &ids[1..] {
-        picker.note(id, Outcome::Answered(Duration::from_millis(10)), START);
+        picker.record(id, Outcome::Answered(Duration::from_millis(10)), START);
     }
-    picker.note(
+    picker.record(
         &ids[0],
         Outcome::Answered(Duration::from_millis(100)),
         START,
@@ -94,11 +94,11 @@
 }
 
 #[test]
-fn a_full_runner_is_not_a_bad_one() {
+fn a_full_runner_is_not_ejected() {
     let ids = ids(2);
     let mut picker = Picker::default();
     for _ in 0..10 {
-        picker.note(&ids[0], Outcome::Refused, START);
+        picker.record(&ids[0], Outcome::Refused, START);
     }
     assert!(picks(&mut picker, &idle(&ids), START).contains(&ids[0]));
 }
--- a/crates/pomelohitch-route/tests/route/queue.rs
+++ b/crates/pomelohitch-route/tests/route/queue.rs
@@ -1,14 +1,14 @@
 use std::time::Duration;
 
 use pomelohitch_route::Priority;
-use pomelohitch_route::queue::{Options, PATIENT_TURN, Queue, Waiting};
+use pomelohitch_route::queue::{Options, PATIENT_INTERVAL, Queue, Waiting};
 
 const START: Duration = Duration::from_secs(100);
 
 fn queue() -> Queue<u32> {
     let mut queue = Queue::new(Options {
         bound: 1000,
-        first_guess: Duration::from_millis(100),
+        initial_mean_run: Duration::from_millis(100),
         ..Options::default()
     });
     queue.set_slots(10);
@@ -27,7 +27,7 @@
 /// A large team floods the entry instance while a small one sends few requests. In order of
 /// arrival, the small team's requests would wait behind the whole flood.
 #[test]
-fn teams_are_served_by_weight_and_a_flood_delays_nobody_else() {
+fn teams_are_served_by_weight_during_a_flood() {
     let mut queue = queue();
     queue.set_weight(&"large".into(), 3.0);
     queue.set_weight(&"small".into(), 1.0);
@@ -48,7 +48,7 @@
 
 /// Quick requests arrive without a break. If they always went first, patient ones would starve.
 #[test]
-fn patient_requests_get_their_turns() {
+fn patient_requests_do_not_starve() {
     let mut queue = queue();
     for token in 0..80 {
         queue
@@ -60,7 +60,7 @@
             .offer(request("team", Priority::Patient, token), START)
             .unwrap_or_default();
     }
-    let turns = 2 * PATIENT_TURN as usize;
+    let turns = 2 * PATIENT_INTERVAL as usize;
     let served: Vec<_> = (0..turns).map(|_| queue.next(|_| true).unwrap()).collect();
     let patient = served
         .iter()
@@ -72,20 +72,23 @@
 /// A burst exceeds what can be served before the deadlines. The excess is refused immediately, with
 /// different retry times, no closer together than requests can be served.
 #[test]
-fn a_burst_is_refused_at_once_and_its_returns_are_spread() {
+fn a_burst_is_refused_immediately_with_spread_retry_times() {
     let mut queue = queue();
-    let mut told = Vec::new();
+    let mut retry_times = Vec::new();
     for token in 0..1000 {
         if let Err(refusal) = queue.offer(request("team", Priority::Quick, token), START) {
-            told.push(refusal.retry_after);
+            retry_times.push(refusal.retry_after);
         }
     }
     // Ten slots at 100 ms per request serve 100 per second: about 450 in the 5 s.
     assert!((350..500).contains(&queue.len()), "{} wait", queue.len());
-    assert!(told.windows(2).all(|pair| pair[0] < pair[1]), "together");
-    let (first, last) = (told[0], told[told.len() - 1]);
+    assert!(
+        retry_times.windows(2).all(|pair| pair[0] < pair[1]),
+        "together"
+    );
+    let (first, last) = (retry_times[0], retry_times[retry_times.len() - 1]);
     let spread = last.saturating_sub(first).as_secs_f64();
-    let needed = f64::from(u32::try_from(told.len()).unwrap()) / 100.0;
+    let needed = f64::from(u32::try_from(retry_times.len()).unwrap()) / 100.0;
     assert!(spread > 0.9 * needed, "{spread} s for {needed} s of work");
     assert!(
         first > Duration::from_secs(3),
@@ -96,7 +99,7 @@
 /// One team fills the queue. Another one must still be able to queue requests, or it would get less
 /// than its share regardless of the order of service.
 #[test]
-fn a_full_queue_still_has_places_for_others() {
+fn a_queue_filled_by_one_team_accepts_others() {
     let mut queue = queue();
     queue.set_slots(1000);
     queue.set_bound(100);
@@ -113,7 +116,7 @@
 /// For any sequence of arrivals, completions and expiries: no accepted request is lost or returned
 /// twice, the bound holds, and every refusal has a retry time in the future.
 #[test]
-fn nothing_is_lost_or_doubled() {
+fn no_request_is_lost_or_returned_twice() {
     pomelohitch_property::check(|steps: &Vec<(u8, u8)>| {
         let mut queue = queue();
         queue.set_bound(10);
@@ -144,7 +147,7 @@
                         assert!(inside.remove(&req.token));
                     }
                 }
-                _ => queue.ran(&team.into(), Duration::from_millis(u64::from(*value))),
+                _ => queue.record_run(&team.into(), Duration::from_millis(u64::from(*value))),
             }
             assert_eq!(queue.len(), inside.len());
             assert!(queue.len() <= 20);
