--- a/crates/pomelohitch-permits/tests/permits/model_check.rs
+++ b/crates/pomelohitch-permits/tests/permits/model_check.rs
@@ -53,18 +53,18 @@
 fn assert_detected(scope: &Scope) {
     let (reached, path) = explore(scope);
     let (fault, steps) = (scope.fault, path.as_ref().map(Vec::len));
-    println!("{fault:?}: {steps:?} steps, {reached} worlds");
-    assert!(path.is_some(), "not noticed in {reached} worlds");
+    println!("{fault:?}: {steps:?} steps, {reached} states");
+    assert!(path.is_some(), "fault not detected in {reached} states");
 }
 
 fn assert_limit_holds(scope: &Scope, at_least: usize) {
     let (reached, path) = explore(scope);
-    println!("{reached} worlds");
+    println!("{reached} states");
     for world in path.iter().flatten() {
         println!("{world:?}");
     }
-    assert_eq!(path.map(|path| path.len()), None, "the limit is broken");
-    assert!(reached > at_least, "only {reached} worlds");
+    assert_eq!(path.map(|path| path.len()), None, "the limit was exceeded");
+    assert!(reached > at_least, "only {reached} states");
 }
 
 /// Messages between members are lost, duplicated and reordered while callers give up and their
--- a/crates/pomelohitch-route/examples/overload/main.rs
+++ b/crates/pomelohitch-route/examples/overload/main.rs
@@ -10,7 +10,7 @@
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
-    reason = "figures for people, far below 2^52"
+    reason = "values for display, far below 2^52"
 )]
 
 mod fleet;
--- a/crates/pomelohitch-route/src/dispatch.rs
+++ b/crates/pomelohitch-route/src/dispatch.rs
@@ -487,7 +487,7 @@
 #[allow(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "the conversion stops at the ends of the range"
+    reason = "the conversion saturates"
 )]
 fn thousandths(number: f64) -> u32 {
     (number * 1000.0).ceil() as u32
--- a/crates/pomelohitch-route/tests/route/dispatch.rs
+++ b/crates/pomelohitch-route/tests/route/dispatch.rs
@@ -223,7 +223,7 @@
         last = next;
         retries += 1;
     }
-    assert_eq!(retries, 10, "what can be saved up and no more");
+    assert_eq!(retries, 10, "exactly the capacity of the retry budget");
 }
 
 /// A process that was paused beyond its lease still has queued requests and permits. If it sent
--- a/crates/pomelohitch-route/tests/route/head.rs
+++ b/crates/pomelohitch-route/tests/route/head.rs
@@ -20,7 +20,10 @@
             assert_eq!(head::parse(&longer, &limits()), parsed);
         }
         if parsed == Ok(None) {
-            assert!(bytes.len() < 256, "a head without end is refused");
+            assert!(
+                bytes.len() < 256,
+                "an unterminated head over the limit is refused"
+            );
         }
     });
 }
--- a/crates/pomelohitch-route/tests/route/once.rs
+++ b/crates/pomelohitch-route/tests/route/once.rs
@@ -39,5 +39,5 @@
             retries += 1;
         }
     }
-    assert!(retries <= 510, "{retries} retries for 10000 first tries");
+    assert!(retries <= 510, "{retries} retries for 10000 first attempts");
 }
--- a/crates/pomelohitch-route/tests/route/queue.rs
+++ b/crates/pomelohitch-route/tests/route/queue.rs
@@ -81,18 +81,21 @@
         }
     }
     // Ten slots at 100 ms per request serve 100 per second: about 450 in the 5 s.
-    assert!((350..500).contains(&queue.len()), "{} wait", queue.len());
+    assert!((350..500).contains(&queue.len()), "{} queued", queue.len());
     assert!(
         retry_times.windows(2).all(|pair| pair[0] < pair[1]),
-        "together"
+        "equal or decreasing retry times"
     );
     let (first, last) = (retry_times[0], retry_times[retry_times.len() - 1]);
     let spread = last.saturating_sub(first).as_secs_f64();
     let needed = f64::from(u32::try_from(retry_times.len()).unwrap()) / 100.0;
-    assert!(spread > 0.9 * needed, "{spread} s for {needed} s of work");
+    assert!(
+        spread > 0.9 * needed,
+        "retries within {spread} s for {needed} s of work"
+    );
     assert!(
         first > Duration::from_secs(3),
-        "nobody is told to come back into the queue"
+        "no caller retries while the queue is still full"
     );
 }
 
