--- a/crates/pomelohitch-route/src/dispatch/parts.rs
+++ b/crates/pomelohitch-route/src/dispatch/parts.rs
@@ -60,7 +60,7 @@
         let mut weights = Vec::new();
         for pool in self.view.pools.keys() {
             let demands = self.demands(pool, own_loads);
-            self.share_pool(pool, &demands, &mut wants, &mut weights);
+            self.divide_pool(pool, &demands, &mut wants, &mut weights);
         }
         for team in self.view.shares.keys() {
             let own = own_loads.iter().filter(|load| load.team == *team);
@@ -104,7 +104,7 @@
         demands
     }
 
-    fn share_pool(
+    fn divide_pool(
         &self,
         pool: &PoolId,
         demands: &Demands<'_>,
@@ -126,9 +126,9 @@
                 demand: demands[*team].values().sum(),
             })
             .collect();
-        let owed = fair::water_fill(capacity, &claimants);
+        let entitled = fair::water_fill(capacity, &claimants);
         let members: Vec<_> = self.view.members.iter().collect();
-        let unused = (capacity - owed.iter().sum::<f64>()).max(0.0);
+        let unused = (capacity - entitled.iter().sum::<f64>()).max(0.0);
         // Unclaimed capacity is spread evenly, since the next burst may arrive at any member.
         let each = unused / f64::from(u32::try_from(members.len().max(1)).unwrap_or(1));
         let mut parts = vec![each; members.len()];
@@ -137,13 +137,13 @@
         {
             parts[own] = 0.0;
         }
-        for ((team, owed), claimant) in teams.iter().zip(&owed).zip(&claimants) {
+        for ((team, entitled), claimant) in teams.iter().zip(&entitled).zip(&claimants) {
             for (member, part) in members.iter().zip(&mut parts) {
                 let demand = demands[*team].get(*member).copied().unwrap_or(0.0);
                 if claimant.demand <= 0.0 || demand <= 0.0 {
                     continue;
                 }
-                let here = owed * demand / claimant.demand;
+                let here = entitled * demand / claimant.demand;
                 *part += here;
                 if **member == self.view.own {
                     let of_team = services.iter().map(|(id, _)| (*id).clone());
--- a/crates/pomelohitch-route/src/queue.rs
+++ b/crates/pomelohitch-route/src/queue.rs
@@ -41,7 +41,7 @@
 struct TeamQueue<T> {
     quick: VecDeque<Waiting<T>>,
     patient: VecDeque<Waiting<T>>,
-    turns: u32,
+    served: u32,
     weight: f64,
     /// Slot-seconds charged, divided by the weight.
     charged: f64,
@@ -56,7 +56,7 @@
         TeamQueue {
             quick: VecDeque::new(),
             patient: VecDeque::new(),
-            turns: 0,
+            served: 0,
             weight: 1.0,
             charged: 0.0,
             retry_at: Monotonic::ZERO,
@@ -367,8 +367,8 @@
     }
 
     fn pop(&mut self) -> Option<Waiting<T>> {
-        self.turns = (self.turns + 1) % PATIENT_INTERVAL;
-        let is_patients_turn = self.turns == 0;
+        self.served = (self.served + 1) % PATIENT_INTERVAL;
+        let is_patients_turn = self.served == 0;
         if (is_patients_turn || self.quick.is_empty())
             && let Some(req) = self.patient.pop_front()
         {
