--- a/crates/pomelohitch-route/src/queue.rs
+++ b/crates/pomelohitch-route/src/queue.rs
@@ -47,7 +47,7 @@
     charged: f64,
     /// The latest retry time given to a refused request.
     retry_at: Monotonic,
-    /// Number of recent arrivals, accepted or refused; decays with [`decay_arrivals`](Queue::fade).
+    /// Number of recent arrivals, accepted or refused; decays with [`decay_arrivals`](Queue::decay_arrivals).
     recent_arrivals: f64,
 }
 
