--- a/crates/pomelohitch-route/src/queue.rs
+++ b/crates/pomelohitch-route/src/queue.rs
@@ -47,7 +47,8 @@
     charged: f64,
     /// The latest retry time given to a refused request.
     retry_at: Monotonic,
-    /// Number of recent arrivals, accepted or refused; decays with [`decay_arrivals`](Queue::decay_arrivals).
+    /// Number of recent arrivals, accepted or refused; decays with
+    /// [`decay_arrivals`](Queue::decay_arrivals).
     recent_arrivals: f64,
 }
 
@@ -101,8 +102,8 @@
     virtual_time: f64,
 }
 
-/// Interval between calls of [`Queue::decay_arrivals`]. Each call removes a quarter of the recent arrivals,
-/// so that they cover about the last second.
+/// Interval between calls of [`Queue::decay_arrivals`]. Each call removes a quarter of the recent
+/// arrivals, so that they cover about the last second.
 pub const ARRIVAL_DECAY_INTERVAL: Duration = Duration::from_millis(250);
 /// Teams that need less than this, in slots, are left out of [`Queue::needs`].
 const MIN_NEED: f64 = 0.001;
