--- a/crates/pomelohitch-route/examples/overload/report.rs
+++ b/crates/pomelohitch-route/examples/overload/report.rs
@@ -58,7 +58,7 @@
     }
 
     /// Largest relative deviation of a team's served fraction from its share.
-    fn deviation(&self) -> f64 {
+    fn max_share_gap(&self) -> f64 {
         let shares: u32 = SHARES.iter().sum();
         let all: u64 = self.by_team.iter().sum();
         let teams = self.by_team.iter().zip(SHARES);
@@ -80,13 +80,13 @@
         let capacity = load::capacity_with(one_way_delay);
         let goodput = self.in_time as f64 / self.measured.as_secs_f64() / capacity;
         let is_full = (scenario.load)(Duration::from_secs(5)) > 1.0;
-        let deviation = if is_full {
-            format!("{:.1} %", 100.0 * self.deviation())
+        let max_gap = if is_full {
+            format!("{:.1} %", 100.0 * self.max_share_gap())
         } else {
             "-".into()
         };
         format!(
-            "| {site} | {} | {} | {:.3} | {:.1} % | {deviation} | {:.3} | {:.1} | {:.1} | {} | {} | {} | {:.3} |",
+            "| {site} | {} | {} | {:.3} | {:.1} % | {max_gap} | {:.3} | {:.1} | {:.1} | {} | {} | {} | {:.3} |",
             scenario.name,
             policy.name(),
             goodput,
