--- a/crates/pomelohitch-sched/src/cell/books.rs
+++ b/crates/pomelohitch-sched/src/cell/accounting.rs
@@ -1,4 +1,4 @@
-//! Jobs, runs, and the room and bounds that runs take up.
+//! Bookkeeping of jobs and runs, and of the capacity and workspace limits that runs use.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use tracing::info;
 
 use super::{Cell, Job};
-use crate::endpoint::{Booked, Endpoint};
+use crate::endpoint::{Allocation, Endpoint};
 use crate::id::{EndpointId, JobId, RunNumber, ServiceName, TaskId};
 use crate::job::{JobSpec, StepSpec};
 use crate::order::{Action, Due, Order};
@@ -14,18 +14,18 @@
 use crate::resources::Resources;
 
 impl Cell {
-    /// Takes a job into the books: one that was just accepted, or one of a former leader.
-    pub(super) fn adopt(&mut self, spec: Arc<JobSpec>, mut progress: Progress) {
+    /// Adds a job that was just accepted, or one restored from a former leader's records.
+    pub(super) fn add_job(&mut self, spec: Arc<JobSpec>, mut progress: Progress) {
         let id = spec.id;
         let is_new = progress.next == 0 && progress.state == JobState::Queued;
-        let shown = progress.state;
+        let durable_state = progress.state;
         if progress.state.is_final() {
-            self.ended.insert(Due {
+            self.ended_jobs.insert(Due {
                 at_ms: progress.ended_ms,
                 job: id,
             });
         }
-        // What a former leader told to leave may not have heard it: it is told again after a while.
+        // The former leader's stop may not have arrived. Setting this time makes it be sent again.
         for run in progress.runs_mut().filter(|r| r.is_leaving) {
             run.view.stop_sent_at = Some(self.now.steady);
         }
@@ -39,7 +39,7 @@
             Job {
                 spec,
                 progress,
-                shown,
+                durable_state,
                 candidate: None,
                 is_archived: false,
             },
@@ -48,28 +48,28 @@
             self.occupy(task, &run.endpoint, run.born, run.number);
         }
         if is_new {
-            self.open_next(id);
+            self.begin_next(id);
         } else {
-            self.await_next(id);
+            self.schedule_next(id);
         }
         self.index(id);
     }
 
-    /// Begins occurrences whose time has come.
-    pub(super) fn open_due(&mut self) {
-        let early = u64::try_from(self.settings.early.as_millis()).unwrap_or(0);
-        while let Some(&due) = self.due.first()
+    /// Begins the occurrences that are due.
+    pub(super) fn begin_due_occurrences(&mut self) {
+        let early = u64::try_from(self.settings.early_start.as_millis()).unwrap_or(0);
+        while let Some(&due) = self.due_occurrences.first()
             && due.at_ms <= self.now.unix_ms + early
         {
-            self.due.pop_first();
-            self.open_next(due.job);
+            self.due_occurrences.pop_first();
+            self.begin_next(due.job);
             self.index(due.job);
         }
     }
 
-    /// Begins the next occurrence if it is due, else waits for its time.
-    fn open_next(&mut self, id: JobId) {
-        let early = u64::try_from(self.settings.early.as_millis()).unwrap_or(0);
+    /// Begins the next occurrence if it is due, and schedules the one after it.
+    fn begin_next(&mut self, id: JobId) {
+        let early = u64::try_from(self.settings.early_start.as_millis()).unwrap_or(0);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
@@ -83,23 +83,25 @@
             job.progress.next = next + 1;
             self.dirty.insert(id);
         }
-        self.await_next(id);
+        self.schedule_next(id);
     }
 
-    fn await_next(&mut self, id: JobId) {
+    /// Adds the job's next occurrence, if it has one, to those waiting for their due time.
+    fn schedule_next(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         let next = job.progress.next;
         if !job.progress.state.is_final() && next < job.spec.occurrences() {
-            self.due.insert(Due {
+            self.due_occurrences.insert(Due {
                 at_ms: job.spec.due_ms(next),
                 job: id,
             });
         }
     }
 
-    /// The service whose endpoints run a job's tasks now.
+    /// The service that runs a job's tasks: that of its queue, or the recorded one if the queue was
+    /// removed.
     pub(super) fn service_of(&self, spec: &JobSpec) -> ServiceName {
         self.queue(&spec.queue)
             .map_or_else(|| spec.service.clone(), |q| q.service.clone())
@@ -110,16 +112,17 @@
         job.spec.steps.get(usize::from(task.step))
     }
 
-    /// Files every job anew, after queues may have gone to other services.
-    pub(super) fn index_again(&mut self) {
-        self.ready.clear();
+    /// Rebuilds the index of ready jobs after a change of the configuration, which may have moved
+    /// queues to other services.
+    pub(super) fn reindex_jobs(&mut self) {
+        self.ready_jobs.clear();
         let ids: Vec<JobId> = self.jobs.keys().copied().collect();
         for id in ids {
             self.index(id);
         }
     }
 
-    /// Files a job under what it waits for, after any change of it.
+    /// Updates the indexes of a job and the inputs of its ranking. To be called after any change.
     pub(super) fn index(&mut self, id: JobId) {
         self.index_suspected(id);
         let Some(job) = self.jobs.get(&id) else {
@@ -128,14 +131,14 @@
         let candidate = self.candidate_of(job);
         let service = self.service_of(&job.spec);
         let is_unbegun = job.progress.state == JobState::Queued && job.spec.repeat.is_none();
-        let waiting = self.unbegun.entry(job.spec.queue.clone()).or_default();
+        let waiting = self.queued_jobs.entry(job.spec.queue.clone()).or_default();
         if is_unbegun {
             waiting.insert(id);
         } else {
             waiting.remove(&id);
         }
         let has_waiting = !job.progress.state.is_final() && has_waiting_task(job);
-        let ready = self.ready.entry(service).or_default();
+        let ready = self.ready_jobs.entry(service).or_default();
         if has_waiting {
             ready.insert(id);
         } else {
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Books the room of a run at its endpoint, and against its workspace's bound.
+    /// Counts a run's resources as used at its endpoint and by its workspace.
     pub(super) fn occupy(
         &mut self,
         task: TaskId,
@@ -154,7 +157,7 @@
         born: u64,
         number: RunNumber,
     ) {
-        let Some(room) = self.step(task).map(StepSpec::room) else {
+        let Some(room) = self.step(task).map(StepSpec::task_resources) else {
             return;
         };
         let need = self.step(task).map(|s| s.need).unwrap_or_default();
@@ -162,9 +165,16 @@
         self.endpoints
             .entry(endpoint.clone())
             .or_insert_with(|| Endpoint::new(born))
-            .occupy(task, number, Booked { room, is_lasting });
+            .allocate(
+                task,
+                number,
+                Allocation {
+                    resources: room,
+                    is_lasting,
+                },
+            );
         if let Some(workspace) = self.workspace_of(task.job) {
-            *self.used.entry(workspace).or_default() += &need;
+            *self.workspace_usage.entry(workspace).or_default() += &need;
         }
     }
 
@@ -172,18 +182,22 @@
         self.jobs.get(&id)?.spec.workspace.clone()
     }
 
-    /// Whether the bound of the job's workspace allows `need` more.
-    pub(super) fn is_within_bound(&self, spec: &JobSpec, need: &Resources) -> bool {
+    /// Whether the resource limit of the job's workspace allows `need` more.
+    pub(super) fn is_within_limit(&self, spec: &JobSpec, need: &Resources) -> bool {
         let Some(workspace) = &spec.workspace else {
             return true;
         };
         let bound = self.cfg.as_ref().and_then(|c| c.workspace(workspace));
-        let mut total = self.used.get(workspace).copied().unwrap_or_default();
+        let mut total = self
+            .workspace_usage
+            .get(workspace)
+            .copied()
+            .unwrap_or_default();
         total += need;
-        bound.is_none_or(|w| w.bound.bounds(&total))
+        bound.is_none_or(|w| w.bound.allows(&total))
     }
 
-    /// Decides a start: it is recorded first and ordered after.
+    /// Decides a start. The order is sent once its record is durable.
     pub(super) fn start(&mut self, task: TaskId, endpoint: &EndpointId, ticket: Option<Box<str>>) {
         let (now, fleet_ms) = (self.now.steady, self.fleet_ms());
         let Some(target) = self.target(endpoint) else {
@@ -206,7 +220,7 @@
             view: RunView {
                 phase: Phase::Ordered,
                 ordered_at: now,
-                moved_at: now,
+                progressed_at: now,
                 ..RunView::default()
             },
         });
@@ -215,9 +229,9 @@
             waited_ms = fleet_ms.saturating_sub(spec.accepted_ms),
             resumed = !checkpoint.is_empty(), "start decided");
         self.dirty.insert(task.job);
-        self.flow.decided();
+        self.flow.start_decided();
         self.occupy(task, endpoint, target.born, run);
-        self.gated.push(Action::Order {
+        self.after_commit.push(Action::Order {
             target,
             order: Order::Start {
                 task,
@@ -232,7 +246,7 @@
         });
     }
 
-    /// Orders a stop of a run, unless one was ordered just before.
+    /// Orders a stop of a run, at most once per `AGAIN_AFTER`.
     pub(super) fn stop(&mut self, task: TaskId, run: RunNumber, why: &'static str) {
         const AGAIN_AFTER: Duration = Duration::from_millis(700);
         let now = self.now.steady;
@@ -259,21 +273,21 @@
         }
     }
 
-    /// Decides that a lasting task's run leaves its endpoint: it is recorded first and ordered
-    /// after. A leader that takes over meanwhile would take the task for one that is at work, and
-    /// stop another beside it.
-    pub(super) fn send_away(&mut self, task: TaskId, run: RunNumber) {
+    /// Stops a lasting task's run so that it starts on another endpoint. The order is sent once its
+    /// record is durable: a leader that takes over without the record would count the task as
+    /// working and stop another one of its step too.
+    pub(super) fn stop_for_eviction(&mut self, task: TaskId, run: RunNumber) {
         let (now, epoch) = (self.now.steady, self.epoch);
         let Some(r) = self.run_mut(task, run) else {
             return;
         };
         r.is_leaving = true;
         let endpoint = r.endpoint.clone();
-        let why = "its endpoint has to be empty";
+        let why = "its endpoint has to be emptied";
         info!(%task, run, endpoint = %endpoint, why, "stop decided");
         self.dirty.insert(task.job);
         let target = self.target(&endpoint);
-        self.gated.extend(target.map(|target| Action::Order {
+        self.after_commit.extend(target.map(|target| Action::Order {
             target,
             order: Order::Stop { task, run },
             epoch,
@@ -297,10 +311,10 @@
         runs.iter().find(|r| r.number == run)
     }
 
-    /// Takes a run that surely doesn't exist any more out of the books.
+    /// Removes a run that certainly doesn't exist any more, and releases its resources.
     ///
-    /// Returns whether there was one.
-    pub(super) fn forget_run(&mut self, task: TaskId, run: RunNumber) -> bool {
+    /// Returns whether there was such a run.
+    pub(super) fn remove_run(&mut self, task: TaskId, run: RunNumber) -> bool {
         let Some(need) = self.step(task).map(|s| s.need) else {
             return false;
         };
@@ -316,9 +330,9 @@
         };
         let gone = t.runs.remove(at);
         if let Some(endpoint) = self.endpoints.get_mut(&gone.endpoint) {
-            endpoint.vacate(task, run);
+            endpoint.release(task, run);
         }
-        if let Some(used) = workspace.and_then(|w| self.used.get_mut(&w)) {
+        if let Some(used) = workspace.and_then(|w| self.workspace_usage.get_mut(&w)) {
             *used -= &need;
         }
         self.dirty.insert(task.job);
@@ -326,7 +340,7 @@
     }
 }
 
-/// Whether a task's turn has come and it doesn't run.
+/// Whether a ready step has a task that is neither running nor done.
 fn has_waiting_task(job: &Job) -> bool {
     job.progress.open.values().any(|o| {
         let steps = o.steps.iter().zip(&job.spec.steps);
--- a/crates/pomelohitch-sched/src/cell/lives.rs
+++ b/crates/pomelohitch-sched/src/cell/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Lives of endpoints: the platform's list of them, restarts, and ends.
+//! Endpoint lifecycle: entries in the platform's list, restarts, and removal.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 use crate::loss::LossCause;
 
 impl Cell {
-    /// Takes in an entry of the platform's list.
+    /// Handles a new or changed entry of the platform's list of endpoints.
     pub fn endpoint_listed(&mut self, report: Report) {
         let id = report.id.clone();
         let endpoint = self
@@ -21,17 +21,17 @@
         if report.born < endpoint.born {
             return;
         }
-        let is_reborn = report.born > endpoint.born;
+        let has_restarted = report.born > endpoint.born;
         let was_draining = endpoint.report.as_ref().is_some_and(|r| r.is_draining);
         if report.is_draining && !was_draining {
-            info!(endpoint = %id, "endpoint drains");
+            info!(endpoint = %id, "endpoint is draining");
         }
         if !endpoint.is_listed {
             info!(endpoint = %id, service = %report.service, born = report.born, "endpoint listed");
         }
         if let Some(before) = endpoint.report.as_ref().map(|r| r.capacity)
             && before != report.capacity
-            && !is_reborn
+            && !has_restarted
         {
             info!(endpoint = %id, ?before, capacity = ?report.capacity, used = ?endpoint.used,
                 "endpoint resized");
@@ -39,32 +39,33 @@
         let born = report.born;
         endpoint.is_listed = true;
         endpoint.report = Some(report);
-        if is_reborn {
-            self.reborn(&id, born);
+        if has_restarted {
+            self.endpoint_restarted(&id, born);
         }
     }
 
-    /// Takes in that all entries were read that the platform's list held at that time.
+    /// Handles that all endpoint entries which existed at `as_of` were read.
     pub fn endpoints_read(&mut self, as_of: Steady) {
         self.endpoints_as_of = self.endpoints_as_of.max(as_of);
     }
 
-    /// Takes in that all was read that operators had written by then.
+    /// Handles that all operator requests which were written by `as_of` were read.
     pub fn operators_read(&mut self, as_of: Steady) {
         self.operators_as_of = self.operators_as_of.max(as_of);
     }
 
-    /// Whether what endpoints and operators wrote is known as of just now. It isn't after an outage of
-    /// the store, or where this process stood still.
-    pub(super) fn knows_written(&self) -> bool {
+    /// Whether endpoint entries and operator requests are current. They aren't after an outage of
+    /// the store, or after this process was suspended.
+    pub(super) fn has_current_entries(&self) -> bool {
         let as_of = self.endpoints_as_of.min(self.operators_as_of);
-        self.now.steady.saturating_sub(as_of) <= self.settings.written_fresh
+        self.now.steady.saturating_sub(as_of) <= self.settings.max_entry_age
     }
 
-    /// Says when starts begin to be held back by what isn't known, and when that is over.
-    pub(super) fn note_held_back(&mut self) {
+    /// Updates and logs whether starts are held back because endpoint entries or operator requests
+    /// aren't current.
+    pub(super) fn update_held_back(&mut self) {
         let now = self.now.steady;
-        let is_held_back = !self.knows_written();
+        let is_held_back = !self.has_current_entries();
         if is_held_back == self.held_back_since.is_some() {
             return;
         }
@@ -73,14 +74,18 @@
         let age = |as_of| self.now.steady.saturating_sub(as_of).as_millis();
         let (endpoints_ms, operators_ms) = (age(self.endpoints_as_of), age(self.operators_as_of));
         if is_held_back {
-            warn!(endpoints_ms, operators_ms, "starts held back");
+            warn!(
+                endpoints_ms,
+                operators_ms,
+                "starts held back: endpoint entries or operator requests are outdated"
+            );
         } else {
             let held_ms = now.saturating_sub(since).as_millis();
-            info!(held_ms, "starts go on");
+            info!(held_ms, "starts resumed");
         }
     }
 
-    /// Takes in that the platform's list no longer holds an endpoint.
+    /// Handles the removal of an endpoint from the platform's list.
     pub fn endpoint_unlisted(&mut self, id: &EndpointId) {
         if let Some(endpoint) = self.endpoints.get_mut(id)
             && endpoint.is_listed
@@ -90,19 +95,20 @@
         }
     }
 
-    /// The ids of all endpoints that the list held when it was last read.
+    /// The ids of all endpoints in the platform's list as last read.
     #[must_use]
     pub fn listed(&self) -> BTreeSet<EndpointId> {
         let listed = self.endpoints.iter().filter(|(_, e)| e.is_listed);
         listed.map(|(id, _)| id.clone()).collect()
     }
 
-    /// An endpoint began a new life, and knows nothing of the older one.
+    /// Handles the restart of an endpoint, whose new incarnation `born` knows nothing of the
+    /// former.
     ///
-    /// An order that was under way meanwhile may have reached the new life, so that its runs stay
-    /// in the books until a look at the new life shows which of them are there.
-    pub(super) fn reborn(&mut self, id: &EndpointId, born: u64) {
-        let losses = self.losses_at(id, self.cause_of_end(id), "its endpoint restarted");
+    /// An order that was in flight may have reached the new incarnation, so runs are kept until a
+    /// poll of it shows which of them exist.
+    pub(super) fn endpoint_restarted(&mut self, id: &EndpointId, born: u64) {
+        let losses = self.losses_at(id, self.end_cause(id), "its endpoint restarted");
         let Some(endpoint) = self.endpoints.get_mut(id) else {
             return;
         };
@@ -113,8 +119,8 @@
         fresh.is_listed = endpoint.is_listed;
         fresh.runs = std::mem::take(&mut endpoint.runs);
         fresh.used = endpoint.used;
-        fresh.lasting = endpoint.lasting;
-        fresh.look = endpoint.look;
+        fresh.lasting_runs = endpoint.lasting_runs;
+        fresh.poll = endpoint.poll;
         *endpoint = fresh;
         for (task, run, loss) in losses {
             if let Some(r) = self.run_mut(task, run) {
@@ -122,12 +128,13 @@
                 r.view.loss.get_or_insert(loss);
             }
         }
-        self.hurry_look(id);
+        self.poll_soon(id);
     }
 
-    /// An endpoint's life has surely ended: its instance was taken down, or lives another one.
+    /// Removes an endpoint that has certainly ended, since its instance was taken down or runs
+    /// another endpoint. Its runs are lost.
     pub(super) fn endpoint_gone(&mut self, id: &EndpointId, why: &'static str) {
-        let cause = self.cause_of_end(id);
+        let cause = self.end_cause(id);
         let losses = self.losses_at(id, cause, why);
         let Some(endpoint) = self.endpoints.remove(id) else {
             return;
@@ -139,19 +146,20 @@
         }
     }
 
-    /// Gives up runs at endpoints whose leases have surely run out.
-    pub(super) fn release_lapsed(&mut self) {
+    /// Gives up the runs of silent endpoints whose leases have certainly expired.
+    pub(super) fn release_expired_leases(&mut self) {
         let now = self.now.steady;
-        let unread_until = self.began + self.settings.unread_lapse;
-        let fresh = self.settings.fresh;
+        let unread_until = self.leader_since + self.settings.former_lease_expiry;
+        let fresh = self.settings.max_silence;
         let lapsed: Vec<_> = self
             .endpoints
             .iter()
-            .filter(|(_, e)| !e.is_fresh(now, fresh) && e.is_lapsed(now, unread_until))
+            .filter(|(_, e)| !e.is_polled_within(now, fresh) && e.is_lapsed(now, unread_until))
             .map(|(id, e)| (id.clone(), e.is_listed))
             .collect();
         for (id, is_listed) in lapsed {
-            for (task, run, loss) in self.losses_at(&id, LossCause::Silence, "its lease has lapsed")
+            for (task, run, loss) in
+                self.losses_at(&id, LossCause::Silence, "its endpoint's lease has expired")
             {
                 self.run_lost(task, run, loss);
             }
--- a/crates/pomelohitch-sched/src/cell/losses.rs
+++ b/crates/pomelohitch-sched/src/cell/losses.rs
@@ -1,4 +1,5 @@
-//! Runs that are gone without an end of their own, most of them with their endpoints.
+//! Lost runs, which ended without an end being reported, most of them together with their
+//! endpoints.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,20 +15,20 @@
 use crate::suspicion::Suspicion;
 
 impl Cell {
-    /// A run is surely gone.
+    /// Handles the loss of a run that certainly doesn't exist any more.
     pub(super) fn run_lost(&mut self, task: TaskId, run: RunNumber, loss: Loss) {
         let Some(endpoint) = self.run(task, run).map(|r| r.endpoint.clone()) else {
             return;
         };
-        if !self.forget_run(task, run) {
+        if !self.remove_run(task, run) {
             return;
         }
         let Loss {
             cause, why, born, ..
         } = loss;
-        let suspicion = self.suspect(task, &loss);
-        warn!(%task, run, endpoint = %endpoint, born, ?cause, why, beside = loss.beside,
-            is_sole = loss.is_sole, worked_ms = loss.worked.as_millis(), lost = suspicion.lost,
+        let suspicion = self.record_loss(task, &loss);
+        warn!(%task, run, endpoint = %endpoint, born, ?cause, why, beside = loss.other_runs,
+            is_sole = loss.is_sole, worked_ms = loss.ran_for.as_millis(), lost = suspicion.lost,
             certain = suspicion.certain, alone = suspicion.alone, "run lost");
         *self.loss_counts.entry(cause).or_default() += 1;
         if cause == LossCause::Silence {
@@ -41,21 +42,24 @@
         self.index(task.job);
     }
 
-    /// Remembers a loss that is taken back if that incarnation answers after all.
+    /// Remembers a loss caused by silence. It is retracted if that incarnation answers again.
     fn presume_lost(&mut self, task: TaskId, endpoint: EndpointId, born: u64) {
-        let presumed = self.presumed.entry(endpoint).or_insert((born, Vec::new()));
+        let presumed = self
+            .presumed_lost
+            .entry(endpoint)
+            .or_insert((born, Vec::new()));
         if presumed.0 != born {
             *presumed = (born, Vec::new());
         }
         presumed.1.push(task);
     }
 
-    /// Counts a loss against its task, whose record is written anew with it.
-    fn suspect(&mut self, task: TaskId, loss: &Loss) -> Suspicion {
+    /// Counts a loss against its task, and has the job's record written again if it counts.
+    fn record_loss(&mut self, task: TaskId, loss: &Loss) -> Suspicion {
         let Some(t) = self.task_mut(task) else {
             return Suspicion::default();
         };
-        let counts = !t.is_done && t.suspicion.note(loss);
+        let counts = !t.is_done && t.suspicion.record_loss(loss);
         let suspicion = t.suspicion;
         if counts {
             self.dirty.insert(task.job);
@@ -63,9 +67,9 @@
         suspicion
     }
 
-    /// Fails the job of a task under which too many endpoints crashed.
+    /// Fails the job if too many endpoints crashed while running the task.
     fn give_up(&mut self, task: TaskId, suspicion: Suspicion) {
-        let is_over = suspicion.is_over(&self.settings.policy.crashes);
+        let is_over = suspicion.is_conclusive(&self.settings.policy.crashes);
         let Some(job) = self.jobs.get_mut(&task.job) else {
             return;
         };
@@ -79,14 +83,15 @@
             alone,
             ..
         } = suspicion;
-        warn!(%task, lost, certain, alone, "task given up: endpoints crash under it");
-        self.given_up += 1;
+        warn!(%task, lost, certain, alone,
+            "task given up: too many endpoints crashed while running it");
+        self.given_up_count += 1;
         self.finish(task.job, JobState::Failed);
     }
 
-    /// Takes back losses with an endpoint whose incarnation answers after all.
+    /// Retracts losses caused by an endpoint's silence if the same incarnation answers again.
     pub(super) fn retract_losses(&mut self, id: &EndpointId) {
-        let Some((born, tasks)) = self.presumed.remove(id) else {
+        let Some((born, tasks)) = self.presumed_lost.remove(id) else {
             return;
         };
         if self.endpoints.get(id).is_none_or(|e| e.born != born) {
@@ -94,18 +99,19 @@
         }
         for task in tasks {
             if let Some(t) = self.task_mut(task) {
-                t.suspicion.retract();
-                info!(%task, endpoint = %id, born, lost = t.suspicion.lost, "loss retracted");
+                t.suspicion.withdraw_loss();
+                info!(%task, endpoint = %id, born, lost = t.suspicion.lost,
+                    "loss retracted: endpoint answers again");
                 self.dirty.insert(task.job);
                 self.index_suspected(task.job);
             }
         }
     }
 
-    /// Forgets losses that may be taken back of jobs that aren't held any more.
-    pub(super) fn tend_presumed(&mut self) {
+    /// Drops retractable losses of jobs that have ended or aren't held any more.
+    pub(super) fn prune_presumed_lost(&mut self) {
         let jobs = &self.jobs;
-        self.presumed.retain(|_, (_, tasks)| {
+        self.presumed_lost.retain(|_, (_, tasks)| {
             tasks.retain(|task| {
                 jobs.get(&task.job)
                     .is_some_and(|j| !j.progress.state.is_final())
@@ -114,7 +120,7 @@
         });
     }
 
-    /// Forgets what was lost of a task that has been at work for long.
+    /// Clears the suspicion of a task that has run for `cleared_after`.
     pub(super) fn clear_suspicion(&mut self, task: TaskId, worked: Duration) {
         if worked < self.settings.policy.crashes.cleared_after {
             return;
@@ -129,9 +135,10 @@
         }
     }
 
-    /// A run isn't at its endpoint, by `cause` as far as the present incarnation is concerned. If that has
-    /// followed another one since the start, the run was lost with the other.
-    pub(super) fn run_gone(
+    /// Handles that a run isn't at its endpoint. `cause` and `why` apply if the endpoint hasn't
+    /// restarted since the run's start; else the run was lost with the former incarnation, and the
+    /// loss noted at the restart applies.
+    pub(super) fn run_missing(
         &mut self,
         task: TaskId,
         run: RunNumber,
@@ -146,8 +153,9 @@
         self.run_lost(task, run, loss);
     }
 
-    /// What the end of an endpoint's incarnation is put down to.
-    pub(super) fn cause_of_end(&self, id: &EndpointId) -> LossCause {
+    /// The cause of losses when an endpoint's incarnation ends: planned if it was draining or its
+    /// instance operated on, else a crash.
+    pub(super) fn end_cause(&self, id: &EndpointId) -> LossCause {
         let report = self.endpoints.get(id).and_then(|e| e.report.as_ref());
         let is_draining = report.is_some_and(|r| r.is_draining);
         if is_draining || self.instances.endpoints_under_way().contains(id) {
@@ -157,7 +165,7 @@
         }
     }
 
-    /// The runs that an endpoint takes with it.
+    /// The losses of all runs at an endpoint that ends by `cause`.
     pub(super) fn losses_at(
         &self,
         id: &EndpointId,
@@ -180,9 +188,9 @@
                 cause,
                 why,
                 born: endpoint.born,
-                worked: worked(run, endpoint),
-                beside,
-                was_at_work: self.was_at_work(task, run, endpoint),
+                ran_for: worked(run, endpoint),
+                other_runs: beside,
+                was_running: self.was_at_work(task, run, endpoint),
                 is_proven: self.is_proven(task, run, endpoint),
                 is_sole: unproven.iter().all(|job| *job == task.job),
             };
@@ -191,17 +199,18 @@
         lost.collect()
     }
 
-    /// Whether a run has begun and can't have ended by itself since its endpoint was last heard, by its
-    /// estimate.
+    /// Whether a run has begun and, by the estimate of its duration, can't have ended by itself
+    /// since its endpoint last answered.
     fn was_at_work(&self, task: TaskId, run: &Run, endpoint: &Endpoint) -> bool {
-        let heard_at = endpoint.heard_at.unwrap_or_default();
+        let heard_at = endpoint.answered_at.unwrap_or_default();
         let unheard = self.now.steady.saturating_sub(heard_at);
         let has_begun = matches!(run.view.phase, Phase::Taken { .. });
         let goes_on = |s: &StepSpec| s.is_lasting || worked(run, endpoint) + unheard < s.estimate;
         has_begun && self.step(task).is_some_and(goes_on)
     }
 
-    /// Jobs with runs at the endpoint that haven't been at work for long enough to be taken for sound.
+    /// Jobs with runs at the endpoint that are unproven: they haven't worked for long enough to
+    /// rule out that they crash it.
     pub(super) fn unproven_jobs(&self, endpoint: &Endpoint) -> BTreeSet<JobId> {
         let unproven = endpoint.runs.keys().filter(|&&(task, number)| {
             let run = self.run(task, number);
@@ -210,6 +219,7 @@
         unproven.map(|(task, _)| task.job).collect()
     }
 
+    /// Whether a run has worked for long enough to rule out that it crashes its endpoint.
     pub(super) fn is_proven(&self, task: TaskId, run: &Run, endpoint: &Endpoint) -> bool {
         let job = self.jobs.get(&task.job);
         let t = job.and_then(|j| j.progress.task(task));
@@ -219,25 +229,25 @@
         })
     }
 
-    /// How many jobs were given up since this was last asked because endpoints crash under them.
+    /// Number of jobs given up since the last call because endpoints crash while running them.
     pub fn take_given_up(&mut self) -> u64 {
-        std::mem::take(&mut self.given_up)
+        std::mem::take(&mut self.given_up_count)
     }
 
-    /// How many runs were lost since this was last asked, by cause.
+    /// Number of runs lost since the last call, by cause.
     pub fn take_losses(&mut self) -> LossCounts {
         std::mem::take(&mut self.loss_counts)
     }
 }
 
-/// Whether a run's start is decided but wasn't sent yet.
+/// Whether a run's start is decided but not sent yet.
 fn is_unsent(run: &Run) -> bool {
     run.view.phase == Phase::Ordered && run.view.sent_at.is_none()
 }
 
-/// For how long a run had been seen at work when its endpoint was last heard.
+/// Time from the first to the last answer of the endpoint in which the run was seen.
 fn worked(run: &Run, endpoint: &Endpoint) -> Duration {
-    let (seen, heard) = (run.view.seen_at, endpoint.heard_at);
+    let (seen, heard) = (run.view.seen_at, endpoint.answered_at);
     let worked = seen
         .zip(heard)
         .map(|(seen, heard)| heard.saturating_sub(seen));
--- /dev/null
+++ b/crates/pomelohitch-sched/src/cell/operations.rs
@@ -0,0 +1,273 @@
+//! The list of instances, and operations on instances: maintenance and moves between pools.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use tracing::{info, warn};
+
+use super::Cell;
+use crate::Steady;
+use crate::endpoint::Endpoint;
+use crate::id::{EndpointId, InstanceId, ServiceName};
+use crate::instances::{self, Instance, InstanceState};
+use crate::order::{Action, Operation, OperationOutcome};
+
+/// Interval between reads of the list of instances while a wave or an operation is in progress.
+const LIST_INTERVAL_BUSY: Duration = Duration::from_millis(500);
+/// The same while an endpoint with runs doesn't answer: the list shows whether it still exists.
+const LIST_INTERVAL_SILENT: Duration = Duration::from_millis(250);
+/// The same in all other cases.
+const LIST_INTERVAL_IDLE: Duration = Duration::from_secs(4);
+/// Size of an instance's entry in the list, bytes.
+const INSTANCE_ENTRY_BYTES: f64 = 160.0;
+/// Maximum share of the link's bandwidth used for reading the list.
+const LIST_BANDWIDTH_SHARE: f64 = 0.1;
+/// Upper bound of the difference between the fleet's time as two successive leaders know it.
+const MAX_FLEET_TIME_DIFFERENCE: Duration = Duration::from_millis(2500);
+/// A list shows whether a silent endpoint still exists if it was requested at least this long after
+/// the endpoint's last answer.
+const MIN_SILENCE: Duration = Duration::from_millis(300);
+
+impl Cell {
+    /// Handles the platform's list of instances, which was requested at `asked_at`.
+    pub fn instances_listed(&mut self, list: Vec<Instance>, asked_at: Steady) {
+        for instance in &list {
+            let before = self.instances.list().get(&instance.id).map(|i| i.state);
+            if before.is_some_and(|state| state != instance.state) {
+                info!(instance = %instance.id, pool = %instance.pool, state = ?instance.state,
+                    ?before, endpoint = ?instance.endpoint, "instance state changed");
+            }
+        }
+        let replaced = self.instances.update_list(list, asked_at);
+        match self.instances.record_leaving(self.draining_instances()) {
+            Ok(records) => self.extra_records.extend(records),
+            Err(error) => warn!(%error, "failed to encode record of leaving instances"),
+        }
+        for endpoint in replaced {
+            self.endpoint_gone(&endpoint, "its instance runs another endpoint");
+        }
+        for endpoint in self.silent_and_absent(asked_at) {
+            self.endpoint_gone(&endpoint, "no listed instance runs it");
+        }
+    }
+
+    fn draining_instances(&self) -> BTreeSet<InstanceId> {
+        let is_draining = |i: &&Instance| {
+            let endpoint = i.endpoint.as_ref().and_then(|e| self.endpoints.get(e));
+            let report = endpoint.and_then(|e| e.report.as_ref());
+            report.is_some_and(|r| r.is_draining)
+        };
+        let draining = self.instances.list().values().filter(is_draining);
+        draining.map(|i| i.id.clone()).collect()
+    }
+
+    /// Endpoints that don't answer and that no instance of the list requested at `asked_at` runs.
+    ///
+    /// The list shows within a second that an instance crashed or was switched off, while the
+    /// leases of its runs take much longer to expire. An instance that is only unreachable stays in
+    /// the list with its endpoint.
+    fn silent_and_absent(&self, asked_at: Steady) -> Vec<EndpointId> {
+        let list = self.instances.list().values();
+        let alive: BTreeSet<_> = list.filter_map(|i| i.endpoint.as_ref()).collect();
+        let is_silent = |e: &Endpoint| {
+            let was_silent = e.answered_at.is_none_or(|at| at + MIN_SILENCE < asked_at);
+            was_silent && e.poll.failures > 0 && asked_at > self.leader_since + MIN_SILENCE
+        };
+        let used = self.endpoints.iter().filter(|(_, e)| !e.runs.is_empty());
+        let gone = used.filter(|(id, e)| is_silent(e) && !alive.contains(*id));
+        gone.map(|(id, _)| id.clone()).collect()
+    }
+
+    /// Whether some endpoint with runs doesn't answer.
+    fn has_silent(&self) -> bool {
+        let now = self.now.steady;
+        let mut used = self.endpoints.values().filter(|e| !e.runs.is_empty());
+        used.any(|e| e.poll.failures > 0 || !e.has_answered_within(now, self.settings.max_silence))
+    }
+
+    /// Handles that the list of instances couldn't be read.
+    pub fn instances_unlisted(&mut self) {
+        self.instances.list_failed();
+    }
+
+    /// Handles the result of an operation on an instance.
+    pub fn operated(&mut self, id: &InstanceId, operation: &Operation, outcome: OperationOutcome) {
+        info!(instance = %id, ?operation, ?outcome, "operation on instance ended");
+        if outcome == OperationOutcome::Taken
+            && let Some(id) = self.instances.endpoint_before(id)
+            && self.endpoints.get(&id).is_some_and(|e| e.runs.is_empty())
+        {
+            self.endpoint_gone(&id, "its instance was taken down");
+        }
+        let wave = match operation {
+            Operation::Maintain { wave } => Some(*wave),
+            Operation::Move { .. } => None,
+        };
+        match self
+            .instances
+            .operation_ended(id, wave, outcome, self.now.steady)
+        {
+            Ok(record) => self.extra_records.extend(record),
+            Err(error) => warn!(%error, "failed to encode maintenance record"),
+        }
+    }
+
+    /// Minimum time between two reads of the list of instances, by its share of the link's
+    /// bandwidth.
+    fn min_list_interval(&self) -> Duration {
+        let count = u32::try_from(self.instances.list().len()).unwrap_or(u32::MAX);
+        let bytes = f64::from(count) * INSTANCE_ENTRY_BYTES;
+        let rate = self.settings.link_bytes_per_s.unwrap_or(f64::INFINITY) * LIST_BANDWIDTH_SHARE;
+        Duration::try_from_secs_f64(bytes / rate).unwrap_or(LIST_INTERVAL_IDLE)
+    }
+
+    /// Advances waves and autoscaling: requests the list of instances when it is due, reports the
+    /// status of waves, orders operations on empty instances, and reserves those to be emptied.
+    pub(super) fn manage_instances(&mut self) {
+        let now = self.now.steady;
+        let is_busy = self.instances.has_open_wave() || self.instances.has_under_way();
+        let every = if self.has_silent() {
+            LIST_INTERVAL_SILENT
+        } else if is_busy {
+            LIST_INTERVAL_BUSY
+        } else {
+            LIST_INTERVAL_IDLE
+        };
+        let every = every.max(self.min_list_interval());
+        if self.instances.wants_list(now, every) {
+            self.outbox.push(Action::ListInstances);
+        }
+        self.instances.forget_unanswered(now);
+        self.report_waves();
+        let remaining = self.instances.remaining();
+        let mut reserved = BTreeSet::new();
+        for wave in remaining {
+            self.advance_wave(&wave, &mut reserved);
+        }
+        let is_due = self.instances.due_for_maintenance();
+        reserved.extend(self.autoscale(&is_due));
+        // An endpoint whose instance is being operated on may still appear free in the lists; a
+        // start on it would be lost.
+        reserved.extend(self.instances.endpoints_under_way());
+        let due: BTreeSet<_> = is_due
+            .iter()
+            .filter_map(|id| self.endpoint_on(id))
+            .collect();
+        self.mark_endpoints(&reserved, &due);
+    }
+
+    /// Sets which endpoints are reserved, and which are due for maintenance.
+    fn mark_endpoints(&mut self, reserved: &BTreeSet<EndpointId>, due: &BTreeSet<EndpointId>) {
+        for endpoint in self.endpoints.values_mut() {
+            endpoint.is_reserved = false;
+            endpoint.is_maintenance_due = false;
+        }
+        for id in reserved {
+            if let Some(endpoint) = self.endpoints.get_mut(id) {
+                endpoint.is_reserved = true;
+            }
+        }
+        for id in due {
+            if let Some(endpoint) = self.endpoints.get_mut(id) {
+                endpoint.is_maintenance_due = true;
+            }
+        }
+    }
+
+    /// Whether an instance is up and certainly runs nothing. False before the list of instances was
+    /// read, and while the instance's endpoint isn't known.
+    pub(super) fn is_known_empty(&self, id: &InstanceId) -> bool {
+        let instance = self.instances.list().get(id);
+        let instance = instance.filter(|i| i.state == InstanceState::Up);
+        let Some(instance) = instance else {
+            return false;
+        };
+        if !self.is_operation_gap_over(instance) {
+            return false;
+        }
+        match &instance.endpoint {
+            Some(id) => self.endpoints.get(id).is_some_and(|e| e.runs.is_empty()),
+            None => self.is_switched_off(&instance.pool),
+        }
+    }
+
+    /// Whether a pool is a spare pool, whose instances are switched off and run no endpoints.
+    pub(super) fn is_switched_off(&self, pool: &ServiceName) -> bool {
+        let services = self.cfg.as_ref().map(|c| &c.services);
+        services.is_some_and(|s| s.get(pool).is_some_and(|s| s.is_spare))
+    }
+
+    /// The endpoint that runs on an instance, if the list shows one.
+    pub(super) fn endpoint_on(&self, id: &InstanceId) -> Option<EndpointId> {
+        self.instances.list().get(id)?.endpoint.clone()
+    }
+
+    /// Handles that the former leader's process has ended, so that it sends no more operations.
+    pub fn former_leader_ended(&mut self) {
+        info!(epoch = self.epoch, "former leader's process has ended");
+        self.operations_allowed_from = self.operations_allowed_from.min(self.now.steady);
+    }
+
+    /// Whether the former leader certainly sends no more operations on instances.
+    pub(super) fn may_operate(&self) -> bool {
+        self.now.steady >= self.operations_allowed_from
+    }
+
+    /// Decides an operation on an instance, if the platform's rate limit allows one now; returns
+    /// whether it does. The operation is sent once its record is durable, so that a leader that
+    /// takes over knows which instances not to operate on.
+    pub(super) fn operate(&mut self, id: &InstanceId, operation: Operation) -> bool {
+        let now = self.now.steady;
+        if !self.operation_limiter.try_acquire(now) {
+            return false;
+        }
+        info!(instance = %id, ?operation, period_ms = self.demand.period().map(|p| p.as_millis()),
+            "operation decided");
+        let to = match &operation {
+            Operation::Move { pool } => Some(pool.clone()),
+            Operation::Maintain { .. } => None,
+        };
+        self.instances.operation_started(id, now, to);
+        match instances::operation_record(id, self.fleet_ms()) {
+            Ok(record) => self.extra_records.push(record),
+            Err(error) => warn!(%error, "failed to encode operation record"),
+        }
+        self.after_commit.push(Action::Operate {
+            instance: id.clone(),
+            operation,
+            at: now,
+        });
+        true
+    }
+
+    /// Whether the former leader's last operation on this instance is at least `operation_gap` ago.
+    ///
+    /// Every operation ends the endpoint on the instance, so an endpoint that is older than the gap
+    /// proves that there was none within it. So does the record of the last operation, which holds
+    /// its time in the fleet's time.
+    fn is_operation_gap_over(&self, instance: &Instance) -> bool {
+        let now = self.now.steady;
+        if now
+            >= self.leader_since + self.settings.operation_gap + self.settings.former_leader_timeout
+        {
+            return true;
+        }
+        let is_listed_since = self
+            .instances
+            .listed_at()
+            .is_some_and(|at| at > self.leader_since);
+        let endpoint = instance.endpoint.as_ref();
+        let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
+        let age = endpoint.and_then(|e| e.clock_at_least(now));
+        let is_old = age.is_some_and(|age| age > self.settings.operation_gap);
+        let quiet = self.settings.operation_gap + MAX_FLEET_TIME_DIFFERENCE;
+        let quiet_ms = u64::try_from(quiet.as_millis()).unwrap_or(u64::MAX);
+        let ordered_ms = self.instances.former_order_ms(&instance.id);
+        let known_ms = self.settings.fleet_ms.or(self.settings.fleet_ms_at_least);
+        let since = u64::try_from(now.saturating_sub(self.leader_since).as_millis()).unwrap_or(0);
+        let now_ms = known_ms.map(|known| known + since);
+        let is_over = |at: u64| now_ms.is_some_and(|now| now >= at.saturating_add(quiet_ms));
+        let is_quiet = ordered_ms.is_none_or(is_over);
+        is_listed_since && (is_old || is_quiet)
+    }
+}
--- /dev/null
+++ b/crates/pomelohitch-sched/src/cell/polls.rs
@@ -0,0 +1,398 @@
+//! Polls of endpoints: when they are sent, and what their answers change.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use tracing::{info, warn};
+
+use super::Cell;
+use crate::Steady;
+use crate::endpoint::{EndReason, Endpoint, PollReply, Running};
+use crate::id::{EndpointId, RunNumber, TaskId};
+use crate::loss::LossCause;
+use crate::order::{Action, Order, PollFailure, PollOrder, Target};
+use crate::progress::{Phase, Run, RunView};
+
+/// Maximum number of ends in one answer, a limit of the platform. An answer that reaches it may
+/// omit ends, so runs missing from it can't be taken for lost.
+const MAX_LISTED_ENDS: usize = 500;
+/// Processing lag of answers up to which polls aren't slowed down.
+const NORMAL_LAG: Duration = Duration::from_millis(8);
+/// Response time of starts up to which polls aren't slowed down.
+const NORMAL_RESPONSE_TIME: Duration = Duration::from_millis(50);
+/// Polls are delayed by this multiple of the excess lag or response time.
+const POLL_DELAY_FACTOR: u32 = 4;
+/// Upper limit of this additional delay of polls.
+const MAX_POLL_DELAY: Duration = Duration::from_millis(200);
+/// Decay of the moving average of the processing lag at each answer.
+const LAG_DECAY: f64 = 0.98;
+/// Upper limit of the retry delay of failed polls, in multiples of `Settings::poll_retry_delay`.
+const MAX_RETRY_STEPS: u32 = 5;
+
+impl Cell {
+    /// Sends the polls that are due.
+    pub(super) fn send_due_polls(&mut self) {
+        let now = self.now.steady;
+        let is_due = |e: &Endpoint| !e.poll.is_in_flight && e.poll.due <= now;
+        let ids: Vec<EndpointId> = self
+            .endpoints
+            .iter()
+            .filter(|(_, e)| is_due(e) && self.needs_poll(e))
+            .map(|(id, _)| id.clone())
+            .collect();
+        for id in ids {
+            self.poll(&id);
+        }
+    }
+
+    /// Whether the endpoint has runs, or is listed in a service that isn't a spare pool.
+    fn needs_poll(&self, endpoint: &Endpoint) -> bool {
+        let Some(report) = &endpoint.report else {
+            return false;
+        };
+        let service = self
+            .cfg
+            .as_ref()
+            .and_then(|c| c.services.get(&report.service));
+        let is_used = service.is_some_and(|s| !s.is_spare);
+        !endpoint.runs.is_empty() || (endpoint.is_listed && is_used)
+    }
+
+    /// Sends a poll, which also acknowledges ends and, if the last poll succeeded, renews the
+    /// lease.
+    fn poll(&mut self, id: &EndpointId) {
+        let now = self.now.steady;
+        let lease_for = self.settings.lease;
+        let Some(target) = self.target(id) else {
+            return;
+        };
+        let wait = self.poll_wait(id);
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        // A poll of a silent endpoint requests no lease, so that the last one expires and its tasks
+        // can be started elsewhere.
+        let lease = if endpoint.poll.failures == 0 {
+            endpoint.clock_ahead(now, lease_for)
+        } else {
+            None
+        };
+        if let Some(end) = lease {
+            endpoint.lease_requested(end);
+        }
+        let noted = endpoint.acknowledgeable(now);
+        endpoint.poll.is_in_flight = true;
+        self.outbox.push(Action::Poll(PollOrder {
+            target,
+            epoch: self.epoch,
+            noted,
+            lease,
+            wait,
+        }));
+    }
+
+    /// Minimum time from an answer to the next poll of the same endpoint. It grows while answers
+    /// wait to be processed or arrive late, since more polls would add to the wait.
+    pub(super) fn poll_interval(&self) -> Duration {
+        let late = self
+            .flow
+            .delay(self.now.steady)
+            .saturating_sub(NORMAL_RESPONSE_TIME);
+        let behind = self.answer_lag.saturating_sub(NORMAL_LAG).max(late) * POLL_DELAY_FACTOR;
+        self.settings.min_poll_interval + behind.min(MAX_POLL_DELAY)
+    }
+
+    fn record_lag(&mut self, lag: Duration) {
+        self.answer_lag = self.answer_lag.mul_f64(LAG_DECAY) + lag.mul_f64(1.0 - LAG_DECAY);
+    }
+
+    /// Time for which the endpoint may hold the next poll. It is zero for the first poll, and while
+    /// a lease is unconfirmed or the state of a run is unknown.
+    fn poll_wait(&self, id: &EndpointId) -> Duration {
+        let Some(endpoint) = self.endpoints.get(id) else {
+            return Duration::ZERO;
+        };
+        let is_unsettled = endpoint.runs.keys().any(|&(task, run)| {
+            self.run(task, run)
+                .is_some_and(|r| matches!(r.view.phase, Phase::Unanswered | Phase::Recorded))
+        });
+        if endpoint.polled_at.is_none() || !endpoint.lease_confirmed || is_unsettled {
+            Duration::ZERO
+        } else if endpoint.runs.values().any(|booked| !booked.is_lasting) {
+            self.settings.poll_wait_for_ends
+        } else if self.has_latency_target(endpoint) || self.affects_evictions(endpoint) {
+            self.settings.poll_wait_for_latency
+        } else {
+            self.settings.poll_wait
+        }
+    }
+
+    /// Whether moves of lasting tasks may depend on this endpoint's next answer: a task of a step
+    /// is stopped only when enough of the others are working.
+    fn affects_evictions(&self, endpoint: &Endpoint) -> bool {
+        if endpoint.lasting_runs == 0 {
+            return false;
+        }
+        self.is_evicting
+            || endpoint.runs.iter().any(|(&(task, run), booked)| {
+                booked.is_lasting && self.run(task, run).is_some_and(|r| r.view.percent < 100)
+            })
+    }
+
+    fn has_latency_target(&self, endpoint: &Endpoint) -> bool {
+        let has_latency_target = |task| self.step(task).is_some_and(|s| s.target.is_some());
+        endpoint
+            .runs
+            .keys()
+            .any(|&(task, _)| has_latency_target(task))
+    }
+
+    /// Handles the result of a poll.
+    pub fn polled(&mut self, target: &Target, result: Result<PollReply, PollFailure>) {
+        let now = self.now.steady;
+        match &result {
+            Ok(answer) => self.record_lag(now.saturating_sub(answer.answered_at)),
+            Err(failure) => self.is_fenced |= *failure == PollFailure::Fenced,
+        }
+        let gap = self.poll_interval();
+        let is_congested = self.flow.delay(now) > NORMAL_RESPONSE_TIME;
+        let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
+            return;
+        };
+        let plan = &mut endpoint.poll;
+        plan.is_in_flight = false;
+        match result {
+            Ok(answer) => {
+                plan.failures = 0;
+                plan.due = now + gap;
+                self.apply_poll(&target.id, &answer);
+            }
+            Err(failure) => {
+                plan.failures = (plan.failures + 1).min(MAX_RETRY_STEPS);
+                // The first failure may be a lost packet, so the poll is repeated at once. On a
+                // congested link all polls are late, and immediate retries would add to the load.
+                let steps = plan.failures - u32::from(!is_congested);
+                plan.due = now + self.settings.poll_retry_delay * steps;
+                if plan.failures == 1 {
+                    warn!(endpoint = %target.id, addr = %target.addr, ?failure, "poll failed");
+                }
+            }
+        }
+    }
+
+    /// Applies a poll's answer, unless it comes from a former incarnation of the endpoint.
+    fn apply_poll(&mut self, id: &EndpointId, answer: &PollReply) {
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        if answer.born < endpoint.born {
+            return;
+        }
+        if answer.born > endpoint.born {
+            self.endpoint_restarted(id, answer.born);
+        }
+        let Some(endpoint) = self.endpoints.get_mut(id) else {
+            return;
+        };
+        endpoint.update_clock(answer);
+        if endpoint.polled_at.is_none() {
+            info!(endpoint = %id, running = answer.running.len(), ended = answer.ended.len(),
+                "first poll answered");
+        }
+        endpoint.is_unresponsive = false;
+        endpoint.polled_at = Some(answer.sent_at);
+        endpoint.answered_at = Some(answer.answered_at);
+        endpoint.lease_confirmed |= answer.lease_requested;
+        endpoint.lists_completions = !answer.ended.is_empty();
+        self.retract_losses(id);
+        self.apply_ends(id, answer);
+        for running in &answer.running {
+            self.apply_running(id, running, answer.answered_at);
+        }
+        self.resolve_missing(id, answer);
+        self.stop_stalled(id, answer);
+        self.pace(id, answer);
+    }
+
+    /// Applies the ends in a poll's answer that weren't handled before, in their order.
+    fn apply_ends(&mut self, id: &EndpointId, answer: &PollReply) {
+        let mut ends: Vec<_> = answer.ended.iter().collect();
+        ends.sort_by_key(|e| e.number);
+        let noted = self.endpoints.get(id).map_or(0, |e| e.last_processed);
+        for end in ends.iter().filter(|e| e.number > noted) {
+            if self.run(end.task, end.run).is_some() {
+                self.run_ended(end.task, end.run, end.how, &end.checkpoint, id);
+            } else if end.how == EndReason::Done {
+                self.given_up_run_done(end.task, end.run, id);
+            }
+            if let Some(endpoint) = self.endpoints.get_mut(id) {
+                endpoint.last_processed = end.number;
+            }
+            self.new_ends.insert(id.clone());
+        }
+        let retry = self.now.steady + self.settings.poll_retry_delay;
+        if let Some(last) = ends.last()
+            && let Some(endpoint) = self.endpoints.get_mut(id)
+        {
+            // Until these ends are durably recorded they can't be acknowledged, and the endpoint
+            // would answer every poll at once with the same ends.
+            if last.number > endpoint.last_durable {
+                endpoint.poll.due = retry;
+            }
+        }
+    }
+
+    /// Applies a running run in a poll's answer: its progress and checkpoint, or a stop if it
+    /// shouldn't run.
+    fn apply_running(&mut self, id: &EndpointId, running: &Running, at: Steady) {
+        let (task, number) = (running.task, running.number);
+        let is_over = self
+            .jobs
+            .get(&task.job)
+            .is_none_or(|j| j.progress.state.is_final());
+        if self.run(task, number).is_none() && !self.readopt_run(id, task, number) {
+            self.stop_stray(id, task, number);
+            return;
+        }
+        let Some(run) = self.run_mut(task, number) else {
+            return;
+        };
+        if !matches!(run.view.phase, Phase::Taken { .. }) {
+            run.view.phase = Phase::Taken { at };
+        }
+        run.view.loss = None;
+        let is_first = run.view.seen_at.is_none();
+        let seen_at = *run.view.seen_at.get_or_insert(at);
+        if is_first || run.view.percent != running.percent {
+            run.view.percent = running.percent;
+            run.view.progressed_at = at;
+        }
+        let is_stopping = run.view.is_stopping();
+        let job = self.jobs.get_mut(&task.job);
+        if let Some(t) = job.and_then(|j| j.progress.task_mut(task))
+            && !running.checkpoint.is_empty()
+        {
+            t.checkpoint = running.checkpoint.clone();
+        }
+        self.clear_suspicion(task, at.saturating_sub(seen_at));
+        if is_over {
+            self.stop(task, number, "its job has ended");
+        } else if is_stopping {
+            self.stop(task, number, "it still runs after an earlier stop");
+        }
+    }
+
+    /// Adds a run again that was given up but is still running, if it is the newest of its task and
+    /// was not replaced. Returns whether it was added.
+    fn readopt_run(&mut self, id: &EndpointId, task: TaskId, number: RunNumber) -> bool {
+        let born = self.endpoints.get(id).map_or(0, |e| e.born);
+        let Some(job) = self.jobs.get_mut(&task.job) else {
+            return false;
+        };
+        let is_over = job.progress.state.is_final();
+        let Some(t) = job.progress.task_mut(task) else {
+            return false;
+        };
+        if is_over || t.is_done || !t.runs.is_empty() || t.last_run != number {
+            return false;
+        }
+        t.runs.push(Run {
+            number,
+            endpoint: id.clone(),
+            born,
+            is_leaving: false,
+            view: RunView::default(),
+        });
+        warn!(%task, run = number, endpoint = %id, "run given up earlier is still running");
+        self.dirty.insert(task.job);
+        self.occupy(task, id, born, number);
+        self.index(task.job);
+        true
+    }
+
+    /// Stops a stray run: one whose start was carried out after it had been given up. It could be a
+    /// second run of its task, or use capacity that is counted as free.
+    fn stop_stray(&mut self, id: &EndpointId, task: TaskId, run: RunNumber) {
+        warn!(%task, run, endpoint = %id, "stray run stopped");
+        if let Some(target) = self.target(id) {
+            self.outbox.push(Action::Order {
+                target,
+                order: Order::Stop { task, run },
+                epoch: self.epoch,
+                at: self.now.steady,
+            });
+        }
+    }
+
+    /// Resolves runs that are expected at the endpoint but missing from its answer.
+    fn resolve_missing(&mut self, id: &EndpointId, answer: &PollReply) {
+        if answer.ended.len() >= MAX_LISTED_ENDS {
+            return;
+        }
+        let listed: BTreeSet<_> = answer.running.iter().map(|r| (r.task, r.number)).collect();
+        let Some(endpoint) = self.endpoints.get(id) else {
+            return;
+        };
+        let missing: Vec<_> = endpoint
+            .runs
+            .keys()
+            .filter(|key| !listed.contains(key))
+            .copied()
+            .collect();
+        for (task, number) in missing {
+            self.resolve_missing_run(task, number, answer);
+        }
+    }
+
+    /// Resolves a run that is missing from a poll's answer, by how far its start had come.
+    fn resolve_missing_run(&mut self, task: TaskId, number: RunNumber, answer: &PollReply) {
+        let Some(run) = self.run(task, number) else {
+            return;
+        };
+        let view = run.view;
+        match view.phase {
+            Phase::Recorded => {
+                self.run_missing(
+                    task,
+                    number,
+                    LossCause::Missing,
+                    "recorded by a former leader, but not at its endpoint",
+                );
+            }
+            Phase::Taken { at } if answer.sent_at > at => {
+                self.run_missing(
+                    task,
+                    number,
+                    LossCause::Missing,
+                    "accepted, but not at its endpoint",
+                );
+            }
+            Phase::Ordered | Phase::Taken { .. } => {}
+            Phase::Unanswered => {
+                let is_void = view.void_after.is_some_and(|until| answer.clock > until);
+                let is_rejected = view.stop_acked_at.is_some_and(|at| answer.sent_at > at);
+                if is_void || is_rejected {
+                    self.run_missing(
+                        task,
+                        number,
+                        LossCause::NotStarted,
+                        "its start was not carried out",
+                    );
+                } else if !self.step(task).is_some_and(|s| s.is_lasting) {
+                    // The stop may arrive before or after the start. Lasting tasks aren't stopped:
+                    // if the start was carried out, more tasks of the step than allowed would be
+                    // down.
+                    self.stop(task, number, "its start was not answered");
+                }
+            }
+        }
+    }
+
+    /// Makes the next poll of an endpoint due now.
+    pub(super) fn poll_soon(&mut self, id: &EndpointId) {
+        let now = self.now.steady;
+        if let Some(endpoint) = self.endpoints.get_mut(id) {
+            endpoint.poll.expedite(now);
+        }
+    }
+}
--- a/pomelohitchd/src/fleet/leader/lanes.rs
+++ b/pomelohitchd/src/fleet/leader/dispatcher.rs
@@ -1,6 +1,6 @@
-//! Calls endpoints, directly or by way of other members.
+//! Sends calls to endpoints, directly or through other members that relay them.
 //!
-//! All calls are made on one thread, each as a task of its own.
+//! All calls are made on one thread, each as its own task.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use pomelohitch_sched::endpoint::Endpoint;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Refusal, Target};
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Refusal, Target};
 use pomelohitch_sched::relaying::Layout;
 use pomelohitch_sched::{EndpointId, Epoch, Steady};
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
@@ -22,72 +22,72 @@
 use crate::fleet::relay::client::RelayConnection;
 use crate::fleet::shared::spawn;
 
-/// A member that carried no more calls is asked again after this time.
-const BACK_OFF: Duration = Duration::from_secs(2);
-/// How often it is considered which members carry calls.
-const LAYOUT_EVERY: Duration = Duration::from_millis(250);
+/// Delay before a member is tried again that stopped relaying calls.
+const RELAY_RETRY_DELAY: Duration = Duration::from_secs(2);
+/// Interval at which the assignment of endpoints to members is updated.
+const LAYOUT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Tells where other members take calls to carry.
+/// Returns the addresses at which the other members accept calls to relay.
 pub type Members = Box<dyn Fn() -> Vec<SocketAddr> + Send>;
 
-/// Who may carry calls.
+/// Options of the calls.
 #[derive(Default)]
 pub struct Options {
-    /// The leadership.
+    /// Epoch of the leader.
     pub epoch: Epoch,
-    /// The other members; without it the leader makes all calls.
+    /// The other members; if `None`, the leader makes all calls itself.
     pub members: Option<Members>,
-    /// What the leader's link carries, bytes a second.
+    /// Bandwidth of the leader's network link in bytes per second, if known.
     pub link_bytes_per_s: Option<f64>,
 }
 
-/// What the calling thread is told.
+/// Command to the thread that makes the calls.
 #[derive(Debug)]
 enum Command {
     Order(OutgoingOrder),
-    Look(LookOrder),
-    /// The endpoint isn't known any more.
+    Poll(PollOrder),
+    /// The endpoint no longer exists.
     Forget(EndpointId),
-    /// What is called.
-    Fleet(Size),
+    /// The number of endpoints or services has changed.
+    Targets(CallTargets),
 }
 
-/// How much there is to call.
+/// Number of endpoints and services, which determines the layout.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Size {
+struct CallTargets {
     endpoints: usize,
     services: usize,
 }
 
-/// Hands calls to the thread that makes them. It ends when this is dropped.
+/// Queue to the thread that makes the calls. The thread ends when this is dropped.
 #[derive(Debug)]
-pub struct Lanes {
+pub struct Dispatcher {
     commands: UnboundedSender<Command>,
     known: HashSet<EndpointId>,
-    /// How many endpoints there were when they were last counted.
-    counted: usize,
+    /// Number of endpoints at the last count.
+    counted_endpoints: usize,
     events: Sender<Event>,
 }
 
-impl Lanes {
-    /// Starts the calling thread; how calls end comes as events.
+impl Dispatcher {
+    /// Starts the thread that makes the calls; their outcomes are sent as events.
     ///
     /// # Errors
-    /// If the system has no room for the thread or its poll.
-    pub fn start(events: Sender<Event>, options: Options) -> std::io::Result<Lanes> {
+    /// If the thread or its I/O driver can't be started.
+    pub fn start(events: Sender<Event>, options: Options) -> std::io::Result<Dispatcher> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_io()
             .enable_time()
             .build()?;
         let (commands, rx) = mpsc::unbounded_channel();
-        let ends = events.clone();
+        let outcomes = events.clone();
         spawn("endpoints", move || {
-            LocalSet::new().block_on(&runtime, serve(rx, ends, options));
+            LocalSet::new().block_on(&runtime, run(rx, outcomes, options));
         })?;
-        Ok(Lanes {
+        Ok(Dispatcher {
             commands,
             known: HashSet::new(),
-            counted: 0,
+            counted_endpoints: 0,
             events,
         })
     }
@@ -105,125 +105,130 @@
             self.commands.send(Command::Order(sending))
         {
             let outcome = Outcome::Refused(Refusal::Unsent);
-            // Nobody listens any more only when the leadership is over.
+            // Fails only if the leadership has ended.
             let _ = self
                 .events
                 .send(Event::Ordered(unsent.target, unsent.order, outcome));
         }
     }
 
-    /// Looks at an endpoint.
-    pub fn look(&mut self, look: LookOrder) {
-        self.known.insert(look.target.id.clone());
-        if let Err(mpsc::error::SendError(Command::Look(unsent))) =
-            self.commands.send(Command::Look(look))
+    /// Polls an endpoint.
+    pub fn poll(&mut self, poll: PollOrder) {
+        self.known.insert(poll.target.id.clone());
+        if let Err(mpsc::error::SendError(Command::Poll(unsent))) =
+            self.commands.send(Command::Poll(poll))
         {
-            let failed = Err(LookFailure::Failed);
-            let _ = self.events.send(Event::Looked(unsent.target, failed));
+            let failed = Err(PollFailure::Failed);
+            let _ = self.events.send(Event::Polled(unsent.target, failed));
         }
     }
 
-    /// Takes in which endpoints there are: connections to others are closed.
+    /// Updates the set of known endpoints, and closes connections to all others.
     pub fn sync(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
-        self.count(known);
-        self.prune(known);
+        self.update_targets(known);
+        self.forget_removed(known);
     }
 
-    fn count(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
-        if self.counted == known.len() {
+    fn update_targets(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
+        if self.counted_endpoints == known.len() {
             return;
         }
-        self.counted = known.len();
+        self.counted_endpoints = known.len();
         let reports = known.values().filter_map(|e| e.report.as_ref());
         let services: BTreeSet<_> = reports.map(|r| &r.service).collect();
-        let size = Size {
+        let targets = CallTargets {
             endpoints: known.len(),
             services: services.len(),
         };
-        // A thread that has ended calls nobody.
-        let _ = self.commands.send(Command::Fleet(size));
+        // Fails only if the thread has ended, which then makes no calls.
+        let _ = self.commands.send(Command::Targets(targets));
     }
 
-    fn prune(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
+    fn forget_removed(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
         if self.known.len() <= known.len() {
             return;
         }
         let gone = self.known.extract_if(|id| !known.contains_key(id));
         for id in gone {
-            // A thread that has ended has no connections.
+            // Fails only if the thread has ended, which then has no connections.
             let _ = self.commands.send(Command::Forget(id));
         }
     }
 }
 
-/// Makes calls until nobody asks for any.
-async fn serve(mut commands: UnboundedReceiver<Command>, events: Sender<Event>, options: Options) {
-    let mut routes = Routes::new(events, options);
+/// Executes commands until the queue is closed.
+async fn run(mut commands: UnboundedReceiver<Command>, events: Sender<Event>, options: Options) {
+    let mut router = Router::new(events, options);
     while let Some(command) = commands.recv().await {
-        routes.lay_out();
+        router.update_layout();
         match command {
-            Command::Order(sending) => routes.order(sending),
-            Command::Look(look) => routes.look(look),
-            Command::Forget(id) => routes.forget(&id),
-            Command::Fleet(size) => routes.size = size,
+            Command::Order(sending) => router.order(sending),
+            Command::Poll(poll) => router.poll(poll),
+            Command::Forget(id) => router.forget(&id),
+            Command::Targets(targets) => router.targets = targets,
         }
     }
 }
 
-/// Which way each call goes.
-struct Routes {
+/// Decides which member makes each call.
+struct Router {
     calls: Rc<Calls>,
     events: Sender<Event>,
     options: Options,
-    size: Size,
+    targets: CallTargets,
     layout: Layout,
-    /// The other members, as of the last look at the layout.
+    /// The other members at the last update of the layout.
     members: Vec<SocketAddr>,
     links: BTreeMap<SocketAddr, RelayConnection>,
-    laid_out_at: Option<Steady>,
+    layout_updated_at: Option<Steady>,
 }
 
-impl Routes {
-    fn new(events: Sender<Event>, options: Options) -> Routes {
-        Routes {
+impl Router {
+    fn new(events: Sender<Event>, options: Options) -> Router {
+        Router {
             calls: Rc::default(),
             events,
             options,
-            size: Size::default(),
+            targets: CallTargets::default(),
             layout: Layout::default(),
             members: Vec::new(),
             links: BTreeMap::new(),
-            laid_out_at: None,
+            layout_updated_at: None,
         }
     }
 
-    /// Considers anew which members carry calls, from time to time.
-    fn lay_out(&mut self) {
+    /// Updates the layout and the connections to members, at most once per [`LAYOUT_INTERVAL`].
+    fn update_layout(&mut self) {
         let now = clock::steady();
-        let is_due = |at: Steady| now >= at + LAYOUT_EVERY;
-        if !self.laid_out_at.is_none_or(is_due) {
+        let is_due = |at: Steady| now >= at + LAYOUT_INTERVAL;
+        if !self.layout_updated_at.is_none_or(is_due) {
             return;
         }
-        self.laid_out_at = Some(now);
-        let Size {
+        self.layout_updated_at = Some(now);
+        let CallTargets {
             endpoints,
             services,
-        } = self.size;
+        } = self.targets;
         let wanted = Layout::of(endpoints, services, self.options.link_bytes_per_s);
-        let layout = self.layout.followed_by(wanted);
+        let layout = self.layout.successor(wanted);
         if layout != self.layout {
-            info!(shards = layout.shards, endpoints, "calls divided");
+            info!(
+                shards = layout.shards,
+                endpoints, "assignment of endpoints to members changed"
+            );
             self.layout = layout;
         }
         let members = self.options.members.as_ref().map(|members| members());
         self.members = members.unwrap_or_default();
-        let is_over =
-            |link: &RelayConnection| link.ended_at().is_some_and(|at| now >= at + BACK_OFF);
+        let is_over = |link: &RelayConnection| {
+            link.ended_at()
+                .is_some_and(|at| now >= at + RELAY_RETRY_DELAY)
+        };
         self.links
             .retain(|peer, link| self.members.contains(peer) && !is_over(link));
     }
 
-    /// The member that carries an endpoint's calls, if one does and is reached.
+    /// Returns the open connection to the member that relays the endpoint's calls, if any.
     fn link(&mut self, target: &Target) -> Option<&RelayConnection> {
         if self.layout == Layout::default() {
             return None;
@@ -252,24 +257,24 @@
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
             let outcome = calls.order(&sending).await;
-            // Nobody listens any more only when the leadership is over.
+            // Fails only if the leadership has ended.
             let _ = events.send(Event::Ordered(sending.target, sending.order, outcome));
         });
     }
 
-    fn look(&mut self, look: LookOrder) {
-        let look = match self.link(&look.target) {
-            Some(link) => link.poll(look),
-            None => Some(look),
+    fn poll(&mut self, poll: PollOrder) {
+        let poll = match self.link(&poll.target) {
+            Some(link) => link.poll(poll),
+            None => Some(poll),
         };
-        let Some(look) = look else {
+        let Some(poll) = poll else {
             return;
         };
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
-            let looked = calls.poll(&look).await;
-            // Nobody listens any more only when the leadership is over.
-            let _ = events.send(Event::Looked(look.target, looked));
+            let polled = calls.poll(&poll).await;
+            // Fails only if the leadership has ended.
+            let _ = events.send(Event::Polled(poll.target, polled));
         });
     }
 
--- a/pomelohitchd/tests/fleet/relays.rs
+++ b/pomelohitchd/tests/fleet/relays.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use pomelohitch_adapter_standin::recorder::{Recorder, Start};
-use pomelohitch_sched::endpoint::{Ended, Endpoint, How, Look, Report, Running};
+use pomelohitch_sched::endpoint::{EndReason, Ended, Endpoint, PollReply, Report, Running};
 use pomelohitch_sched::id::RunNumber;
 use pomelohitch_sched::job::JobSpec;
-use pomelohitch_sched::order::{LookFailure, LookOrder, Order, Outcome, Target};
+use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Target};
 use pomelohitch_sched::{Resources, TaskId};
 use pomelohitchd::fleet::clock;
 use pomelohitchd::fleet::leader::core::Event;
-use pomelohitchd::fleet::leader::lanes::{Lanes, Options};
+use pomelohitchd::fleet::leader::dispatcher::{Dispatcher, Options};
 use pomelohitchd::fleet::relay::listing::Listing;
 use pomelohitchd::fleet::relay::message::{Hello, Instruction, Replies, Reply, Request, Requests};
 use pomelohitchd::fleet::relay::server::{self, DelayEstimator};
@@ -32,16 +32,16 @@
     addr
 }
 
-fn lanes(members: Vec<SocketAddr>) -> (Lanes, Receiver<Event>) {
+fn dispatcher(members: Vec<SocketAddr>) -> (Dispatcher, Receiver<Event>) {
     let (tx, rx) = mpsc::channel();
     let options = Options {
         epoch: 1,
         members: Some(Box::new(move || members.clone())),
         link_bytes_per_s: Some(SLOW_LINK_BYTES_PER_S),
     };
-    let mut lanes = Lanes::start(tx, options).expect("a thread can be started");
-    lanes.sync(&[("e1".into(), endpoint())].into());
-    (lanes, rx)
+    let mut dispatcher = Dispatcher::start(tx, options).expect("a thread can be started");
+    dispatcher.sync(&[("e1".into(), endpoint())].into());
+    (dispatcher, rx)
 }
 
 /// The endpoint that is called, as the scheduler knows it.
@@ -102,8 +102,12 @@
     }
 }
 
-fn poll(lanes: &mut Lanes, rx: &Receiver<Event>, addr: SocketAddr) -> Result<Look, LookFailure> {
-    lanes.look(LookOrder {
+fn poll(
+    dispatcher: &mut Dispatcher,
+    rx: &Receiver<Event>,
+    addr: SocketAddr,
+) -> Result<PollReply, PollFailure> {
+    dispatcher.poll(PollOrder {
         target: target(addr),
         epoch: 1,
         noted: 0,
@@ -111,16 +115,16 @@
         wait: Duration::ZERO,
     });
     match rx.recv_timeout(Duration::from_secs(5)) {
-        Ok(Event::Looked(_, look)) => look,
+        Ok(Event::Polled(_, look)) => look,
         other => panic!("{other:?}"),
     }
 }
 
 /// Polls until a poll is relayed, i.e. reaches the endpoint from another connection than the
 /// leader's own.
-fn poll_until_relayed(lanes: &mut Lanes, rx: &Receiver<Event>, endpoint: &Recorder) {
+fn poll_until_relayed(dispatcher: &mut Dispatcher, rx: &Receiver<Event>, endpoint: &Recorder) {
     for _ in 0..100 {
-        let _ = poll(lanes, rx, endpoint.addr);
+        let _ = poll(dispatcher, rx, endpoint.addr);
         if endpoint.peers() > 1 {
             return;
         }
@@ -132,10 +136,10 @@
 #[test]
 fn a_relayed_start_arrives_complete() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![start_relay()]);
-    poll_until_relayed(&mut lanes, &rx, &endpoint);
+    let (mut dispatcher, rx) = dispatcher(vec![start_relay()]);
+    poll_until_relayed(&mut dispatcher, &rx, &endpoint);
     for index in 0..3 {
-        lanes.order(target(endpoint.addr), start(index), 1, clock::steady());
+        dispatcher.order(target(endpoint.addr), start(index), 1, clock::steady());
         assert_eq!(outcome(&rx), Outcome::Taken);
     }
     let starts = endpoint.starts();
@@ -154,10 +158,10 @@
 #[test]
 fn relayed_polls_list_running_tasks() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![start_relay()]);
-    poll_until_relayed(&mut lanes, &rx, &endpoint);
+    let (mut dispatcher, rx) = dispatcher(vec![start_relay()]);
+    poll_until_relayed(&mut dispatcher, &rx, &endpoint);
     for _ in 0..3 {
-        let look = poll(&mut lanes, &rx, endpoint.addr).expect("the endpoint answers");
+        let look = poll(&mut dispatcher, &rx, endpoint.addr).expect("the endpoint answers");
         assert_eq!(look.running.len(), 1);
         assert!(look.sent_at <= look.answered_at);
     }
@@ -168,9 +172,9 @@
 #[test]
 fn calls_are_direct_if_no_member_relays_them() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![site::nowhere()]);
+    let (mut dispatcher, rx) = dispatcher(vec![site::nowhere()]);
     for index in 0..4 {
-        lanes.order(target(endpoint.addr), start(index), 1, clock::steady());
+        dispatcher.order(target(endpoint.addr), start(index), 1, clock::steady());
         assert_eq!(outcome(&rx), Outcome::Taken);
         std::thread::sleep(Duration::from_millis(30));
     }
@@ -260,7 +264,7 @@
             std::thread::sleep(Duration::from_millis(pause));
             let answers = requests.into_iter().filter_map(|request| match request {
                 Request::Poll(number, _) => {
-                    let delta = listing.encode(Look::default());
+                    let delta = listing.encode(PollReply::default());
                     Some(Reply::Polled(number, Ok(delta)))
                 }
                 _ => None,
@@ -289,12 +293,12 @@
 #[test]
 fn polls_succeed_after_one_that_was_answered_late() {
     let endpoint = Recorder::start();
-    let (mut lanes, rx) = lanes(vec![late_relay()]);
-    while poll(&mut lanes, &rx, endpoint.addr).is_ok() {}
+    let (mut dispatcher, rx) = dispatcher(vec![late_relay()]);
+    while poll(&mut dispatcher, &rx, endpoint.addr).is_ok() {}
     let mut answered = 0;
     for _ in 0..3 {
         std::thread::sleep(Duration::from_millis(300));
-        answered += usize::from(poll(&mut lanes, &rx, endpoint.addr).is_ok());
+        answered += usize::from(poll(&mut dispatcher, &rx, endpoint.addr).is_ok());
     }
     assert!(answered >= 2, "{answered}");
 }
@@ -343,16 +347,16 @@
                 number: 1,
                 task: task(9),
                 run: 1,
-                how: How::Done,
+                how: EndReason::Done,
                 checkpoint: "".into(),
             };
-            let look = Look {
+            let look = PollReply {
                 born: 7,
                 clock: Duration::from_millis(5),
                 running: running.clone(),
                 ended: vec![ended],
-                renewed: true,
-                ..Look::default()
+                lease_requested: true,
+                ..PollReply::default()
             };
             let mut read = receiver
                 .decode(sender.encode(look.clone()))
@@ -373,12 +377,20 @@
 #[test]
 fn a_delta_without_its_base_is_rejected() {
     let (mut sender, mut receiver) = (Listing::default(), Listing::default());
-    assert!(receiver.decode(sender.encode(Look::default())).is_some());
-    let _lost = sender.encode(Look::default());
-    assert!(receiver.decode(sender.encode(Look::default())).is_none());
     assert!(
         receiver
-            .decode(Listing::default().encode(Look::default()))
+            .decode(sender.encode(PollReply::default()))
+            .is_some()
+    );
+    let _lost = sender.encode(PollReply::default());
+    assert!(
+        receiver
+            .decode(sender.encode(PollReply::default()))
+            .is_none()
+    );
+    assert!(
+        receiver
+            .decode(Listing::default().encode(PollReply::default()))
             .is_some()
     );
 }
