--- a/crates/pomelohitch-permits/src/holder.rs
+++ b/crates/pomelohitch-permits/src/holder.rs
@@ -165,7 +165,7 @@
     ///
     /// No permit is taken until the home has replied with the new part. Otherwise members that
     /// cannot reach the home would together go on using the higher limit, for an unlimited time.
-    pub fn confirm(&mut self) {
+    pub fn require_confirmation(&mut self) {
         self.must_confirm = true;
     }
 
--- a/crates/pomelohitch-permits/src/home.rs
+++ b/crates/pomelohitch-permits/src/home.rs
@@ -147,7 +147,7 @@
     ///
     /// This detects lowered limits: an idle member sends no asks and would otherwise keep what it
     /// was granted.
-    pub fn review(&mut self, bounds_of: impl Fn(&Resource) -> Bounds, now: Monotonic) {
+    pub fn recall_excess(&mut self, bounds_of: impl Fn(&Resource) -> Bounds, now: Monotonic) {
         for (resource, account) in &self.accounts {
             let bounds = bounds_of(resource);
             let total = account.total(bounds.limit, self.ended_have_stopped(&bounds, now));
@@ -162,7 +162,12 @@
     /// Returns the permits of a resource that are held and wanted; `None` until every member has
     /// reported and members that ended have certainly stopped.
     #[must_use]
-    pub fn settled(&self, resource: &Resource, bounds: &Bounds, now: Monotonic) -> Option<Demand> {
+    pub fn settled_demand(
+        &self,
+        resource: &Resource,
+        bounds: &Bounds,
+        now: Monotonic,
+    ) -> Option<Demand> {
         let account = self.accounts.get(resource)?;
         let is_certain = account.initially_held.is_some() && self.ended_have_stopped(bounds, now);
         is_certain.then(|| Demand {
--- a/crates/pomelohitch-permits/tests/permits/spread.rs
+++ b/crates/pomelohitch-permits/tests/permits/spread.rs
@@ -61,7 +61,8 @@
                 holder.on_reply(&reply);
             }
         }
-        self.homes.review(|_| bounds(self.limit), Duration::ZERO);
+        self.homes
+            .recall_excess(|_| bounds(self.limit), Duration::ZERO);
         for (member, _) in self.homes.take_recalls() {
             self.holders.get_mut(&*member).unwrap().recall();
         }
@@ -131,13 +132,15 @@
     }
     let holder = world.holders.get_mut("a").unwrap();
     assert!(holder.take(true));
-    holder.confirm();
+    holder.require_confirmation();
     assert!(!holder.take(true));
     world.limit = 3;
     world.exchange_round();
     let holder = world.holders.get_mut("a").unwrap();
     assert_eq!((holder.held(), holder.take(true)), (3, true));
     world.exchange_round();
-    let demand = world.homes.settled(&world.resource, &bounds(3), WAIT);
+    let demand = world
+        .homes
+        .settled_demand(&world.resource, &bounds(3), WAIT);
     assert_eq!(demand.map(|demand| demand.held), Some(3));
 }
--- a/crates/pomelohitch-route/examples/overload/fleet.rs
+++ b/crates/pomelohitch-route/examples/overload/fleet.rs
@@ -10,7 +10,7 @@
 use pomelohitch_permits::holder::Asker;
 use pomelohitch_permits::home::{Bounds, Epoch};
 use pomelohitch_permits::{Ask, Homes, Load, Reply, Resource};
-use pomelohitch_route::dispatch::{End, Pace, Runner, Sent, ServiceTerms, View};
+use pomelohitch_route::dispatch::{AskScope, Completion, Runner, Sent, ServiceTerms, View};
 use pomelohitch_route::queue::Waiting;
 use pomelohitch_route::{Dispatcher, Priority};
 use rand::rngs::StdRng;
@@ -81,7 +81,7 @@
     /// A runner finishes a request.
     Finish(Id, Option<Sent>, usize),
     /// The entry instance learns how a request ended.
-    Ended(Id, Option<Sent>, usize, End),
+    Ended(Id, Option<Sent>, usize, Completion),
     Batch(usize, usize, Vec<Ask>, Vec<Resource>, Vec<Load>),
     Replies(usize, usize, Vec<Reply>),
 }
@@ -178,7 +178,7 @@
         let runners = (0..RUNNERS).map(|place| Runner {
             id: runner(place),
             addr: SocketAddr::from(([127, 0, 0, 1], 1)),
-            near: place % 4 == entry % 4,
+            is_same_zone: place % 4 == entry % 4,
         });
         let terms = ServiceTerms {
             pool: "pool".into(),
@@ -259,7 +259,7 @@
                 self.running_at[place] -= 1;
                 self.schedule_after(
                     self.zone_delay,
-                    Event::Ended(id, sent, place, End::Answered),
+                    Event::Ended(id, sent, place, Completion::Answered),
                 );
             }
             Event::Ended(id, sent, place, end) => self.on_end(id, sent.as_ref(), place, end),
@@ -318,7 +318,7 @@
             token: id,
         };
         let entry = &mut self.entries[arrival.entry];
-        entry.dispatcher.first_try(&SERVICE.into());
+        entry.dispatcher.record_first_attempt(&SERVICE.into());
         let offered = entry.dispatcher.offer(&SERVICE.into(), waiting, self.now);
         if offered.is_err() {
             self.report.refused += u64::from(self.is_measured(id));
@@ -339,11 +339,17 @@
 
     fn start(&mut self, id: Id, sent: Option<Sent>, place: usize) {
         if self.running_at[place] >= SLOTS {
-            self.schedule_after(self.zone_delay, Event::Ended(id, sent, place, End::Refused));
+            self.schedule_after(
+                self.zone_delay,
+                Event::Ended(id, sent, place, Completion::Refused),
+            );
             return;
         }
         if place < self.scenario.broken {
-            self.schedule_after(self.zone_delay, Event::Ended(id, sent, place, End::Unknown));
+            self.schedule_after(
+                self.zone_delay,
+                Event::Ended(id, sent, place, Completion::Unknown),
+            );
             return;
         }
         self.running_at[place] += 1;
@@ -352,7 +358,7 @@
         self.schedule_after(run, Event::Finish(id, sent, place));
     }
 
-    fn on_end(&mut self, id: Id, sent: Option<&Sent>, place: usize, end: End) {
+    fn on_end(&mut self, id: Id, sent: Option<&Sent>, place: usize, end: Completion) {
         let entry = self.requests[id].entry;
         let deadline = self.sent_at(id) + TIMEOUT;
         let is_in_time = self.now + self.client_delay <= deadline;
@@ -362,16 +368,18 @@
         let mut next = None;
         if let Some(sent) = sent {
             let dispatcher = &mut self.entries[entry].dispatcher;
-            dispatcher.end(sent, end, self.now);
-            if end != End::Answered && is_in_time {
+            dispatcher.complete(sent, end, self.now);
+            if end != Completion::Answered && is_in_time {
                 next = dispatcher.retry(&sent.service, &sent.team, &sent.runner, self.now, true);
             }
         }
         match (end, next) {
-            (End::Answered, _) if is_in_time => self.answered(id),
-            (End::Answered, _) => self.count_late(id),
+            (Completion::Answered, _) if is_in_time => self.answered(id),
+            (Completion::Answered, _) => self.count_late(id),
             (_, Some(next)) => self.send(id, next),
-            (End::Refused, None) if self.policy == Policy::UnlimitedRetries && is_in_time => {
+            (Completion::Refused, None)
+                if self.policy == Policy::UnlimitedRetries && is_in_time =>
+            {
                 self.schedule_after(RETRY_INTERVAL, Event::Retry(id));
             }
             _ => self.report.refused += u64::from(self.is_measured(id)),
@@ -444,7 +452,7 @@
         let entry = &mut self.entries[place];
         let expired = entry.dispatcher.expire(self.now);
         if is_share_tick {
-            entry.dispatcher.renew();
+            entry.dispatcher.refresh_shares();
         }
         let asker = Asker {
             member: member(place),
@@ -454,14 +462,14 @@
         };
         let loads = entry.dispatcher.loads();
         let awaiting_reply = std::mem::take(&mut entry.awaiting_reply);
-        let pace = if tick.is_multiple_of(TICKS_PER_REFRESH) && !loads.is_empty() {
-            Pace::All
+        let scope = if tick.is_multiple_of(TICKS_PER_REFRESH) && !loads.is_empty() {
+            AskScope::All
         } else if is_share_tick {
-            Pace::Short
+            AskScope::BelowPart
         } else {
-            Pace::News
+            AskScope::Changed
         };
-        let asks = entry.dispatcher.asks(&asker, pace, |home| {
+        let asks = entry.dispatcher.asks(&asker, scope, |home| {
             !awaiting_reply.contains(&number_of(home))
         });
         entry.awaiting_reply = awaiting_reply;
@@ -520,7 +528,7 @@
         for resource in recalls {
             entry.dispatcher.recall(resource);
         }
-        entry.dispatcher.heard(member(from), loads);
+        entry.dispatcher.set_peer_loads(member(from), loads);
         self.schedule_after(self.zone_delay, Event::Replies(to, from, replies));
     }
 }
--- a/crates/pomelohitch-route/src/budget.rs
+++ b/crates/pomelohitch-route/src/budget.rs
@@ -20,7 +20,7 @@
 
 impl RetryBudget {
     /// Records a first attempt.
-    pub fn first_try(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         self.tokens = (self.tokens + RETRIES_PER_ATTEMPT).min(MAX_TOKENS);
     }
 
--- a/crates/pomelohitch-route/src/dispatch.rs
+++ b/crates/pomelohitch-route/src/dispatch.rs
@@ -58,7 +58,7 @@
     /// Address on which it listens.
     pub addr: SocketAddr,
     /// Whether it is in this entry instance's availability zone.
-    pub near: bool,
+    pub is_same_zone: bool,
 }
 
 /// A request to be sent now; its permits have been taken.
@@ -84,7 +84,7 @@
 
 /// How a request that was sent ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum Completion {
     /// The complete answer has arrived.
     Answered,
     /// The runner refused to start it.
@@ -97,11 +97,11 @@
 
 /// Which homes to send an ask to, in addition to those that need one because something changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Pace {
+pub enum AskScope {
     /// No others.
-    News,
+    Changed,
     /// Homes of resources of which this member holds less than its assigned part.
-    Short,
+    BelowPart,
     /// All homes.
     All,
 }
@@ -187,7 +187,7 @@
     ///
     /// Requests of the previous incarnation that still run are accounted for by the homes, which
     /// wait until those have certainly stopped before they grant their permits again.
-    pub fn forget_permits(&mut self) {
+    pub fn start_incarnation(&mut self) {
         for holder in self.holders.values_mut() {
             *holder = Holder::default();
         }
@@ -202,7 +202,7 @@
     }
 
     /// Stores the load that a peer reported.
-    pub fn heard(&mut self, member: MemberId, loads: Vec<Load>) {
+    pub fn set_peer_loads(&mut self, member: MemberId, loads: Vec<Load>) {
         self.peers.insert(member, loads);
     }
 
@@ -325,7 +325,7 @@
     /// Time after which an attempt on a reused connection without an answer is followed by another
     /// attempt; `None` if no retry is allowed.
     #[must_use]
-    pub fn patience(&self, service: &ServiceId) -> Option<Monotonic> {
+    pub fn attempt_timeout(&self, service: &ServiceId) -> Option<Monotonic> {
         let may_retry = self
             .budgets
             .get(service)
@@ -385,7 +385,7 @@
             .zip(&free_slots)
             .map(|(runner, spare)| Candidate {
                 id: &runner.id,
-                near: runner.near,
+                is_same_zone: runner.is_same_zone,
                 running: self.running_at.get(&runner.id).copied().unwrap_or(0),
                 has_slot: *spare > 0,
             })
@@ -398,18 +398,21 @@
     }
 
     /// Records a first attempt, which adds to the retry budget.
-    pub fn first_try(&mut self, service: &ServiceId) {
-        self.budgets.entry(service.clone()).or_default().first_try();
+    pub fn record_first_attempt(&mut self, service: &ServiceId) {
+        self.budgets
+            .entry(service.clone())
+            .or_default()
+            .record_first_attempt();
     }
 
     /// Records how a request ended and returns its permits: at once, or, if it may still be
     /// running, when it has certainly stopped.
-    pub fn end(&mut self, sent: &Sent, end: End, now: Monotonic) {
+    pub fn complete(&mut self, sent: &Sent, end: Completion, now: Monotonic) {
         let took = now.saturating_sub(sent.at);
         let outcome = match end {
-            End::Answered => Outcome::Answered(took),
-            End::Refused => Outcome::Refused,
-            End::Unsent | End::Unknown => Outcome::Failed,
+            Completion::Answered => Outcome::Answered(took),
+            Completion::Refused => Outcome::Refused,
+            Completion::Unsent | Completion::Unknown => Outcome::Failed,
         };
         let terms = self.view.services.get(&sent.service);
         if let Some(terms) = terms {
@@ -417,11 +420,11 @@
             picker.record(&sent.runner, outcome, now);
         }
         let longest_run = terms.map_or(DEFAULT_LONGEST_RUN, |terms| terms.longest_run);
-        let until = (end == End::Unknown).then(|| sent.at + longest_run);
+        let until = (end == Completion::Unknown).then(|| sent.at + longest_run);
         if sent.generation == self.generation {
             self.return_permits(sent, until.filter(|until| *until > now));
         }
-        if end == End::Answered
+        if end == Completion::Answered
             && let Some(queue) = self.queues.get_mut(&sent.service)
         {
             queue.record_run(&sent.team, took);
--- a/crates/pomelohitch-route/src/dispatch/holdings.rs
+++ b/crates/pomelohitch-route/src/dispatch/holdings.rs
@@ -5,20 +5,20 @@
 use pomelohitch_permits::resource::home_of;
 use pomelohitch_permits::{Ask, Reply, Resource};
 
-use super::{Dispatcher, Pace};
+use super::{AskScope, Dispatcher};
 
 impl<T> Dispatcher<T> {
     /// Returns the asks to send, with the home of each, limited to homes that `may_ask` accepts.
     ///
-    /// Without regard to `pace`, asks are made for resources with changes to report; `pace` selects
-    /// further ones, which repairs the effect of lost recalls.
+    /// Resources with changes to report are always included; `scope` selects further ones, which
+    /// repairs the effect of lost recalls.
     ///
     /// `may_ask` should reject a home that has not yet answered an earlier ask: each ask
     /// invalidates the answer to the previous one.
     pub fn asks(
         &mut self,
         asker: &Asker,
-        pace: Pace,
+        scope: AskScope,
         may_ask: impl Fn(&MemberId) -> bool,
     ) -> Vec<(MemberId, Ask)> {
         let mut asks = Vec::new();
@@ -30,10 +30,10 @@
                 // Every entry of `wants` got a holder when `wants` was computed.
                 break;
             };
-            let is_due = match pace {
-                Pace::News => false,
-                Pace::Short => holder.is_below_part(),
-                Pace::All => true,
+            let is_due = match scope {
+                AskScope::Changed => false,
+                AskScope::BelowPart => holder.is_below_part(),
+                AskScope::All => true,
             };
             if !is_due && !holder.needs_ask(asker.epoch, *want) {
                 continue;
@@ -61,9 +61,9 @@
 
     /// Stops the use of a resource's permits until its home has confirmed them, after its limit was
     /// lowered.
-    pub fn confirm(&mut self, resource: &Resource) {
+    pub fn require_confirmation(&mut self, resource: &Resource) {
         if let Some(holder) = self.holders.get_mut(resource) {
-            holder.confirm();
+            holder.require_confirmation();
         }
     }
 
--- a/crates/pomelohitch-route/src/dispatch/parts.rs
+++ b/crates/pomelohitch-route/src/dispatch/parts.rs
@@ -29,7 +29,7 @@
 impl<T> Dispatcher<T> {
     /// Decays the recent arrivals of all queues and recomputes weights and wanted permits; to be
     /// called once every [`ARRIVAL_DECAY_INTERVAL`](crate::queue::ARRIVAL_DECAY_INTERVAL).
-    pub fn renew(&mut self) {
+    pub fn refresh_shares(&mut self) {
         // Decays first, since the loads reported by peers are decayed as well. Otherwise each
         // member would consider its own demand larger than that of the others.
         for queue in self.queues.values_mut() {
--- a/crates/pomelohitch-route/src/once.rs
+++ b/crates/pomelohitch-route/src/once.rs
@@ -38,7 +38,7 @@
 impl Keys {
     /// Decides whether `request` may run under `key`. Repeating the call for the same request gives
     /// the same answer.
-    pub fn begin(&mut self, key: &str, request: &str, now: Monotonic) -> Answer {
+    pub fn grant(&mut self, key: &str, request: &str, now: Monotonic) -> Answer {
         self.expire(now);
         if let Some(granted) = self.by_key.get(key) {
             return if *granted.request == *request {
--- a/crates/pomelohitch-route/src/pick.rs
+++ b/crates/pomelohitch-route/src/pick.rs
@@ -63,7 +63,7 @@
     /// The runner.
     pub id: &'a InstanceId,
     /// Whether it is in the entry instance's own availability zone.
-    pub near: bool,
+    pub is_same_zone: bool,
     /// Number of requests of this entry instance that run there.
     pub running: u32,
     /// Whether this entry instance has a free permit for it.
@@ -112,7 +112,7 @@
             let is_slow = health.is_some_and(|h| h.latency > slow);
             // Zone is compared after load. Otherwise requests would queue at runners in this zone
             // while runners in other zones are idle.
-            (is_slow, c.running, !c.near)
+            (is_slow, c.running, !c.is_same_zone)
         };
         let usable: Vec<_> = candidates
             .iter()
--- a/crates/pomelohitch-route/src/send.rs
+++ b/crates/pomelohitch-route/src/send.rs
@@ -75,9 +75,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Connection {
     /// A new connection. Establishing it shows that the runner is reachable.
-    Fresh,
+    New,
     /// An idle connection if one is pooled, otherwise a new one.
-    Kept,
+    Reused,
 }
 
 /// Timeouts and sizes that apply to attempts.
@@ -142,8 +142,8 @@
         timeout: Duration,
     ) -> Result<Answer> {
         let agent = match connection {
-            Connection::Fresh => &self.unpooled,
-            Connection::Kept => &self.pooled,
+            Connection::New => &self.unpooled,
+            Connection::Reused => &self.pooled,
         };
         let Some(built) = build(addr, req) else {
             let reason = "the request can't be passed on".into();
--- a/crates/pomelohitch-route/tests/route/dispatch.rs
+++ b/crates/pomelohitch-route/tests/route/dispatch.rs
@@ -5,7 +5,7 @@
 use pomelohitch_permits::holder::Asker;
 use pomelohitch_permits::home::{Bounds, Epoch};
 use pomelohitch_permits::{Homes, Resource};
-use pomelohitch_route::dispatch::{End, Pace, Runner, Sent, ServiceTerms, View};
+use pomelohitch_route::dispatch::{AskScope, Completion, Runner, Sent, ServiceTerms, View};
 use pomelohitch_route::queue::Waiting;
 use pomelohitch_route::{Dispatcher, Priority, fair};
 
@@ -22,7 +22,7 @@
     let runner = |number| Runner {
         id: format!("runner-{number}").into(),
         addr: SocketAddr::from(([127, 0, 0, 1], 1)),
-        near: true,
+        is_same_zone: true,
     };
     let terms = ServiceTerms {
         pool: "pool".into(),
@@ -78,8 +78,8 @@
             epoch: 7,
             leaving: false,
         };
-        self.entries[entry].0.renew();
-        let asks = self.entries[entry].0.asks(&asker, Pace::All, |_| true);
+        self.entries[entry].0.refresh_shares();
+        let asks = self.entries[entry].0.asks(&asker, AskScope::All, |_| true);
         for (home, ask) in asks {
             let home: usize = home.strip_prefix("entry-").unwrap().parse().unwrap();
             let bounds = Bounds {
@@ -112,15 +112,15 @@
         let _ = self.entries[entry].0.offer(&"passes".into(), req, self.now);
     }
 
-    fn end(&mut self, index: usize, end: End) {
+    fn end(&mut self, index: usize, end: Completion) {
         let (entry, sent, until) = self.running.remove(index);
         if until.is_some() {
             self.running.push((entry, sent, until));
             return;
         }
-        self.entries[entry].0.end(&sent, end, self.now);
+        self.entries[entry].0.complete(&sent, end, self.now);
         let until = sent.at + LONGEST_RUN;
-        if end == End::Unknown && until > self.now {
+        if end == Completion::Unknown && until > self.now {
             self.running.push((entry, sent, Some(until)));
         }
     }
@@ -169,8 +169,8 @@
                 0 | 1 => fleet.offer(entry, if value % 2 == 0 { "a" } else { "b" }),
                 2 | 3 => fleet.exchange_permits(entry, || kind % 3 == 0),
                 4 => fleet.dispatch(entry),
-                5 if has_running => fleet.end(index, End::Answered),
-                6 if has_running => fleet.end(index, End::Unknown),
+                5 if has_running => fleet.end(index, Completion::Answered),
+                6 if has_running => fleet.end(index, Completion::Unknown),
                 _ => fleet.advance(Duration::from_millis(u64::from(*value) * 5)),
             }
             fleet.assert_limits();
@@ -192,7 +192,9 @@
     // Entry 0 reports its load to its peers; they return permits, and it asks again.
     let loads = fleet.entries[0].0.loads();
     for peer in [1, 2] {
-        fleet.entries[peer].0.heard(member(0), loads.clone());
+        fleet.entries[peer]
+            .0
+            .set_peer_loads(member(0), loads.clone());
     }
     for entry in [0, 1, 2, 1, 2, 0, 0] {
         fleet.exchange_permits(entry, || false);
@@ -214,9 +216,9 @@
     let mut retries = 0;
     let mut last = sent;
     let dispatcher = &mut fleet.entries[0].0;
-    dispatcher.first_try(&"passes".into());
+    dispatcher.record_first_attempt(&"passes".into());
     loop {
-        dispatcher.end(&last, End::Refused, fleet.now);
+        dispatcher.complete(&last, Completion::Refused, fleet.now);
         let next = dispatcher.retry(&last.service, &last.team, &last.runner, fleet.now, true);
         let Some(next) = next else { break };
         assert_ne!(next.runner, last.runner);
@@ -248,7 +250,7 @@
     fleet.exchange_permits(0, || false);
     fleet.offer(0, "b");
     let team = Resource::Team("b".into());
-    fleet.entries[0].0.confirm(&team);
+    fleet.entries[0].0.require_confirmation(&team);
     fleet.dispatch(0);
     assert!(fleet.running.is_empty());
     fleet.exchange_permits(0, || false);
--- a/crates/pomelohitch-route/tests/route/once.rs
+++ b/crates/pomelohitch-route/tests/route/once.rs
@@ -10,21 +10,21 @@
 #[test]
 fn a_key_is_granted_to_one_request_within_the_window() {
     let mut keys = Keys::default();
-    assert_eq!(keys.begin("k", "first", START), Answer::Granted);
-    assert_eq!(keys.begin("k", "first", START), Answer::Granted);
+    assert_eq!(keys.grant("k", "first", START), Answer::Granted);
+    assert_eq!(keys.grant("k", "first", START), Answer::Granted);
     let late = (START + WINDOW).saturating_sub(Duration::from_millis(1));
-    assert_eq!(keys.begin("k", "second", late), Answer::Taken);
-    assert_eq!(keys.begin("k", "second", START + WINDOW), Answer::Granted);
+    assert_eq!(keys.grant("k", "second", late), Answer::Taken);
+    assert_eq!(keys.grant("k", "second", START + WINDOW), Answer::Granted);
 }
 
 #[test]
 fn only_the_request_that_was_granted_can_release_its_key() {
     let mut keys = Keys::default();
-    assert_eq!(keys.begin("k", "first", START), Answer::Granted);
+    assert_eq!(keys.grant("k", "first", START), Answer::Granted);
     keys.release("k", "second");
-    assert_eq!(keys.begin("k", "second", START), Answer::Taken);
+    assert_eq!(keys.grant("k", "second", START), Answer::Taken);
     keys.release("k", "first");
-    assert_eq!(keys.begin("k", "second", START), Answer::Granted);
+    assert_eq!(keys.grant("k", "second", START), Answer::Granted);
 }
 
 /// If every failed attempt were retried, the load would double just when there is the least
@@ -34,7 +34,7 @@
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.first_try();
+        budget.record_first_attempt();
         while budget.try_take() {
             retries += 1;
         }
--- a/crates/pomelohitch-route/tests/route/pick.rs
+++ b/crates/pomelohitch-route/tests/route/pick.rs
@@ -14,7 +14,7 @@
         .enumerate()
         .map(|(i, id)| Candidate {
             id,
-            near: i % 2 == 0,
+            is_same_zone: i % 2 == 0,
             running: 0,
             has_slot: true,
         })
--- a/pomelohitchd/examples/capacity/permits.rs
+++ b/pomelohitchd/examples/capacity/permits.rs
@@ -8,7 +8,7 @@
 use pomelohitch_permits::home::{Bounds, Epoch};
 use pomelohitch_permits::{Homes, Resource};
 use pomelohitch_route::Dispatcher;
-use pomelohitch_route::dispatch::{Pace, Runner, ServiceTerms, View};
+use pomelohitch_route::dispatch::{AskScope, Runner, ServiceTerms, View};
 
 use crate::fleet::{Fleet, Size};
 
@@ -33,8 +33,8 @@
 
     let start = Instant::now();
     for _ in 0..LOOKS {
-        dispatcher.renew();
-        homes.review(bounds, Duration::ZERO);
+        dispatcher.refresh_shares();
+        homes.recall_excess(bounds, Duration::ZERO);
         dispatcher.expire(Duration::ZERO);
         assert_eq!(
             exchange(&mut dispatcher, &mut homes),
@@ -53,7 +53,7 @@
         epoch: 1,
         leaving: false,
     };
-    let asks = dispatcher.asks(&asker, Pace::Short, |_| true);
+    let asks = dispatcher.asks(&asker, AskScope::BelowPart, |_| true);
     for (_, ask) in &asks {
         if let Some(reply) = homes.on_ask(ask, &bounds(&ask.resource), Duration::ZERO) {
             dispatcher.on_reply(&reply);
@@ -77,7 +77,7 @@
         let runners = instances.map(|(id, instance)| Runner {
             id: id.clone(),
             addr: instance.addr,
-            near: true,
+            is_same_zone: true,
         });
         (pool.clone(), runners.collect())
     };
--- a/pomelohitchd/src/front/exchange.rs
+++ b/pomelohitchd/src/front/exchange.rs
@@ -10,7 +10,7 @@
 use pomelohitch_core::state::Phase;
 use pomelohitch_core::{State, key};
 use pomelohitch_peer::permits::Verdict;
-use pomelohitch_route::dispatch::{End, Sent};
+use pomelohitch_route::dispatch::{Completion, Sent};
 use pomelohitch_route::headers::Headers;
 use pomelohitch_route::problem::Kind;
 use pomelohitch_route::send::{self, Answer, Connection, Outgoing, Sender};
@@ -173,13 +173,13 @@
         let mut sent = permits::acquire(&self.node, &wanted).map_err(no_turn)?;
         let mut may_have_run = false;
         let mut connection = if call.terms.idempotent {
-            Connection::Kept
+            Connection::Reused
         } else {
-            Connection::Fresh
+            Connection::New
         };
         loop {
             if let Err(problem) = self.check_again(call, &sent) {
-                permits::end(&self.node, &sent, End::Refused);
+                permits::end(&self.node, &sent, Completion::Refused);
                 let ran = if may_have_run { Ran::Unknown } else { Ran::No };
                 return Err(Problem { ran, ..problem });
             }
@@ -190,7 +190,7 @@
             may_have_run |= !error.is_not_run();
             if let Some(next) = self.next_try(call, &sent, &error) {
                 // Whatever made the first try fail, the next one doesn't trust old connections.
-                connection = Connection::Fresh;
+                connection = Connection::New;
                 sent = next;
                 continue;
             }
@@ -222,7 +222,7 @@
         let state = self.node.state.load();
         let runner = state.fleet.instances.get(&sent.runner);
         if runner.is_none_or(|runner| runner.phase != Phase::Active) {
-            permits::end(&self.node, sent, End::Refused);
+            permits::end(&self.node, sent, Completion::Refused);
             return Err(send::Error::Unsent {
                 reason: "the runner takes no new work".into(),
             });
@@ -241,8 +241,8 @@
     /// time on finding that out.
     fn limit_of_try(&self, call: &Call, connection: Connection, left: Duration) -> Duration {
         match connection {
-            Connection::Fresh => left,
-            Connection::Kept => permits::patience(&self.node, &call.service.id)
+            Connection::New => left,
+            Connection::Reused => permits::patience(&self.node, &call.service.id)
                 .map_or(left, |patience| left.min(patience)),
         }
     }
@@ -277,12 +277,12 @@
     Err(Problem::not_run(Kind::NoRunner, detail).retry_after(NO_RUNNER_RETRY_AFTER))
 }
 
-fn end_of(answered: &send::Result<Answer>) -> End {
+fn end_of(answered: &send::Result<Answer>) -> Completion {
     match answered {
-        Ok(_) => End::Answered,
-        Err(send::Error::Unsent { .. }) => End::Unsent,
-        Err(send::Error::NotStarted) => End::Refused,
-        Err(send::Error::Late | send::Error::Lost { .. }) => End::Unknown,
+        Ok(_) => Completion::Answered,
+        Err(send::Error::Unsent { .. }) => Completion::Unsent,
+        Err(send::Error::NotStarted) => Completion::Refused,
+        Err(send::Error::Late | send::Error::Lost { .. }) => Completion::Unknown,
     }
 }
 
--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -18,7 +18,7 @@
 use pomelohitch_core::id::{Incarnation, InstanceId, MemberId, Offset, ServiceId, TeamId};
 use pomelohitch_peer::{Call, Command, Commands};
 use pomelohitch_permits::{Homes, Monotonic, Resource};
-use pomelohitch_route::dispatch::{End, Sent};
+use pomelohitch_route::dispatch::{Completion, Sent};
 use pomelohitch_route::queue::{Refusal, Waiting};
 use pomelohitch_route::{Dispatcher, Priority};
 
@@ -181,7 +181,7 @@
             deadline: now + wanted.deadline.saturating_duration_since(Instant::now()),
             token: tx,
         };
-        inner.dispatcher.first_try(wanted.service);
+        inner.dispatcher.record_first_attempt(wanted.service);
         let offered = inner.dispatcher.offer(wanted.service, req, now);
         offered.map_err(NoTurn::Refused)?;
         inner.pump(node, now);
@@ -234,15 +234,15 @@
 /// `None` if another one may not be made.
 #[must_use]
 pub fn patience(node: &Node, service: &ServiceId) -> Option<Duration> {
-    node.permits.lock().dispatcher.patience(service)
+    node.permits.lock().dispatcher.attempt_timeout(service)
 }
 
 /// Notes how a request that was sent ended, and lets others have their turn.
-pub fn end(node: &Node, sent: &Sent, how: End) {
+pub fn end(node: &Node, sent: &Sent, how: Completion) {
     let permits = &node.permits;
     let mut inner = permits.lock();
     let now = permits.now();
-    inner.dispatcher.end(sent, how, now);
+    inner.dispatcher.complete(sent, how, now);
     inner.pump(node, now);
 }
 
@@ -276,7 +276,7 @@
             return;
         }
         if self.seen.incarnation != incarnation {
-            self.dispatcher.forget_permits();
+            self.dispatcher.start_incarnation();
         }
         self.stir(now);
         self.take_over(node, &state, &news, now);
@@ -292,7 +292,7 @@
         self.keys.enter(&epoch, now);
         self.homes.enter(epoch);
         for resource in self.limits.lowered(state) {
-            self.dispatcher.confirm(&resource);
+            self.dispatcher.require_confirmation(&resource);
         }
         let view = view::view(&node.settings, state, news);
         if *self.dispatcher.view() != view {
@@ -313,7 +313,7 @@
         for (turn, sent) in self.dispatcher.dispatch(now, is_covered) {
             if let Err(mpsc::SendError(Some(sent))) = turn.send(Some(sent)) {
                 // Its caller was told meanwhile that the deadline passed; nothing was sent.
-                self.dispatcher.end(&sent, End::Refused, now);
+                self.dispatcher.complete(&sent, Completion::Refused, now);
             }
         }
     }
--- a/pomelohitchd/src/permits/borders.rs
+++ b/pomelohitchd/src/permits/borders.rs
@@ -168,7 +168,7 @@
     ) -> Option<DivideLimit> {
         let resource = Resource::Team(team.id.clone());
         let bounds = self.bounds(state, &resource);
-        let demand = self.homes.settled(&resource, &bounds, now)?;
+        let demand = self.homes.settled_demand(&resource, &bounds, now)?;
         let active = state.jobs.active_of(&team.id);
         let wants = Wants {
             active,
--- a/pomelohitchd/src/permits/exchange.rs
+++ b/pomelohitchd/src/permits/exchange.rs
@@ -11,7 +11,7 @@
 use pomelohitch_permits::holder::Asker;
 use pomelohitch_permits::home::Bounds;
 use pomelohitch_permits::{Ask, Monotonic, Resource};
-use pomelohitch_route::dispatch::Pace;
+use pomelohitch_route::dispatch::AskScope;
 
 use super::{Inner, view};
 use crate::node::Node;
@@ -45,7 +45,7 @@
     inner.expire(now);
     let is_telling = tick.is_multiple_of(TICKS_PER_SHARE_OUT);
     if is_telling {
-        inner.dispatcher.renew();
+        inner.dispatcher.refresh_shares();
         inner.review(node, now);
     }
     if node.is_leaving() {
@@ -96,7 +96,7 @@
     for resource in &batch.recalls {
         inner.dispatcher.recall(resource);
     }
-    inner.dispatcher.heard(batch.member, batch.loads);
+    inner.dispatcher.set_peer_loads(batch.member, batch.loads);
     replies
 }
 
@@ -110,7 +110,7 @@
     fn review(&mut self, node: &Node, now: Monotonic) {
         let state = node.state.load();
         let mut homes = std::mem::take(&mut self.homes);
-        homes.review(|resource| self.bounds(&state, resource), now);
+        homes.recall_excess(|resource| self.bounds(&state, resource), now);
         self.homes = homes;
     }
 
@@ -152,17 +152,17 @@
             return BTreeMap::new();
         }
         let loads = self.dispatcher.loads();
-        let pace = if all && !(loads.is_empty() && self.told_empty) {
-            Pace::All
+        let scope = if all && !(loads.is_empty() && self.told_empty) {
+            AskScope::All
         } else if is_telling {
-            Pace::Short
+            AskScope::BelowPart
         } else {
-            Pace::News
+            AskScope::Changed
         };
         let busy = std::mem::take(&mut self.busy);
         let asks = self
             .dispatcher
-            .asks(&asker, pace, |home| !busy.contains(home));
+            .asks(&asker, scope, |home| !busy.contains(home));
         self.busy = busy;
         let blank = || Batch {
             member: own.clone(),
--- a/pomelohitchd/src/permits/keys.rs
+++ b/pomelohitchd/src/permits/keys.rs
@@ -118,7 +118,7 @@
                 Verdict::Granted
             }
             ClaimStep::Begin if claim.asks_all || self.knows_all(own, &claim.key, now) => {
-                match self.keys.begin(&claim.key, &claim.request, now) {
+                match self.keys.grant(&claim.key, &claim.request, now) {
                     Answer::Granted => Verdict::Granted,
                     Answer::Taken => Verdict::Taken,
                     Answer::Full => Verdict::Unknown,
--- a/pomelohitchd/src/permits/view.rs
+++ b/pomelohitchd/src/permits/view.rs
@@ -61,7 +61,7 @@
             runners.push(Runner {
                 id: id.clone(),
                 addr: instance.addr,
-                near: instance.zone == settings.zone,
+                is_same_zone: instance.zone == settings.zone,
             });
         }
     }
