--- a/crates/pomelohitch-route/src/send/transport.rs
+++ b/crates/pomelohitch-route/src/send/transport.rs
@@ -1,13 +1,14 @@
-//! Connections to runners that note first bytes and find out when they went silent.
+//! TCP transport that records whether a request was written, and detects dead connections.
 //!
-//! Errors of an HTTP client don't tell whether the request left: a timeout may hit before the
-//! connection was made, or after the runner began. Saying "not run" by the kind of error would be
-//! wrong at times, and a caller who trusts it pays twice. The first byte is noted here, before it
-//! is written, whether or not the write succeeds.
+//! Errors of an HTTP client do not tell whether the request was sent: a timeout may occur before
+//! the connection is established, or after the runner started the request. Deriving "not run" from
+//! the kind of error would sometimes be wrong, and a caller that relies on it would run the request
+//! twice and be charged twice. So the first byte is recorded here before it is written, whether or
+//! not the write succeeds.
 //!
-//! Something between the two ends may lose track of a connection; then nothing arrives any more,
-//! not even an error, and a caller would wait until its own timeout. The kernel is told to probe
-//! connections that are waited on, and to give up those on which nothing is acknowledged.
+//! A middlebox may drop the state of a connection. Then nothing arrives any more, not even an
+//! error, and a caller would wait until its own timeout. So the kernel probes connections that wait
+//! for data (TCP keepalive), and closes those on which nothing is acknowledged.
 
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -23,29 +24,30 @@
 use ureq::{Agent, Error};
 
 thread_local! {
-    /// A call runs on the thread that makes it, one at a time, also when its connection was made
-    /// by another thread earlier.
-    static HANDED: Cell<bool> = const { Cell::new(false) };
+    /// Whether a byte of the current call was handed to a connection. Thread-local, since a call
+    /// runs on the thread that starts it, one at a time, even on a connection that another thread
+    /// made.
+    static HAS_STARTED_WRITING: Cell<bool> = const { Cell::new(false) };
 }
 
-/// A connection on which nothing is acknowledged for so long is given up.
-const SILENT_AFTER: Duration = Duration::from_secs(3);
-/// How often a connection that is waited on is probed.
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// Probes without an answer after which it is given up.
-const PROBES: u32 = 2;
+/// A connection is closed when sent data stays unacknowledged for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
+/// Idle time before the first keepalive probe, and interval between probes.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of unanswered probes after which a connection is closed.
+const PROBE_COUNT: u32 = 2;
 
-/// Begins a call: no byte of it was handed on yet.
-pub(super) fn begin() {
-    HANDED.set(false);
+/// Starts a call: no byte of it has been handed to a connection.
+pub(super) fn begin_call() {
+    HAS_STARTED_WRITING.set(false);
 }
 
-/// Whether a byte of the call was handed to a connection.
-pub(super) fn was_handed() -> bool {
-    HANDED.get()
+/// Whether a byte of the current call was handed to a connection.
+pub(super) fn has_started_writing() -> bool {
+    HAS_STARTED_WRITING.get()
 }
 
-/// An agent over plain TCP that notes first bytes.
+/// Creates an agent over plain TCP that uses this transport.
 pub(super) fn agent(config: Config) -> Agent {
     Agent::with_parts(config, TcpConnector, DefaultResolver::default())
 }
@@ -54,13 +56,13 @@
 struct TcpConnector;
 
 impl<In: Transport> Connector<In> for TcpConnector {
-    type Out = Link;
+    type Out = TcpTransport;
 
     fn connect(
         &self,
         details: &ConnectionDetails<'_>,
         _: Option<In>,
-    ) -> Result<Option<Link>, Error> {
+    ) -> Result<Option<TcpTransport>, Error> {
         let addr = details.addrs.first().ok_or(Error::HostNotFound)?;
         let socket = Socket::new(
             Domain::for_address(*addr),
@@ -70,7 +72,7 @@
         let limit = details
             .timeout
             .not_zero()
-            .map_or(SILENT_AFTER, |limit| *limit);
+            .map_or(UNACKNOWLEDGED_TIMEOUT, |limit| *limit);
         match socket.connect_timeout(&(*addr).into(), limit) {
             Ok(()) => {}
             Err(error) if error.kind() == ErrorKind::TimedOut => {
@@ -78,32 +80,32 @@
             }
             Err(error) => return Err(error.into()),
         }
-        watch(&socket)?;
+        enable_probes(&socket)?;
         let config = details.config;
-        Ok(Some(Link {
+        Ok(Some(TcpTransport {
             stream: socket.into(),
             buffers: LazyBuffers::new(config.input_buffer_size(), config.output_buffer_size()),
         }))
     }
 }
 
-fn watch(socket: &Socket) -> std::io::Result<()> {
+fn enable_probes(socket: &Socket) -> std::io::Result<()> {
     socket.set_tcp_nodelay(true)?;
-    socket.set_tcp_user_timeout(Some(SILENT_AFTER))?;
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(PROBE_EVERY)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+        .with_time(PROBE_INTERVAL)
+        .with_interval(PROBE_INTERVAL)
+        .with_retries(PROBE_COUNT);
     socket.set_tcp_keepalive(&probes)
 }
 
 #[derive(Debug)]
-struct Link {
+struct TcpTransport {
     stream: TcpStream,
     buffers: LazyBuffers,
 }
 
-impl Transport for Link {
+impl Transport for TcpTransport {
     fn buffers(&mut self) -> &mut dyn Buffers {
         &mut self.buffers
     }
@@ -111,10 +113,10 @@
     fn transmit_output(&mut self, amount: usize, timeout: NextTimeout) -> Result<(), Error> {
         let limit = timeout.not_zero().map(|limit| *limit);
         self.stream.set_write_timeout(limit)?;
-        HANDED.set(true);
+        HAS_STARTED_WRITING.set(true);
         let output = &self.buffers.output()[..amount];
         let written = (&self.stream).write_all(output);
-        written.map_err(|error| timed(error, timeout))
+        written.map_err(|error| map_timeout(error, timeout))
     }
 
     fn await_input(&mut self, timeout: NextTimeout) -> Result<bool, Error> {
@@ -124,14 +126,14 @@
         let amount = loop {
             match (&self.stream).read(input) {
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                read => break read.map_err(|error| timed(error, timeout))?,
+                read => break read.map_err(|error| map_timeout(error, timeout))?,
             }
         };
         self.buffers.input_appended(amount);
         Ok(amount > 0)
     }
 
-    /// Whether a kept connection can be used again: nothing is waiting in it, not even its end.
+    /// Whether an idle connection can be reused: no data and no end of stream is pending.
     fn is_open(&mut self) -> bool {
         let socket = SockRef::from(&self.stream);
         if socket.set_nonblocking(true).is_err() {
@@ -143,8 +145,8 @@
     }
 }
 
-/// A read or write that ran into the limit set for it says "would block".
-fn timed(error: std::io::Error, timeout: NextTimeout) -> Error {
+/// Converts an I/O error. A read or write that reaches its timeout reports `WouldBlock`.
+fn map_timeout(error: std::io::Error, timeout: NextTimeout) -> Error {
     match error.kind() {
         ErrorKind::WouldBlock => Error::Timeout(timeout.reason),
         _ => Error::Io(error),
