--- a/crates/pomelohitch-place/examples/measure/main.rs
+++ b/crates/pomelohitch-place/examples/measure/main.rs
@@ -13,7 +13,7 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-use pomelohitch_place::planner::TeamTerms;
+use pomelohitch_place::planner::TeamQuota;
 use pomelohitch_place::{Options, Planner};
 
 mod baseline;
@@ -101,11 +101,11 @@
     };
     let planner = RefCell::new(Planner::new(Options::default()));
     for (team, share) in &load.shares {
-        let terms = TeamTerms {
+        let quota = TeamQuota {
             share: *share,
             limit: u32::MAX,
         };
-        planner.borrow_mut().set_team(team, terms);
+        planner.borrow_mut().set_team(team, quota);
     }
     if is_wanted("ours") {
         print(
@@ -123,11 +123,15 @@
         set_job: Box::new(|id, state, now| {
             planner.borrow_mut().set_job(id, state.jobs.get(id), now);
         }),
-        observe_usage: Box::new(|id, attempt, used| planner.borrow_mut().used(id, attempt, used)),
+        observe_usage: Box::new(|id, attempt, used| {
+            planner.borrow_mut().observe_usage(id, attempt, used);
+        }),
         observe_end: Box::new(|id, attempt, end, now| {
-            planner.borrow_mut().ended(id, attempt, end, now);
+            planner.borrow_mut().observe_end(id, attempt, end, now);
+        }),
+        observe_memory_kill: Box::new(|id, memory| {
+            planner.borrow_mut().observe_memory_kill(id, memory);
         }),
-        observe_memory_kill: Box::new(|id, memory| planner.borrow_mut().memory_killed(id, memory)),
         decide: Box::new(|now| planner.borrow_mut().decide(now)),
     }
 }
--- a/crates/pomelohitch-place/src/planner.rs
+++ b/crates/pomelohitch-place/src/planner.rs
@@ -119,7 +119,7 @@
 
 /// Share and limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TeamTerms {
+pub struct TeamQuota {
     /// Weight of the team when the fleet is fully allocated.
     pub share: u32,
     /// Maximum number of attempts at a time.
@@ -338,7 +338,7 @@
 
     /// Number of waiting jobs, including those that fit no worker.
     #[must_use]
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         let queues = self.teams.values();
         let queued: usize = queues.map(|t| t.urgent.len() + t.patient.len()).sum();
         queued + self.unschedulable.len()
--- a/crates/pomelohitch-place/src/planner/accounting.rs
+++ b/crates/pomelohitch-place/src/planner/accounting.rs
@@ -2,7 +2,7 @@
 
 use super::{
     AttemptEnd, AttemptId, Duration, Entry, Index, InstanceId, JobId, JobState, JobStatus, Layout,
-    Machine, Planner, Queue, QueueKey, Resources, Task, Team, TeamId, TeamTerms, Worker,
+    Machine, Planner, Queue, QueueKey, Resources, Task, Team, TeamId, TeamQuota, Worker,
 };
 use super::{Job, dominant_share};
 
@@ -92,11 +92,11 @@
     }
 
     /// Adds a team or updates its share and limit.
-    pub fn set_team(&mut self, id: &TeamId, terms: TeamTerms) {
+    pub fn set_team(&mut self, id: &TeamId, quota: TeamQuota) {
         let team = self.teams.entry(id.clone()).or_default();
-        if team.share != terms.share || team.limit != terms.limit {
-            team.share = terms.share;
-            team.limit = terms.limit;
+        if team.share != quota.share || team.limit != quota.limit {
+            team.share = quota.share;
+            team.limit = quota.limit;
             self.has_changed = true;
         }
     }
@@ -297,7 +297,7 @@
 
     /// Applies a usage report of an attempt, and raises its allocation if it used more. Ignored if
     /// the attempt is no longer current.
-    pub fn used(&mut self, id: &JobId, attempt: AttemptId, used: &Resources) {
+    pub fn observe_usage(&mut self, id: &JobId, attempt: AttemptId, used: &Resources) {
         let Some(mut job) = self.jobs.remove(id) else {
             return;
         };
@@ -315,7 +315,7 @@
     }
 
     /// Applies the end of an attempt that wasn't stopped; ignored if it is no longer current.
-    pub fn ended(&mut self, id: &JobId, attempt: AttemptId, end: AttemptEnd, now: Duration) {
+    pub fn observe_end(&mut self, id: &JobId, attempt: AttemptId, end: AttemptEnd, now: Duration) {
         let Some(job) = self.jobs.get(id) else { return };
         let JobStatus::Assigned(task) = &job.status else {
             return;
@@ -336,7 +336,7 @@
     }
 
     /// Raises the need of a job's class after the job was killed for its memory use, in mebibytes.
-    pub fn memory_killed(&mut self, id: &JobId, memory_mib: u64) {
+    pub fn observe_memory_kill(&mut self, id: &JobId, memory_mib: u64) {
         if let Some(job) = self.jobs.get(id) {
             self.sizes
                 .observe_memory_kill(&job.entry.job.class, memory_mib);
--- a/crates/pomelohitch-place/src/planner/maintenance.rs
+++ b/crates/pomelohitch-place/src/planner/maintenance.rs
@@ -72,7 +72,7 @@
 
     /// Places no job on `worker` for `refusal_backoff`, after it refused to start one although the
     /// accounting has enough free capacity there.
-    pub fn shun(&mut self, worker: &InstanceId, now: Duration) {
+    pub fn observe_start_refusal(&mut self, worker: &InstanceId, now: Duration) {
         let until = now + self.options.refusal_backoff;
         self.backing_off.insert(worker.clone(), until);
         self.update_indices(worker);
@@ -207,7 +207,7 @@
 
     /// Number of tasks on workers, for the metrics.
     #[must_use]
-    pub fn tasks(&self) -> usize {
+    pub fn task_count(&self) -> usize {
         let is_on = |job: &&super::Job| matches!(job.status, JobStatus::Assigned(Task { .. }));
         self.jobs.values().filter(is_on).count()
     }
--- a/crates/pomelohitch-place/src/planner/reservations.rs
+++ b/crates/pomelohitch-place/src/planner/reservations.rs
@@ -208,7 +208,7 @@
             .into_iter();
         let earliest = found.min_by_key(|&slot| {
             let machine = &self.machines[&self.layout.workers[slot]];
-            (self.free_at(machine, need, now), slot)
+            (self.expected_free_at(machine, need, now), slot)
         });
         Some(self.layout.workers[earliest?].clone())
     }
@@ -235,7 +235,7 @@
 
     /// When `machine` is expected to have enough free capacity for `need`, by the expected ends of
     /// its tasks.
-    fn free_at(&self, machine: &Machine, need: &Resources, now: Duration) -> Duration {
+    fn expected_free_at(&self, machine: &Machine, need: &Resources, now: Duration) -> Duration {
         let mut ends: Vec<_> = machine
             .tasks
             .iter()
--- a/crates/pomelohitch-place/tests/place/decisions.rs
+++ b/crates/pomelohitch-place/tests/place/decisions.rs
@@ -245,7 +245,9 @@
 fn a_worker_that_refused_a_start_gets_no_job_during_the_backoff() {
     let mut fleet = TestFleet::new(2);
     fleet.team("a", 1, 99);
-    fleet.planner.shun(&"w00".into(), fleet.now);
+    fleet
+        .planner
+        .observe_start_refusal(&"w00".into(), fleet.now);
     fleet.submit(job("p1", "a", 4));
     insta::assert_snapshot!(show(&fleet.decide()), @"place p1 on w01 (4000)");
     fleet.advance(Duration::from_secs(6));
@@ -271,7 +273,7 @@
         memory_mib: 8192,
         accelerators: 0,
     };
-    fleet.planner.used(&"p1".into(), attempt, &used);
+    fleet.planner.observe_usage(&"p1".into(), attempt, &used);
     let decision = fleet.decide();
     assert_eq!(decision.throttle.len(), 1);
     assert!(decision.preempt.is_empty());
--- a/crates/pomelohitch-place/tests/place/harness.rs
+++ b/crates/pomelohitch-place/tests/place/harness.rs
@@ -9,7 +9,7 @@
 use pomelohitch_core::record::job::{Job, Resources, Urgency};
 use pomelohitch_core::state::JobState;
 use pomelohitch_core::state::jobs::{Attempt, Entry, StopCause};
-use pomelohitch_place::planner::TeamTerms;
+use pomelohitch_place::planner::TeamQuota;
 use pomelohitch_place::{Decision, Options, Planner, Worker};
 
 /// A planner with the job entries that the log would hold.
@@ -37,7 +37,7 @@
 
     pub fn team(&mut self, id: &str, share: u32, limit: u32) {
         self.planner
-            .set_team(&id.into(), TeamTerms { share, limit });
+            .set_team(&id.into(), TeamQuota { share, limit });
     }
 
     pub fn submit(&mut self, job: Job) {
--- a/crates/pomelohitch-place/tests/place/sizes.rs
+++ b/crates/pomelohitch-place/tests/place/sizes.rs
@@ -27,10 +27,10 @@
         .attempt()
         .expect("the job was placed")
         .attempt;
-    fleet.planner.used(&id, attempt, &used(memory_mib));
+    fleet.planner.observe_usage(&id, attempt, &used(memory_mib));
     fleet.advance(Duration::from_secs(10));
     let (end, now) = (AttemptEnd::Succeeded, fleet.now);
-    fleet.planner.ended(&id, attempt, end, now);
+    fleet.planner.observe_end(&id, attempt, end, now);
     fleet.end(&id);
 }
 
@@ -77,7 +77,7 @@
     fleet.team("a", 1, 99);
     fleet.submit(job("j", "a", 8));
     fleet.decide();
-    fleet.planner.memory_killed(&"j".into(), 10_000);
+    fleet.planner.observe_memory_kill(&"j".into(), 10_000);
     fleet.update(&"j".into(), |entry| {
         entry.memory_floor_mib = 15_001;
         entry.state = JobState::Waiting;
--- a/pomelohitchd/examples/capacity/operators.rs
+++ b/pomelohitchd/examples/capacity/operators.rs
@@ -9,7 +9,7 @@
 use pomelohitch_core::record::job::Resources;
 use pomelohitch_core::status::Status;
 use pomelohitch_place::Planner;
-use pomelohitch_place::planner::{Options, TeamTerms};
+use pomelohitch_place::planner::{Options, TeamQuota};
 use pomelohitch_place::worker::Worker;
 
 use crate::fleet::{Fleet, Size, instance};
@@ -70,11 +70,11 @@
     let now = Duration::from_secs(1);
     let mut planner = Planner::new(Options::default());
     for (id, team) in &state.config.teams {
-        let terms = TeamTerms {
+        let quota = TeamQuota {
             share: team.share,
             limit: team.limit,
         };
-        planner.set_team(id, terms);
+        planner.set_team(id, quota);
     }
     for n in 0..size.instances {
         planner.set_worker(worker(n), now);
--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -11,7 +11,7 @@
 use pomelohitch_core::state::{JobState, Phase};
 use pomelohitch_core::{State, Verdict};
 use pomelohitch_place::health::AttemptEnd;
-use pomelohitch_place::planner::TeamTerms;
+use pomelohitch_place::planner::TeamQuota;
 use pomelohitch_place::{Decision, Options, Planner, Worker};
 use pomelohitch_platform::workers::{self as platform, Action, Listed, Reports, Start};
 use tracing::{info, warn};
@@ -122,17 +122,17 @@
             Arc::ptr_eq(&known.config, &state.config) && Arc::ptr_eq(&known.limits, &state.limits);
         if !is_same {
             for (id, team) in &state.config.teams {
-                let terms = TeamTerms {
+                let quota = TeamQuota {
                     share: team.share,
                     limit: state.limits.jobs_of(team),
                 };
-                self.planner.set_team(id, terms);
+                self.planner.set_team(id, quota);
             }
             // The fold places nothing of a team that is gone; a planner that tried all the same
             // would append a useless decision with every step.
             let is_gone = |id: &&TeamId| !state.config.teams.contains_key(*id);
             for id in known.config.teams.keys().filter(is_gone) {
-                self.planner.set_team(id, TeamTerms { share: 1, limit: 0 });
+                self.planner.set_team(id, TeamQuota { share: 1, limit: 0 });
             }
         }
         let news = self.node.bad_news.load_full();
@@ -240,7 +240,7 @@
                     if event == Event::NotStarted {
                         // The worker has less room than the books say; asking it again at once
                         // would go round and round.
-                        self.planner.shun(&ask.attempt.worker, now);
+                        self.planner.observe_start_refusal(&ask.attempt.worker, now);
                     }
                     self.pending.push(Report {
                         job: ask.job,
@@ -294,7 +294,7 @@
         let (id, attempt) = (&report.job, report.op);
         let event = match report.event {
             platform::Event::Usage => {
-                self.planner.used(id, attempt, &report.used);
+                self.planner.observe_usage(id, attempt, &report.used);
                 return;
             }
             platform::Event::Started => Event::Started,
@@ -309,10 +309,13 @@
         };
         match event {
             Event::Succeeded => {
-                self.planner.ended(id, attempt, AttemptEnd::Succeeded, now);
+                self.planner
+                    .observe_end(id, attempt, AttemptEnd::Succeeded, now);
             }
-            Event::Failed => self.planner.ended(id, attempt, AttemptEnd::Failed, now),
-            Event::MemoryKilled { memory_mib } => self.planner.memory_killed(id, memory_mib),
+            Event::Failed => self
+                .planner
+                .observe_end(id, attempt, AttemptEnd::Failed, now),
+            Event::MemoryKilled { memory_mib } => self.planner.observe_memory_kill(id, memory_mib),
             _ => {}
         }
         // The log may be ahead of the state known here, so that only what certainly changes
