--- a/crates/pomelohitch-place/tests/place/books.rs
+++ b/crates/pomelohitch-place/tests/place/harness.rs
@@ -1,4 +1,4 @@
-//! A planner with a log that takes everything over at once.
+//! A simulated fleet: a planner, and a log that accepts every decision immediately.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,81 +9,81 @@
 use pomelohitch_core::record::job::{Job, Resources, Urgency};
 use pomelohitch_core::state::JobState;
 use pomelohitch_core::state::jobs::{Attempt, Entry, StopCause};
-use pomelohitch_place::planner::TeamTerms;
+use pomelohitch_place::planner::TeamQuota;
 use pomelohitch_place::{Decision, Options, Planner, Worker};
 
-/// A planner, and what the log has of every job.
-pub struct Site {
+/// A planner with the job entries that the log would hold.
+pub struct TestFleet {
     pub planner: Planner,
     pub entries: BTreeMap<JobId, Entry>,
     pub now: Duration,
-    next: u64,
+    next_offset: u64,
 }
 
-impl Site {
-    /// `count` workers of 16 processors and 64 GiB, four in a rack, four zones.
-    pub fn new(count: usize) -> Site {
-        let mut site = Site {
+impl TestFleet {
+    /// Creates `count` workers of 16 processors and 64 GiB, four per rack, in up to four zones.
+    pub fn new(count: usize) -> TestFleet {
+        let mut fleet = TestFleet {
             planner: Planner::new(Options::default()),
             entries: BTreeMap::new(),
             now: Duration::ZERO,
-            next: 1,
+            next_offset: 1,
         };
         for number in 0..count {
-            site.planner.set_worker(worker(number), Duration::ZERO);
+            fleet.planner.set_worker(worker(number), Duration::ZERO);
         }
-        site
+        fleet
     }
 
     pub fn team(&mut self, id: &str, share: u32, limit: u32) {
         self.planner
-            .set_team(&id.into(), TeamTerms { share, limit });
+            .set_team(&id.into(), TeamQuota { share, limit });
     }
 
     pub fn submit(&mut self, job: Job) {
         let id = job.id.clone();
         let entry = Entry {
             job: Arc::new(job),
-            submitted: self.next,
+            submitted: self.next_offset,
             state: JobState::Waiting,
             attempts: 0,
             checkpointed: false,
             failed_on: Vec::new(),
             memory_floor_mib: 0,
         };
-        self.next += 1;
-        self.set(&id, entry);
+        self.next_offset += 1;
+        self.set_entry(&id, entry);
     }
 
-    pub fn set(&mut self, id: &JobId, entry: Entry) {
+    pub fn set_entry(&mut self, id: &JobId, entry: Entry) {
         self.planner.set_job(id, Some(&entry), self.now);
         self.entries.insert(id.clone(), entry);
     }
 
-    /// Changes the state of a job.
-    pub fn turn(&mut self, id: &JobId, change: impl FnOnce(&mut Entry)) {
+    /// Changes a job's entry and passes it to the planner.
+    pub fn update(&mut self, id: &JobId, change: impl FnOnce(&mut Entry)) {
         let mut entry = self.entries[id].clone();
         change(&mut entry);
-        self.set(id, entry);
+        self.set_entry(id, entry);
     }
 
-    /// Decides, and takes everything over.
+    /// Makes a decision and applies it to the entries, as the log would.
     pub fn decide(&mut self) -> Decision {
         let decision = self.planner.decide(self.now);
         for placement in &decision.place {
             let attempt = Attempt {
-                attempt: self.next,
+                attempt: self.next_offset,
                 worker: placement.worker.clone(),
                 reserve: placement.reserve,
             };
-            self.next += 1;
-            self.turn(&placement.job, |entry| {
+            self.next_offset += 1;
+            self.update(&placement.job, |entry| {
                 entry.attempts += 1;
                 entry.state = JobState::Running(attempt);
             });
         }
         for preemption in &decision.preempt {
-            self.turn(&preemption.job, |entry| {
+            self.update(&preemption.job, |entry| {
                 let attempt = entry
                     .attempt()
                     .expect("only attempts are preempted")
@@ -97,32 +97,32 @@
         decision
     }
 
-    /// The job is over.
+    /// Removes a job that has ended.
     pub fn end(&mut self, id: &JobId) {
         self.planner.set_job(id, None, self.now);
         self.entries.remove(id);
     }
 
-    /// Every checkpoint that was asked for is done.
+    /// Completes all preemptions that are in progress: their jobs wait again.
     pub fn finish_checkpoints(&mut self) {
         let is_stopping = |entry: &&Entry| matches!(entry.state, JobState::Stopping(..));
         let stopping = self.entries.values().filter(is_stopping);
         let ids: Vec<JobId> = stopping.map(|entry| entry.job.id.clone()).collect();
         for id in ids {
-            self.turn(&id, |entry| {
+            self.update(&id, |entry| {
                 entry.state = JobState::Waiting;
                 entry.checkpointed = true;
             });
         }
     }
 
-    /// Where a job runs.
+    /// The worker of a job's current attempt.
     pub fn worker_of(&self, id: &str) -> Option<&str> {
         let attempt = self.entries.get(id)?.attempt()?;
         Some(&attempt.worker)
     }
 
-    pub fn after(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now += time;
     }
 }
@@ -141,7 +141,7 @@
     }
 }
 
-/// A patient job of so many processors, for a minute.
+/// A patient job with this many processors and GiB of memory and a run time of one minute.
 pub fn job(id: &str, team: &str, processors: u64) -> Job {
     Job {
         id: id.into(),
@@ -168,7 +168,7 @@
     }
 }
 
-/// A decision as lines of text.
+/// Formats a decision as lines of text.
 pub fn show(decision: &Decision) -> String {
     let mut text = String::new();
     for placement in &decision.place {
@@ -178,19 +178,19 @@
             "place {} on {} ({cpu})",
             placement.job, placement.worker
         )
-        .expect("a string");
+        .expect("writing to a string never fails");
     }
     for preemption in &decision.preempt {
-        writeln!(text, "preempt {}", preemption.job).expect("a string");
+        writeln!(text, "preempt {}", preemption.job).expect("writing to a string never fails");
     }
     for id in &decision.refuse {
-        writeln!(text, "refuse {id}").expect("a string");
+        writeln!(text, "refuse {id}").expect("writing to a string never fails");
     }
     for worker in &decision.quarantine {
-        writeln!(text, "quarantine {worker}").expect("a string");
+        writeln!(text, "quarantine {worker}").expect("writing to a string never fails");
     }
     for worker in &decision.release {
-        writeln!(text, "release {worker}").expect("a string");
+        writeln!(text, "release {worker}").expect("writing to a string never fails");
     }
     text
 }
--- a/crates/pomelohitch-route/src/dispatch/parts.rs
+++ b/crates/pomelohitch-route/src/dispatch/parts.rs
@@ -1,9 +1,10 @@
-//! What this entry instance and each of its teams are owed of every pool.
+//! Computes the share of every pool that this entry instance and each of its teams are entitled to.
 //!
-//! A team may sit behind one entry instance while others are spread over all. Evened out inside
-//! each entry instance alone, such a team would get a part of that one's slots and no more. So
-//! every member works out what each team is owed of the whole pool, from what all members have,
-//! and each asks for the slots that its teams are owed there.
+//! All callers of a team may reach the fleet through one entry instance, while other teams are
+//! spread over all of them. If each entry instance divided only its own slots, such a team would
+//! get no more than a part of that instance's slots. So every member computes each team's share of
+//! the whole pool from the loads of all members, and asks for the slots that its own teams are
+//! entitled to.
 
 use std::collections::BTreeMap;
 
@@ -13,60 +14,60 @@
 use super::Dispatcher;
 use crate::fair::{self, Claimant};
 
-/// What every member has of every team's requests to a pool.
+/// Demand for a pool in slots, by team and member.
 type Demands<'a> = BTreeMap<&'a TeamId, BTreeMap<&'a MemberId, f64>>;
 
-/// What besides the view decides what is owed and wanted. While it stays the same, so do they,
-/// and an entry instance without requests need not go over every runner to find that out.
+/// Inputs other than the view that determine weights and wanted permits. The results are recomputed
+/// only when these change, so that an idle entry instance does not iterate over all runners.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Basis {
+pub(super) struct ShareInputs {
     own: Vec<Load>,
     peers: BTreeMap<MemberId, Vec<Load>>,
     is_leaving: bool,
 }
 
 impl<T> Dispatcher<T> {
-    /// Lets what came lately fade and works out anew what is owed and wanted; to be called once in
-    /// [`FADE_EVERY`](crate::queue::FADE_EVERY).
-    pub fn renew(&mut self) {
-        // Faded first, as what peers have told is: else each would find itself to need more than
-        // the others.
+    /// Decays the recent arrivals of all queues and recomputes weights and wanted permits; to be
+    /// called once every [`ARRIVAL_DECAY_INTERVAL`](crate::queue::ARRIVAL_DECAY_INTERVAL).
+    pub fn refresh_shares(&mut self) {
+        // Decays first, since the loads reported by peers are decayed as well. Otherwise each
+        // member would consider its own demand larger than that of the others.
         for queue in self.queues.values_mut() {
-            queue.fade();
+            queue.decay_arrivals();
         }
-        self.share_out();
+        self.update_shares();
     }
 
-    /// Works out what is owed and wanted.
-    pub(super) fn share_out(&mut self) {
-        let basis = Basis {
+    /// Recomputes weights and wanted permits if their inputs have changed.
+    pub(super) fn update_shares(&mut self) {
+        let share_inputs = ShareInputs {
             own: self.loads(),
             peers: self.peers.clone(),
             is_leaving: self.is_leaving,
         };
-        if self.basis.as_ref() != Some(&basis) {
-            self.share_out_by(&basis.own);
-            self.basis = Some(basis);
-            self.has_exchanged = true;
+        if self.share_inputs.as_ref() != Some(&share_inputs) {
+            self.compute_shares(&share_inputs.own);
+            self.share_inputs = Some(share_inputs);
+            self.permits_changed = true;
         }
-        if std::mem::take(&mut self.has_exchanged) {
+        if std::mem::take(&mut self.permits_changed) {
             self.set_queue_slots();
         }
     }
 
-    fn share_out_by(&mut self, own_loads: &[Load]) {
+    fn compute_shares(&mut self, own_loads: &[Load]) {
         let mut wants = BTreeMap::new();
         let mut weights = Vec::new();
         for pool in self.view.pools.keys() {
             let demands = self.demands(pool, own_loads);
-            self.share_pool(pool, &demands, &mut wants, &mut weights);
+            self.divide_pool(pool, &demands, &mut wants, &mut weights);
         }
         for team in self.view.shares.keys() {
             let own = own_loads.iter().filter(|load| load.team == *team);
             let want = own.map(|load| load.running + load.waiting).sum();
             wants.insert(Resource::Team(team.clone()), want);
         }
-        // What is still held of something that is gone has to be given back.
+        // Permits of resources that no longer exist are returned.
         for (resource, holder) in &self.holders {
             if holder.held() > 0 {
                 wants.entry(resource.clone()).or_insert(0);
@@ -103,7 +104,7 @@
         demands
     }
 
-    fn share_pool(
+    fn divide_pool(
         &self,
         pool: &PoolId,
         demands: &Demands<'_>,
@@ -125,10 +126,10 @@
                 demand: demands[*team].values().sum(),
             })
             .collect();
-        let owed = fair::water_fill(capacity, &claimants);
+        let entitled = fair::water_fill(capacity, &claimants);
         let members: Vec<_> = self.view.members.iter().collect();
-        let unused = (capacity - owed.iter().sum::<f64>()).max(0.0);
-        // What nobody asks for is spread evenly: the next burst may arrive anywhere.
+        let unused = (capacity - entitled.iter().sum::<f64>()).max(0.0);
+        // Unclaimed capacity is spread evenly, since the next burst may arrive at any member.
         let each = unused / f64::from(u32::try_from(members.len().max(1)).unwrap_or(1));
         let mut parts = vec![each; members.len()];
         if let Some(own) = members.iter().position(|member| **member == self.view.own)
@@ -136,13 +137,13 @@
         {
             parts[own] = 0.0;
         }
-        for ((team, owed), claimant) in teams.iter().zip(&owed).zip(&claimants) {
+        for ((team, entitled), claimant) in teams.iter().zip(&entitled).zip(&claimants) {
             for (member, part) in members.iter().zip(&mut parts) {
                 let demand = demands[*team].get(*member).copied().unwrap_or(0.0);
                 if claimant.demand <= 0.0 || demand <= 0.0 {
                     continue;
                 }
-                let here = owed * demand / claimant.demand;
+                let here = entitled * demand / claimant.demand;
                 *part += here;
                 if **member == self.view.own {
                     let of_team = services.iter().map(|(id, _)| (*id).clone());
@@ -150,16 +151,16 @@
                 }
             }
         }
-        let layout = fair::lay_out(&parts, runners.len(), slots);
+        let assignment = fair::assign_slots(&parts, runners.len(), slots);
         let own = members.iter().position(|member| **member == self.view.own);
         for (i, runner) in runners.iter().enumerate() {
-            let want = own.map_or(0, |own| layout[own][i]);
+            let want = own.map_or(0, |own| assignment[own][i]);
             wants.insert(Resource::Slots(runner.id.clone()), want);
         }
     }
 
-    /// Tells each queue how many slots it can count on: those that are held, or wanted and soon
-    /// here.
+    /// Sets the number of slots that each queue can expect to use: for each runner the slots held
+    /// or wanted here, whichever is larger.
     fn set_queue_slots(&mut self) {
         for (service, queue) in &mut self.queues {
             let Some(terms) = self.view.services.get(service) else {
--- a/crates/pomelohitch-route/src/pick.rs
+++ b/crates/pomelohitch-route/src/pick.rs
@@ -1,4 +1,4 @@
-//! Which runner gets a request.
+//! Chooses the runner for a request.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,80 +7,81 @@
 
 use crate::queue::Monotonic;
 
-/// What became of a request at a runner.
+/// Result of a request at a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It answered after so long.
+    /// It answered after this time.
     Answered(Duration),
     /// It refused to start the request.
     Refused,
-    /// It couldn't be reached, or its answer was lost or late.
+    /// It could not be reached, or its answer was lost or late.
     Failed,
 }
 
-/// When a runner is left, and how it is tried again.
+/// When a failing runner is ejected (excluded from the choice), and when it is tried again.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// After so many failures in a row a runner is left.
+    /// Number of consecutive failures after which a runner is ejected.
     pub failures: u32,
-    /// How long it is left at first; doubles each time.
-    pub leave: Duration,
-    /// The longest time for which it is left.
-    pub longest_leave: Duration,
-    /// A runner so many times slower than the median is used only if no other is free.
-    pub slow: f64,
-    /// If more than this part of the runners look bad, the fault lies elsewhere.
-    pub most_left: f64,
+    /// Duration of the first ejection; doubles with each further one.
+    pub base_ejection: Duration,
+    /// Maximum duration of an ejection.
+    pub max_ejection: Duration,
+    /// A runner slower than the median by this factor is used only if no other is free.
+    pub slow_factor: f64,
+    /// Ejections are ignored if more than this fraction of the runners is ejected, since the fault
+    /// then lies elsewhere.
+    pub max_ejected_fraction: f64,
 }
 
 impl Default for Options {
     fn default() -> Self {
         Options {
             failures: 3,
-            leave: Duration::from_secs(1),
-            longest_leave: Duration::from_secs(30),
-            slow: 3.0,
-            most_left: 0.5,
+            base_ejection: Duration::from_secs(1),
+            max_ejection: Duration::from_secs(30),
+            slow_factor: 3.0,
+            max_ejected_fraction: 0.5,
         }
     }
 }
 
-/// What is known of a runner.
+/// Recent results of one runner.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Health {
     failures: u32,
-    left: u32,
-    left_until: Monotonic,
+    ejections: u32,
+    ejected_until: Monotonic,
     is_probed: bool,
-    /// Mean latency, seconds; 0 before the first answer.
+    /// Mean latency in seconds; 0 before the first answer.
     latency: f64,
 }
 
-/// A runner that could take a request now.
+/// A runner considered for a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Candidate<'a> {
     /// The runner.
     pub id: &'a InstanceId,
     /// Whether it is in the entry instance's own availability zone.
-    pub near: bool,
-    /// Requests that this entry instance has there.
+    pub is_same_zone: bool,
+    /// Number of requests of this entry instance that run there.
     pub running: u32,
-    /// Whether a permit for one more is there.
+    /// Whether this entry instance has a free permit for it.
     pub has_slot: bool,
 }
 
-/// Remembers how runners did.
+/// Chooses runners by load, zone and their recent results.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Picker {
     options: Options,
     health: BTreeMap<InstanceId, Health>,
 }
 
-/// How much the newest answer counts in the mean.
-const NEWEST: f64 = 0.1;
+/// Weight of the newest answer in the mean latency.
+const NEWEST_WEIGHT: f64 = 0.1;
 
 impl Picker {
-    /// A picker that knows nothing yet.
+    /// Creates a picker without any results.
     #[must_use]
     pub fn new(options: Options) -> Picker {
         Picker {
@@ -89,14 +90,14 @@
         }
     }
 
-    /// Forgets runners that are gone.
+    /// Drops the results of runners for which `is_known` is false.
     pub fn retain(&mut self, is_known: impl Fn(&InstanceId) -> bool) {
         self.health.retain(|id, _| is_known(id));
     }
 
-    /// Picks one of `candidates` that has a slot; `random` breaks ties.
+    /// Picks one of the `candidates` that have a slot; `random` decides between equally good ones.
     ///
-    /// `avoid` is a runner that just failed this very request.
+    /// `avoid` is the runner at which this request has just failed.
     pub fn pick(
         &mut self,
         candidates: &[Candidate<'_>],
@@ -104,90 +105,92 @@
         now: Monotonic,
         random: u64,
     ) -> Option<InstanceId> {
-        let trusts_all = self.looks_like_another_fault(candidates, now);
-        let slow = self.slow_from(candidates);
+        let ignores_ejections = self.has_common_cause(candidates, now);
+        let slow = self.slow_threshold(candidates);
         let score = |c: &Candidate<'_>| {
             let health = self.health.get(c.id);
             let is_slow = health.is_some_and(|h| h.latency > slow);
-            // Near first only among those that are equally busy: else near runners would queue
-            // while far ones idle.
-            (is_slow, c.running, !c.near)
+            // Zone is compared after load. Otherwise requests would queue at runners in this zone
+            // while runners in other zones are idle.
+            (is_slow, c.running, !c.is_same_zone)
         };
         let usable: Vec<_> = candidates
             .iter()
             .filter(|c| c.has_slot && Some(c.id) != avoid)
-            .filter(|c| trusts_all || self.may_use(c.id, now))
+            .filter(|c| ignores_ejections || self.is_available(c.id, now))
             .collect();
         let best = usable.iter().map(|c| score(c)).min()?;
         let ties: Vec<_> = usable.into_iter().filter(|c| score(c) == best).collect();
         let index = usize::try_from(random).unwrap_or(0) % ties.len();
         let id = ties[index].id.clone();
         if let Some(health) = self.health.get_mut(&id) {
-            health.is_probed = health.left > 0;
+            health.is_probed = health.ejections > 0;
         }
         Some(id)
     }
 
-    /// Notes how a runner did.
-    pub fn note(&mut self, id: &InstanceId, outcome: Outcome, now: Monotonic) {
+    /// Records the result of a request at a runner.
+    pub fn record(&mut self, id: &InstanceId, outcome: Outcome, now: Monotonic) {
         let options = self.options;
         let health = self.health.entry(id.clone()).or_default();
         health.is_probed = false;
         match outcome {
             Outcome::Answered(latency) => health.answered(latency),
-            // A full runner isn't a bad one.
+            // A runner that refuses a request is full, not faulty.
             Outcome::Refused => {}
             Outcome::Failed => health.failed(&options, now),
         }
     }
 
-    fn may_use(&self, id: &InstanceId, now: Monotonic) -> bool {
+    fn is_available(&self, id: &InstanceId, now: Monotonic) -> bool {
         let Some(health) = self.health.get(id) else {
             return true;
         };
-        let is_left = health.left > 0;
-        // One request at a time finds out whether it works again.
-        !is_left || (now >= health.left_until && !health.is_probed)
+        let is_ejected = health.ejections > 0;
+        // After the ejection time, one request at a time probes whether the runner works again.
+        !is_ejected || (now >= health.ejected_until && !health.is_probed)
     }
 
-    /// When most runners fail at once, the fault is likely the network's or this process's, or the
-    /// requests' own. Leaving them all would turn a partial fault into a whole one.
-    fn looks_like_another_fault(&self, candidates: &[Candidate<'_>], now: Monotonic) -> bool {
-        let left = candidates.iter().filter(|c| !self.may_use(c.id, now));
-        let most = self.options.most_left * to_f64(candidates.len());
-        to_f64(left.count()) > most
+    /// When most runners fail at once, the likely cause is the network, this process or the
+    /// requests themselves. Ejecting all runners would turn a partial outage into a complete one.
+    fn has_common_cause(&self, candidates: &[Candidate<'_>], now: Monotonic) -> bool {
+        let ejected = candidates.iter().filter(|c| !self.is_available(c.id, now));
+        let most = self.options.max_ejected_fraction * to_f64(candidates.len());
+        to_f64(ejected.count()) > most
     }
 
-    /// The latency from which a runner counts as slow.
-    fn slow_from(&self, candidates: &[Candidate<'_>]) -> f64 {
+    /// The latency above which a runner counts as slow.
+    fn slow_threshold(&self, candidates: &[Candidate<'_>]) -> f64 {
         let known = candidates.iter().filter_map(|c| self.health.get(c.id));
         let mut latencies: Vec<_> = known.map(|h| h.latency).filter(|l| *l > 0.0).collect();
         if latencies.len() < 3 {
             return f64::INFINITY;
         }
         latencies.sort_by(f64::total_cmp);
-        latencies[latencies.len() / 2] * self.options.slow
+        latencies[latencies.len() / 2] * self.options.slow_factor
     }
 }
 
 impl Health {
     fn answered(&mut self, latency: Duration) {
         self.failures = 0;
-        self.left = 0;
+        self.ejections = 0;
         let latency = latency.as_secs_f64();
         if self.latency == 0.0 {
             self.latency = latency;
         }
-        self.latency += NEWEST * (latency - self.latency);
+        self.latency += NEWEST_WEIGHT * (latency - self.latency);
     }
 
     fn failed(&mut self, options: &Options, now: Monotonic) {
         self.failures += 1;
-        let is_over = self.left > 0 && now >= self.left_until;
-        if is_over || (self.left == 0 && self.failures >= options.failures) {
-            let doubled = options.leave.saturating_mul(1 << self.left.min(16));
-            self.left_until = now + doubled.min(options.longest_leave);
-            self.left += 1;
+        let is_over = self.ejections > 0 && now >= self.ejected_until;
+        if is_over || (self.ejections == 0 && self.failures >= options.failures) {
+            let doubled = options
+                .base_ejection
+                .saturating_mul(1 << self.ejections.min(16));
+            self.ejected_until = now + doubled.min(options.max_ejection);
+            self.ejections += 1;
         }
     }
 }
--- a/crates/pomelohitch-route/tests/route/head.rs
+++ b/crates/pomelohitch-route/tests/route/head.rs
@@ -7,8 +7,8 @@
     }
 }
 
-/// Callers send anything. Whatever the bytes, reading them neither panics nor claims more than
-/// arrived, and a head that was read is read the same when more bytes follow it.
+/// For any input, parsing does not panic and claims no more bytes than arrived, and a parsed head
+/// stays the same when more bytes follow it.
 #[test]
 fn any_bytes_are_read_or_refused() {
     pomelohitch_property::check(|bytes: &Vec<u8>| {
@@ -20,12 +20,15 @@
             assert_eq!(head::parse(&longer, &limits()), parsed);
         }
         if parsed == Ok(None) {
-            assert!(bytes.len() < 256, "a head without end is refused");
+            assert!(
+                bytes.len() < 256,
+                "an unterminated head over the limit is refused"
+            );
         }
     });
 }
 
-/// The same with bytes that look like a request, so that the later checks are reached.
+/// The same with input that resembles a request, so that the later checks are reached.
 #[test]
 fn requests_with_any_headers_are_read_or_refused() {
     pomelohitch_property::check(|(picks, ends): &(Vec<(u8, u8, u8)>, bool)| {
@@ -69,7 +72,7 @@
 }
 
 #[test]
-fn a_length_that_only_looks_like_a_number_is_ambiguous() {
+fn a_length_that_is_not_a_plain_number_is_ambiguous() {
     for value in ["+5", "5 5", "0x5", "5,5", ""] {
         let bytes = format!("POST / HTTP/1.1\r\nHost: e\r\nContent-Length: {value}\r\n\r\n");
         let parsed = head::parse(bytes.as_bytes(), &limits());
--- a/crates/pomelohitch-sched/src/cell/follow.rs
+++ b/crates/pomelohitch-sched/src/cell/autoscaling.rs
@@ -1,4 +1,4 @@
-//! Autoscaling of pools.
+//! Autoscaling: moves instances between pools by demand.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -10,29 +10,30 @@
 use crate::order::Operation;
 use crate::pools::{self, Candidate, Move, Pool};
 
-/// How far ahead a pool provides: the time a move takes (1.5 s), until the endpoint is listed and
-/// looked at (0.3 s), and until the instance is empty (0.5 s).
-const AHEAD: Duration = Duration::from_millis(2300);
-/// A task that finds no place for so long won't by ends alone, which come within half a second.
-const SHORT_AFTER: Duration = Duration::from_millis(600);
-/// How often moves are decided.
-const EVERY: Duration = Duration::from_millis(100);
+/// Lead time for which pools provide capacity: an instance takes 0.5 s to be emptied, 1.5 s to
+/// move, and 0.3 s until its endpoint is listed and polled.
+const LEAD_TIME: Duration = Duration::from_millis(2300);
+/// A pool is short when tasks have found no place for this long. Running tasks end and free
+/// capacity within half a second, so these need more instances.
+const SHORTAGE_DELAY: Duration = Duration::from_millis(600);
+/// Interval at which moves are decided.
+const DECISION_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Cell {
-    /// Moves instances to the pools that want them, and returns the endpoints that are being
-    /// emptied for it.
-    pub(super) fn follow_demand(&mut self, is_due: &BTreeSet<InstanceId>) -> BTreeSet<EndpointId> {
+    /// Moves empty instances to the pools that need them, and returns the endpoints to be emptied
+    /// for further moves.
+    pub(super) fn autoscale(&mut self, is_due: &BTreeSet<InstanceId>) -> BTreeSet<EndpointId> {
         self.demand.refresh(self.fleet_ms());
         if !self.may_operate() {
             return BTreeSet::new();
         }
         let now = self.now.steady;
-        if now < self.followed_at + EVERY {
+        if now < self.autoscaled_at + DECISION_INTERVAL {
             return self.emptying.clone();
         }
-        self.followed_at = now;
+        self.autoscaled_at = now;
         let pools = self.pools();
-        let candidates = self.movables(is_due);
+        let candidates = self.move_candidates(is_due);
         let plan = pools::plan(&pools, &candidates, &self.settings.policy.margins);
         let mut emptying = BTreeSet::new();
         for Move { instance, to } in plan.moves {
@@ -49,7 +50,7 @@
         emptying
     }
 
-    /// Switches off what has been in surplus for a while.
+    /// Switches off surplus instances once there has been a surplus for `surplus_delay`.
     fn switch_off(&mut self, surplus: Vec<Move>) {
         let now = self.now.steady;
         if surplus.is_empty() {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Every pool with what it will want: what its queue will ask, and what lasts.
+    /// Every pool with the CPU it will need: the forecast demand plus that of lasting tasks.
     fn pools(&self) -> Vec<Pool> {
         let Some(cfg) = &self.cfg else {
             return Vec::new();
@@ -76,13 +77,16 @@
             name: name.clone(),
             is_spare: service.is_spare,
             is_short: self.is_short(name),
-            label: self.unplaced.get(name).and_then(|u| u.wanted.label.clone()),
+            label: self
+                .unplaced
+                .get(name)
+                .and_then(|u| u.requirements.label.clone()),
             backlog: if self.settings.policy.provisions_backlog {
                 self.backlog(name)
             } else {
                 0.0
             },
-            wanted: self.demand.peak(name, self.fleet_ms(), AHEAD) + self.lasting_need(name),
+            wanted: self.demand.peak(name, self.fleet_ms(), LEAD_TIME) + self.lasting_cpu(name),
             peak_soon: self
                 .demand
                 .forecast(
@@ -90,36 +94,36 @@
                     self.fleet_ms(),
                     self.settings.policy.margins.keep_within,
                 )
-                .map(|soon| soon + self.lasting_need(name)),
+                .map(|soon| soon + self.lasting_cpu(name)),
         };
         cfg.services.iter().map(pool).collect()
     }
 
-    /// Thousandths of a core that tasks take whose turn has come and that wait for a place.
+    /// CPU that waiting tasks of ready steps need, in thousandths of a core.
     fn backlog(&self, service: &ServiceName) -> f64 {
-        let jobs = self.ready.get(service).into_iter().flatten();
+        let jobs = self.ready_jobs.get(service).into_iter().flatten();
         let jobs = jobs.filter_map(|id| self.jobs.get(id));
-        // What a workspace's bound holds back, instances don't help.
+        // More instances don't help jobs that wait for their workspace's limit.
         let allowed = jobs.filter(|job| {
             let first = &job.spec.steps[0].need;
-            self.is_within_bound(&job.spec, first)
+            self.is_within_limit(&job.spec, first)
         });
         let waiting = allowed.map(waiting_cpu);
         f64::from(u32::try_from(waiting.sum::<u64>()).unwrap_or(u32::MAX))
     }
 
-    /// Whether a task of the service has found no place for a while, or none to leave an endpoint
-    /// for, and no instance is on its way.
+    /// Whether tasks of the service have fit on no endpoint for `SHORTAGE_DELAY`, including lasting
+    /// ones that have to move, and no instance is on its way to the pool.
     fn is_short(&self, service: &ServiceName) -> bool {
         let unplaced = self.unplaced.get(service).map(|u| u.since);
-        let blocked = self.blocked.get(service).copied();
+        let blocked = self.blocked_services.get(service).copied();
         let since = unplaced.into_iter().chain(blocked).min();
-        let is_old = since.is_some_and(|s| self.now.steady.saturating_sub(s) > SHORT_AFTER);
+        let is_old = since.is_some_and(|s| self.now.steady.saturating_sub(s) > SHORTAGE_DELAY);
         is_old && !self.instances.has_arriving(service)
     }
 
-    /// Thousandths of a core that lasting tasks of a service take up.
-    fn lasting_need(&self, service: &ServiceName) -> f64 {
+    /// CPU that the lasting tasks of a service use, in thousandths of a core.
+    fn lasting_cpu(&self, service: &ServiceName) -> f64 {
         let of_service = self.endpoints.values().filter(|e| {
             let report = e.report.as_ref();
             report.is_some_and(|r| r.service == *service)
@@ -132,9 +136,9 @@
         f64::from(u32::try_from(cpu).unwrap_or(u32::MAX))
     }
 
-    /// Every instance that is in a pool or on its way to one. Those that are due for maintenance
-    /// stay where they are until it is over.
-    fn movables(&self, is_due: &BTreeSet<InstanceId>) -> Vec<Candidate> {
+    /// Every instance that is in a pool or on its way to one. Those due for maintenance are marked
+    /// as not movable until it is done.
+    fn move_candidates(&self, is_due: &BTreeSet<InstanceId>) -> Vec<Candidate> {
         let list = self.instances.list().values();
         let there = list.filter(|i| {
             matches!(i.state, InstanceState::Up | InstanceState::Moving)
@@ -150,7 +154,7 @@
         let is_free = instance.state == InstanceState::Up
             && !self.instances.is_under_way(&instance.id)
             && !is_due.contains(&instance.id);
-        let is_off = instance.endpoint.is_none() && self.is_off(&instance.pool);
+        let is_off = instance.endpoint.is_none() && self.is_switched_off(&instance.pool);
         let destination = self.instances.destination(&instance.id);
         let report = endpoint.and_then(|e| e.report.as_ref());
         let capacity = report.map_or(instance.capacity, |r| r.capacity);
--- a/crates/pomelohitch-sched/src/cell/waves.rs
+++ b/crates/pomelohitch-sched/src/cell/waves.rs
@@ -10,45 +10,49 @@
 use crate::instances::{Remaining, Wave};
 use crate::order::{Action, Operation};
 
-/// An instance takes about so long from being reserved until it is back: lasting tasks leave one
-/// after another, each with up to two seconds of stopping and starting, and maintenance takes two.
-const ROUND: Duration = Duration::from_secs(5);
-/// So many instances with lasting tasks are emptied at a time in one pool.
-const SLOW_OF_A_POOL: usize = 2;
-/// The part of a wave's time in which it should be done; the rest is for what goes wrong.
-const TIME_USED: f64 = 0.75;
+/// Approximate time from reserving an instance until it is back. Its lasting tasks move one after
+/// another, each with up to 2 s for stopping and starting, and maintenance takes 2 s.
+const INSTANCE_TIME: Duration = Duration::from_secs(5);
+/// Maximum number of instances with lasting tasks that are emptied at a time in one pool.
+const MAX_SLOW_PER_POOL: usize = 2;
+/// Part of a wave's time within which it is planned to finish. The rest is a reserve for failures.
+const PLANNED_TIME_SHARE: f64 = 0.75;
 
 impl Cell {
-    /// Takes in a wave that operators ask for.
+    /// Handles a wave that operators have requested.
     pub fn wave(&mut self, wave: Wave) {
         info!(
             wave = wave.number,
             instances = wave.instances.len(),
             at_once = wave.max_down,
             within_s = wave.within.as_secs(),
-            "wave asked for"
+            "wave requested"
         );
         self.instances.add_wave(wave, self.now.steady);
     }
 
-    pub(super) fn tell_waves(&mut self) {
+    /// Records and reports changed statuses of waves.
+    pub(super) fn report_waves(&mut self) {
         let statuses = match self.instances.take_status_changes() {
             Ok(statuses) => statuses,
             Err(error) => {
-                warn!(%error, "status of waves can't be recorded");
+                warn!(%error, "failed to encode status of waves");
                 return;
             }
         };
         for (wave, is_completed, record) in statuses {
             info!(wave, is_completed, "wave status");
             self.extra_records.extend(record);
-            self.gated.push(Action::WaveStatus { wave, is_completed });
+            self.after_commit
+                .push(Action::WaveStatus { wave, is_completed });
         }
     }
 
-    pub(super) fn tend_wave(&mut self, wave: &Remaining, reserved: &mut BTreeSet<EndpointId>) {
+    /// Orders maintenance of the wave's empty instances, and adds endpoints to be emptied for it to
+    /// `reserved`.
+    pub(super) fn advance_wave(&mut self, wave: &Remaining, reserved: &mut BTreeSet<EndpointId>) {
         let mut left: Vec<&InstanceId> = wave.left.iter().collect();
-        // An evacuated zone is emptied in any case.
+        // Instances of evacuated zones come first, since these are emptied in any case.
         left.sort_by_cached_key(|id| (!self.is_zone_evacuated(id), self.emptying_effort(id)));
         let mut may_begin = wave.may_begin;
         let mut in_use = Vec::new();
@@ -60,22 +64,24 @@
                 may_begin -= usize::from(self.operate(id, operation));
             }
         }
-        reserved.extend(self.chosen(wave, &in_use));
+        reserved.extend(self.endpoints_to_empty(wave, &in_use));
     }
 
-    /// The endpoints of instances of a wave that should be emptied now.
+    /// The endpoints of those instances of a wave that should be emptied now.
     ///
-    /// Those that are being emptied stay chosen until they are: given up half-way, their lasting
-    /// tasks would come back and have to leave again, over and over.
-    fn chosen(&self, wave: &Remaining, in_use: &[&InstanceId]) -> Vec<EndpointId> {
+    /// An instance that is already being emptied stays selected until it is empty. Otherwise its
+    /// lasting tasks would return to it and have to move again.
+    fn endpoints_to_empty(&self, wave: &Remaining, in_use: &[&InstanceId]) -> Vec<EndpointId> {
         let is_begun = |id: &&&InstanceId| {
             let endpoint = self.endpoint_on(id);
             endpoint.is_some_and(|e| self.endpoints.get(&e).is_some_and(|e| e.is_reserved))
         };
         let (begun, fresh): (Vec<_>, Vec<_>) = in_use.iter().partition(is_begun);
-        let to_empty = self.to_empty(wave).saturating_sub(begun.len());
-        let slow = self.slowest(&begun, &fresh, to_empty.div_ceil(2));
-        let first = fresh.iter().take(to_empty.saturating_sub(slow.len()));
+        let emptying_target = self.emptying_target(wave).saturating_sub(begun.len());
+        let slow = self.slowest(&begun, &fresh, emptying_target.div_ceil(2));
+        let first = fresh
+            .iter()
+            .take(emptying_target.saturating_sub(slow.len()));
         let chosen: BTreeSet<&InstanceId> = begun
             .iter()
             .chain(first)
@@ -87,8 +93,9 @@
         endpoints.collect()
     }
 
-    /// Instances with most lasting tasks, which take longest, so that they are begun early: few of a
-    /// pool at a time, since tasks of a step leave one after another wherever they are.
+    /// The instances with the most lasting tasks, which take longest to empty and are therefore
+    /// emptied early. At most `MAX_SLOW_PER_POOL` per pool, since the tasks of a step move one
+    /// after another even from different instances.
     fn slowest<'a>(
         &self,
         begun: &[&&'a InstanceId],
@@ -106,24 +113,27 @@
         {
             *pools.entry(pool).or_default() += 1;
         }
-        let laden = fresh.iter().rev().filter(|id| lasting(id));
-        let few_each = laden.filter(|id| {
+        let slow_instances = fresh.iter().rev().filter(|id| lasting(id));
+        let limited = slow_instances.filter(|id| {
             let Some(pool) = pool(id) else {
                 return false;
             };
             let chosen = pools.entry(pool).or_default();
             *chosen += 1;
-            *chosen <= SLOW_OF_A_POOL
+            *chosen <= MAX_SLOW_PER_POOL
         });
-        few_each.take(count).map(|id| **id).collect()
+        limited.take(count).map(|id| **id).collect()
     }
 
-    /// How many instances of a wave should be kept free of new work now: as few as get the wave
-    /// done in time, since each is missing to its pool.
-    fn to_empty(&self, wave: &Remaining) -> usize {
+    /// Number of instances of a wave to keep free of new tasks now: as few as finish the wave in
+    /// time, since their capacity is missing from their pools.
+    fn emptying_target(&self, wave: &Remaining) -> usize {
         let passed = self.now.steady.saturating_sub(wave.since);
-        let left = wave.within.mul_f64(TIME_USED).saturating_sub(passed);
-        let work = ROUND * u32::try_from(wave.left.len()).unwrap_or(u32::MAX);
+        let left = wave
+            .within
+            .mul_f64(PLANNED_TIME_SHARE)
+            .saturating_sub(passed);
+        let work = INSTANCE_TIME * u32::try_from(wave.left.len()).unwrap_or(u32::MAX);
         let at_once = wave.max_down.max(1);
         let needed = (1..at_once).find(|&n| left * u32::try_from(n).unwrap_or(1) >= work);
         let under_way = wave.max_down.saturating_sub(wave.may_begin);
@@ -135,7 +145,7 @@
         instance.is_some_and(|i| self.is_instance_evacuated(i))
     }
 
-    /// How much is on an instance: lasting tasks, then processors in use.
+    /// Effort of emptying an instance: its lasting tasks, then the CPU in use.
     fn emptying_effort(&self, id: &InstanceId) -> (usize, u64) {
         let endpoint = self.endpoint_on(id);
         let endpoint = endpoint.and_then(|e| self.endpoints.get(&e));
--- a/pomelohitchd/tests/fleet.rs
+++ b/pomelohitchd/tests/fleet.rs
@@ -1,13 +1,13 @@
-//! Tests of the daemon on the users' platform.
+//! Tests of the daemon that runs as an entry instance on the users' platform.
 
 #[path = "fleet/callers.rs"]
 mod callers;
+#[path = "fleet/dispatcher.rs"]
+mod dispatcher;
 #[path = "fleet/in_flight.rs"]
 mod in_flight;
 #[path = "fleet/journal.rs"]
 mod journal;
-#[path = "fleet/lanes.rs"]
-mod lanes;
 #[path = "fleet/leaders.rs"]
 mod leaders;
 #[path = "fleet/outages.rs"]
--- a/pomelohitchd/tests/fleet/lanes.rs
+++ b/pomelohitchd/tests/fleet/dispatcher.rs
@@ -10,17 +10,19 @@
 use pomelohitch_sched::order::{Order, Outcome, Target};
 use pomelohitchd::fleet::clock;
 use pomelohitchd::fleet::leader::core::Event;
-use pomelohitchd::fleet::leader::lanes::{Lanes, Options};
+use pomelohitchd::fleet::leader::dispatcher::{Dispatcher, Options};
 
-const TAKEN: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clock_ms\":1}";
+const ACCEPTED: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clock_ms\":1}";
 
-/// An endpoint that answers every order but those of these runs.
+/// An endpoint that answers every order except those of the `unanswered` runs.
 fn endpoint(unanswered: &'static [RunNumber]) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-    let addr = listener.local_addr().expect("it is bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("the OS assigns a free port");
+    let addr = listener
+        .local_addr()
+        .expect("a bound listener has an address");
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let stream = stream.expect("the leader connects");
+            let stream = stream.expect("the connection is accepted");
             std::thread::spawn(move || answer(stream, unanswered));
         }
     });
@@ -38,7 +40,7 @@
             continue;
         }
         let is_meant = |run: &RunNumber| received.contains(&format!("\"run\":{run},"));
-        if !unanswered.iter().any(is_meant) && stream.write_all(TAKEN).is_err() {
+        if !unanswered.iter().any(is_meant) && stream.write_all(ACCEPTED).is_err() {
             return;
         }
         received.clear();
@@ -55,8 +57,8 @@
     Order::Stop { task, run }
 }
 
-/// The runs whose orders ended, in order, with how.
-fn ended(events: &Receiver<Event>, count: usize) -> Vec<(RunNumber, Outcome)> {
+/// The runs of the next `count` orders that ended, in order, and their outcomes.
+fn outcomes(events: &Receiver<Event>, count: usize) -> Vec<(RunNumber, Outcome)> {
     let ends = events.iter().take(count).map(|event| match event {
         Event::Ordered(_, Order::Stop { run, .. }, outcome) => (run, outcome),
         other => panic!("{other:?}"),
@@ -66,7 +68,7 @@
 
 fn send(runs: std::ops::RangeInclusive<RunNumber>, addr: SocketAddr) -> Vec<(RunNumber, Outcome)> {
     let (tx, rx) = mpsc::channel();
-    let mut lanes = Lanes::start(tx, Options::default()).expect("there is room for a thread");
+    let mut dispatcher = Dispatcher::start(tx, Options::default()).expect("the thread starts");
     let target = Target {
         id: Arc::from("e1"),
         born: 1,
@@ -75,21 +77,21 @@
     };
     let count = runs.clone().count();
     for run in runs {
-        lanes.order(target.clone(), stop(run), 1, clock::steady());
+        dispatcher.order(target.clone(), stop(run), 1, clock::steady());
     }
-    ended(&rx, count)
+    outcomes(&rx, count)
 }
 
-/// One order in twenty gets no answer. If the others of its endpoint wait for it, most starts of a
-/// busy endpoint come late, and those that waited longest aren't sent at all.
+/// One order in twenty gets no answer. If the other orders to its endpoint waited for it, most
+/// starts at a busy endpoint would be late, and the oldest would not be sent at all.
 #[test]
 fn an_order_without_an_answer_does_not_hold_up_its_endpoint() {
     let ends = send(1..=12, endpoint(&[1]));
     assert_eq!(ends.last(), Some(&(1, Outcome::Unanswered)));
-    let taken = ends
+    let accepted = ends
         .iter()
         .filter(|(_, outcome)| *outcome == Outcome::Taken);
-    assert_eq!(taken.count(), 11);
+    assert_eq!(accepted.count(), 11);
 }
 
 #[test]
