--- a/crates/pomelohitch-maintain/examples/measure/simulation.rs
+++ b/crates/pomelohitch-maintain/examples/measure/simulation.rs
@@ -7,7 +7,7 @@
 use pomelohitch_core::id::{InstanceId, Offset, PoolId, RecordId};
 use pomelohitch_core::record::{Body, FileChange, Join, Publish, Record, TakeTerm};
 use pomelohitch_core::{State, Verdict};
-use pomelohitch_maintain::effects::Wanted;
+use pomelohitch_maintain::effects::PendingEffect;
 use pomelohitch_maintain::{Decision, Observation, Plan, Planner};
 use pomelohitch_platform::instances::{Action, Listed, ListedState};
 
@@ -52,7 +52,7 @@
     /// Whether the list is unavailable or too old.
     pub list_is_stale: bool,
     /// Offset below which all entry instances have applied the records; `None` for the head.
-    pub known_by_all: Option<Offset>,
+    pub applied_by_all: Option<Offset>,
     pub needs: BTreeMap<PoolId, u32>,
     /// Start times of effects, by the offset of the decision.
     started: BTreeMap<Offset, Duration>,
@@ -76,7 +76,7 @@
             list_lags: false,
             previous: BTreeMap::new(),
             list_is_stale: false,
-            known_by_all: None,
+            applied_by_all: None,
             needs: BTreeMap::new(),
             started: BTreeMap::new(),
             moves: 0,
@@ -154,7 +154,7 @@
             now: self.now,
             wall: EPOCH + self.now,
             listed: (!self.list_is_stale).then(|| shown.clone()),
-            known_by_all: self.known_by_all.unwrap_or(self.state.next),
+            applied_by_all: self.applied_by_all.unwrap_or(self.state.next),
             needs: self.needs.clone(),
         }
     }
@@ -191,19 +191,19 @@
         }
     }
 
-    fn perform(&mut self, pending: &Wanted) {
+    fn perform(&mut self, pending: &PendingEffect) {
         if !pending.is_current(&self.state) {
             return;
         }
         if self.call_platform(pending)
-            && let Some(step) = pending.then.clone()
+            && let Some(step) = pending.on_complete.clone()
         {
             self.propose(Decision::Fleet(step));
         }
     }
 
     /// Requests an effect and returns whether it is complete.
-    fn call_platform(&mut self, pending: &Wanted) -> bool {
+    fn call_platform(&mut self, pending: &PendingEffect) -> bool {
         let effect = &pending.effect;
         let begun = *self.started.entry(effect.op).or_insert(self.now);
         let took = self.now.saturating_sub(begun);
--- a/crates/pomelohitch-maintain/src/effects.rs
+++ b/crates/pomelohitch-maintain/src/effects.rs
@@ -12,14 +12,14 @@
 
 /// An effect to request, and the step to propose once the platform reports completion.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
+pub struct PendingEffect {
     /// The effect, identified by the offset of the accepted record that requires it.
     pub effect: Effect,
     /// Step to propose on completion.
-    pub then: Option<FleetStep>,
+    pub on_complete: Option<FleetStep>,
 }
 
-impl Wanted {
+impl PendingEffect {
     /// Whether the instance is still in the phase that requires the effect.
     #[must_use]
     pub fn is_current(&self, state: &State) -> bool {
@@ -34,7 +34,7 @@
     state: &State,
     observation: &Observation,
     findings: &Findings,
-) -> Vec<Wanted> {
+) -> Vec<PendingEffect> {
     let instances = state.fleet.instances.iter();
     instances
         .filter_map(|(id, instance)| pending_effect(options, observation, findings, id, instance))
@@ -47,9 +47,9 @@
     findings: &Findings,
     id: &InstanceId,
     instance: &Instance,
-) -> Option<Wanted> {
+) -> Option<PendingEffect> {
     let since = instance.since;
-    let (action, then) = match &instance.phase {
+    let (action, on_complete) = match &instance.phase {
         Phase::Draining(_)
             if !is_known_to_entries(options, observation, findings, id, instance) =>
         {
@@ -74,7 +74,10 @@
         op: since,
         action,
     };
-    Some(Wanted { effect, then })
+    Some(PendingEffect {
+        effect,
+        on_complete,
+    })
 }
 
 /// Whether every entry instance knows of the drain and sends no new requests to the instance, or is
@@ -90,7 +93,7 @@
     instance: &Instance,
 ) -> bool {
     let age = findings.phase_ages.get(id).copied().unwrap_or_default();
-    age >= options.propagation_timeout || observation.known_by_all > instance.since
+    age >= options.propagation_timeout || observation.applied_by_all > instance.since
 }
 
 fn return_step(id: &InstanceId, instance: &Instance) -> FleetStep {
--- a/crates/pomelohitch-maintain/src/observe.rs
+++ b/crates/pomelohitch-maintain/src/observe.rs
@@ -19,7 +19,7 @@
     /// The platform's instances by id; `None` if the list is unavailable or too old.
     pub listed: Option<BTreeMap<InstanceId, Listed>>,
     /// Every entry instance has applied all records below this offset.
-    pub known_by_all: Offset,
+    pub applied_by_all: Offset,
     /// Required number of instances by pool; pools without measured demand are absent.
     pub needs: BTreeMap<PoolId, u32>,
 }
--- a/crates/pomelohitch-maintain/src/planner.rs
+++ b/crates/pomelohitch-maintain/src/planner.rs
@@ -8,7 +8,7 @@
 use pomelohitch_core::record::{Body, FleetDecision, FleetStep, MaintainOrder};
 
 use crate::conditions::ConditionTracker;
-use crate::effects::Wanted;
+use crate::effects::PendingEffect;
 use crate::observe::{Now, Observation};
 use crate::{effects, moves, pools, reconcile, waves};
 
@@ -92,7 +92,7 @@
     /// Records to propose, in this order.
     pub decisions: Vec<Decision>,
     /// Effects to request from the platform.
-    pub effects: Vec<Wanted>,
+    pub effects: Vec<PendingEffect>,
 }
 
 /// A condition of an instance whose duration is tracked.
--- a/crates/pomelohitch-maintain/tests/planner.rs
+++ b/crates/pomelohitch-maintain/tests/planner.rs
@@ -231,13 +231,13 @@
     // that has not read the drain yet keeps sending requests, which the reboot would cut off.
     let mut sim = simulation();
     start_wave(&mut sim);
-    sim.known_by_all = Some(sim.state.next);
+    sim.applied_by_all = Some(sim.state.next);
     sim.run_planner();
     assert_eq!(draining(&sim).len(), 3);
     sim.now += TICK;
     let waiting = sim.run_planner();
     assert!(waiting.effects.is_empty());
-    sim.known_by_all = None;
+    sim.applied_by_all = None;
     assert_eq!(sim.run_planner().effects.len(), 3);
 }
 
@@ -245,7 +245,7 @@
 fn an_unreachable_entry_instance_delays_a_drain_by_at_most_the_propagation_timeout() {
     let mut sim = simulation();
     start_wave(&mut sim);
-    sim.known_by_all = Some(0);
+    sim.applied_by_all = Some(0);
     sim.run_planner();
     assert!(sim.run_planner().effects.is_empty());
     sim.now += Options::default().propagation_timeout;
--- a/pomelohitchd/examples/capacity/platform.rs
+++ b/pomelohitchd/examples/capacity/platform.rs
@@ -59,7 +59,7 @@
         let seen = Observation {
             now: Duration::from_millis(500) * look,
             listed: Some(listed),
-            known_by_all: state.next,
+            applied_by_all: state.next,
             ..Observation::default()
         };
         black_box(planner.plan(&state, &seen));
--- a/pomelohitchd/src/planner.rs
+++ b/pomelohitchd/src/planner.rs
@@ -18,7 +18,7 @@
 use pomelohitch_core::record::FLEET_STREAM;
 use pomelohitch_core::{State, Verdict};
 use pomelohitch_maintain::demand::{self, Load, Weighting};
-use pomelohitch_maintain::effects::Wanted;
+use pomelohitch_maintain::effects::PendingEffect;
 use pomelohitch_maintain::{Decision, Observation, Options, Plan, Planner, moves, observe};
 use pomelohitch_platform::instances::Progress;
 use pomelohitch_platform::log::Read;
@@ -138,7 +138,7 @@
     }
 
     /// Asks for effects in turn, so that those which never complete hold up no others.
-    fn carry_out(&mut self, node: &Node, effects: &[Wanted]) {
+    fn carry_out(&mut self, node: &Node, effects: &[PendingEffect]) {
         if effects.is_empty() {
             return;
         }
@@ -166,7 +166,7 @@
         now,
         wall,
         listed,
-        known_by_all: known_by_all(node, state),
+        applied_by_all: known_by_all(node, state),
         ..Observation::default()
     }
 }
@@ -202,7 +202,7 @@
 }
 
 /// Asks for an effect, records its completion, and returns whether to go on.
-fn ask_for(node: &Node, wanted: &Wanted) -> bool {
+fn ask_for(node: &Node, wanted: &PendingEffect) -> bool {
     let Some(state) = state_at_head(node) else {
         return false;
     };
@@ -213,7 +213,7 @@
         return true;
     }
     match (node.instances.apply)(&wanted.effect) {
-        Ok(Progress::Done) => match wanted.then.clone() {
+        Ok(Progress::Done) => match wanted.on_complete.clone() {
             Some(step) => propose(node, &state, Decision::Fleet(step)),
             None => true,
         },
