--- a/crates/pomelohitch-maintain/examples/measure/site.rs
+++ b/crates/pomelohitch-maintain/examples/measure/simulation.rs
@@ -1,4 +1,4 @@
-//! The real fold, a planner and a platform that does what it is asked, in virtual time.
+//! Simulation of the real fold, a planner and a platform in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,21 +7,21 @@
 use pomelohitch_core::id::{InstanceId, Offset, PoolId, RecordId};
 use pomelohitch_core::record::{Body, FileChange, Join, Publish, Record, TakeTerm};
 use pomelohitch_core::{State, Verdict};
-use pomelohitch_maintain::effects::Wanted;
+use pomelohitch_maintain::effects::PendingEffect;
 use pomelohitch_maintain::{Decision, Observation, Plan, Planner};
 use pomelohitch_platform::instances::{Action, Listed, ListedState};
 
-/// When the virtual time begins, on the wall clock.
+/// Wall-clock time at the start of the virtual time.
 pub const EPOCH: Duration = Duration::from_hours(24 * 1000);
 
-/// How long the platform takes.
+/// Durations of the platform's operations.
 #[derive(Debug, Clone)]
 pub struct Times {
-    /// Until a drained instance's last request is done.
+    /// Time until the last request of a draining instance ends.
     pub drain: Duration,
-    /// Until a rebooted instance is back.
+    /// Time for a reboot.
     pub reboot: Duration,
-    /// Until a moved instance is in its pool.
+    /// Time for a move to another pool.
     pub move_time: Duration,
 }
 
@@ -35,65 +35,65 @@
     }
 }
 
-/// Everything.
-pub struct Site {
+/// Folded state, planner and platform.
+pub struct Simulation {
     pub state: State,
     pub planner: Planner,
     pub now: Duration,
     pub times: Times,
     pub platform: BTreeMap<InstanceId, Listed>,
-    /// How long single instances take to drain, where it isn't the usual time.
-    pub drains: BTreeMap<InstanceId, Duration>,
-    /// These never come back from a reboot.
+    /// Drain times of instances that differ from `times.drain`.
+    pub drain_times: BTreeMap<InstanceId, Duration>,
+    /// Instances that never return from a reboot.
     pub never_return: BTreeSet<InstanceId>,
-    /// The list shows what was so at the look before.
+    /// Whether the planner sees the list of the previous pass.
     pub list_lags: bool,
-    before: BTreeMap<InstanceId, Listed>,
-    /// The list doesn't arrive, or is too old.
+    previous: BTreeMap<InstanceId, Listed>,
+    /// Whether the list is unavailable or too old.
     pub list_is_stale: bool,
-    /// Entry instances have applied what is below; `None` for the head.
-    pub known_by_all: Option<Offset>,
+    /// Offset below which all entry instances have applied the records; `None` for the head.
+    pub applied_by_all: Option<Offset>,
     pub needs: BTreeMap<PoolId, u32>,
-    /// When effects began, by the offset of their decision.
-    begun: BTreeMap<Offset, Duration>,
-    /// Accepted moves.
+    /// Start times of effects, by the offset of the decision.
+    started: BTreeMap<Offset, Duration>,
+    /// Number of accepted moves.
     pub moves: u32,
-    /// What was rejected by the fold.
+    /// Verdicts of rejected decisions.
     pub rejected: Vec<Verdict>,
 }
 
-impl Site {
-    /// An empty fleet with a planner and these files.
-    pub fn new(planner: Planner, file: FleetFile) -> Site {
-        let mut site = Site {
+impl Simulation {
+    /// Creates a simulation without instances, with `file` published.
+    pub fn new(planner: Planner, file: FleetFile) -> Simulation {
+        let mut sim = Simulation {
             state: State::default(),
             planner,
             now: Duration::ZERO,
             times: Times::default(),
             platform: BTreeMap::new(),
-            drains: BTreeMap::new(),
+            drain_times: BTreeMap::new(),
             never_return: BTreeSet::new(),
             list_lags: false,
-            before: BTreeMap::new(),
+            previous: BTreeMap::new(),
             list_is_stale: false,
-            known_by_all: None,
+            applied_by_all: None,
             needs: BTreeMap::new(),
-            begun: BTreeMap::new(),
+            started: BTreeMap::new(),
             moves: 0,
             rejected: Vec::new(),
         };
-        site.accept(Body::Join(Join {
+        sim.accept(Body::Join(Join {
             member: "entry".into(),
             zone: "zone-0".into(),
             peer_addr: ([127, 0, 0, 1], 1).into(),
         }));
-        site.accept(Body::TakeTerm(TakeTerm {
+        sim.accept(Body::TakeTerm(TakeTerm {
             member: "entry".into(),
             incarnation: 0,
             term: 1,
         }));
-        site.publish(file);
-        site
+        sim.publish(file);
+        sim
     }
 
     /// Replaces the fleet's one file.
@@ -143,10 +143,10 @@
         assert_eq!(self.append(body), Verdict::Accepted, "{text}");
     }
 
-    /// What the planner is told now.
+    /// Returns the input of the next planning pass.
     pub fn observe(&self) -> Observation {
         let shown = if self.list_lags {
-            &self.before
+            &self.previous
         } else {
             &self.platform
         };
@@ -154,23 +154,23 @@
             now: self.now,
             wall: EPOCH + self.now,
             listed: (!self.list_is_stale).then(|| shown.clone()),
-            known_by_all: self.known_by_all.unwrap_or(self.state.next),
+            applied_by_all: self.applied_by_all.unwrap_or(self.state.next),
             needs: self.needs.clone(),
         }
     }
 
-    /// Lets the planner look once, and carries out what it decides.
-    pub fn look(&mut self) -> Plan {
-        let seen = self.observe();
-        let plan = self.planner.plan(&self.state, &seen);
+    /// Runs one planning pass, appends its decisions and requests its effects.
+    pub fn run_planner(&mut self) -> Plan {
+        let observation = self.observe();
+        let plan = self.planner.plan(&self.state, &observation);
         if self.list_lags {
-            self.before = self.platform.clone();
+            self.previous = self.platform.clone();
         }
         for decision in &plan.decisions {
             self.propose(decision.clone());
         }
-        for wanted in &plan.effects {
-            self.carry_out(wanted);
+        for pending in &plan.effects {
+            self.perform(pending);
         }
         plan
     }
@@ -191,21 +191,21 @@
         }
     }
 
-    fn carry_out(&mut self, wanted: &Wanted) {
-        if !wanted.is_current(&self.state) {
+    fn perform(&mut self, pending: &PendingEffect) {
+        if !pending.is_current(&self.state) {
             return;
         }
-        if self.ask_platform(wanted)
-            && let Some(step) = wanted.then.clone()
+        if self.call_platform(pending)
+            && let Some(step) = pending.on_complete.clone()
         {
             self.propose(Decision::Fleet(step));
         }
     }
 
-    /// Whether the effect is complete.
-    fn ask_platform(&mut self, wanted: &Wanted) -> bool {
-        let effect = &wanted.effect;
-        let begun = *self.begun.entry(effect.op).or_insert(self.now);
+    /// Requests an effect and returns whether it is complete.
+    fn call_platform(&mut self, pending: &PendingEffect) -> bool {
+        let effect = &pending.effect;
+        let begun = *self.started.entry(effect.op).or_insert(self.now);
         let took = self.now.saturating_sub(begun);
         let Some(listed) = self.platform.get_mut(&effect.instance) else {
             return false;
@@ -215,16 +215,16 @@
         }
         let (takes, then) = match effect.action {
             Action::Drain => {
-                let own = self.drains.get(&effect.instance).copied();
+                let own = self.drain_times.get(&effect.instance).copied();
                 (own.unwrap_or(self.times.drain), ListedState::Drained)
             }
             Action::Undrain => (Duration::ZERO, ListedState::Live),
             Action::Reboot => (self.times.reboot, ListedState::Live),
             Action::Move(_) => (self.times.move_time, ListedState::Live),
         };
-        let never =
+        let never_completes =
             effect.action == Action::Reboot && self.never_return.contains(&*effect.instance);
-        if took < takes || never {
+        if took < takes || never_completes {
             listed.state = match effect.action {
                 Action::Drain => ListedState::Draining,
                 Action::Reboot => ListedState::Rebooting,
@@ -239,26 +239,28 @@
         true
     }
 
-    /// Looks every `tick` until `done`, for at most `limit`; returns how long it took.
+    /// Runs a planning pass every `tick` until `done` returns `true`.
+    ///
+    /// Returns the elapsed time, or `None` after `limit`.
     pub fn run_until(
         &mut self,
         tick: Duration,
         limit: Duration,
-        mut done: impl FnMut(&Site) -> bool,
+        mut done: impl FnMut(&Simulation) -> bool,
     ) -> Option<Duration> {
         let begun = self.now;
         while self.now < begun + limit {
             if done(self) {
                 return Some(self.now.saturating_sub(begun));
             }
-            self.look();
+            self.run_planner();
             self.now += tick;
         }
         None
     }
 }
 
-/// A pool.
+/// Creates the configuration of a pool.
 pub fn pool(id: &str, spare: bool, floor: u32) -> Pool {
     Pool {
         id: id.into(),
@@ -267,7 +269,7 @@
     }
 }
 
-/// A service of which `min_available` instances have to stay.
+/// Creates the configuration of a service with `min_available` as its availability budget.
 pub fn service(id: &str, pool: &str, min_available: u32) -> Service {
     Service {
         id: id.into(),
--- a/crates/pomelohitch-model/src/promise.rs
+++ b/crates/pomelohitch-model/src/promise.rs
@@ -1,34 +1,35 @@
-//! What must hold in every state.
+//! Invariants that must hold in every state.
 
 use pomelohitch_core::Verdict;
 use pomelohitch_core::state::Phase;
 
-use crate::proposal::{Change, FILE, KEY, SPARE, WEB, What, instance};
+use crate::proposal::{Change, FILE, KEY, Payload, SPARE, WEB, instance};
 use crate::scenario::Scenario;
 use crate::world::{Answer, Entry, NODES, World};
 
-/// What must hold in every state.
+/// An invariant that must hold in every state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Promise {
-    /// Every instance is in one pool, and the platform has it in the same one.
+    /// The log and the platform have each instance in the same pool, except while it moves or after
+    /// it failed.
     OnePool,
-    /// No planned step leaves a service fewer instances than its budget, neither in the log nor
-    /// at the platform.
+    /// No accepted drain leaves a service fewer instances than its availability budget, neither in
+    /// the log nor at the platform.
     Budget,
-    /// An accepted configuration never reverts: not by a later publish that didn't know it, and
-    /// not at an entry instance that starts or wakes.
+    /// Accepted configuration never reverts: neither by a later publish based on an older version,
+    /// nor at an entry instance that restarts or resumes.
     NeverReverts,
-    /// A withdrawn key is not accepted past the bound.
+    /// No entry instance accepts a withdrawn key after the propagation bound.
     KeyWithdrawn,
-    /// The platform is only asked for effects of accepted records.
+    /// Only effects of accepted records are requested from the platform.
     EffectsAccepted,
-    /// What an operator is told of a publish is true, and stays true.
+    /// The answer to an operator's publish is true and stays true.
     TrueAnswer,
-    /// A reader has the state that the records below its offset give.
+    /// A reader's state equals the fold of all records below its offset.
     SameState,
 }
 
-/// Every promise.
+/// All promises.
 pub const ALL: [Promise; 7] = [
     Promise::OnePool,
     Promise::Budget,
@@ -39,45 +40,45 @@
     Promise::SameState,
 ];
 
-/// The first promise that `world` breaks, other than those that a step itself notices.
+/// Returns the first promise that `world` breaks, except those that steps check themselves.
 #[must_use]
-pub fn broken(scenario: &Scenario, world: &World) -> Option<Promise> {
+pub fn first_broken(scenario: &Scenario, world: &World) -> Option<Promise> {
     let checks = [
-        (Promise::OnePool, one_pool(world)),
-        (Promise::Budget, budget(scenario, world)),
-        (Promise::NeverReverts, never_reverts(world)),
-        (Promise::KeyWithdrawn, key_withdrawn(world)),
-        (Promise::TrueAnswer, true_answer(world)),
+        (Promise::OnePool, one_pool_holds(world)),
+        (Promise::Budget, budget_holds(scenario, world)),
+        (Promise::NeverReverts, never_reverts_holds(world)),
+        (Promise::KeyWithdrawn, key_withdrawn_holds(world)),
+        (Promise::TrueAnswer, true_answer_holds(world)),
     ];
     let first = checks.into_iter().find(|(_, holds)| !holds);
     first.map(|(promise, _)| promise)
 }
 
-fn one_pool(world: &World) -> bool {
+fn one_pool_holds(world: &World) -> bool {
     let state = world.head();
     (0..).zip(&world.platform).all(|(i, platform)| {
-        let known = &state.fleet.instances[&instance(i)];
+        let logged = &state.fleet.instances[&instance(i)];
         let has = if platform.is_moved { SPARE } else { WEB };
-        match &known.phase {
+        match &logged.phase {
             Phase::Failed => true,
             Phase::Drained(_) => {
-                *known.pool == *has || known.phase.moving_to().is_some_and(|to| **to == *has)
+                *logged.pool == *has || logged.phase.moving_to().is_some_and(|to| **to == *has)
             }
-            _ => *known.pool == *has,
+            _ => *logged.pool == *has,
         }
     })
 }
 
-fn budget(scenario: &Scenario, world: &World) -> bool {
+fn budget_holds(scenario: &Scenario, world: &World) -> bool {
     if scenario.instances == 0 {
         return true;
     }
     let min = scenario.min_available;
-    let checks_platform = scenario.checks_window || !scenario.takes_back;
+    let checks_platform = scenario.checks_call_window || !scenario.cancels_drains;
     let drains_leave_enough = world.log.iter().all(|entry| {
         let is_drain = matches!(
             entry.proposal.what,
-            What::Fleet {
+            Payload::Fleet {
                 change: Change::Drain,
                 ..
             }
@@ -88,7 +89,9 @@
     drains_leave_enough && (!checks_platform || platform_keeps_budget(world, min as usize))
 }
 
-/// Instances that failed are not the planner's doing; all others are live or were stopped by it.
+/// Whether planned drains leave enough instances at the platform.
+///
+/// Failed instances count as available here, because the planner did not take them out.
 fn platform_keeps_budget(world: &World, min: usize) -> bool {
     let in_web = || world.platform.iter().filter(|p| !p.is_moved);
     let live = in_web().filter(|p| !p.is_drained && !p.is_down).count();
@@ -96,11 +99,11 @@
     live + down >= min
 }
 
-fn never_reverts(world: &World) -> bool {
+fn never_reverts_holds(world: &World) -> bool {
     let bases_match = (0..)
         .zip(world.log.iter())
         .all(|(n, entry): (usize, &Entry)| {
-            let What::Publish { base, .. } = entry.proposal.what else {
+            let Payload::Publish { base, .. } = entry.proposal.what else {
                 return true;
             };
             let before = world.state_after(n).config.files[FILE].version;
@@ -111,24 +114,24 @@
     bases_match && are_current
 }
 
-fn key_withdrawn(world: &World) -> bool {
+fn key_withdrawn_holds(world: &World) -> bool {
     !world.is_withdrawal_settled
         || (0..NODES).all(|node| !world.is_accepting(node) || refuses_key(world, node))
 }
 
-/// Whether a node refuses the key.
+/// Whether a node refuses [`KEY`], by its state or because it knows of the withdrawal.
 #[must_use]
 pub fn refuses_key(world: &World, node: usize) -> bool {
     let withdrawn = world
         .view(node)
         .is_none_or(|state| state.team_of_key(KEY).is_none());
-    withdrawn || world.nodes[node].news
+    withdrawn || world.nodes[node].knows_withdrawal
 }
 
-fn true_answer(world: &World) -> bool {
+fn true_answer_holds(world: &World) -> bool {
     world.operators.iter().all(|operator| {
         let is_accepted = world.accepted(&operator.proposal).is_some();
-        match operator.told {
+        match operator.received {
             None => true,
             Some(Answer::InForce) => is_accepted,
             Some(Answer::NotInForce) => !is_accepted,
--- a/crates/pomelohitch-route/examples/overload/main.rs
+++ b/crates/pomelohitch-route/examples/overload/main.rs
@@ -1,16 +1,16 @@
-//! Measures the decisions of the request path under overload, in virtual time.
+//! Simulates the request path under overload, in virtual time.
 //!
-//! Arrivals are open-loop: they come at their times whatever became of those before, and a
-//! latency counts from the time at which the caller sent the request. The same seed gives the same
-//! figures. Baselines run in the same command: a static split of the slots, FIFO queues, a random
-//! runner for each request, and a random runner with unlimited retries.
+//! Arrivals are open-loop: requests arrive at their times regardless of earlier ones, and latency
+//! counts from the time at which the caller sent the request. The same seed gives the same figures.
+//! The baselines run in the same command: a static split of the slots, FIFO queues, a random runner
+//! for each request, and a random runner with unlimited retries.
 //!
 //! `cargo run --release -p pomelohitch-route --example overload`
 
 #![allow(
     clippy::cast_precision_loss,
     clippy::cast_possible_truncation,
-    reason = "figures for people, far below 2^52"
+    reason = "values for display, far below 2^52"
 )]
 
 mod fleet;
@@ -38,8 +38,8 @@
             Duration::from_millis(3),
         ),
     ];
-    println!("{}", Report::HEAD);
-    for (site, zones, clients) in delays {
+    println!("{}", Report::HEADER);
+    for (site, zone_delay, client_delay) in delays {
         for scenario in [
             Scenario::overload(),
             Scenario::one_entry(),
@@ -47,10 +47,10 @@
             Scenario::broken_runners(),
         ] {
             for policy in Policy::ALL {
-                let mut fleet = Fleet::new(policy, &scenario, zones, clients, SEED);
+                let mut fleet = Fleet::new(policy, &scenario, zone_delay, client_delay, SEED);
                 let report = fleet.run();
 
-                println!("{}", report.row(site, zones, &scenario, policy));
+                println!("{}", report.row(site, zone_delay, &scenario, policy));
             }
         }
     }
