--- a/pomelohitchd/examples/capacity/cost.rs
+++ b/pomelohitchd/examples/capacity/cost.rs
@@ -1,4 +1,4 @@
-//! What each quantity costs at a size.
+//! Costs of records, state and snapshots.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -8,10 +8,10 @@
 
 use crate::fleet::{Changes, Fleet, LETTER, Size, adopt, drain, end, step, submit, team_change};
 
-/// How often a short step is repeated.
+/// Repetitions of each timed step.
 const REPEATS: u32 = 200;
 
-/// Bytes of each kind of record.
+/// Size of each kind of record, in bytes.
 pub fn record_bytes() -> Vec<(&'static str, usize)> {
     let mut fleet = Fleet::new(&LETTER.scaled(1));
     let bytes = |fleet: &Fleet, body: Body| fleet.record(body).encode().len();
@@ -32,18 +32,18 @@
     sizes
 }
 
-/// Memory of a state without jobs, KiB.
+/// Memory of a state without jobs, in KiB.
 pub fn state_memory(size: &Size) -> f64 {
     memory_of(|| Fleet::new(size))
 }
 
-/// Memory of the jobs alone, KiB.
+/// Memory of the jobs alone, in KiB.
 pub fn jobs_memory(size: &Size) -> f64 {
     let without = Size { jobs: 0, ..*size };
     memory_of(|| Fleet::with_jobs(size)) - memory_of(|| Fleet::new(&without))
 }
 
-/// A reader's cost of a publish that changes one file of a team, microseconds.
+/// A reader's time to apply a publish that changes one file of a team, in microseconds.
 pub fn publish_fold(size: &Size) -> f64 {
     let mut fleet = Fleet::new(size);
     each(|n| {
@@ -54,11 +54,11 @@
     })
 }
 
-/// A reader's cost of a drain, its end and the return, microseconds.
+/// A reader's time to apply a drain, its completion and the return, in microseconds.
 pub fn drain_fold(size: &Size) -> f64 {
     let mut fleet = Fleet::new(size);
     each(|n| {
-        // Those of pool 0 are left out: they can't move to it.
+        // Skips the instances of pool 0, which the drain moves instances to.
         let others = size.pools - 1;
         let n = n / others * size.pools + 1 + n % others;
         let instance = crate::fleet::instance(n);
@@ -77,7 +77,7 @@
     })
 }
 
-/// A reader's cost of a job's three records, microseconds.
+/// A reader's time to apply the three records of a job, in microseconds.
 pub fn job_fold(size: &Size) -> f64 {
     let mut fleet = Fleet::with_jobs(size);
     each(|n| {
@@ -90,8 +90,8 @@
     })
 }
 
-/// The cost of a change of one instance while a reader holds the state before, microseconds:
-/// the part that changes is copied.
+/// Time to change one instance while a reader holds the previous state, in microseconds. The
+/// changed part of the state is copied.
 pub fn copy_state(size: &Size) -> f64 {
     let mut fleet = Fleet::with_jobs(size);
     each(|n| {
@@ -102,14 +102,14 @@
     })
 }
 
-/// Bytes of a snapshot, KiB.
+/// Size of a snapshot, in KiB.
 pub fn snapshot_bytes(size: &Size) -> f64 {
     let chunks = chunks(&Fleet::with_jobs(size).state);
     let bytes: usize = chunks.iter().map(|chunk| chunk.len()).sum();
     to_f64(bytes) / 1024.0
 }
 
-/// Time to write a snapshot, milliseconds.
+/// Time to write a snapshot, in milliseconds.
 pub fn snapshot_write(size: &Size) -> f64 {
     let state = Fleet::with_jobs(size).state;
     let start = Instant::now();
@@ -117,7 +117,7 @@
     start.elapsed().as_secs_f64() * 1e3
 }
 
-/// Time to read a snapshot, milliseconds.
+/// Time to read a snapshot, in milliseconds.
 pub fn snapshot_read(size: &Size) -> f64 {
     let chunks = chunks(&Fleet::with_jobs(size).state);
     let start = Instant::now();
@@ -135,7 +135,7 @@
     )
 }
 
-/// The time from the record's bytes to the new state, as a reader has it.
+/// Time from the encoded record to the new state, including the decoding that a reader does.
 fn timed(fleet: &mut Fleet, body: Body) -> Duration {
     let data = fleet.record(body).encode();
     let start = Instant::now();
@@ -146,19 +146,19 @@
     time
 }
 
-/// The mean of several steps, in microseconds.
+/// Mean time of [`REPEATS`] steps, in microseconds.
 fn each(mut step: impl FnMut(usize) -> Duration) -> f64 {
     let total: Duration = (0..REPEATS).map(|n| step(n as usize)).sum();
     total.as_secs_f64() * 1e6 / f64::from(REPEATS)
 }
 
-/// How many copies are made to measure memory, so that what the allocator keeps weighs little.
+/// Number of copies that are measured, so that the overhead of the allocator has little weight.
 const COPIES: u32 = 4;
 
-/// How much more memory the process has with what `make` makes, KiB.
+/// Growth of resident memory per value that `make` returns, in KiB.
 ///
-/// The copies are never freed: memory that was freed would be used again by the next measurement
-/// and hide its growth.
+/// The copies are leaked: the next measurement would reuse freed memory, which would hide its
+/// growth.
 fn memory_of<T>(make: impl Fn() -> T) -> f64 {
     let before = resident_kib();
     for _ in 0..COPIES {
@@ -167,7 +167,7 @@
     (resident_kib() - before) / f64::from(COPIES)
 }
 
-/// Resident memory of this process, KiB.
+/// Resident memory of this process, in KiB.
 fn resident_kib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
--- a/pomelohitchd/examples/capacity/fit.rs
+++ b/pomelohitchd/examples/capacity/fit.rs
@@ -1,11 +1,9 @@
-//! A line through measured points, by least squares.
+//! Least-squares fit of a line through measured points.
 
 /// A measured value at a size.
 #[derive(Debug, Clone, Copy)]
 pub struct Point {
-    /// The size.
     pub size: f64,
-    /// The value.
     pub value: f64,
 }
 
@@ -14,7 +12,7 @@
 pub struct Line {
     /// The value at size 0.
     pub base: f64,
-    /// How much one more adds.
+    /// Increase of the value per unit of size.
     pub slope: f64,
 }
 
--- a/pomelohitchd/examples/capacity/fleet.rs
+++ b/pomelohitchd/examples/capacity/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of any size, in memory: its log and the state that follows.
+//! A fleet of any size, as the state that results from its log.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,20 +14,20 @@
 };
 use pomelohitch_core::{Body, Record, State, Verdict};
 
-/// How large a fleet is.
+/// Size of a fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Workers and runners.
+    /// Number of workers and runners.
     pub instances: usize,
-    /// Pools; each has two services.
+    /// Number of pools; each has two services.
     pub pools: usize,
-    /// Teams, each with a file and two keys of its own.
+    /// Number of teams, each with a file and two keys of its own.
     pub teams: usize,
-    /// Jobs that wait or run.
+    /// Number of jobs that wait or run.
     pub jobs: usize,
 }
 
-/// The size to design for; its jobs are taken to be two for each worker.
+/// The design size; assumes two jobs for each worker.
 pub const LETTER: Size = Size {
     instances: 6800,
     pools: 37,
@@ -36,7 +36,7 @@
 };
 
 impl Size {
-    /// So many eighths of this size.
+    /// This size multiplied by `eighths / 8`, with at least one of each.
     pub fn scaled(&self, eighths: usize) -> Size {
         let part = |whole: usize| (whole * eighths / 8).max(1);
         Size {
@@ -48,15 +48,15 @@
     }
 }
 
-/// A log in memory with the state that it gives.
+/// A log in memory, reduced to the state that it results in.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    /// The state.
+    /// State after all records so far.
     pub state: State,
 }
 
 impl Fleet {
-    /// A planner, teams, pools, services and instances, but no jobs.
+    /// A fleet with a planner, teams, pools, services and instances, without jobs.
     pub fn new(size: &Size) -> Fleet {
         let mut fleet = Fleet::default();
         fleet.accept(Body::Join(Join {
@@ -81,7 +81,7 @@
         fleet
     }
 
-    /// The same with jobs, half of them running.
+    /// A fleet with jobs, half of them running.
     pub fn with_jobs(size: &Size) -> Fleet {
         let mut fleet = Fleet::new(size);
         for n in 0..size.jobs {
@@ -94,7 +94,7 @@
         fleet
     }
 
-    /// The record that would be appended next with this body.
+    /// The next record to append, with this body.
     pub fn record(&self, body: Body) -> Record {
         Record {
             id: RecordId::from_u128(u128::from(self.state.next) + 1),
@@ -114,12 +114,12 @@
         offset
     }
 
-    /// The phase of the `n`th instance, by the offset that began it.
+    /// Offset of the record that began the current phase of the `n`th instance.
     pub fn since(&self, n: usize) -> Offset {
         self.state.fleet.instances[&instance(n)].since
     }
 
-    /// Places the `n`th job.
+    /// Record that places the `n`th job.
     pub fn place(&self, n: usize, size: &Size) -> Body {
         Body::Job(JobRecord::Decide(JobDecision {
             term: 1,
@@ -137,7 +137,7 @@
     }
 }
 
-/// When every record was proposed: the length of a recent time stamp counts, not its value.
+/// Time at which every record was proposed. Only the length of its encoding matters.
 const AT: Duration = Duration::from_millis(1_796_256_000_123);
 
 const NEED: Resources = Resources {
@@ -156,12 +156,12 @@
     format!("team-{:03}-{n:016x}", n % 7).into()
 }
 
-/// A step of the planner.
+/// Record of a step of the planner.
 pub fn step(step: FleetStep) -> Body {
     Body::Fleet(FleetDecision { term: 1, step })
 }
 
-/// Takes the `n`th instance into a pool.
+/// Step that adds the `n`th instance to a pool.
 pub fn adopt(n: usize, pool: usize) -> FleetStep {
     FleetStep::Adopt {
         instance: instance(n),
@@ -172,7 +172,7 @@
     }
 }
 
-/// Drains the `n`th instance for a move to pool 0.
+/// Step that drains the `n`th instance for a move to pool 0.
 pub fn drain(n: usize, since: Offset) -> FleetStep {
     FleetStep::Drain {
         instance: instance(n),
@@ -181,7 +181,7 @@
     }
 }
 
-/// Hands in the `n`th job.
+/// Record that submits the `n`th job.
 pub fn submit(n: usize, size: &Size) -> Body {
     let job = Job {
         id: job_id(n),
@@ -197,7 +197,7 @@
     Body::Job(JobRecord::Submit(vec![job]))
 }
 
-/// Says that a placed job ended well.
+/// Record that reports the success of a placed job.
 pub fn end(n: usize, placed: Offset) -> Body {
     let report = Report {
         job: job_id(n),
@@ -210,7 +210,7 @@
     })
 }
 
-/// A change of the `n`th team's file; `None` as base creates it.
+/// Change that creates the `n`th team's file, or replaces it if the caller sets `base`.
 pub fn team_change(n: usize) -> (Box<str>, FileChange) {
     let team = Team {
         id: team_id(n),
--- a/pomelohitchd/examples/capacity/main.rs
+++ b/pomelohitchd/examples/capacity/main.rs
@@ -1,10 +1,10 @@
-//! Measures the slopes on which docs/CAPACITY.md rests, on one machine at several sizes.
+//! Measures the cost per unit of size that docs/CAPACITY.md is based on, on one machine.
 //!
-//! Each quantity is measured at four sizes, a line is fitted through them, and the line, its
-//! residuals and its value at the size to design for are printed.
+//! Each quantity is measured at four sizes. The output is a line fitted through the four values,
+//! its residuals, and its value at the design size.
 //!
-//! With `fill LOG_URL` it writes a snapshot of that size to a log stand-in instead, so that an
-//! entry instance can be started on it and its memory and processor time looked at.
+//! With `fill LOG_URL` it writes a snapshot of the design size to a stand-in of the log instead, to
+//! measure the memory and processor time of an entry instance that starts from it.
 
 mod cost;
 mod fit;
@@ -16,14 +16,14 @@
 use fit::{Point, print};
 use fleet::{LETTER, Size};
 
-/// Fractions of the size to design for at which is measured, in eighths.
+/// Measured sizes, in eighths of the design size.
 const EIGHTHS: [usize; 4] = [1, 2, 4, 8];
 
-/// A quantity that grows with the size.
+/// A cost that grows with the size.
 struct Quantity {
     name: &'static str,
     unit: &'static str,
-    /// What it grows with.
+    /// The dimension of the size that the cost is fitted against.
     by: fn(&Size) -> usize,
     measure: fn(&Size) -> f64,
 }
--- a/pomelohitchd/examples/capacity/operators.rs
+++ b/pomelohitchd/examples/capacity/operators.rs
@@ -1,4 +1,4 @@
-//! What operators' views, reports and the batch planner cost at a size.
+//! Costs of operators' views, burn reports and the batch planner.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -14,16 +14,16 @@
 
 use crate::fleet::{Fleet, Size, instance};
 
-/// How often a short step is repeated.
+/// Repetitions of each timed step.
 const REPEATS: u32 = 50;
-/// Answers that are counted to time one.
+/// Number of answers counted to time a single one.
 const ANSWERS: u32 = 1_000_000;
-/// Services at one entry instance; each team calls one of them in a minute.
+/// Number of services at one entry instance; each team calls one of them in a minute.
 const SERVICES: usize = 5;
-/// Minutes of the report that is timed.
+/// Length of the timed report, in minutes.
 const REPORT_MINUTES: u64 = 60;
 
-/// The view that `pomelohitch status` asks for, microseconds.
+/// Time to build the view of `pomelohitch status`, in microseconds.
 pub fn status(size: &Size) -> f64 {
     let state = Fleet::with_jobs(size).state;
     timed(|| {
@@ -31,7 +31,7 @@
     })
 }
 
-/// One answer counted, nanoseconds.
+/// Time to count one answer, in nanoseconds.
 pub fn count_answer(size: &Size) -> f64 {
     let names: Vec<_> = (0..size.teams).map(|n| format!("team-{n}")).collect();
     let mut counts = Counts::default();
@@ -44,12 +44,12 @@
     time.as_secs_f64() * 1e9 / f64::from(ANSWERS)
 }
 
-/// Bytes of one minute's record if every team called.
+/// Size of one minute's record in which every team called, in bytes.
 pub fn burn_record(size: &Size) -> f64 {
     to_f64(minute(size, 0).encode().len())
 }
 
-/// Reading an hour's records of one entry instance, milliseconds.
+/// Time to read an hour's records of one entry instance, in milliseconds.
 pub fn burn_read(size: &Size) -> f64 {
     let records: Vec<_> = (0..REPORT_MINUTES)
         .map(|n| minute(size, n).encode())
@@ -63,8 +63,8 @@
     start.elapsed().as_secs_f64() * 1e3
 }
 
-/// One decision of the batch planner after one job ended, with every other job placed or
-/// waiting, microseconds.
+/// Time of one decision of the batch planner after one job ended, with every other job placed or
+/// waiting, in microseconds.
 pub fn batch_decision(size: &Size) -> f64 {
     let state = Fleet::with_jobs(size).state;
     let now = Duration::from_secs(1);
@@ -82,7 +82,7 @@
     for (id, entry) in state.jobs.table.iter() {
         planner.set_job(id, Some(entry), now);
     }
-    // The first decisions place what waits; the next ones are those of every day.
+    // The first decisions place the waiting jobs; later ones represent steady state.
     for _ in 0..20 {
         planner.decide(now);
     }
@@ -101,7 +101,7 @@
         zone: format!("zone-{}", n % 7).into(),
         rack: format!("rack-{}", n / 4).into(),
         capacity: Resources {
-            // Room for half of the jobs: the others wait, and each end lets one of them start.
+            // Capacity for half of the jobs: the others wait, and each end lets one of them start.
             cpu_milli: 2_000,
             memory_mib: 64 * 1024,
             accelerators: 0,
@@ -126,7 +126,7 @@
     }
 }
 
-/// The mean of several steps, in microseconds.
+/// Mean time of [`REPEATS`] steps, in microseconds.
 fn timed(mut step: impl FnMut()) -> f64 {
     let start = Instant::now();
     for _ in 0..REPEATS {
--- a/pomelohitchd/examples/capacity/permits.rs
+++ b/pomelohitchd/examples/capacity/permits.rs
@@ -1,4 +1,4 @@
-//! What permits cost an entry instance that has no requests.
+//! Cost of permits at an entry instance without requests.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,13 +12,14 @@
 
 use crate::fleet::{Fleet, Size};
 
-/// The only member: it is the home of every resource, which is more than each of several is.
+/// The only member. It is the home of every resource, so that its cost bounds that of a member
+/// among several.
 const OWN: &str = "entry-1";
-/// Looks of a second, as the daemon makes them while nothing happens.
+/// Number of passes per second that the daemon makes while it is idle.
 const LOOKS: u32 = 4;
 const RUN: Duration = Duration::from_secs(30);
 
-/// Processor time of one second without requests, microseconds: every instance is a runner.
+/// Processor time of one second without requests, in microseconds. Every instance is a runner.
 pub fn idle_second(size: &Size) -> f64 {
     let fleet = Fleet::new(size);
     let mut dispatcher: Dispatcher<()> = Dispatcher::new(1);
@@ -45,7 +46,7 @@
     start.elapsed().as_secs_f64() * 1e6
 }
 
-/// Asks and answers once; returns how many asks there were.
+/// Sends the pending asks to their home and applies the replies; returns the number of asks.
 fn exchange(dispatcher: &mut Dispatcher<()>, homes: &mut Homes) -> usize {
     let asker = Asker {
         member: OWN.into(),
--- a/pomelohitchd/examples/capacity/platform.rs
+++ b/pomelohitchd/examples/capacity/platform.rs
@@ -1,4 +1,4 @@
-//! What a planner reads from the platform, and what it makes of it, at a size.
+//! Size of what a planner reads from the platform, and the cost of processing it.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -14,15 +14,15 @@
 
 use crate::fleet::{Fleet, LETTER, Size, instance};
 
-/// How many looks are timed.
+/// Number of timed planning passes.
 const LOOKS: u32 = 20;
 
-/// Bytes of the platform's list of instances, KiB.
+/// Size of the platform's list of instances, in KiB.
 pub fn instance_list(size: &Size) -> f64 {
     kib(&serde_json::to_string(&list(size)).expect("a list is JSON"))
 }
 
-/// Bytes of the platform's list of workers, KiB.
+/// Size of the platform's list of workers, in KiB.
 pub fn worker_list(size: &Size) -> f64 {
     let workers = (0..size.instances).map(|n| workers::Listed {
         id: instance(n),
@@ -42,8 +42,8 @@
     kib(&serde_json::to_string(&list).expect("a list is JSON"))
 }
 
-/// A look of the planner of pools and waves, from the list's text to its decisions when nothing
-/// is due, milliseconds.
+/// Time of a planning pass of the planner of pools and waves that finds nothing to do, from the
+/// encoded list to its decisions, in milliseconds.
 pub fn maintenance_look(size: &Size) -> f64 {
     let state = Fleet::new(size).state;
     let text = serde_json::to_string(&list(size)).expect("a list is JSON");
@@ -67,13 +67,13 @@
     start.elapsed().as_secs_f64() * 1e3 / f64::from(LOOKS)
 }
 
-/// Writes a snapshot of the size to design for to the log at `url`, which is empty.
+/// Writes a snapshot of the design size to the empty log at `url`.
 pub fn fill(url: &str) {
     let log = Log::http(url, Duration::from_secs(20));
     // Without jobs: a stand-in of the workers would end them all at once.
     let state = Fleet::new(&LETTER).state;
-    // A reader that starts from the snapshot never reads these, but the log's head has to be
-    // where the snapshot ends.
+    // Readers start from the snapshot and never read these records, but the head of the log must be
+    // at the offset at which the snapshot ends.
     let filler = vec![Box::from("-"); FILL];
     let mut next = 0;
     while next < state.next {
@@ -85,7 +85,7 @@
     println!("wrote a snapshot that ends at offset {next}");
 }
 
-/// How many records are appended at once.
+/// Number of records in one append.
 const FILL: usize = 1000;
 
 fn list(size: &Size) -> List {
--- a/pomelohitchd/examples/in_force.rs
+++ b/pomelohitchd/examples/in_force.rs
@@ -1,5 +1,6 @@
-//! Measures how long a record takes from its append until it is in force at 8 entry instances'
-//! readers, against the stand-in of the log on loopback, as it is, slow, and after an outage.
+//! Measures the time from the append of a record until the readers of 8 entry instances have it in
+//! force, against the stand-in of the log on loopback: without faults, with slow calls, and after
+//! an outage.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/pomelohitchd/examples/overhead.rs
+++ b/pomelohitchd/examples/overhead.rs
@@ -185,7 +185,7 @@
     let (permits_node, front_node) = (node.clone(), node);
     std::thread::spawn(move || permits::run(&permits_node));
     std::thread::spawn(move || front::run(&front_node, &listener));
-    // Permits are there after a few ticks.
+    // The first permits arrive after a few ticks.
     std::thread::sleep(Duration::from_millis(500));
     addr
 }
--- a/pomelohitchd/tests/admin.rs
+++ b/pomelohitchd/tests/admin.rs
@@ -24,8 +24,8 @@
     Request::fake_http("GET", "/v1/admin/status", headers, Vec::new())
 }
 
-/// A key is replaced while operators and pipelines still use the old one. If only one worked at
-/// a time, there would be a moment in which nobody can administer.
+/// While a key is replaced, operators and pipelines still use the old one. If only one key worked
+/// at a time, there would be a moment without access.
 #[test]
 fn the_old_and_the_new_key_work_while_both_hashes_are_set() {
     let both = settings(&format!("{},{}", key::hash("old"), key::hash("new")));
@@ -52,8 +52,8 @@
     assert!(!is_known(&settings, &without));
 }
 
-/// Somebody sets the key itself in place of its hash. The start fails, and its message, which
-/// ends up in logs, doesn't hold the key.
+/// A key that is set in place of its hash makes the start fail. The error message ends up in logs
+/// and must not contain the key.
 #[test]
 fn a_key_in_place_of_its_hash_is_refused_and_not_shown() {
     let told = settings("pmh_secret").check().expect_err("it is no hash");
--- a/pomelohitchd/tests/batch/cancels.rs
+++ b/pomelohitchd/tests/batch/cancels.rs
@@ -1,10 +1,10 @@
-//! Cancels, one and many.
+//! Cancelling one job, and many at once.
 
 use pomelohitch_core::state::jobs::{Outcome, Ran};
 
 use crate::site::{Platform, job, wait_until};
 
-/// A cancelled job that runs is stopped, and only then is it over.
+/// A running job that is cancelled ends only after its task has been stopped.
 #[test]
 fn a_running_job_is_stopped() {
     let platform = Platform::start(4);
@@ -16,8 +16,8 @@
     assert_eq!((end.outcome, end.ran), (Outcome::Cancelled, Ran::InPart));
 }
 
-/// An operator cancels what a wrong release has queued: hundreds of jobs at once, some of them
-/// running. Nothing of it runs on, and what was never begun is said to be so.
+/// Hundreds of jobs are cancelled at once, some of them running. Every task is stopped, and a job
+/// that never started ends with `ran: no`.
 #[test]
 fn a_wave_of_cancels_ends_everything_once() {
     let platform = Platform::start(4);
--- a/pomelohitchd/tests/batch/drains.rs
+++ b/pomelohitchd/tests/batch/drains.rs
@@ -4,8 +4,8 @@
 
 use crate::site::{Platform, job, wait_until};
 
-/// A worker is taken away while a job runs on it that must not run twice. The job is checkpointed
-/// and goes on elsewhere from where it was; nothing new goes to the worker.
+/// A worker drains while a non-idempotent job runs on it. The job is checkpointed and resumed on
+/// another worker, and the draining worker gets nothing new.
 #[test]
 fn a_job_on_a_leaving_worker_goes_on_elsewhere() {
     let platform = Platform::start(8);
@@ -31,8 +31,8 @@
     assert_eq!((runs.started, runs.most_at_once), (2, 1));
 }
 
-/// A peer saw a worker leave, and the log doesn't tell yet. Bad news is enough to give it nothing
-/// new.
+/// A peer has seen that a worker leaves, and the log has no record of it yet. The peer's
+/// notification is enough to place nothing new on the worker.
 #[test]
 fn a_worker_that_a_peer_saw_leaving_gets_nothing_new() {
     let platform = Platform::start(8);
--- a/pomelohitchd/tests/batch/faults.rs
+++ b/pomelohitchd/tests/batch/faults.rs
@@ -8,8 +8,8 @@
 
 use crate::site::{Platform, job, wait_until};
 
-/// The platform starts tasks and loses the answers. If they were started again under another
-/// name, a settlement would be paid twice.
+/// The platform starts tasks, and the answers are lost. If they were started again under another
+/// attempt, a settlement would be paid twice.
 #[test]
 fn a_start_whose_answer_is_lost_happens_once() {
     let platform = Platform::start(4);
@@ -27,7 +27,8 @@
     }
 }
 
-/// One worker fails whatever it starts. Jobs that may run twice end well elsewhere.
+/// One worker fails every task. Idempotent jobs run again on other workers, and this one is
+/// quarantined.
 #[test]
 fn jobs_that_fail_on_a_bad_worker_end_well_elsewhere() {
     let platform = Platform::start(20);
@@ -48,8 +49,8 @@
     assert!(quarantined().keys().eq(["worker-0".into()].iter()));
 }
 
-/// The log is down for a while: nothing is taken in, and that is said; what runs, runs on, and
-/// its end is told once the log is back.
+/// During an outage of the log, submits are refused and running jobs go on; their ends are recorded
+/// once the log is back.
 #[test]
 fn an_outage_of_the_log_loses_and_doubles_nothing() {
     let platform = Platform::start(4);
@@ -76,8 +77,8 @@
     assert_eq!(platform.ledger().jobs[&id].started, 1);
 }
 
-/// The workers' side of the platform is down for some seconds while jobs wait. They start once
-/// it is back, each once.
+/// The workers are unreachable for some seconds while a job is placed. It starts once they are
+/// back, and only once.
 #[test]
 fn jobs_placed_while_the_workers_cannot_be_reached_start_later() {
     let platform = Platform::start(4);
--- a/pomelohitchd/tests/batch/leases.rs
+++ b/pomelohitchd/tests/batch/leases.rs
@@ -1,4 +1,4 @@
-//! Leases that are renewed, and leases that lapse.
+//! Renewal and expiry of leases.
 
 use std::time::Duration;
 
@@ -10,7 +10,8 @@
 
 const LEASE: Duration = Duration::from_millis(900);
 
-/// A job runs for several leases. Each is renewed in time, and the job isn't cut off.
+/// A job runs for longer than several leases. Each lease is renewed in time, and the job is not
+/// stopped.
 #[test]
 fn a_job_longer_than_its_lease_runs_to_its_end() {
     let platform = Platform::start(4);
@@ -20,9 +21,9 @@
     assert_eq!(platform.ledger().jobs[&id].started, 1);
 }
 
-/// The holder of leases can't reach the workers for longer than a lease, as if it had been
-/// paused. The workers stop its tasks. What may run twice is run again; what may not is over,
-/// and its end says that it ran in part.
+/// The holder of the leases can't reach the workers for longer than a lease, as if it had been
+/// paused, and the workers stop its tasks. An idempotent job runs again; any other ends, and its
+/// end says that it ran in part.
 #[test]
 fn a_lapsed_lease_reruns_only_what_may_run_twice() {
     let platform = Platform::start(4);
@@ -41,7 +42,7 @@
     assert_eq!((runs.started, runs.most_at_once), (2, 1));
 }
 
-/// Keeps the workers out of reach until nothing there can hold a lease any more.
+/// Makes the workers unreachable until every lease has expired.
 fn cut_off_until_stopped(platform: &Platform, entry: &Entry) {
     platform.workers.set_faults(Faults {
         calls: CallFaults {
--- a/pomelohitchd/tests/batch/main.rs
+++ b/pomelohitchd/tests/batch/main.rs
@@ -1,4 +1,4 @@
-//! Batch work through log, planner and workers, against the stand-ins.
+//! Batch jobs from the log through the planner to the workers, against stand-ins.
 
 mod cancels;
 mod drains;
--- a/pomelohitchd/tests/batch/path.rs
+++ b/pomelohitchd/tests/batch/path.rs
@@ -1,4 +1,4 @@
-//! From a submit to the end of a job.
+//! Jobs from their submit to their end.
 
 use std::sync::Barrier;
 
@@ -8,7 +8,7 @@
 
 use crate::site::{Platform, job, wait_until};
 
-/// A settlement is handed in, placed, run, and its end is read back.
+/// A job is submitted, placed and run, and the API returns its end.
 #[test]
 fn a_job_goes_from_submit_to_its_end() {
     let platform = Platform::start(4);
@@ -20,8 +20,8 @@
     assert_eq!(platform.ledger().jobs[&id].succeeded, 1);
 }
 
-/// The answer to a submit is lost on the way and the caller asks again, at another entry
-/// instance. Two settlements would pay a resort twice.
+/// The answer to a submit is lost, and the caller repeats it at another entry instance. Two jobs
+/// would pay a settlement twice.
 #[test]
 fn the_same_key_at_two_entry_instances_is_one_job() {
     let platform = Platform::start(4);
@@ -42,8 +42,8 @@
     assert!(conflict.body.contains(r#""ran":"no""#));
 }
 
-/// Each caller waits for the log; if each had an append of its own, a burst of submits would use
-/// up the few hundred that the log takes a second.
+/// Submits that arrive at the same time share appends. With an append for each, a burst would use
+/// up the few hundred appends per second that the log accepts.
 #[test]
 fn submits_that_come_together_share_appends() {
     const CALLERS: usize = 48;
@@ -71,9 +71,8 @@
     assert!(appends < CALLERS as u64 / 2, "{appends} appends");
 }
 
-/// A job that no worker can hold is found, ended with the reason, and blocks nobody. It takes
-/// the grace of a minute in the planner's own clock, so that the pure planner's tests show it;
-/// here it must only not hold up the others.
+/// A job that fits on no worker does not hold up others. The planner refuses it only after a grace
+/// of one minute; the planner's own tests cover that with a virtual clock.
 #[test]
 fn a_job_that_fits_no_worker_blocks_nobody() {
     let platform = Platform::start(4);
@@ -87,8 +86,8 @@
     assert_eq!(&*entry.show(&giant).state, "waiting");
 }
 
-/// A class declares far too little memory. Its jobs are killed, run again with more, and the
-/// next ones get enough at once.
+/// A class declares too little memory. Its job is killed and runs again with more, and the next job
+/// of the class gets enough at once.
 #[test]
 fn memory_is_raised_after_a_kill() {
     let platform = Platform::start(4);
@@ -105,7 +104,7 @@
     assert_eq!(platform.ledger().jobs[&next].started, 1);
 }
 
-/// The team's upper limit holds however many jobs wait and however much room there is.
+/// The limit of a team holds, however many jobs wait and however much capacity is free.
 #[test]
 fn no_team_has_more_running_than_its_limit() {
     let platform = Platform::start(4);
@@ -124,8 +123,8 @@
     assert!(entry.node.state.load().jobs.active.is_empty());
 }
 
-/// A caller's script runs wild and submits without end. Every entry instance keeps every job; the
-/// caller is told that nothing was taken in before they run out of memory.
+/// Every entry instance keeps every job in memory. A faulty script that submits without end is
+/// refused with `ran: no` before memory runs out.
 #[test]
 fn submits_are_turned_away_when_too_many_jobs_are_kept() {
     let platform = Platform::start(1);
--- a/pomelohitchd/tests/batch/planners.rs
+++ b/pomelohitchd/tests/batch/planners.rs
@@ -6,7 +6,7 @@
 
 use crate::site::{Platform, job};
 
-/// The planner is replaced while jobs run. The new one takes their attempts over: none is lost,
+/// The planner is replaced while jobs run. The new one takes over their attempts: none is lost, and
 /// none runs twice.
 #[test]
 fn a_new_planner_takes_over_what_runs() {
@@ -24,8 +24,9 @@
     }
 }
 
-/// The planner is replaced between the record of a placement and the start. Whoever comes next
-/// starts it, under the same attempt, so that a late start of the first planner changes nothing.
+/// The planner is replaced after a placement was recorded and before the job was started. Its
+/// successor starts the job under the same attempt, so that a late start by the first planner has
+/// no effect.
 #[test]
 fn a_new_planner_starts_what_was_placed() {
     let platform = Platform::start(4);
--- a/pomelohitchd/tests/batch/site.rs
+++ b/pomelohitchd/tests/batch/site.rs
@@ -22,14 +22,14 @@
 use pomelohitchd::{batch, reader};
 use rouille::Request;
 
-/// Longest wait for anything that a test expects.
+/// Upper limit of every wait in these tests.
 const PATIENCE: Duration = Duration::from_secs(30);
-/// How many jobs a test puts into one record.
+/// Number of jobs in a record that [`Entry::fill`] appends.
 const JOBS_A_RECORD: usize = 1000;
-/// How long a test's proposals may take.
+/// Time limit of a proposal.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(10);
 
-/// The platform.
+/// Stand-ins of the log and the workers.
 pub struct Platform {
     pub log: Log,
     pub workers: Workers,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// An entry instance that has joined and plans nothing yet.
+    /// An entry instance that has joined and isn't the planner.
     pub fn entry(&self, member: &str) -> Entry {
         self.entry_with(member, batch::Options::default())
     }
@@ -73,7 +73,7 @@
             "--zone=zone-a",
             &format!("--log-url={}", self.log.url()),
             &format!("--workers-url={}", self.workers.url()),
-            // Nobody listens there: what isn't asked of the platform isn't missed.
+            // Nothing listens there; these tests need no answer from it.
             "--instances-url=http://127.0.0.1:9",
             "--platform-timeout-ms=1000",
             &format!("--admin-key-hash={}", key::hash("operator")),
@@ -86,16 +86,16 @@
         entry
     }
 
-    /// An entry instance that plans, and a team of which `jobs` jobs may run at once.
+    /// An entry instance that is the planner, and a team that may run `jobs` jobs at once.
     pub fn planner(&self, jobs: u32) -> Entry {
         let entry = self.entry("entry-1");
-        // Half of a team's limit is for jobs, until its border is moved.
+        // Jobs get half of a team's limit until the limit split is moved.
         entry.publish(2 * jobs);
         entry.take_term();
         entry
     }
 
-    /// An entry instance that plans with short leases.
+    /// An entry instance that is the planner and grants leases of this length.
     pub fn planner_with_leases(&self, lease: Duration) -> Entry {
         let options = batch::Options {
             shortest_lease: lease,
@@ -170,7 +170,7 @@
         self.propose(Body::Publish(Publish { changes }));
     }
 
-    /// Takes a worker into the pool `batch`.
+    /// Adds a worker to the pool `batch`.
     pub fn adopt(&self, worker: &str) {
         self.fleet(FleetStep::Adopt {
             instance: worker.into(),
@@ -181,7 +181,7 @@
         });
     }
 
-    /// The platform says that the worker is leaving.
+    /// Drains a worker, as when the platform reports that it is leaving.
     pub fn drain(&self, worker: &str) {
         let since = self.node.state.load().fleet.instances[worker].since;
         self.fleet(FleetStep::Drain {
@@ -205,7 +205,7 @@
         decided.offset
     }
 
-    /// Submits so many jobs that wait, past the API.
+    /// Appends `count` waiting jobs, bypassing the API.
     pub fn fill(&self, count: usize) {
         let jobs: Vec<Job> = (0..count).map(waiting).collect();
         for jobs in jobs.chunks(JOBS_A_RECORD) {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Asks the jobs API as the team `choir`.
+    /// Calls the jobs API as the team `choir`.
     pub fn call(&self, method: &str, path: &str, key: Option<&str>, body: &str) -> Answer {
         let key = key.map(|key| ("Idempotency-Key".to_owned(), key.to_owned()));
         let headers = key.into_iter().collect();
@@ -244,7 +244,7 @@
             .view()
     }
 
-    /// Waits until the job has ended, and returns how.
+    /// Waits until the job has ended, and returns its end.
     pub fn end_of(&self, id: &str) -> End {
         wait_until("the job ended", || self.show(id).end.is_some());
         self.show(id).end.expect("an end never goes away")
@@ -285,7 +285,7 @@
     }
 }
 
-/// A job of one processor and 512 MiB, with words for the stand-in.
+/// A job with one processor and 512 MiB; `command` controls the stand-in of the worker.
 pub fn job(class: &str, idempotent: bool, command: &str) -> String {
     serde_json::json!({
         "class": class,
@@ -298,7 +298,7 @@
     .to_string()
 }
 
-/// Waits until `is_so`, which has to become true by itself.
+/// Polls `condition` until it holds; panics after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, is_so: impl Fn() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !is_so() {
--- a/pomelohitchd/tests/borders.rs
+++ b/pomelohitchd/tests/borders.rs
@@ -1,4 +1,4 @@
-//! Where the border between a team's requests and jobs belongs.
+//! How the limit of a team is split between its requests and its jobs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     );
 }
 
-/// Neither side may be left without a part by the other one's demand, whatever it is.
+/// The demand of one side never takes the other one below half of the limit or its own demand.
 #[test]
 fn a_side_that_wants_has_at_least_half_or_what_it_wants() {
     pomelohitch_property::check(|&(limit, active, waiting, requests): &(u8, u8, u8, u8)| {
@@ -101,9 +101,9 @@
     team
 }
 
-/// The answer to a proposal is lost, and an operator lowers the limit meanwhile. Proposed again as it
-/// was, it would be rejected for ever, and what it keeps back from requests is the whole limit: none
-/// of the team's callers would be served until the members change.
+/// The answer to a proposal is lost, and an operator lowers the limit meanwhile. Repeated
+/// unchanged, the proposal would be rejected for ever and keep the whole limit from the requests:
+/// none of the team's callers would be served until the members change.
 #[test]
 fn an_unknown_proposal_above_a_lowered_limit_is_proposed_within_it() {
     let mut state = State::default();
--- a/pomelohitchd/tests/burn.rs
+++ b/pomelohitchd/tests/burn.rs
@@ -68,9 +68,9 @@
     assert_eq!(is_good(&without, &Ok(answer(200)), IN_TIME), None);
 }
 
-/// An entry instance is replaced right after a full minute, before it has looked again. Its end
-/// closes the minute that just began; if the one before were left out, a minute of answers would
-/// be missing from the report, with no gap to show it.
+/// An entry instance shuts down just after a minute has ended, before the next periodic check. The
+/// shutdown closes the minute that has just begun; if the one before were left out, its answers
+/// would be missing from the report, with no visible gap.
 #[test]
 fn a_minute_that_ended_since_the_last_look_is_closed_once() {
     let mut minutes = Minutes::default();
--- a/pomelohitchd/tests/freshness.rs
+++ b/pomelohitchd/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! When an entry instance may send work by what it knows.
+//! When the state of an entry instance is recent enough to dispatch work.
 
 use std::time::Duration;
 
@@ -28,9 +28,8 @@
     assert!(evidence.is_fresh());
 }
 
-/// An entry instance is cut off from the log and its peers, or was paused for a minute, while the
-/// balancer still sends it callers. An operator withdraws a key meanwhile. If it went on by what
-/// it knew, the withdrawn key would still be accepted there.
+/// An entry instance is cut off from the log and its peers, or was paused for a minute, and a key
+/// is withdrawn meanwhile. If it dispatched work by its old state, it would still accept the key.
 #[test]
 fn a_member_cut_off_from_the_log_and_half_of_the_members_is_not_fresh() {
     let evidence = Evidence {
@@ -42,9 +41,9 @@
     assert!(!evidence.is_fresh());
 }
 
-/// The log is out of reach for one entry instance only. An operator publishes that a key is
-/// withdrawn, and the others read it. The one that hears them knows that they have read more than
-/// it has; if it went on, the key would be accepted there until the log is back.
+/// Only one entry instance cannot reach the log, and a published withdrawal of a key is read by the
+/// others. It hears from them that they have read further; if it dispatched work by its old state,
+/// it would accept the key until the log is back.
 #[test]
 fn a_member_that_hears_of_records_it_cannot_read_is_not_fresh() {
     let evidence = Evidence {
@@ -56,8 +55,8 @@
     assert!(!evidence.is_fresh());
 }
 
-/// Two halves that can't hear each other while the log is down: a withdrawal told to one of them
-/// must not leave the other one accepting the key.
+/// While the log is down, two halves of the members can't reach each other. A withdrawal that only
+/// one half knows must not leave the other half accepting the key.
 #[test]
 fn two_halves_are_never_both_fresh() {
     for members in 1..=9 {
--- a/pomelohitchd/tests/front/answers.rs
+++ b/pomelohitchd/tests/front/answers.rs
@@ -1,4 +1,4 @@
-//! What callers get back, and that it is true.
+//! Answers that callers get for complete, truncated, late and refused requests.
 
 use std::net::TcpListener;
 
@@ -37,8 +37,8 @@
     assert!(left <= 10_000);
 }
 
-/// The runner's process dies in the middle of an answer. Half a booking that looks whole would
-/// leave the caller with a pass it can't use, so the caller is told that the answer was lost.
+/// A runner that dies while it sends an answer leaves a truncated response. Passed on as complete,
+/// it would give the caller an invalid booking; the caller gets 502 with `ran: unknown` instead.
 #[test]
 fn half_answers_are_never_passed_on() {
     for cut in [
@@ -77,7 +77,8 @@
     addr
 }
 
-/// Nothing listens at the runner's address any more. No byte can have left, so "not run" is true.
+/// Nothing listens at the runner's address. No byte of the request was sent, so that `ran: no` is
+/// correct.
 #[test]
 fn a_runner_that_cannot_be_reached_did_not_run_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -90,8 +91,8 @@
     assert!(answer.contains("Retry-After: "), "{answer}");
 }
 
-/// The runner answers 503 itself. Unless it says that it didn't start the request, that is the
-/// endpoint's own answer and goes back as it is.
+/// A 503 from the runner is the endpoint's own answer and is returned unchanged, unless its header
+/// `Request-Ran: no` says that the request was not started.
 #[test]
 fn only_the_runners_own_word_makes_a_refusal_not_run() {
     let runner = Runner::start(|seen| {
@@ -110,8 +111,8 @@
     assert_eq!(problem(&refused)["ran"], "no");
 }
 
-/// The runner takes a request and never answers. The caller waits no longer than it said, and
-/// isn't told "not run": the runner may have done it.
+/// The runner accepts a request and never answers. The caller gets 504 at its own timeout, with
+/// `ran: unknown`, since the runner may have executed the request.
 #[test]
 fn a_late_answer_is_unknown() {
     let runner = Runner::start(|_| {
--- a/pomelohitchd/tests/front/bad_input.rs
+++ b/pomelohitchd/tests/front/bad_input.rs
@@ -1,4 +1,4 @@
-//! Requests that can't be served get a clear refusal, and the entry goes on for others.
+//! Invalid requests are refused with a status, and the entry instance keeps serving others.
 
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -37,8 +37,8 @@
     format!("{line}\r\nHost: entry\r\n{headers}\r\n").into_bytes()
 }
 
-/// A client with a bug sends headers without end. If they were all kept, one client could use up
-/// the memory of the entry instance and every caller would lose its answer.
+/// An endless request head must not be buffered: one faulty client could exhaust the memory of the
+/// entry instance.
 #[test]
 fn a_head_without_end_is_refused_at_the_limit() {
     let mut bytes = b"GET /s/passes/ HTTP/1.1\r\nHost: entry\r\n".to_vec();
@@ -53,7 +53,7 @@
     is_refused(&request("GET /s/passes/ HTTP/1.1", &headers), 431);
 }
 
-/// A client announces a body of gigabytes. It is refused before memory is set aside for it.
+/// A body above the limit is refused by its declared length, before memory is allocated for it.
 #[test]
 fn a_body_beyond_the_limit_is_refused_before_it_is_read() {
     let headers = format!("Authorization: Bearer {KEY}\r\nContent-Length: 5000\r\n");
@@ -62,8 +62,8 @@
     is_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
 }
 
-/// A request states its length twice, so that two readers see different requests in the same
-/// bytes. One that was hidden in the body of another would run under that one's key.
+/// Conflicting body lengths let two parsers split the same bytes into different requests (request
+/// smuggling). A request hidden in another one's body would run under that one's key.
 #[test]
 fn two_statements_of_the_length_are_refused() {
     let line = "POST /s/passes/ HTTP/1.1";
@@ -84,8 +84,8 @@
     is_refused(&request("POST /s/passes/ HTTP/1.1", "Expect: tea\r\n"), 417);
 }
 
-/// A client sends its head or body a byte at a time, or stops in the middle. It holds a connection
-/// and a thread, and with enough of them nobody else would get one.
+/// A client sends its head or body slowly, or stops half-way. It occupies a connection and a
+/// thread; enough such clients would leave none for others.
 #[test]
 fn slow_senders_are_told_so_and_cut() {
     is_refused(b"GET /s/passes/ HTTP/1.1\r\nHost: en", 408);
@@ -115,8 +115,8 @@
     is_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
 }
 
-/// An operator withdraws a key that leaked, while its user has a connection open. Both the record
-/// and the word of a peer are enough to refuse it, on the open connection too.
+/// A key is withdrawn while its user has a connection open. Either the record or a peer's
+/// notification is enough to refuse it, also on the open connection.
 #[test]
 fn a_withdrawn_key_is_refused_on_open_connections_too() {
     let runner = Runner::answering("pass");
@@ -159,8 +159,8 @@
     }
 }
 
-/// Clients open connections and send nothing. Beyond the limit a new one is refused at once, in
-/// words, and a place that comes free is given to the next.
+/// Idle clients use up the limit of connections. A new connection gets 503 at once, and one that
+/// closes makes a slot available for the next.
 #[test]
 fn connections_beyond_the_limit_are_refused_in_words() {
     let runner = Runner::answering("pass");
@@ -191,7 +191,7 @@
     });
 }
 
-/// Many clients send large bodies at once. Together they may only take so much memory.
+/// All request bodies that are being received share one memory limit.
 #[test]
 fn bodies_together_are_bounded() {
     let limits = Limits {
--- a/pomelohitchd/tests/front/entry.rs
+++ b/pomelohitchd/tests/front/entry.rs
@@ -21,9 +21,9 @@
 use pomelohitchd::peers;
 use pomelohitchd::settings::Settings;
 
-/// The key of the test's team.
+/// API key of the test's team.
 pub const KEY: &str = "valley-station-key";
-/// Longest wait for anything that a test expects.
+/// Upper limit of every wait in these tests.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 /// A running entry instance.
@@ -49,7 +49,7 @@
         Entry::serve(node, limits)
     }
 
-    /// Two entry instances that know one another, over real links.
+    /// Two entry instances that are each other's peers, over real connections.
     pub fn pair(runners: &[SocketAddr]) -> [(Entry, Links); 2] {
         let listeners = [1, 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
         let joins: Vec<_> = listeners
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Puts another record in force.
+    /// Applies another record and publishes the new state to the entry instance's threads.
     pub fn apply(&self, body: Body) {
         let mut state = State::clone(&self.node.state.load());
         apply(&mut state, body);
@@ -117,7 +117,7 @@
         String::from_utf8_lossy(&answer).into_owned()
     }
 
-    /// A request with the team's key on a connection of its own.
+    /// Sends a request with the team's key over a new connection.
     pub fn call(&self, method: &str, path: &str, headers: &[&str]) -> String {
         let headers = headers.join("\r\n");
         let headers = if headers.is_empty() {
@@ -135,7 +135,7 @@
     }
 }
 
-/// The status line's number.
+/// Status code of an answer.
 pub fn status(answer: &str) -> u16 {
     let mut words = answer.split(' ');
     words
@@ -144,18 +144,17 @@
         .unwrap_or_else(|| panic!("no answer: {answer:?}"))
 }
 
-/// The body of an answer.
 pub fn body(answer: &str) -> &str {
     answer.split_once("\r\n\r\n").map_or("", |(_, body)| body)
 }
 
-/// The problem document of an answer.
+/// Problem document (`application/problem+json`) of an answer.
 pub fn problem(answer: &str) -> serde_json::Value {
     assert!(answer.contains("Content-Type: application/problem+json\r\n"));
     serde_json::from_str(body(answer)).unwrap()
 }
 
-/// Waits until `is_so`, which has to become true by itself.
+/// Polls `condition` until it holds; panics after [`WAIT_TIMEOUT`].
 pub fn wait_until(what: &str, is_so: impl Fn() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !is_so() {
@@ -179,7 +178,7 @@
     }
 }
 
-/// A node for which the joins and records are in force, as the member that joined at `place`.
+/// A node whose state contains `joins` and `records`; it is the member of `joins[index]`.
 fn node(joins: &[Join], place: usize, records: Vec<Body>) -> Arc<Node> {
     let node = Arc::new(Node::new(settings(&joins[place].member)));
     let mut state = State::default();
@@ -196,7 +195,7 @@
 }
 
 fn settings(member: &str) -> Settings {
-    // Nobody listens there: what isn't asked of the platform isn't missed.
+    // Nothing listens there; these tests need no answer from the platform.
     let nowhere = "http://127.0.0.1:9";
     Settings::parse_from([
         "pomelohitchd",
--- a/pomelohitchd/tests/front/fleet.rs
+++ b/pomelohitchd/tests/front/fleet.rs
@@ -8,7 +8,7 @@
 use crate::entry::{Entry, problem, status, wait_until};
 use crate::runner::Runner;
 
-/// Both heard one another and hold permits.
+/// Whether all of them have heard from their peers and hold permits.
 fn are_settled<'a>(entries: impl IntoIterator<Item = &'a Entry>) -> bool {
     entries.into_iter().all(|entry| {
         let (held, _) = permits::held(&entry.node, &Resource::Team("valley".into()));
@@ -16,8 +16,8 @@
     })
 }
 
-/// A hotel desk gets no answer and sends its booking again; the balancer takes it to the other
-/// entry instance. Whichever of the two remembers the key, it runs once.
+/// A caller repeats a request, and the balancer sends the repetition to the other entry instance.
+/// The request runs once, whichever of the two is its idempotency key's home.
 #[test]
 fn a_key_runs_once_over_both_entries() {
     let runner = Runner::answering("booked");
@@ -36,8 +36,8 @@
     drop((one_links, two_links));
 }
 
-/// The other entry instance is gone for good, and with it what it granted. For the keys that it
-/// remembered nobody can say whether they ran; those are refused, and the others go on.
+/// The other entry instance has left, and its record of granted keys is lost. Whether its keys have
+/// run is unknown, so they are refused; keys of the remaining entry instance are served.
 #[test]
 fn keys_of_a_home_that_is_gone_are_refused_and_others_served() {
     let runner = Runner::answering("booked");
@@ -66,8 +66,8 @@
     assert_eq!(runner.count(), 16 - refused);
 }
 
-/// The runner has 8 slots and the team is flooding both entry instances: together they never send
-/// it more than it runs at once.
+/// One team sends more requests through both entry instances than the runner's 8 slots; together
+/// they never exceed the slots.
 #[test]
 fn two_entries_share_the_slots_of_a_runner() {
     use std::sync::Arc;
@@ -100,8 +100,9 @@
     assert!((2..=8).contains(&most), "{most} at once");
 }
 
-/// An entry instance was held for dead and reads that in the log; its callers still reach it. Its
-/// permits may be with others by then: if it went on, more would run than the limit allows.
+/// An entry instance was removed as dead and reads its removal in the log, while callers still
+/// reach it. Other members may hold its permits by then; if it kept sending, the limits would be
+/// exceeded.
 #[test]
 fn an_entry_that_was_ended_sends_nothing_until_it_joins_again() {
     let runner = Runner::answering("whole");
--- a/pomelohitchd/tests/front/retries.rs
+++ b/pomelohitchd/tests/front/retries.rs
@@ -1,4 +1,4 @@
-//! What is tried again, what never is, and what is said afterwards.
+//! Which requests are retried, which are not, and the answer after the last attempt.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::entry::{Entry, problem, status};
 use crate::runner::{Runner, Seen, ok};
 
-/// Two runners that share the count of what reached them.
+/// Two runners that share one request counter; `answer` gets the number of the request.
 fn pair(answer: impl Fn(usize, &Seen) -> Option<Vec<u8>> + Send + Sync + 'static) -> Vec<Runner> {
     let answer = Arc::new(answer);
     let count = Arc::new(AtomicUsize::new(0));
@@ -28,8 +28,8 @@
     runners.iter().map(Runner::count).sum()
 }
 
-/// A runner dies with a request in hand. One that may run twice is answered by another runner,
-/// and the caller notices nothing.
+/// A runner dies while it handles a request. An idempotent request is retried at the other runner,
+/// and the caller gets its answer.
 #[test]
 fn an_idempotent_request_is_tried_again_elsewhere() {
     let runners = pair(|nth, _| (nth > 0).then(|| ok("whole")));
@@ -39,8 +39,8 @@
     assert_eq!(seen(&runners), 2);
 }
 
-/// The same with a purchase: the runner may have charged the card before it died. Trying again
-/// would charge it twice.
+/// A runner may have executed a non-idempotent request before it died; a retry could charge a card
+/// twice.
 #[test]
 fn a_non_idempotent_request_is_never_sent_twice() {
     let runners = pair(|_, _| None);
@@ -54,8 +54,8 @@
     }
 }
 
-/// The first try of a request is lost and may have run; the second runner refuses to start it. The
-/// last word alone is "not run", and a caller who got it would believe that nothing had happened.
+/// The first attempt is lost and may have run; the second runner refuses the request. Reporting
+/// only the second result, `ran: no`, would be wrong.
 #[test]
 fn a_refusal_after_a_lost_try_is_still_unknown() {
     let refusal = b"HTTP/1.1 503 Busy\r\nRequest-Ran: no\r\nContent-Length: 0\r\n\r\n";
@@ -67,8 +67,8 @@
     assert!(!answer.contains("Retry-After"), "{answer}");
 }
 
-/// One of two runners is gone. No byte of the request can have left, so even a purchase goes to
-/// the other one, and the caller notices nothing.
+/// One of two runners accepts no connections. No byte of the request was sent to it, so that even a
+/// non-idempotent request may be sent to the other one.
 #[test]
 fn what_was_never_sent_may_go_elsewhere() {
     let gone = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -83,8 +83,8 @@
     assert_eq!(runner.count(), 4);
 }
 
-/// A connection that was kept goes silent while new ones work. A request that may run twice gets
-/// its answer over a new one, long before its own timeout.
+/// A reused connection goes silent while new ones work. An idempotent request is retried over a new
+/// connection well before its own timeout.
 #[test]
 fn a_kept_connection_that_went_silent_is_given_up() {
     let runner = Runner::start(|seen| {
@@ -105,7 +105,7 @@
     assert!(begun.elapsed() < crate::entry::PATIENCE, "waited it out");
 }
 
-/// A hotel desk sends the same booking twice, since the first answer was lost on the way.
+/// A caller repeats a request with the same idempotency key because the first answer was lost.
 #[test]
 fn the_same_idempotency_key_runs_once() {
     let runner = Runner::answering("booked");
@@ -121,7 +121,8 @@
     assert!(other.ends_with("booked"), "{other}");
 }
 
-/// A booking was refused before it ran. Its key must be free again, or the guest can't book.
+/// A request was refused before it ran. Its idempotency key must be released, or the caller could
+/// not repeat the request.
 #[test]
 fn a_key_of_a_request_that_did_not_run_is_free_again() {
     let runner = Runner::start(|seen| {
--- a/pomelohitchd/tests/front/runner.rs
+++ b/pomelohitchd/tests/front/runner.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 
-/// A request as the runner saw it: the head's lines and the body.
+/// A request as the runner received it: the lines of its head, and its body.
 #[derive(Debug, Clone)]
 pub struct Seen {
     pub lines: Vec<String>,
@@ -20,14 +20,15 @@
     }
 }
 
-/// A running runner; its thread ends with the test's process.
+/// A runner that serves requests; its threads end with the test's process.
 pub struct Runner {
     pub addr: SocketAddr,
     pub seen: Arc<Mutex<Vec<Seen>>>,
 }
 
 impl Runner {
-    /// A runner that writes what `answer` makes of each request, for as long as it is `Some`.
+    /// Starts a runner that writes the bytes returned by `answer` for each request; on `None` it
+    /// closes the connection.
     pub fn start(answer: impl Fn(&Seen) -> Option<Vec<u8>> + Send + Sync + 'static) -> Runner {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
--- a/pomelohitchd/tests/front/shutdown.rs
+++ b/pomelohitchd/tests/front/shutdown.rs
@@ -1,4 +1,4 @@
-//! A graceful shutdown of the callers' port cuts nothing.
+//! A graceful shutdown of the callers' port completes the requests in flight.
 
 use std::io::{Read, Write};
 use std::sync::atomic::Ordering;
@@ -10,9 +10,9 @@
 use crate::entry::{Entry, KEY, status, wait_until};
 use crate::runner::{Runner, ok};
 
-/// An entry instance is replaced while a request runs and other callers keep connections open.
-/// The request still gets its whole answer, and the kept connection's next answer says that it
-/// closes, so that its caller goes elsewhere by itself.
+/// An entry instance shuts down while a request runs and other callers hold idle connections. The
+/// request gets its complete answer, and the next answer on an idle connection carries `Connection:
+/// close`, so that its caller connects elsewhere.
 #[test]
 fn requests_in_flight_are_finished_and_kept_connections_told_to_close() {
     let (tx, rx) = mpsc::channel::<()>();
--- a/pomelohitchd/tests/leaving.rs
+++ b/pomelohitchd/tests/leaving.rs
@@ -1,11 +1,11 @@
-//! Who saw which instances leave, in virtual time.
+//! Which members have reported that an instance is leaving, in virtual time.
 
 use std::time::{Duration, Instant};
 
 use pomelohitchd::leaving::{KEPT, Sightings};
 
-/// The platform changes its mind and an instance stays. Members that passed on what they heard from
-/// one another would keep the news alive among themselves, and its slots would stay empty.
+/// The platform cancels the removal of an instance. If members passed on the sightings of others,
+/// they would keep each other's sightings alive, and the slots of the instance would stay unused.
 #[test]
 fn an_instance_that_stays_is_used_again() {
     let (one, two) = ("entry-1".into(), "entry-2".into());
--- a/pomelohitchd/tests/liveness.rs
+++ b/pomelohitchd/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! Which members are held for dead, in virtual time.
+//! Which members are declared dead, in virtual time.
 
 #![allow(clippy::unwrap_used, reason = "a panic is how a test fails")]
 
@@ -12,10 +12,10 @@
 
 const LEASE: Duration = Duration::from_secs(3);
 const TICK: Duration = Duration::from_millis(250);
-/// A tick less than the lease.
+/// One tick less than the lease.
 const ALMOST: Duration = Duration::from_millis(2750);
 
-/// The member `a` among `a`, `b`, `c` and `d`, with a clock of its own.
+/// Member `a` in a group of `a`, `b`, `c` and `d`, with a virtual clock.
 struct World {
     now: Instant,
     tracker: Tracker,
@@ -64,7 +64,7 @@
         dead.into_iter().map(|leave| leave.member).collect()
     }
 
-    /// Lets time pass while only `heard` send heartbeats; returns who was held for dead.
+    /// Advances the clock while only `heard` send heartbeats; returns the members declared dead.
     fn pass(&mut self, time: Duration, heard: &[&str]) -> Vec<MemberId> {
         let end = self.now + time;
         let mut dead = Vec::new();
@@ -89,9 +89,9 @@
     assert_eq!(world.pass(TICK, &["b", "c"]), [MemberId::from("d")]);
 }
 
-/// An entry instance is replaced: its successor joins the log and needs a moment until its links
-/// stand. If its silence counted from before it joined, every replacement would be removed at
-/// once and join again, for as long as the others take to reach it.
+/// A replacement of an entry instance needs a moment after its join until its connections are up.
+/// If silence counted from before the join, every replacement would be removed at once and join
+/// again, until the others reach it.
 #[test]
 fn a_member_that_just_joined_has_a_whole_lease() {
     let mut world = World::new();
@@ -102,9 +102,9 @@
     assert!(world.pass(TICK, &["c", "d", "e"]).is_empty());
 }
 
-/// A process is paused for a minute, by its hypervisor say, and goes on. Nobody's heartbeat
-/// arrived meanwhile. If it took that for their silence, it would remove every other member, and
-/// all permits would have to be handed out anew.
+/// A process is paused for a minute, for example by its hypervisor, and receives no heartbeats
+/// meanwhile. If it took that for the silence of its peers, it would remove every other member, and
+/// all permits would have to be granted anew.
 #[test]
 fn a_member_that_was_paused_removes_nobody() {
     let mut world = World::new();
@@ -114,8 +114,8 @@
     assert!(world.pass(LEASE, &["b", "c", "d"]).is_empty());
 }
 
-/// One entry instance loses its links to all others but still reads the log. It isn't the others
-/// that are dead; meanwhile they remove it, and it joins again.
+/// One entry instance loses its connections to all others and still reads the log. The others are
+/// alive; they remove it meanwhile, and it joins again.
 #[test]
 fn a_member_that_hears_less_than_half_waits_longer() {
     let mut world = World::new();
--- a/pomelohitchd/tests/planner.rs
+++ b/pomelohitchd/tests/planner.rs
@@ -17,7 +17,7 @@
 use pomelohitchd::settings::Settings;
 use pomelohitchd::{planner, reader};
 
-/// Longest wait for anything that a test expects.
+/// Upper limit of every wait in these tests.
 const PATIENCE: Duration = Duration::from_mins(1);
 const INSTANCES: usize = 4;
 
@@ -27,7 +27,7 @@
     log: Log,
 }
 
-/// A planner, and 4 instances of which 3 have to stay.
+/// A planner, and 4 instances of which 3 must stay active.
 fn site() -> Site {
     let log = Log::start(&log::Options::default());
     let pools = Instances::start(&instances::Options {
@@ -61,7 +61,7 @@
     Site { pools, node, log }
 }
 
-/// The shared part of an entry instance, and a reader.
+/// The node of an entry instance, with a thread that reads the log.
 fn entry(log: &Log, pools: &Instances, member: &str) -> Arc<Node> {
     let settings = Settings::parse_from([
         "pomelohitchd",
@@ -151,7 +151,7 @@
         propose(&self.node, Body::Maintain(order))
     }
 
-    /// How often the platform began this, for each instance.
+    /// Number of times that the platform has executed `action`, for each instance.
     fn count(&self, action: &str) -> Vec<usize> {
         let ledger = self.pools.ledger();
         let of = |n| {
@@ -186,8 +186,8 @@
 
 #[test]
 fn lost_answers_of_the_platform_double_nothing() {
-    // The platform does what it is asked, and the answers are lost. The planner asks again; a second
-    // drain or reboot of an instance that is back at work would cut its requests.
+    // The platform executes requests whose answers are lost, and the planner repeats them. A second
+    // drain or reboot of an instance that is active again would cut its requests.
     let site = site();
     site.pools.set_faults(instances::Faults {
         calls: CallFaults {
@@ -206,8 +206,8 @@
 
 #[test]
 fn an_entry_instance_starts_after_the_log_was_trimmed() {
-    // Every entry instance is replaced after the log has dropped its oldest records: the members, the
-    // configuration and the instances stand only in the snapshots that the planner wrote.
+    // The log has trimmed its oldest records, and every entry instance is replaced. The members,
+    // the configuration and the instances exist only in the snapshots that the planner wrote.
     let site = site();
     wait_until("every instance is adopted", || site.active() == 4);
     let config = site.node.state.load().config.clone();
@@ -215,8 +215,8 @@
     wait_until("a snapshot has it all", || {
         newest().is_some_and(|state| state.fleet.instances.len() == INSTANCES)
     });
-    // Half a hundred records hold the chunks of the newest snapshot, and none of the first ones of
-    // the fleet.
+    // With 50 more records, a log that is trimmed to its last 20 holds the chunks of the newest
+    // snapshot and none of the first records of the fleet.
     for n in 0..50 {
         let key = format!("key-{n}").into();
         propose(&site.node, Body::WithdrawKey(WithdrawKey { key }));
--- a/pomelohitchd/tests/processes/admin.rs
+++ b/pomelohitchd/tests/processes/admin.rs
@@ -1,4 +1,4 @@
-//! Operators administer running entry instances.
+//! The admin API of running entry instances.
 
 use std::path::Path;
 use std::time::Duration;
@@ -34,8 +34,8 @@
     caller::send(&caller::agent(), fleet.entries[entry].callers, &call) == Outcome::Whole
 }
 
-/// A key leaked while the platform's log is down. Nothing can be published, and still the key
-/// has to stop working everywhere within seconds.
+/// A key is withdrawn while the log is down, so that nothing can be published. It must still be
+/// refused everywhere within seconds.
 #[test]
 fn a_key_is_withdrawn_everywhere_while_the_log_is_down() {
     let fleet = Fleet::start(3, 2);
@@ -95,7 +95,7 @@
     );
 }
 
-/// Logs are read by more people than may hold keys, and are kept for long. A key in them is a
+/// Logs are kept for long, and more people read them than may know a key: a key in a log is a
 /// leaked key.
 #[test]
 fn the_logs_of_a_run_hold_no_key() {
--- a/pomelohitchd/tests/processes/borders.rs
+++ b/pomelohitchd/tests/processes/borders.rs
@@ -1,4 +1,4 @@
-//! A team's limit is divided between its requests and its jobs by what it wants.
+//! A team's limit is split between its requests and its jobs by their demand.
 
 use std::time::Duration;
 
@@ -11,9 +11,9 @@
 
 const LIMIT: u32 = 4;
 
-/// A team hands in many jobs at night, when nobody calls, and its customers call in the morning
-/// while jobs still wait. If jobs kept all that they were given, no customer would be served; if
-/// requests kept their part, the night's jobs would take twice as long.
+/// Jobs get the whole limit while there are no requests, and give back a part when requests arrive.
+/// If jobs kept it, requests would be refused; if requests kept an unused half, jobs would take
+/// twice as long.
 #[test]
 fn jobs_get_what_requests_leave_and_requests_get_it_back() {
     let fleet = Fleet::start(3, 2);
--- a/pomelohitchd/tests/processes/burn.rs
+++ b/pomelohitchd/tests/processes/burn.rs
@@ -1,4 +1,4 @@
-//! Counts of answers outlive the entry instance that counted them.
+//! An entry instance stores its counts of answers when it shuts down.
 
 use pomelohitch_burn::Record;
 use pomelohitch_burn::record::BURN_STREAM;
@@ -23,8 +23,8 @@
         .collect()
 }
 
-/// An entry instance is replaced within the minute. If its counts went with it, the report would
-/// show less than callers saw, and the run would look as if it had been killed.
+/// An entry instance shuts down before the current minute ends. If its counts were lost, the report
+/// would show fewer answers than callers saw, and the process would seem to have been killed.
 #[test]
 fn an_entry_instance_that_shuts_down_leaves_its_counts_and_a_last_record() {
     let mut fleet = Fleet::start(1, 1);
@@ -41,7 +41,7 @@
         let state = fleet.state();
         state.config.services[SERVICE].objective.is_some()
     });
-    // Before its permits have come it refuses, which counts as bad.
+    // Requests are refused until the first permits arrive, which counts as bad.
     let mut whole = 0;
     wait_until("three requests were answered", || {
         whole += u64::from(fleet.ask(0) == Outcome::Whole);
--- a/pomelohitchd/tests/processes/jobs.rs
+++ b/pomelohitchd/tests/processes/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs while the platform loses answers and the planner dies; keys that are sent twice.
+//! Jobs while the platform loses answers and the planner dies, and repeated idempotency keys.
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// Hands a job in at one entry instance after the other until one says that it was taken in.
+/// Submits a job at one entry instance after the other until one accepts it.
 fn hand_in(fleet: &Fleet, index: usize) -> Done {
     let agent = caller::agent();
     let job = job(index);
@@ -57,9 +57,8 @@
     }
 }
 
-/// Workers start tasks and the answers are lost, the log goes away for a moment, and the planner
-/// dies in the midst of it. A settlement that mustn't run twice is started once at the most, and
-/// every job that was taken in comes to an end.
+/// Workers start tasks whose answers are lost, the log has an outage, and the planner dies. A
+/// non-idempotent job is started at most once, and every accepted job ends.
 #[test]
 fn lost_answers_and_a_dead_planner_neither_double_nor_lose_a_job() {
     let mut fleet = Fleet::start(3, 1);
@@ -93,8 +92,8 @@
     assert_eq!(tally.ended + tally.unknown, 30, "{tally:?}");
 }
 
-/// A caller whose answer got lost hands the same job in again at every entry instance, all at the
-/// same moment. It is one job, and it runs once.
+/// A caller that got no answer submits the same job again, at every entry instance at the same
+/// moment. All submits return one job, which runs once.
 #[test]
 fn a_job_handed_in_everywhere_at_once_runs_once() {
     let fleet = Fleet::start(3, 1);
--- a/pomelohitchd/tests/processes/log.rs
+++ b/pomelohitchd/tests/processes/log.rs
@@ -15,9 +15,8 @@
     log::Faults { calls, keep: None }
 }
 
-/// The platform's log goes away for a while. Callers notice nothing: keys, services and runners
-/// in force stay in force at every entry instance, also past the age at which an entry instance
-/// that hears nobody would refuse.
+/// During an outage of the log, keys, services and runners in force stay in force at every entry
+/// instance, also past the age at which an entry instance that hears no peer would refuse requests.
 #[test]
 fn while_the_log_is_down_what_is_in_force_stays_and_requests_are_served() {
     let fleet = Fleet::start(3, 2);
@@ -57,8 +56,8 @@
     });
 }
 
-/// The log answers later than every time limit, so that each append that takes effect looks
-/// failed. Callers notice nothing, and a publish comes into force once it is read.
+/// The log answers later than every timeout, so that appends that take effect look failed. Requests
+/// are still served, and a publish takes effect once it is read.
 #[test]
 fn while_the_log_is_slow_requests_are_served_and_a_publish_comes_into_force() {
     let fleet = Fleet::start(3, 2);
@@ -82,8 +81,8 @@
     wait_in_force(&fleet, 78);
 }
 
-/// The log takes a join and its answer is lost, so that the entry instance sends the same record
-/// again. It is a member once, as the incarnation of the first of the two.
+/// The answer to the append of a join is lost, so that the entry instance appends the same record
+/// again. It is one member, with the incarnation of the first record.
 #[test]
 fn a_join_whose_answer_is_lost_counts_once() {
     let mut fleet = Fleet::start_empty(1);
@@ -107,9 +106,9 @@
     assert_eq!(fleet.ask(0), Outcome::Whole);
 }
 
-/// The log keeps only the newest records, and then all entry instances are replaced at once. The
-/// record that holds the configuration is long gone; the new ones start from a snapshot, with the
-/// same configuration and instances in force.
+/// The log has trimmed the record that holds the configuration, and all entry instances are
+/// replaced at once. The new ones start from a snapshot, with the same configuration and instances
+/// in force.
 #[test]
 fn all_entry_instances_are_replaced_at_once_after_the_log_was_trimmed() {
     let mut fleet = Fleet::start(2, 2);
--- a/pomelohitchd/tests/processes/main.rs
+++ b/pomelohitchd/tests/processes/main.rs
@@ -1,6 +1,6 @@
-//! Failures over real processes: entry instances as they are run, against stand-ins of the
-//! platform in the test's own process. Every test waits for a logical condition with a generous
-//! cap, never for a time.
+//! Failure tests with real processes: entry instances as they run in production, against stand-ins
+//! of the platform in the test's own process. Tests wait for conditions, with a generous time
+//! limit, and not for fixed times.
 
 mod admin;
 mod borders;
--- a/pomelohitchd/tests/processes/planner.rs
+++ b/pomelohitchd/tests/processes/planner.rs
@@ -5,8 +5,8 @@
 
 use crate::support::{Fleet, wait_until};
 
-/// The entry instance that plans dies without a word. Nobody would plan any more; another one
-/// notices, removes it and takes the term.
+/// The planner is killed. Another entry instance detects it, removes it from the members and takes
+/// the next term, so that planning goes on.
 #[test]
 fn when_the_planner_is_killed_another_entry_instance_takes_the_term() {
     let mut fleet = Fleet::start(3, 2);
@@ -24,9 +24,8 @@
     assert_eq!(fleet.ask(1), Outcome::Whole);
 }
 
-/// The entry instance that plans is paused for so long that the others remove it, and then goes on
-/// as if nothing had been. What it decides in its old term changes nothing, and it joins again as
-/// a new incarnation.
+/// The planner is paused until the others remove it, and resumes with outdated state. Its decisions
+/// in the old term have no effect, and it joins again as a new incarnation.
 #[test]
 fn a_planner_that_was_paused_does_no_harm_and_joins_again() {
     let fleet = Fleet::start(3, 2);
--- a/pomelohitchd/tests/processes/publish.rs
+++ b/pomelohitchd/tests/processes/publish.rs
@@ -1,4 +1,4 @@
-//! Publishes that race, and keys that are withdrawn.
+//! Concurrent publishes, and withdrawn keys.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,16 +13,15 @@
 
 use crate::support::{Fleet, call, next_id, wait_until};
 
-/// What [`config::small`] says but for the length of the queue.
+/// [`config::small`] with another queue length.
 fn with_queue(queue: u32) -> FleetFile {
     let mut file = config::small();
     file.services[0].queue = queue;
     file
 }
 
-/// Two operators change the same file at the same moment, both from the version in force. One
-/// change comes into force everywhere; the other changes nothing, and its operator can be told by
-/// which offset it was beaten.
+/// Two operators publish changes to the same version of a file at the same moment. One takes effect
+/// everywhere; the other is rejected, and the rejection names the offset of the first.
 #[test]
 fn of_two_publishes_at_once_one_comes_into_force_and_the_other_names_its_offset() {
     let fleet = Fleet::start(3, 1);
@@ -68,8 +67,8 @@
     file
 }
 
-/// A key leaks and its team withdraws it. Every entry instance stops accepting it without a
-/// restart, and goes on serving the other team.
+/// A key that a publish removes is refused at every entry instance without a restart, and the other
+/// team is still served.
 #[test]
 fn a_withdrawn_key_stops_at_every_entry_instance() {
     let fleet = Fleet::start(3, 1);
@@ -91,9 +90,9 @@
     }
 }
 
-/// An entry instance is paused while a key is withdrawn, and wakes with requests that show the key
-/// waiting at its door. It hasn't read the withdrawal yet; it notices that what it knows is old,
-/// and runs none of them.
+/// An entry instance is paused while a key is withdrawn, and resumes with queued requests that
+/// carry the key. It has not read the withdrawal yet, but finds its state older than the freshness
+/// bound and runs none of them.
 #[test]
 fn an_entry_instance_that_wakes_from_a_pause_accepts_no_key_withdrawn_meanwhile() {
     let fleet = Fleet::start(3, 1);
@@ -108,7 +107,7 @@
     wait_until("the bound has passed", || since.elapsed() > BOUND);
     let outcomes = std::thread::scope(|scope| {
         let waiting: Vec<_> = (0..16).map(|_| scope.spawn(|| fleet.ask(2))).collect();
-        // They only have to be on their way; some arrive before the pause ends, some after.
+        // The requests only need to have been sent; some arrive before the pause ends, some after.
         std::thread::sleep(Duration::from_millis(200));
         paused.signal(Signal::CONT);
         let outcomes = waiting.into_iter().map(|one| one.join().expect("no panic"));
--- a/pomelohitchd/tests/processes/runners.rs
+++ b/pomelohitchd/tests/processes/runners.rs
@@ -11,9 +11,8 @@
 
 use crate::support::{Fleet, call, mode, under_load, wait_until};
 
-/// One runner after the other stalls, goes silent or cuts its answers while requests run that must
-/// not run twice. Some callers are told that nothing is known; none is charged twice, and a
-/// refusal that says not run is true.
+/// Each runner in turn freezes, goes silent, refuses or cuts its answers while non-idempotent
+/// requests run. Some outcomes are unknown; no request runs twice, and every `ran: no` is true.
 #[test]
 fn no_fault_of_a_runner_doubles_a_non_idempotent_request() {
     let fleet = Fleet::start(3, 3);
@@ -43,8 +42,8 @@
     assert!(tally.whole > 0 && tally.unknown > 0, "{tally:?}");
 }
 
-/// The planner decides that an instance drains. Within moments its runner gets no new work from
-/// any entry instance, the request that runs there is finished, and its caller gets its answer.
+/// Once an instance drains, its runner gets no new work from any entry instance, and the requests
+/// that run there are finished and answered.
 #[test]
 fn a_runner_that_drains_gets_no_new_work_and_its_requests_finish() {
     let fleet = Fleet::start(3, 3);
@@ -77,7 +76,8 @@
     runner.ledger().runs.values().map(|runs| runs.started).sum()
 }
 
-/// Decides it as the planner would; retried, since a decision of the planner's may come first.
+/// Appends the decision to drain, as the planner would; repeated, since a decision of the planner
+/// may be appended first.
 fn drain(fleet: &Fleet, instance: &str) {
     wait_until("it drains", || {
         let state = fleet.state();
@@ -96,9 +96,8 @@
     });
 }
 
-/// A kiosk gets no answer in time and sends the same purchase again, through every entry instance
-/// at the same moment, with the same idempotency key. It runs once, and nobody is told that it
-/// didn't run while it did.
+/// A caller that timed out repeats a request, through every entry instance at the same moment, with
+/// the same idempotency key. It runs once, and no answer falsely says that it did not run.
 #[test]
 fn one_idempotency_key_at_all_entry_instances_runs_once() {
     let fleet = Fleet::start(3, 3);
@@ -134,9 +133,9 @@
     assert!(tally.is_clean() && tally.whole == 1, "{tally:?}");
 }
 
-/// The log is down, and the platform takes an instance away. No record can say so, and the planner
-/// can decide nothing. If the entry instances waited for the log, they would send callers to an
-/// instance that goes away under them.
+/// The platform removes an instance while the log is down, so that no record can say so and the
+/// planner can decide nothing. Entry instances that waited for the log would send requests to an
+/// instance that is shut down.
 #[test]
 fn a_runner_that_leaves_while_the_log_is_down_gets_no_new_work() {
     let fleet = Fleet::start(3, 3);
--- a/pomelohitchd/tests/processes/shutdown.rs
+++ b/pomelohitchd/tests/processes/shutdown.rs
@@ -1,4 +1,4 @@
-//! Planned stops of entry instances.
+//! Shutdown and death of entry instances.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 
 use crate::support::{CAP, Fleet, call, under_load, wait_until};
 
-/// An entry instance is replaced while callers use it. Requests that it holds are finished and
-/// its callers get their whole answers; nobody sees a cut connection.
+/// An entry instance gets SIGTERM under load. Its requests are finished and their callers get
+/// complete answers; no connection is cut.
 #[test]
 fn sigterm_under_load_cuts_nothing_and_exits_with_0() {
     let mut fleet = Fleet::start(3, 4);
@@ -16,7 +16,7 @@
     let calls = under_load(&entries, || {
         fleet.wait_finished(100);
         fleet.entries[0].terminate();
-        // What a balancer does that asks who is ready.
+        // A balancer that checks readiness does the same.
         wait_until("it isn't ready", || !fleet.entries[0].is_ready());
         entries.lock().expect("no panic").remove(0);
         fleet.wait_finished(100);
@@ -35,8 +35,8 @@
         .collect()
 }
 
-/// An operator can't wait for a request that runs for long, and signals again. The process ends
-/// at once, and its exit code tells that this was no graceful shutdown.
+/// A second SIGTERM during a long request ends the process at once; exit code 3 tells this from a
+/// graceful shutdown.
 #[test]
 fn a_second_sigterm_exits_with_3() {
     let mut fleet = Fleet::start(1, 1);
@@ -58,8 +58,8 @@
     assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
 }
 
-/// An entry instance dies in the middle of requests. Their callers see a cut connection, from
-/// which nothing follows, and never a refusal that says that the request didn't run.
+/// An entry instance is killed while it handles requests. Their callers see a cut connection, which
+/// leaves the outcome unknown, and no refusal that claims that the request did not run.
 #[test]
 fn an_entry_instance_that_dies_cuts_its_callers_and_tells_nobody_not_run_falsely() {
     let fleet = Fleet::start(2, 2);
--- a/pomelohitchd/tests/processes/support.rs
+++ b/pomelohitchd/tests/processes/support.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real entry instances, and waiting for what they should come to.
+//! A small fleet of real entry instances, and helpers that wait for conditions.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,11 +17,11 @@
 use pomelohitch_standin::{Instances, Log, Runner, Tally, Workers};
 use pomelohitch_standin::{instances, log, runner, workers};
 
-/// Nothing that is waited for takes longer, also on a busy machine.
+/// Upper limit of every wait; generous, so that a busy machine causes no failures.
 pub const CAP: Duration = Duration::from_mins(1);
-/// How often waiting loops look.
+/// Interval at which waits check their condition.
 const TICK: Duration = Duration::from_millis(20);
-/// Flags that make members notice one another's end soon, and snapshots frequent.
+/// Flags for fast detection of dead members and frequent snapshots.
 const FLAGS: [&str; 6] = [
     "--heartbeat-ms",
     "100",
@@ -31,7 +31,7 @@
     "500",
 ];
 
-/// Workers for batch work.
+/// Number of workers for batch jobs.
 const WORKERS: usize = 4;
 
 /// A small fleet; dropping it ends its processes.
@@ -50,7 +50,7 @@
     wait_for(what, || check().then_some(()));
 }
 
-/// Waits until `look` finds something.
+/// Waits until `poll` returns a value.
 pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
@@ -146,7 +146,7 @@
         })
     }
 
-    /// The place of the planner in `entries`, once all agree who it is.
+    /// Index of the planner in `entries`, once all entry instances agree on it.
     pub fn planner(&self) -> usize {
         wait_for("all agree on a planner", || {
             let planners: Vec<_> = self.entries.iter().map(planner_seen_by).collect();
@@ -157,29 +157,29 @@
         })
     }
 
-    /// Where callers reach the entry instances.
+    /// Addresses of the entry instances' callers' ports.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|entry| entry.callers).collect()
     }
 
-    /// What every runner counted.
+    /// The requests that each runner has started and finished.
     pub fn ledgers(&self) -> Vec<Ledger> {
         self.runners.iter().map(Runner::ledger).collect()
     }
 
-    /// What becomes of a request through the entry instance at `entry`.
+    /// Sends a request of the first team through the entry instance at this index.
     pub fn ask(&self, entry: usize) -> Outcome {
         let call = call(&next_id());
         let entry = self.entries[entry].callers;
         caller::send(&caller::agent(), entry, &call)
     }
 
-    /// Counts `calls` against the runners' ledgers.
+    /// Compares the outcomes of `calls` with the runners' ledgers.
     pub fn count(&self, calls: &[Done]) -> Tally {
         Tally::count(calls, &self.ledgers())
     }
 
-    /// How many requests the runners finished.
+    /// Number of requests that the runners have finished.
     pub fn finished(&self) -> u64 {
         let ledgers = self.ledgers();
         let runs = ledgers.iter().flat_map(|ledger| ledger.runs.values());
@@ -193,7 +193,7 @@
     }
 }
 
-/// Sends load through `entries` while `during` runs, and returns what became of it.
+/// Sends load through `entries` while `during` runs; returns the calls with their outcomes.
 pub fn under_load(entries: &Mutex<Vec<SocketAddr>>, during: impl FnOnce()) -> Vec<Done> {
     let stop = AtomicBool::new(false);
     let load = Load {
@@ -212,7 +212,7 @@
     })
 }
 
-/// Ends the load also when the test fails meanwhile.
+/// Stops the load, also when the test panics.
 struct SetOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for SetOnDrop<'_> {
@@ -236,7 +236,7 @@
     format!("probe-{}", NEXT.fetch_add(1, Ordering::Relaxed)).into()
 }
 
-/// Faults that are only a mode.
+/// Faults with this mode and no other fault.
 pub fn mode(mode: Mode) -> Faults {
     Faults {
         mode,
--- a/pomelohitchd/tests/processes/together.rs
+++ b/pomelohitchd/tests/processes/together.rs
@@ -1,4 +1,4 @@
-//! Failures that arrive together, in an order that a seed decides.
+//! Several faults at the same time, in a random order given by a seed.
 
 use std::sync::Mutex;
 
@@ -11,14 +11,14 @@
 
 use crate::support::{Fleet, mode, under_load};
 
-/// How many failures or recoveries one run brings about.
+/// Number of faults and recoveries in one run.
 const STEPS: usize = 10;
-/// How many requests the runners finish between two of them.
+/// Number of requests that the runners finish after each step.
 const BETWEEN: u64 = 25;
-/// The entry instance that is never paused or killed, so that requests go on.
+/// Index of the entry instance that is never paused or killed, so that requests go on.
 const SPARED: usize = 0;
 
-/// One failure, or the end of some.
+/// A fault, or the recovery from earlier ones.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Runner(Mode),
@@ -47,7 +47,7 @@
 ];
 
 fn act(fleet: &mut Fleet, step: Step, rng: &mut StdRng) {
-    // One runner always works, so that there is something to wait for.
+    // Runner 0 has no faults, so that requests keep finishing.
     let runner = &fleet.runners[rng.random_range(1..fleet.runners.len())];
     let log_calls = |calls| log::Faults { calls, keep: None };
     match step {
@@ -91,8 +91,8 @@
             act(&mut fleet, step, &mut rng);
             let mut addresses = fleet.addresses();
             if matches!(step, Step::Pause) {
-                // Nobody can answer for a process that stands still; a balancer leaves it out,
-                // and what it holds is answered when it wakes.
+                // A balancer removes a paused process; the requests that it holds are answered once
+                // it resumes.
                 addresses.remove(1);
             }
             *entries.lock().expect("no panic") = addresses;
@@ -109,9 +109,9 @@
     assert!(fleet.entries[SPARED].is_ready());
 }
 
-/// Runners stall, the log goes down or loses answers, one entry instance is paused and another one
-/// replaced, in any order and several at a time. Callers are refused or told that nothing is
-/// known; nobody's purchase is doubled or lost, and no "not run" is false.
+/// Runners fail, the log goes down or loses answers, one entry instance is paused and another one
+/// replaced, in any order and several at a time. No request is doubled or lost, and every `ran: no`
+/// is true.
 #[test]
 fn failures_that_come_together_double_and_lose_nothing() {
     run(1);
--- a/pomelohitchd/tests/processes/waves.rs
+++ b/pomelohitchd/tests/processes/waves.rs
@@ -10,12 +10,12 @@
 
 use crate::support::{Fleet, under_load, wait_until};
 
-/// Runners of the service.
+/// Number of runners of the service.
 const RUNNERS: usize = 6;
-/// So many of them have to stay active.
+/// Number of runners that must stay active.
 const MIN_AVAILABLE: u32 = 4;
 
-/// A fleet whose service may miss two of its six runners.
+/// A fleet whose service tolerates two of its six runners being down.
 fn fleet() -> Fleet {
     let fleet = Fleet::start(3, RUNNERS);
     let base = fleet.state().config.files[PATH].version;
@@ -55,8 +55,8 @@
     });
 }
 
-/// Every instance was rebooted once, with nothing running on it, and no record in the log left the
-/// service fewer active instances than its budget.
+/// Checks that every instance was rebooted once, with nothing running on it, and that no record in
+/// the log left the service fewer active instances than its budget.
 fn check(fleet: &Fleet) {
     let mut rebooted = reboots(fleet);
     rebooted.sort();
@@ -80,9 +80,8 @@
     }
 }
 
-/// The planner dies while it maintains instances. Another one goes on where it stopped: nothing is
-/// rebooted twice or left out, the budget holds, and callers notice no more than the dead entry
-/// instance.
+/// The planner is killed during a wave. The next one continues it: no instance is rebooted twice or
+/// left out, the budget holds, and the only effect on callers is that of the dead entry instance.
 #[test]
 fn when_the_planner_dies_in_a_wave_another_ends_it_and_no_budget_breaks() {
     let mut fleet = fleet();
@@ -100,8 +99,8 @@
     assert!(tally.is_clean(), "{tally:?}");
 }
 
-/// The planner is paused in the middle of a wave and wakes after another one has ended it. What it
-/// was about to ask of the platform is out of date; it asks for nothing any more.
+/// The planner is paused during a wave and resumes after another one has finished it. Its pending
+/// requests to the platform are outdated and must not be sent.
 #[test]
 fn a_planner_that_wakes_after_its_wave_was_ended_by_another_does_no_harm() {
     let mut fleet = fleet();
--- a/pomelohitchd/tests/readiness.rs
+++ b/pomelohitchd/tests/readiness.rs
@@ -1,11 +1,11 @@
-//! When a member that joined may serve.
+//! When a member that has joined may serve, and when a snapshot is due.
 
 use std::time::Duration;
 
 use pomelohitchd::readiness::Evidence;
 use pomelohitchd::snapshots::View;
 
-/// Joined just now, at the head, and heard by both peers.
+/// A member that has just joined, has read to the head of the log and has heard both peers.
 fn caught_up() -> Evidence {
     Evidence {
         next: 10,
@@ -33,8 +33,8 @@
 
 #[test]
 fn a_member_that_is_behind_its_peers_does_not_serve() {
-    // A replaced entry instance read the log a moment ago, and its peers have read on since.
-    // Callers would meet a limit or a key of before the last publish.
+    // The log was read to its head a moment ago, and the peers have read further since. Callers
+    // would get a limit or a key from before the last publish.
     let behind = Evidence {
         highest: 11,
         ..caught_up()
@@ -66,8 +66,8 @@
 
 #[test]
 fn a_member_waits_for_a_peer_but_not_for_dead_ones() {
-    // A key is withdrawn while the log is down, and only the peers know. A starting entry instance
-    // reads to the head, where it doesn't stand yet.
+    // A key that is withdrawn while the log is down is known to the peers only. An entry instance
+    // that starts reads to the head of the log, where the withdrawal is not recorded yet.
     let unheard = Evidence {
         heard: 0,
         highest: 0,
@@ -81,7 +81,7 @@
     assert!(after_a_lease.may_serve());
 }
 
-/// Written a minute ago; nothing was trimmed yet.
+/// A snapshot that was written a minute ago, in a log that has trimmed nothing.
 fn view() -> View {
     View {
         snapshot: 1000,
@@ -114,8 +114,8 @@
 
 #[test]
 fn a_snapshot_is_due_before_the_records_after_the_last_one_are_trimmed() {
-    // The log keeps records for less time than operators think. Once the record after the
-    // newest snapshot is gone, no entry instance can start any more.
+    // The log may keep records for less time than operators expect. Once the record after the
+    // newest snapshot is trimmed, no entry instance can start.
     let half_gone = View {
         first: 600,
         ..view()
--- a/pomelohitchd/tests/settings.rs
+++ b/pomelohitchd/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What the daemon says of wrong settings.
+//! Error messages about invalid settings.
 
 use clap::Parser;
 use pomelohitchd::settings::Settings;
@@ -23,8 +23,8 @@
     assert!(settings(&[]).check().is_ok());
 }
 
-/// An operator starts an entry instance with several wrong settings at night. Told of one at a
-/// time, it would take a start for each until the instance serves.
+/// An entry instance is started with several invalid settings. If each start reported one of them,
+/// fixing all would take as many starts.
 #[test]
 fn every_fault_is_told_at_once() {
     let wrong = settings(&[
--- a/pomelohitchd/tests/withdraw.rs
+++ b/pomelohitchd/tests/withdraw.rs
@@ -39,7 +39,7 @@
     });
 }
 
-/// Longest wait for anything that a test expects.
+/// Upper limit of every wait in these tests.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn wait_until(what: &str, mut check: impl FnMut() -> bool) {
@@ -52,8 +52,8 @@
 
 #[test]
 fn a_key_withdrawn_while_the_log_is_down_is_refused_at_once_and_recorded_later() {
-    // A key leaks at night, and the log has an outage. Without bad news of its own, the system would
-    // accept the key until the log is back.
+    // If entry instances did not pass withdrawals to each other, a key that leaks during an outage
+    // of the log would be accepted until the log is back.
     let log = Log::start(&log::Options::default());
     let node = node(&log);
     wait_until("the log was read", || node.last_log_read().is_some());
@@ -86,7 +86,8 @@
 
 #[test]
 fn news_that_a_peer_told_is_recorded_by_whoever_heard_it() {
-    // The entry instance at which the operator asked is replaced before the log is back.
+    // The entry instance that got the request of the operator may be replaced before the log is
+    // back, so that every peer it has notified records the withdrawal.
     let log = Log::start(&log::Options::default());
     let node = node(&log);
     wait_until("the log was read", || node.last_log_read().is_some());
