--- a/pomelohitchd/examples/capacity/cost.rs
+++ b/pomelohitchd/examples/capacity/cost.rs
@@ -123,7 +123,10 @@
     let start = Instant::now();
     let read = snapshot::newest_complete(chunks.iter().map(|chunk| &**chunk));
     let time = start.elapsed().as_secs_f64() * 1e3;
-    assert!(read.is_some(), "a snapshot that was just written is whole");
+    assert!(
+        read.is_some(),
+        "a snapshot that was just written is complete"
+    );
     time
 }
 
--- a/pomelohitchd/examples/capacity/permits.rs
+++ b/pomelohitchd/examples/capacity/permits.rs
@@ -40,7 +40,7 @@
         assert_eq!(
             exchange(&mut dispatcher, &mut homes),
             0,
-            "nothing is left to say"
+            "all asks are answered before the measurement"
         );
     }
     start.elapsed().as_secs_f64() * 1e6
--- a/pomelohitchd/examples/overhead.rs
+++ b/pomelohitchd/examples/overhead.rs
@@ -55,16 +55,17 @@
         .collect();
     let mut all = Histogram::new(3).expect("three digits are supported");
     for caller in callers {
-        let latencies = caller.join().expect("a caller that fails ends the run");
-        all.add(latencies).expect("both grow by themselves");
+        let latencies = caller.join().expect("callers do not panic");
+        all.add(latencies)
+            .expect("both histograms resize automatically");
     }
     (all, begun.elapsed())
 }
 
 /// One call after another over one connection.
 fn call(addr: SocketAddr) -> Histogram<u64> {
-    let stream = TcpStream::connect(addr).expect("the path listens");
-    stream.set_nodelay(true).expect("a socket of this process");
+    let stream = TcpStream::connect(addr).expect("the address accepts connections");
+    stream.set_nodelay(true).expect("the socket is open");
     let mut reader = BufReader::new(&stream);
     let request =
         format!("GET /s/passes/x HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer {KEY}\r\n\r\n");
@@ -73,12 +74,12 @@
         let begun = Instant::now();
         (&stream)
             .write_all(request.as_bytes())
-            .expect("the path reads");
+            .expect("the peer reads the request");
         assert_eq!(read_answer(&mut reader), Some(200), "an answer was refused");
         let nanos = u64::try_from(begun.elapsed().as_nanos()).unwrap_or(u64::MAX);
         latencies
             .record(nanos)
-            .expect("the histogram grows by itself");
+            .expect("the histogram resizes automatically");
     }
     latencies
 }
--- a/pomelohitchd/tests/admin.rs
+++ b/pomelohitchd/tests/admin.rs
@@ -16,7 +16,7 @@
         "--workers-url=http://127.0.0.1:1",
         "--admin-key-hash",
     ];
-    Settings::try_parse_from(fixed.into_iter().chain([hashes])).expect("the flags are right")
+    Settings::try_parse_from(fixed.into_iter().chain([hashes])).expect("the flags are valid")
 }
 
 fn request(authorization: &str) -> Request {
@@ -29,7 +29,7 @@
 #[test]
 fn the_old_and_the_new_key_work_while_both_hashes_are_set() {
     let both = settings(&format!("{},{}", key::hash("old"), key::hash("new")));
-    both.check().expect("two hashes are right");
+    both.check().expect("two hashes are valid");
     let new = settings(&key::hash("new"));
     for (shown, by_both, by_new) in [
         ("old", true, false),
@@ -56,6 +56,8 @@
 /// and must not contain the key.
 #[test]
 fn a_key_in_place_of_its_hash_is_refused_and_not_shown() {
-    let told = settings("pmh_secret").check().expect_err("it is no hash");
+    let told = settings("pmh_secret")
+        .check()
+        .expect_err("the value is not a hash");
     assert!(!told.to_string().contains("secret"), "{told}");
 }
--- a/pomelohitchd/tests/batch/faults.rs
+++ b/pomelohitchd/tests/batch/faults.rs
@@ -45,7 +45,7 @@
         assert_eq!(entry.end_of(id).outcome, Outcome::Succeeded);
     }
     let quarantined = || entry.node.state.load().jobs.quarantined.clone();
-    wait_until("a quarantine", || !quarantined().is_empty());
+    wait_until("a worker is quarantined", || !quarantined().is_empty());
     assert!(quarantined().keys().eq(["worker-0".into()].iter()));
 }
 
@@ -68,7 +68,7 @@
     assert!(refused.status == 503 || refused.status == 504);
     let body = refused.body;
     assert!(body.contains(r#""ran":"no""#) || body.contains(r#""ran":"unknown""#));
-    wait_until("it ended at its worker", || {
+    wait_until("the job ended at its worker", || {
         platform.ledger().jobs[&id].succeeded == 1
     });
     assert_eq!(&*entry.show(&id).state, "running");
--- a/pomelohitchd/tests/batch/leases.rs
+++ b/pomelohitchd/tests/batch/leases.rs
@@ -52,7 +52,7 @@
         ..Faults::default()
     });
     let began = std::time::Instant::now();
-    wait_until("every lease is over", || began.elapsed() > 2 * LEASE);
+    wait_until("every lease has expired", || began.elapsed() > 2 * LEASE);
     assert_eq!(entry.node.state.load().jobs.active_of("choir"), 2);
     platform.workers.set_faults(Faults::default());
 }
--- a/pomelohitchd/tests/batch/site.rs
+++ b/pomelohitchd/tests/batch/site.rs
@@ -200,7 +200,7 @@
         let decided = self
             .node
             .propose(body, PROPOSE_LIMIT)
-            .expect("the log takes it");
+            .expect("the log accepts appends");
         assert_eq!(decided.verdict, Verdict::Accepted);
         decided.offset
     }
@@ -221,7 +221,9 @@
         let response = jobs_api::answer(&self.node, &team(1), &req);
         let (mut reader, _) = response.data.into_reader_and_size();
         let mut body = String::new();
-        reader.read_to_string(&mut body).expect("a string");
+        reader
+            .read_to_string(&mut body)
+            .expect("an answer is UTF-8");
         Answer {
             status: response.status_code,
             body,
@@ -247,7 +249,9 @@
     /// Waits until the job has ended, and returns its end.
     pub fn end_of(&self, id: &str) -> End {
         wait_until("the job ended", || self.show(id).end.is_some());
-        self.show(id).end.expect("an end never goes away")
+        self.show(id)
+            .end
+            .expect("the end of a job is never removed")
     }
 
     /// Waits until the job is in this state.
@@ -258,7 +262,7 @@
 
 impl Answer {
     pub fn view(&self) -> JobView {
-        serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("no job: {}", self.body))
+        serde_json::from_str(&self.body).unwrap_or_else(|_| panic!("not a job: {}", self.body))
     }
 }
 
@@ -302,7 +306,7 @@
 pub fn wait_until(what: &str, is_so: impl Fn() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !is_so() {
-        assert!(Instant::now() < deadline, "never so: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/pomelohitchd/tests/front/bad_input.rs
+++ b/pomelohitchd/tests/front/bad_input.rs
@@ -185,7 +185,7 @@
     assert!(answer.contains("Retry-After: "), "{answer}");
     assert_eq!(problem(&answer)["ran"], "no");
     drop(held);
-    crate::entry::wait_until("a place is free", || {
+    crate::entry::wait_until("a connection slot is free", || {
         let answer = entry.call("GET", "/s/passes/", &[]);
         answer.ends_with("pass")
     });
--- a/pomelohitchd/tests/front/entry.rs
+++ b/pomelohitchd/tests/front/entry.rs
@@ -158,7 +158,7 @@
 pub fn wait_until(what: &str, is_so: impl Fn() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !is_so() {
-        assert!(Instant::now() < deadline, "never so: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/pomelohitchd/tests/front/retries.rs
+++ b/pomelohitchd/tests/front/retries.rs
@@ -102,7 +102,10 @@
         let answer = entry.call("GET", "/s/passes/silent", timeout);
         assert!(answer.ends_with("whole"), "{answer}");
     }
-    assert!(begun.elapsed() < crate::entry::PATIENCE, "waited it out");
+    assert!(
+        begun.elapsed() < crate::entry::PATIENCE,
+        "waited for the request's timeout"
+    );
 }
 
 /// A caller repeats a request with the same idempotency key because the first answer was lost.
--- a/pomelohitchd/tests/leaving.rs
+++ b/pomelohitchd/tests/leaving.rs
@@ -18,7 +18,10 @@
     assert_eq!(sightings.all(now), ["runner-0".into()].into());
     assert!(sightings.of("entry-2").is_empty());
     now += KEPT;
-    assert!(sightings.all(now).is_empty(), "nobody told it lately");
+    assert!(
+        sightings.all(now).is_empty(),
+        "no member has reported it within the retention"
+    );
 }
 
 #[test]
--- a/pomelohitchd/tests/planner.rs
+++ b/pomelohitchd/tests/planner.rs
@@ -124,7 +124,9 @@
 }
 
 fn propose(node: &Node, body: Body) -> u64 {
-    let decided = node.propose(body, PATIENCE).expect("the log takes it");
+    let decided = node
+        .propose(body, PATIENCE)
+        .expect("the log accepts appends");
     assert_eq!(decided.verdict, Verdict::Accepted);
     decided.offset
 }
@@ -132,7 +134,7 @@
 fn wait_until(what: &str, mut check: impl FnMut() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !check() {
-        assert!(Instant::now() < deadline, "waited too long until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -211,8 +213,8 @@
     let site = site();
     wait_until("every instance is adopted", || site.active() == 4);
     let config = site.node.state.load().config.clone();
-    let newest = || pomelohitch_platform::snapshots::load(&site.node.log).expect("it is up");
-    wait_until("a snapshot has it all", || {
+    let newest = || pomelohitch_platform::snapshots::load(&site.node.log).expect("the log is up");
+    wait_until("a snapshot contains every instance", || {
         newest().is_some_and(|state| state.fleet.instances.len() == INSTANCES)
     });
     // With 50 more records, a log that is trimmed to its last 20 holds the chunks of the newest
@@ -230,7 +232,7 @@
     });
 
     let joiner = entry(&site.log, &site.pools, "entry-2");
-    wait_until("it reads to the head", || {
+    wait_until("the joiner has read to the head of the log", || {
         joiner.state.load().next >= site.node.state.load().next
     });
     let state = joiner.state.load();
--- a/pomelohitchd/tests/processes/admin.rs
+++ b/pomelohitchd/tests/processes/admin.rs
@@ -21,7 +21,10 @@
     let req = agent.post(format!("http://{}{path}", entry.admin));
     let req = req.header("Authorization", format!("Bearer {ADMIN_KEY}"));
     let mut answer = req.send(body.to_string()).expect("the port answers");
-    let text = answer.body_mut().read_to_string().expect("it is text");
+    let text = answer
+        .body_mut()
+        .read_to_string()
+        .expect("the body is UTF-8");
     (answer.status().as_u16(), text)
 }
 
@@ -59,7 +62,7 @@
     fleet.log.set_faults(log::Faults::default());
     let (status, _) = post(&fleet.entries[0], "/v1/admin/keys/withdraw", &hash);
     assert_eq!(status, 200);
-    wait_until("the withdrawal lasts", || {
+    wait_until("the withdrawal is recorded", || {
         !fleet.state().withdrawn.is_empty()
     });
 }
@@ -85,7 +88,7 @@
         &json!({"pause": {"pool": null}}),
     );
     assert_eq!(status, 200);
-    wait_until("it is paused", || fleet.state().waves.all_paused);
+    wait_until("maintenance is paused", || fleet.state().waves.all_paused);
     let unknown = json!({"pause": {"pool": "gone"}});
     let (status, text) = post(&fleet.entries[0], "/v1/admin/maintain", &unknown);
     assert_eq!(
@@ -110,7 +113,7 @@
     let url = fleet.log.url().replace([':', '/'], "-");
     let name = format!("{url}-{}.log", fleet.entries[0].member);
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let text = std::fs::read_to_string(path).expect("the run logged there");
+    let text = std::fs::read_to_string(path).expect("the process wrote its log there");
     assert!(text.contains("an operator withdrew a key"), "{text}");
     for key in [TEAMS[0].1, TEAMS[1].1, ADMIN_KEY, "pmh_unknown_key"] {
         assert!(!text.contains(key), "a key is in the log: {text}");
--- a/pomelohitchd/tests/processes/burn.rs
+++ b/pomelohitchd/tests/processes/burn.rs
@@ -50,7 +50,7 @@
     fleet.entries[0].terminate();
     assert_eq!(fleet.entries[0].wait(CAP), Some(0));
     let records = records(&fleet);
-    let last = records.last().expect("it left its counts");
+    let last = records.last().expect("the shutdown wrote a record");
     assert!(last.last);
     let rows = records.iter().flat_map(|record| &record.rows);
     let good: u64 = rows.map(|row| row.tally.good).sum();
--- a/pomelohitchd/tests/processes/jobs.rs
+++ b/pomelohitchd/tests/processes/jobs.rs
@@ -30,7 +30,7 @@
     let agent = caller::agent();
     let job = job(index);
     let mut tries = index..;
-    let handed = wait_for("a job is taken in", || {
+    let handed = wait_for("a job is accepted", || {
         let entry = &fleet.entries[tries.next()? % fleet.entries.len()];
         let handed = jobs::submit(&agent, entry.callers, &job);
         matches!(handed, Handed::Accepted(_)).then_some(handed)
@@ -79,7 +79,7 @@
         ..CallFaults::default()
     };
     fleet.log.set_faults(log::Faults { calls, keep: None });
-    wait_until("both noticed that the log is down", || {
+    wait_until("both entry instances failed to read the log", || {
         let metrics = fleet.entries.iter().map(Daemon::metrics);
         let mut metrics = metrics.map(Option::unwrap_or_default);
         metrics.all(|text| text.contains("log_read_errors "))
@@ -108,7 +108,7 @@
             .collect();
         let handed = handing_in
             .into_iter()
-            .map(|one| one.join().expect("no panic"));
+            .map(|one| one.join().expect("no thread panics"));
         handed.collect::<Vec<_>>()
     });
     assert!(matches!(ids[0], Handed::Accepted(_)), "{ids:?}");
--- a/pomelohitchd/tests/processes/log.rs
+++ b/pomelohitchd/tests/processes/log.rs
@@ -30,7 +30,10 @@
     for (index, entry) in fleet.entries.iter().enumerate() {
         assert!(entry.is_ready());
         assert_eq!(fleet.ask(index), Outcome::Whole);
-        assert_eq!(entry.state().expect("it answers").config, before.config);
+        assert_eq!(
+            entry.state().expect("the entry instance is ready").config,
+            before.config
+        );
     }
     fleet.log.set_faults(log::Faults::default());
     let base = before.config.files[config::PATH].version;
@@ -73,7 +76,8 @@
     }
     let mut file = config::small();
     file.services[0].queue = 78;
-    config::publish(&fleet.client, file, Some(base)).expect("it waits for long");
+    config::publish(&fleet.client, file, Some(base))
+        .expect("the client's timeout is longer than the delay");
     for index in 0..fleet.entries.len() {
         assert_eq!(fleet.ask(index), Outcome::Whole);
     }
@@ -136,7 +140,7 @@
         fleet.entries.iter().all(Daemon::is_ready) && is_whole(0) && is_whole(1)
     });
     for entry in &fleet.entries {
-        let state = entry.state().expect("it answers");
+        let state = entry.state().expect("the entry instance is ready");
         assert_eq!(state.config, before.config);
         assert_eq!(state.fleet.instances, before.fleet.instances);
         assert!(state.next >= before.next);
--- a/pomelohitchd/tests/processes/planner.rs
+++ b/pomelohitchd/tests/processes/planner.rs
@@ -14,7 +14,7 @@
     let planner = fleet.planner();
     fleet.entries[planner].signal(Signal::KILL);
     let dead = fleet.entries.remove(planner);
-    wait_until("another one plans", || {
+    wait_until("another entry instance is the planner", || {
         let members = fleet.state().members;
         members.term > term
             && !members.by_id.contains_key(&dead.member)
@@ -44,16 +44,20 @@
             })
         })
     });
-    let term = others[0].state().expect("it answers").members.term;
+    let term = others[0]
+        .state()
+        .expect("the entry instance is running")
+        .members
+        .term;
     paused.signal(Signal::CONT);
-    wait_until("it joins again", || {
+    wait_until("the paused entry instance joins again", || {
         fleet.entries.iter().all(|entry| {
             let members = entry.state().map(|state| state.members);
             let member = members.and_then(|members| members.by_id.get(&paused.member).cloned());
             member.is_some_and(|member| member.incarnation > incarnation)
         })
     });
-    wait_until("it serves", || {
+    wait_until("it serves requests", || {
         paused.is_ready() && fleet.ask(planner) == Outcome::Whole
     });
     let after = fleet.state();
--- a/pomelohitchd/tests/processes/publish.rs
+++ b/pomelohitchd/tests/processes/publish.rs
@@ -32,7 +32,7 @@
         let other = scope.spawn(move || publish(22));
         let first = |handle: std::thread::ScopedJoinHandle<'_, _>| {
             let appended: pomelohitch_platform::Result<pomelohitch_platform::log::Appended> =
-                handle.join().expect("no panic");
+                handle.join().expect("no thread panics");
             appended.expect("the log is up").first
         };
         (first(one), first(other))
@@ -76,7 +76,7 @@
     assert!((0..3).all(|entry| fleet.ask(entry) == Outcome::Whole));
     config::publish(&fleet.client, without_key(), Some(base)).expect("the log is up");
     for entry in 0..3 {
-        wait_until("the key stops", || fleet.ask(entry) != Outcome::Whole);
+        wait_until("the key is refused", || fleet.ask(entry) != Outcome::Whole);
         let refused = fleet.ask(entry);
         assert!(
             matches!(&refused, Outcome::NotRun(text) if text.starts_with("401")),
@@ -102,20 +102,22 @@
     let since = Instant::now();
     config::publish(&fleet.client, without_key(), Some(base)).expect("the log is up");
     for entry in 0..2 {
-        wait_until("the key stops", || fleet.ask(entry) != Outcome::Whole);
+        wait_until("the key is refused", || fleet.ask(entry) != Outcome::Whole);
     }
-    wait_until("the bound has passed", || since.elapsed() > BOUND);
+    wait_until("the freshness bound has passed", || since.elapsed() > BOUND);
     let outcomes = std::thread::scope(|scope| {
         let waiting: Vec<_> = (0..16).map(|_| scope.spawn(|| fleet.ask(2))).collect();
         // The requests only need to have been sent; some arrive before the pause ends, some after.
         std::thread::sleep(Duration::from_millis(200));
         paused.signal(Signal::CONT);
-        let outcomes = waiting.into_iter().map(|one| one.join().expect("no panic"));
+        let outcomes = waiting
+            .into_iter()
+            .map(|one| one.join().expect("no thread panics"));
         outcomes.collect::<Vec<_>>()
     });
     assert!(!outcomes.contains(&Outcome::Whole), "{outcomes:?}");
     wait_until(
-        "the key stops",
+        "the key is refused",
         || matches!(fleet.ask(2), Outcome::NotRun(text) if text.starts_with("401")),
     );
 }
--- a/pomelohitchd/tests/processes/runners.rs
+++ b/pomelohitchd/tests/processes/runners.rs
@@ -54,9 +54,9 @@
             delay: Duration::from_millis(500),
             ..Faults::default()
         });
-        wait_until("it works", || fleet.runners[0].ledger().running > 0);
+        wait_until("a request runs", || fleet.runners[0].ledger().running > 0);
         drain(&fleet, "runner-0");
-        wait_until("every entry instance knows", || {
+        wait_until("every entry instance has read the drain", || {
             fleet.entries.iter().all(|entry| {
                 let state = entry.state();
                 state.is_some_and(|state| state.fleet.instances["runner-0"].phase != Phase::Active)
@@ -79,7 +79,7 @@
 /// Appends the decision to drain, as the planner would; repeated, since a decision of the planner
 /// may be appended first.
 fn drain(fleet: &Fleet, instance: &str) {
-    wait_until("it drains", || {
+    wait_until("the instance drains", || {
         let state = fleet.state();
         let known = &state.fleet.instances[instance];
         let step = FleetStep::Drain {
@@ -121,7 +121,9 @@
                 })
             })
             .collect();
-        let done = sending.into_iter().map(|one| one.join().expect("no panic"));
+        let done = sending
+            .into_iter()
+            .map(|one| one.join().expect("no thread panics"));
         done.collect::<Vec<_>>()
     });
     let ledgers = fleet.ledgers();
@@ -152,7 +154,7 @@
     });
     let entries = Mutex::new(fleet.addresses());
     let calls = under_load(&entries, || {
-        wait_until("it gets nothing any more", || {
+        wait_until("the runner gets no new requests", || {
             let started = started(&fleet.runners[0]);
             fleet.wait_finished(100);
             self::started(&fleet.runners[0]) == started
--- a/pomelohitchd/tests/processes/shutdown.rs
+++ b/pomelohitchd/tests/processes/shutdown.rs
@@ -18,7 +18,7 @@
         fleet.entries[0].terminate();
         // A balancer that checks readiness does the same.
         wait_until("it isn't ready", || !fleet.entries[0].is_ready());
-        entries.lock().expect("no panic").remove(0);
+        entries.lock().expect("no thread panics").remove(0);
         fleet.wait_finished(100);
     });
     let tally = fleet.count(&calls);
@@ -48,12 +48,12 @@
     let outcome = std::thread::scope(|scope| {
         let sent = scope.spawn(|| caller::send(&caller::agent(), entry, &long));
         let runner = &fleet.runners[0];
-        wait_until("it runs", || runner.ledger().running == 1);
+        wait_until("the request runs", || runner.ledger().running == 1);
         fleet.entries[0].terminate();
-        wait_until("it leaves", || !fleet.entries[0].is_ready());
+        wait_until("it shuts down", || !fleet.entries[0].is_ready());
         fleet.entries[0].terminate();
         assert_eq!(fleet.entries[0].wait(CAP), Some(3));
-        sent.join().expect("no panic")
+        sent.join().expect("no thread panics")
     });
     assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
 }
--- a/pomelohitchd/tests/processes/support.rs
+++ b/pomelohitchd/tests/processes/support.rs
@@ -57,7 +57,7 @@
         if let Some(found) = look() {
             return found;
         }
-        assert!(start.elapsed() < CAP, "never: {what}");
+        assert!(start.elapsed() < CAP, "timed out waiting until {what}");
         std::thread::sleep(TICK);
     }
 }
@@ -109,7 +109,8 @@
         self.started += 1;
         let dir = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let name = format!("{}-{member}.log", self.log.url().replace([':', '/'], "-"));
-        let log = std::fs::File::create(dir.join(name)).expect("the test's directory is there");
+        let log =
+            std::fs::File::create(dir.join(name)).expect("the directory for test output exists");
         let options = daemon::Options {
             member: &member,
             log_url: &self.log.url(),
@@ -141,7 +142,7 @@
 
     /// The state at the first entry instance that answers.
     pub fn state(&self) -> State {
-        wait_for("an entry instance tells its state", || {
+        wait_for("an entry instance returns its state", || {
             self.entries.iter().find_map(Daemon::state)
         })
     }
@@ -189,7 +190,7 @@
     /// Waits until the runners finished `more` further requests.
     pub fn wait_finished(&self, more: u64) {
         let target = self.finished() + more;
-        wait_until("the runners work", || self.finished() >= target);
+        wait_until("runners finish requests", || self.finished() >= target);
     }
 }
 
@@ -208,7 +209,7 @@
         let guard = SetOnDrop(&stop);
         during();
         drop(guard);
-        sending.join().expect("the load doesn't panic")
+        sending.join().expect("the load thread does not panic")
     })
 }
 
--- a/pomelohitchd/tests/processes/together.rs
+++ b/pomelohitchd/tests/processes/together.rs
@@ -87,7 +87,7 @@
     let entries = Mutex::new(fleet.addresses());
     let calls = under_load(&entries, || {
         for _ in 0..STEPS {
-            let step = *ALL.choose(&mut rng).expect("there are some");
+            let step = *ALL.choose(&mut rng).expect("the list is not empty");
             act(&mut fleet, step, &mut rng);
             let mut addresses = fleet.addresses();
             if matches!(step, Step::Pause) {
@@ -95,7 +95,7 @@
                 // it resumes.
                 addresses.remove(1);
             }
-            *entries.lock().expect("no panic") = addresses;
+            *entries.lock().expect("no thread panics") = addresses;
             fleet.wait_finished(BETWEEN);
             fleet.entries[1].signal(Signal::CONT);
         }
--- a/pomelohitchd/tests/processes/waves.rs
+++ b/pomelohitchd/tests/processes/waves.rs
@@ -90,7 +90,7 @@
     let calls = under_load(&entries, || {
         start_wave(&fleet);
         fleet.entries[planner].signal(Signal::KILL);
-        entries.lock().expect("no panic").remove(planner);
+        entries.lock().expect("no thread panics").remove(planner);
         fleet.entries.remove(planner);
         wait_end(&fleet);
     });
--- a/pomelohitchd/tests/withdraw.rs
+++ b/pomelohitchd/tests/withdraw.rs
@@ -45,7 +45,7 @@
 fn wait_until(what: &str, mut check: impl FnMut() -> bool) {
     let deadline = Instant::now() + PATIENCE;
     while !check() {
-        assert!(Instant::now() < deadline, "waited too long until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -63,7 +63,7 @@
     let withdrawal = withdraw::withdraw_key(&node, &leaked);
     assert_eq!(
         withdrawal.offset, None,
-        "the operator is told that the log lacks it"
+        "the withdrawal is not recorded, and the operator learns that"
     );
     assert!(node.bad_news.load().withdrawn_keys.contains(&leaked));
     withdraw::log_news(&node);
@@ -80,7 +80,7 @@
     withdraw::log_news(&node);
     assert!(
         node.bad_news.load().withdrawn_keys.is_empty(),
-        "the log tells it from now on"
+        "dropped once the log contains it"
     );
 }
 
