--- a/pomelohitchd/tests/batch/drains.rs
+++ b/pomelohitchd/tests/batch/drains.rs
@@ -7,7 +7,7 @@
 /// A worker drains while a non-idempotent job runs on it. The job is checkpointed and resumed on
 /// another worker, and the draining worker gets nothing new.
 #[test]
-fn a_job_on_a_leaving_worker_goes_on_elsewhere() {
+fn a_job_on_a_leaving_worker_resumes_on_another_worker() {
     let platform = Platform::start(8);
     let entry = platform.planner(100);
     entry.adopt("worker-0");
@@ -34,7 +34,7 @@
 /// A peer has seen that a worker leaves, and the log has no record of it yet. The peer's
 /// notification is enough to place nothing new on the worker.
 #[test]
-fn a_worker_that_a_peer_saw_leaving_gets_nothing_new() {
+fn a_worker_that_a_peer_reports_as_leaving_gets_nothing_new() {
     let platform = Platform::start(8);
     let entry = platform.planner(100);
     entry.end_of(&entry.submit(&job("print", true, "run=10")));
--- a/pomelohitchd/tests/batch/leases.rs
+++ b/pomelohitchd/tests/batch/leases.rs
@@ -25,7 +25,7 @@
 /// paused, and the workers stop its tasks. An idempotent job runs again; any other ends, and its
 /// end says that it ran in part.
 #[test]
-fn a_lapsed_lease_reruns_only_what_may_run_twice() {
+fn only_idempotent_jobs_rerun_after_an_expired_lease() {
     let platform = Platform::start(4);
     let entry = platform.planner_with_leases(LEASE);
     let again = entry.submit(&job("print", true, "run=2500"));
--- a/pomelohitchd/tests/batch/path.rs
+++ b/pomelohitchd/tests/batch/path.rs
@@ -45,7 +45,7 @@
 /// Submits that arrive at the same time share appends. With an append for each, a burst would use
 /// up the few hundred appends per second that the log accepts.
 #[test]
-fn submits_that_come_together_share_appends() {
+fn concurrent_submits_share_appends() {
     const CALLERS: usize = 48;
     let platform = Platform::start(16);
     let entry = platform.planner(1000);
@@ -74,7 +74,7 @@
 /// A job that fits on no worker does not hold up others. The planner refuses it only after a grace
 /// of one minute; the planner's own tests cover that with a virtual clock.
 #[test]
-fn a_job_that_fits_no_worker_blocks_nobody() {
+fn a_job_that_fits_no_worker_does_not_block_others() {
     let platform = Platform::start(4);
     let entry = platform.planner(10);
     let giant = serde_json::json!({
@@ -126,7 +126,7 @@
 /// Every entry instance keeps every job in memory. A faulty script that submits without end is
 /// refused with `ran: no` before memory runs out.
 #[test]
-fn submits_are_turned_away_when_too_many_jobs_are_kept() {
+fn submits_are_refused_when_too_many_jobs_are_stored() {
     let platform = Platform::start(1);
     let entry = platform.entry("entry-1");
     entry.publish(10);
--- a/pomelohitchd/tests/batch/planners.rs
+++ b/pomelohitchd/tests/batch/planners.rs
@@ -9,7 +9,7 @@
 /// The planner is replaced while jobs run. The new one takes over their attempts: none is lost, and
 /// none runs twice.
 #[test]
-fn a_new_planner_takes_over_what_runs() {
+fn a_new_planner_takes_over_running_jobs() {
     let platform = Platform::start(4);
     let first = platform.planner(100);
     let second = platform.entry("entry-2");
@@ -28,7 +28,7 @@
 /// successor starts the job under the same attempt, so that a late start by the first planner has
 /// no effect.
 #[test]
-fn a_new_planner_starts_what_was_placed() {
+fn a_new_planner_starts_jobs_that_were_placed() {
     let platform = Platform::start(4);
     let first = platform.planner(100);
     let second = platform.entry("entry-2");
--- a/pomelohitchd/tests/borders.rs
+++ b/pomelohitchd/tests/borders.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn each_side_gets_what_the_other_leaves() {
+fn each_side_gets_what_the_other_does_not_use() {
     insta::assert_debug_snapshot!(
         [
             part(100, 0, 0, 0),
@@ -52,7 +52,7 @@
 
 /// The demand of one side never takes the other one below half of the limit or its own demand.
 #[test]
-fn a_side_that_wants_has_at_least_half_or_what_it_wants() {
+fn each_side_gets_at_least_half_of_the_limit_or_its_demand() {
     pomelohitch_property::check(|&(limit, active, waiting, requests): &(u8, u8, u8, u8)| {
         let (limit, requests) = (u32::from(limit), u32::from(requests));
         let active = u32::from(active).min(limit / 2);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_border_is_left_where_nobody_lacks() {
+fn the_split_is_not_moved_while_both_sides_have_enough() {
     let wants = Wants {
         active: 5,
         jobs: 5,
--- a/pomelohitchd/tests/burn.rs
+++ b/pomelohitchd/tests/burn.rs
@@ -72,7 +72,7 @@
 /// shutdown closes the minute that has just begun; if the one before were left out, its answers
 /// would be missing from the report, with no visible gap.
 #[test]
-fn a_minute_that_ended_since_the_last_look_is_closed_once() {
+fn a_minute_that_ended_since_the_last_check_is_closed_once() {
     let mut minutes = Minutes::default();
     let past = [10, 10, 12, 13, 13, 11, 14].map(|now| minutes.past(now));
     insta::assert_debug_snapshot!(past.map(|past| format!("{past:?}")), @r#"
--- a/pomelohitchd/tests/front/answers.rs
+++ b/pomelohitchd/tests/front/answers.rs
@@ -9,7 +9,7 @@
 use crate::runner::{Runner, ok};
 
 #[test]
-fn the_whole_answer_comes_back() {
+fn the_complete_answer_is_returned() {
     let runner = Runner::start(|_| {
         Some(
             b"HTTP/1.1 201 Created\r\nContent-Length: 9\r\nX-Pass: 7\r\nConnection: keep-alive\r\n\r\nday pass!"
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn the_words_for_ran_are_stable() {
+fn the_serialized_values_of_ran_are_stable() {
     let words = serde_json::to_string(&[Ran::No, Ran::Unknown]).unwrap();
     insta::assert_snapshot!(words, @r#"["no","unknown"]"#);
 }
--- a/pomelohitchd/tests/front/bad_input.rs
+++ b/pomelohitchd/tests/front/bad_input.rs
@@ -40,7 +40,7 @@
 /// An endless request head must not be buffered: one faulty client could exhaust the memory of the
 /// entry instance.
 #[test]
-fn a_head_without_end_is_refused_at_the_limit() {
+fn an_endless_request_head_is_refused_at_the_limit() {
     let mut bytes = b"GET /s/passes/ HTTP/1.1\r\nHost: entry\r\n".to_vec();
     bytes.extend(b"X-Filler: ".iter());
     bytes.extend(std::iter::repeat_n(b'a', 100_000));
@@ -65,7 +65,7 @@
 /// Conflicting body lengths let two parsers split the same bytes into different requests (request
 /// smuggling). A request hidden in another one's body would run under that one's key.
 #[test]
-fn two_statements_of_the_length_are_refused() {
+fn conflicting_body_lengths_are_refused() {
     let line = "POST /s/passes/ HTTP/1.1";
     let both = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n";
     is_refused(&request(line, both), 400);
@@ -87,7 +87,7 @@
 /// A client sends its head or body slowly, or stops half-way. It occupies a connection and a
 /// thread; enough such clients would leave none for others.
 #[test]
-fn slow_senders_are_told_so_and_cut() {
+fn slow_senders_get_408_and_are_disconnected() {
     is_refused(b"GET /s/passes/ HTTP/1.1\r\nHost: en", 408);
     let headers = format!("Authorization: Bearer {KEY}\r\nContent-Length: 5\r\n");
     let mut bytes = request("POST /s/passes/ HTTP/1.1", &headers);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn terms_that_make_no_sense_are_refused() {
+fn invalid_request_headers_are_refused() {
     let entry = Entry::start(&[], limits());
     for header in [
         "Request-Idempotent: maybe",
@@ -162,7 +162,7 @@
 /// Idle clients use up the limit of connections. A new connection gets 503 at once, and one that
 /// closes makes a slot available for the next.
 #[test]
-fn connections_beyond_the_limit_are_refused_in_words() {
+fn connections_beyond_the_limit_get_503() {
     let runner = Runner::answering("pass");
     let limits = Limits {
         connections: 2,
@@ -193,7 +193,7 @@
 
 /// All request bodies that are being received share one memory limit.
 #[test]
-fn bodies_together_are_bounded() {
+fn the_total_size_of_request_bodies_is_limited() {
     let limits = Limits {
         body_bytes_together: 4096,
         body_within: Duration::from_secs(20),
--- a/pomelohitchd/tests/front/retries.rs
+++ b/pomelohitchd/tests/front/retries.rs
@@ -31,7 +31,7 @@
 /// A runner dies while it handles a request. An idempotent request is retried at the other runner,
 /// and the caller gets its answer.
 #[test]
-fn an_idempotent_request_is_tried_again_elsewhere() {
+fn an_idempotent_request_is_retried_at_another_runner() {
     let runners = pair(|nth, _| (nth > 0).then(|| ok("whole")));
     let entry = Entry::start(&addrs(&runners), Limits::default());
     let answer = entry.call("GET", "/s/passes/", &[]);
@@ -70,7 +70,7 @@
 /// One of two runners accepts no connections. No byte of the request was sent to it, so that even a
 /// non-idempotent request may be sent to the other one.
 #[test]
-fn what_was_never_sent_may_go_elsewhere() {
+fn a_request_that_was_never_sent_is_sent_to_another_runner() {
     let gone = TcpListener::bind("127.0.0.1:0").unwrap();
     let gone_addr = gone.local_addr().unwrap();
     drop(gone);
@@ -86,7 +86,7 @@
 /// A reused connection goes silent while new ones work. An idempotent request is retried over a new
 /// connection well before its own timeout.
 #[test]
-fn a_kept_connection_that_went_silent_is_given_up() {
+fn a_reused_connection_that_goes_silent_is_abandoned() {
     let runner = Runner::start(|seen| {
         let is_silent = seen.header("X-Then").is_none() && seen.header("X-First").is_none();
         if is_silent && seen.lines[0].contains("/silent") {
@@ -127,7 +127,7 @@
 /// A request was refused before it ran. Its idempotency key must be released, or the caller could
 /// not repeat the request.
 #[test]
-fn a_key_of_a_request_that_did_not_run_is_free_again() {
+fn the_key_of_a_request_that_did_not_run_can_be_reused() {
     let runner = Runner::start(|seen| {
         let is_full = seen.header("X-Full").is_some();
         let refusal = b"HTTP/1.1 503 Busy\r\nRequest-Ran: no\r\nContent-Length: 0\r\n\r\n";
--- a/pomelohitchd/tests/leaving.rs
+++ b/pomelohitchd/tests/leaving.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_a_member_tells_again_lasts() {
+fn a_sighting_that_is_reported_again_does_not_expire() {
     let one = "entry-1".into();
     let mut sightings = Sightings::default();
     let mut now = Instant::now();
--- a/pomelohitchd/tests/liveness.rs
+++ b/pomelohitchd/tests/liveness.rs
@@ -117,7 +117,7 @@
 /// One entry instance loses its connections to all others and still reads the log. The others are
 /// alive; they remove it meanwhile, and it joins again.
 #[test]
-fn a_member_that_hears_less_than_half_waits_longer() {
+fn a_member_that_hears_less_than_half_of_the_members_waits_longer() {
     let mut world = World::new();
     world.pass(LEASE, &["b", "c", "d"]);
     assert!(world.pass(4 * LEASE, &[]).is_empty());
--- a/pomelohitchd/tests/processes/admin.rs
+++ b/pomelohitchd/tests/processes/admin.rs
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_drain_over_the_api_is_a_graceful_shutdown_also_when_asked_twice() {
+fn a_repeated_drain_over_the_api_is_a_graceful_shutdown() {
     let mut fleet = Fleet::start(2, 1);
     for _ in 0..2 {
         assert_eq!(
--- a/pomelohitchd/tests/processes/borders.rs
+++ b/pomelohitchd/tests/processes/borders.rs
@@ -15,7 +15,7 @@
 /// If jobs kept it, requests would be refused; if requests kept an unused half, jobs would take
 /// twice as long.
 #[test]
-fn jobs_get_what_requests_leave_and_requests_get_it_back() {
+fn jobs_get_the_unused_limit_of_requests_and_give_it_back() {
     let fleet = Fleet::start(3, 2);
     let mut file = config::small();
     for team in &mut file.teams {
--- a/pomelohitchd/tests/processes/planner.rs
+++ b/pomelohitchd/tests/processes/planner.rs
@@ -27,7 +27,7 @@
 /// The planner is paused until the others remove it, and resumes with outdated state. Its decisions
 /// in the old term have no effect, and it joins again as a new incarnation.
 #[test]
-fn a_planner_that_was_paused_does_no_harm_and_joins_again() {
+fn a_paused_planner_decides_nothing_in_its_old_term_and_joins_again() {
     let fleet = Fleet::start(3, 2);
     let planner = fleet.planner();
     let paused = &fleet.entries[planner];
--- a/pomelohitchd/tests/processes/together.rs
+++ b/pomelohitchd/tests/processes/together.rs
@@ -113,11 +113,11 @@
 /// replaced, in any order and several at a time. No request is doubled or lost, and every `ran: no`
 /// is true.
 #[test]
-fn failures_that_come_together_double_and_lose_nothing() {
+fn simultaneous_faults_double_and_lose_nothing() {
     run(1);
 }
 
 #[test]
-fn failures_that_come_together_in_another_order_double_and_lose_nothing() {
+fn simultaneous_faults_in_another_order_double_and_lose_nothing() {
     run(2);
 }
--- a/pomelohitchd/tests/processes/waves.rs
+++ b/pomelohitchd/tests/processes/waves.rs
@@ -83,7 +83,7 @@
 /// The planner is killed during a wave. The next one continues it: no instance is rebooted twice or
 /// left out, the budget holds, and the only effect on callers is that of the dead entry instance.
 #[test]
-fn when_the_planner_dies_in_a_wave_another_ends_it_and_no_budget_breaks() {
+fn when_the_planner_dies_in_a_wave_another_finishes_it_within_the_budget() {
     let mut fleet = fleet();
     let planner = fleet.planner();
     let entries = Mutex::new(fleet.addresses());
@@ -102,7 +102,7 @@
 /// The planner is paused during a wave and resumes after another one has finished it. Its pending
 /// requests to the platform are outdated and must not be sent.
 #[test]
-fn a_planner_that_wakes_after_its_wave_was_ended_by_another_does_no_harm() {
+fn a_planner_that_resumes_after_its_wave_has_ended_sends_no_orders() {
     let mut fleet = fleet();
     let planner = fleet.planner();
     start_wave(&fleet);
--- a/pomelohitchd/tests/settings.rs
+++ b/pomelohitchd/tests/settings.rs
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn good_settings_have_no_fault() {
+fn valid_settings_are_accepted() {
     assert!(settings(&[]).check().is_ok());
 }
 
 /// An entry instance is started with several invalid settings. If each start reported one of them,
 /// fixing all would take as many starts.
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_invalid_settings_are_reported_at_once() {
     let wrong = settings(&[
         "--heartbeat-ms=5",
         "--member-lease-ms=1",
--- a/pomelohitchd/tests/withdraw.rs
+++ b/pomelohitchd/tests/withdraw.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn news_that_a_peer_told_is_recorded_by_whoever_heard_it() {
+fn a_withdrawal_reported_by_a_peer_is_recorded_by_its_receiver() {
     // The entry instance that got the request of the operator may be replaced before the log is
     // back, so that every peer it has notified records the withdrawal.
     let log = Log::start(&log::Options::default());
