--- a/pomelohitchd/tests/batch/cancels.rs
+++ b/pomelohitchd/tests/batch/cancels.rs
@@ -2,7 +2,7 @@
 
 use pomelohitch_core::state::jobs::{Outcome, Ran};
 
-use crate::site::{Platform, job, wait_until};
+use crate::support::{Platform, job, wait_until};
 
 /// A running job that is cancelled ends only after its task has been stopped.
 #[test]
--- a/pomelohitchd/tests/batch/drains.rs
+++ b/pomelohitchd/tests/batch/drains.rs
@@ -2,7 +2,7 @@
 
 use pomelohitch_core::state::jobs::Outcome;
 
-use crate::site::{Platform, job, wait_until};
+use crate::support::{Platform, job, wait_until};
 
 /// A worker drains while a non-idempotent job runs on it. The job is checkpointed and resumed on
 /// another worker, and the draining worker gets nothing new.
--- a/pomelohitchd/tests/batch/faults.rs
+++ b/pomelohitchd/tests/batch/faults.rs
@@ -6,7 +6,7 @@
 use pomelohitch_standin::workers::Faults;
 use pomelohitch_standin::{CallFaults, log};
 
-use crate::site::{Platform, job, wait_until};
+use crate::support::{Platform, job, wait_until};
 
 /// The platform starts tasks, and the answers are lost. If they were started again under another
 /// attempt, a settlement would be paid twice.
--- a/pomelohitchd/tests/batch/leases.rs
+++ b/pomelohitchd/tests/batch/leases.rs
@@ -6,7 +6,7 @@
 use pomelohitch_standin::CallFaults;
 use pomelohitch_standin::workers::Faults;
 
-use crate::site::{Entry, Platform, job, wait_until};
+use crate::support::{Entry, Platform, job, wait_until};
 
 const LEASE: Duration = Duration::from_millis(900);
 
--- a/pomelohitchd/tests/batch/main.rs
+++ b/pomelohitchd/tests/batch/main.rs
@@ -6,4 +6,4 @@
 mod leases;
 mod path;
 mod planners;
-mod site;
+mod support;
--- a/pomelohitchd/tests/batch/path.rs
+++ b/pomelohitchd/tests/batch/path.rs
@@ -6,7 +6,7 @@
 
 use pomelohitchd::jobs_api;
 
-use crate::site::{Platform, job, wait_until};
+use crate::support::{Platform, job, wait_until};
 
 /// A job is submitted, placed and run, and the API returns its end.
 #[test]
--- a/pomelohitchd/tests/batch/planners.rs
+++ b/pomelohitchd/tests/batch/planners.rs
@@ -4,7 +4,7 @@
 use pomelohitch_standin::CallFaults;
 use pomelohitch_standin::workers::Faults;
 
-use crate::site::{Platform, job};
+use crate::support::{Platform, job};
 
 /// The planner is replaced while jobs run. The new one takes over their attempts: none is lost, and
 /// none runs twice.
--- a/pomelohitchd/tests/processes/main.rs
+++ b/pomelohitchd/tests/processes/main.rs
@@ -3,14 +3,14 @@
 //! limit, and not for fixed times.
 
 mod admin;
-mod borders;
 mod burn;
+mod combined_faults;
 mod jobs;
+mod limit_split;
 mod log;
 mod planner;
 mod publish;
 mod runners;
 mod shutdown;
 mod support;
-mod together;
 mod waves;
