--- a/pomelohitchd/examples/capacity/cost.rs
+++ b/pomelohitchd/examples/capacity/cost.rs
@@ -6,14 +6,16 @@
 use pomelohitch_core::record::{FleetStep, Publish};
 use pomelohitch_core::{Body, State, snapshot};
 
-use crate::fleet::{Changes, Fleet, LETTER, Size, adopt, drain, end, step, submit, team_change};
+use crate::fleet::{
+    Changes, DESIGN_SIZE, Fleet, Size, adopt, drain, end, step, submit, team_change,
+};
 
 /// Repetitions of each timed step.
 const REPEATS: u32 = 200;
 
 /// Size of each kind of record, in bytes.
 pub fn record_bytes() -> Vec<(&'static str, usize)> {
-    let mut fleet = Fleet::new(&LETTER.scaled(1));
+    let mut fleet = Fleet::new(&DESIGN_SIZE.scaled(1));
     let bytes = |fleet: &Fleet, body: Body| fleet.record(body).encode().len();
     let publish = Body::Publish(Publish {
         changes: Changes::from([team_change(0)]),
@@ -22,10 +24,10 @@
         ("publish of one team's file", bytes(&fleet, publish)),
         ("adopt", bytes(&fleet, step(adopt(1, 1)))),
         ("drain", bytes(&fleet, step(drain(1, fleet.since(1))))),
-        ("submit of one job", bytes(&fleet, submit(1, &LETTER))),
+        ("submit of one job", bytes(&fleet, submit(1, &DESIGN_SIZE))),
     ];
-    fleet.accept(submit(1, &LETTER));
-    let place = fleet.place(1, &LETTER);
+    fleet.accept(submit(1, &DESIGN_SIZE));
+    let place = fleet.place(1, &DESIGN_SIZE);
     sizes.push(("placement of one job", bytes(&fleet, place.clone())));
     let placed = fleet.accept(place);
     sizes.push(("end of one job", bytes(&fleet, end(1, placed))));
--- a/pomelohitchd/examples/capacity/fit.rs
+++ b/pomelohitchd/examples/capacity/fit.rs
@@ -23,11 +23,11 @@
         let count = points.len() as f64;
         let mean_size = points.iter().map(|p| p.size).sum::<f64>() / count;
         let mean_value = points.iter().map(|p| p.value).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
-        let together = points
+        let squared_deviations: f64 = points.iter().map(|p| (p.size - mean_size).powi(2)).sum();
+        let products = points
             .iter()
             .map(|p| (p.size - mean_size) * (p.value - mean_value));
-        let slope = together.sum::<f64>() / spread;
+        let slope = products.sum::<f64>() / squared_deviations;
         Line {
             base: mean_value - slope * mean_size,
             slope,
--- a/pomelohitchd/examples/capacity/fleet.rs
+++ b/pomelohitchd/examples/capacity/fleet.rs
@@ -28,7 +28,7 @@
 }
 
 /// The design size; assumes two jobs for each worker.
-pub const LETTER: Size = Size {
+pub const DESIGN_SIZE: Size = Size {
     instances: 6800,
     pools: 37,
     teams: 240,
--- a/pomelohitchd/examples/capacity/main.rs
+++ b/pomelohitchd/examples/capacity/main.rs
@@ -14,7 +14,7 @@
 mod platform;
 
 use fit::{Point, print};
-use fleet::{LETTER, Size};
+use fleet::{DESIGN_SIZE, Size};
 
 /// Measured sizes, in eighths of the design size.
 const EIGHTHS: [usize; 4] = [1, 2, 4, 8];
@@ -135,7 +135,7 @@
         name: "planner of pools and waves, look when nothing is due",
         unit: "ms",
         by: |size| size.instances,
-        measure: platform::maintenance_look,
+        measure: platform::maintenance_pass,
     },
 ];
 
@@ -153,7 +153,7 @@
     }
     for quantity in &QUANTITIES {
         let points = EIGHTHS.map(|eighths| {
-            let size = LETTER.scaled(eighths);
+            let size = DESIGN_SIZE.scaled(eighths);
             Point {
                 #[expect(clippy::cast_precision_loss, reason = "sizes are far below 2^52")]
                 size: (quantity.by)(&size) as f64,
--- a/pomelohitchd/examples/capacity/permits.rs
+++ b/pomelohitchd/examples/capacity/permits.rs
@@ -16,7 +16,7 @@
 /// among several.
 const OWN: &str = "entry-1";
 /// Number of passes per second that the daemon makes while it is idle.
-const LOOKS: u32 = 4;
+const PASSES: u32 = 4;
 const RUN: Duration = Duration::from_secs(30);
 
 /// Processor time of one second without requests, in microseconds. Every instance is a runner.
@@ -33,7 +33,7 @@
     while exchange(&mut dispatcher, &mut homes) > 0 {}
 
     let start = Instant::now();
-    for _ in 0..LOOKS {
+    for _ in 0..PASSES {
         dispatcher.refresh_shares();
         homes.recall_excess(bounds, Duration::ZERO);
         dispatcher.expire(Duration::ZERO);
--- a/pomelohitchd/examples/capacity/platform.rs
+++ b/pomelohitchd/examples/capacity/platform.rs
@@ -12,10 +12,10 @@
 use pomelohitch_platform::instances::{List, Listed, ListedState};
 use pomelohitch_platform::{Log, snapshots, workers};
 
-use crate::fleet::{Fleet, LETTER, Size, instance};
+use crate::fleet::{DESIGN_SIZE, Fleet, Size, instance};
 
 /// Number of timed planning passes.
-const LOOKS: u32 = 20;
+const PASSES: u32 = 20;
 
 /// Size of the platform's list of instances, in KiB.
 pub fn instance_list(size: &Size) -> f64 {
@@ -44,12 +44,12 @@
 
 /// Time of a planning pass of the planner of pools and waves that finds nothing to do, from the
 /// encoded list to its decisions, in milliseconds.
-pub fn maintenance_look(size: &Size) -> f64 {
+pub fn maintenance_pass(size: &Size) -> f64 {
     let state = Fleet::new(size).state;
     let text = serde_json::to_string(&list(size)).expect("a list is JSON");
     let mut planner = Planner::new(Options::default());
     let start = Instant::now();
-    for look in 0..LOOKS {
+    for pass in 0..PASSES {
         let list: List = serde_json::from_str(&text).expect("it was just written");
         let listed: BTreeMap<_, _> = list
             .instances
@@ -57,27 +57,27 @@
             .map(|i| (i.id.clone(), i))
             .collect();
         let seen = Observation {
-            now: Duration::from_millis(500) * look,
+            now: Duration::from_millis(500) * pass,
             listed: Some(listed),
             known_by_all: state.next,
             ..Observation::default()
         };
         black_box(planner.plan(&state, &seen));
     }
-    start.elapsed().as_secs_f64() * 1e3 / f64::from(LOOKS)
+    start.elapsed().as_secs_f64() * 1e3 / f64::from(PASSES)
 }
 
 /// Writes a snapshot of the design size to the empty log at `url`.
 pub fn fill(url: &str) {
     let log = Log::http(url, Duration::from_secs(20));
     // Without jobs: a stand-in of the workers would end them all at once.
-    let state = Fleet::new(&LETTER).state;
+    let state = Fleet::new(&DESIGN_SIZE).state;
     // Readers start from the snapshot and never read these records, but the head of the log must be
     // at the offset at which the snapshot ends.
-    let filler = vec![Box::from("-"); FILL];
+    let filler = vec![Box::from("-"); FILL_BATCH];
     let mut next = 0;
     while next < state.next {
-        let some = FILL.min(usize::try_from(state.next - next).unwrap_or(FILL));
+        let some = FILL_BATCH.min(usize::try_from(state.next - next).unwrap_or(FILL_BATCH));
         let appended = (log.append)(FLEET_STREAM, &filler[..some]).expect("the log is up");
         next = appended.next;
     }
@@ -86,7 +86,7 @@
 }
 
 /// Number of records in one append.
-const FILL: usize = 1000;
+const FILL_BATCH: usize = 1000;
 
 fn list(size: &Size) -> List {
     let fleet = Fleet::new(size).state.fleet;
--- a/pomelohitchd/examples/overhead.rs
+++ b/pomelohitchd/examples/overhead.rs
@@ -30,13 +30,13 @@
 
 fn main() {
     let runner = runner();
-    let through = pass_through(runner);
+    let pass_through_addr = pass_through(runner);
     let entry = entry(runner);
     println!("| path | p50 us | p99 us | requests a second |\n|---|---|---|---|");
     // Each path is warmed up by a round that isn't counted.
     for (name, addr) in [
         ("direct", runner),
-        ("rouille and ureq", through),
+        ("rouille and ureq", pass_through_addr),
         ("entry", entry),
     ] {
         measure(addr);
@@ -155,14 +155,14 @@
 }
 
 fn entry(runner: SocketAddr) -> SocketAddr {
-    let nowhere = "http://127.0.0.1:9";
+    let unreachable = "http://127.0.0.1:9";
     let node = Arc::new(Node::new(Settings::parse_from([
         "pomelohitchd",
         "--member=entry-1",
         "--zone=zone-a",
-        &format!("--log-url={nowhere}"),
-        &format!("--instances-url={nowhere}"),
-        &format!("--workers-url={nowhere}"),
+        &format!("--log-url={unreachable}"),
+        &format!("--instances-url={unreachable}"),
+        &format!("--workers-url={unreachable}"),
         &format!("--admin-key-hash={}", key::hash("operator")),
     ])));
     let mut state = State::default();
--- a/pomelohitchd/tests/admin.rs
+++ b/pomelohitchd/tests/admin.rs
@@ -56,8 +56,8 @@
 /// and must not contain the key.
 #[test]
 fn a_key_in_place_of_its_hash_is_refused_and_not_shown() {
-    let told = settings("pmh_secret")
+    let err = settings("pmh_secret")
         .check()
         .expect_err("the value is not a hash");
-    assert!(!told.to_string().contains("secret"), "{told}");
+    assert!(!err.to_string().contains("secret"), "{err}");
 }
--- a/pomelohitchd/tests/batch/leases.rs
+++ b/pomelohitchd/tests/batch/leases.rs
@@ -32,7 +32,7 @@
     let once = entry.submit(&job("settle", false, "run=2500"));
     entry.wait_for(&again, "running");
     entry.wait_for(&once, "running");
-    cut_off_until_stopped(&platform, &entry);
+    disconnect_until_leases_expire(&platform, &entry);
     let end = entry.end_of(&once);
     let expected = (Outcome::Unknown, Reason::LeaseExpired, Ran::InPart);
     assert_eq!((end.outcome, end.reason, end.ran), expected);
@@ -43,7 +43,7 @@
 }
 
 /// Makes the workers unreachable until every lease has expired.
-fn cut_off_until_stopped(platform: &Platform, entry: &Entry) {
+fn disconnect_until_leases_expire(platform: &Platform, entry: &Entry) {
     platform.workers.set_faults(Faults {
         calls: CallFaults {
             down: true,
--- a/pomelohitchd/tests/batch/path.rs
+++ b/pomelohitchd/tests/batch/path.rs
@@ -112,14 +112,14 @@
     let ids: Vec<_> = (0..8)
         .map(|_| entry.submit(&job("settle", true, "run=100")))
         .collect();
-    let most = std::cell::Cell::new(0);
+    let max_running = std::cell::Cell::new(0);
     wait_until("all ended", || {
         let states = ids.iter().map(|id| entry.show(id).state);
         let running = states.filter(|state| &**state == "running").count();
-        most.set(most.get().max(running));
+        max_running.set(max_running.get().max(running));
         ids.iter().all(|id| entry.show(id).end.is_some())
     });
-    assert!(most.get() <= 2);
+    assert!(max_running.get() <= 2);
     assert!(entry.node.state.load().jobs.active.is_empty());
 }
 
--- a/pomelohitchd/tests/batch/support.rs
+++ b/pomelohitchd/tests/batch/support.rs
@@ -23,11 +23,11 @@
 use rouille::Request;
 
 /// Upper limit of every wait in these tests.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Number of jobs in a record that [`Entry::fill`] appends.
-const JOBS_A_RECORD: usize = 1000;
+const JOBS_PER_RECORD: usize = 1000;
 /// Time limit of a proposal.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(10);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Stand-ins of the log and the workers.
 pub struct Platform {
@@ -199,7 +199,7 @@
     fn propose(&self, body: Body) -> u64 {
         let decided = self
             .node
-            .propose(body, PROPOSE_LIMIT)
+            .propose(body, PROPOSE_TIMEOUT)
             .expect("the log accepts appends");
         assert_eq!(decided.verdict, Verdict::Accepted);
         decided.offset
@@ -208,7 +208,7 @@
     /// Appends `count` waiting jobs, bypassing the API.
     pub fn fill(&self, count: usize) {
         let jobs: Vec<Job> = (0..count).map(waiting).collect();
-        for jobs in jobs.chunks(JOBS_A_RECORD) {
+        for jobs in jobs.chunks(JOBS_PER_RECORD) {
             self.propose(Body::Job(JobRecord::Submit(jobs.to_vec())));
         }
     }
@@ -303,9 +303,9 @@
 }
 
 /// Polls `condition` until it holds; panics after [`WAIT_TIMEOUT`].
-pub fn wait_until(what: &str, is_so: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
-    while !is_so() {
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
--- a/pomelohitchd/tests/front/answers.rs
+++ b/pomelohitchd/tests/front/answers.rs
@@ -26,7 +26,7 @@
 
     day pass!
     ");
-    let seen = runner.seen.lock().unwrap()[0].clone();
+    let seen = runner.received.lock().unwrap()[0].clone();
     assert_eq!(seen.lines[0], "PUT /day?who=family HTTP/1.1");
     assert_eq!(seen.header("X-Desk"), Some("4"));
     assert_eq!(seen.header("Request-Team"), Some("valley"));
@@ -53,8 +53,8 @@
             let is_first = seen.header("X-Cut").is_some();
             (!is_first).then(|| ok("whole"))
         });
-        let cutter = cutting(cut);
-        let entry = Entry::start(&[cutter], Limits::default());
+        let truncating = truncating_runner(cut);
+        let entry = Entry::start(&[truncating], Limits::default());
         let answer = entry.call("POST", "/s/passes/", &[]);
         assert_eq!(status(&answer), 502, "{answer}");
         assert_eq!(problem(&answer)["ran"], "unknown");
@@ -64,7 +64,7 @@
 }
 
 /// A runner that reads a request, writes `bytes` and closes.
-fn cutting(bytes: &'static [u8]) -> std::net::SocketAddr {
+fn truncating_runner(bytes: &'static [u8]) -> std::net::SocketAddr {
     use std::io::{Read, Write};
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -116,7 +116,7 @@
 #[test]
 fn a_late_answer_is_unknown() {
     let runner = Runner::start(|_| {
-        std::thread::sleep(crate::entry::PATIENCE);
+        std::thread::sleep(crate::entry::WAIT_TIMEOUT);
         None
     });
     let entry = Entry::start(&[runner.addr], Limits::default());
--- a/pomelohitchd/tests/front/bad_input.rs
+++ b/pomelohitchd/tests/front/bad_input.rs
@@ -22,7 +22,7 @@
 }
 
 /// Sends `bytes`, expects the status and `ran: no`, and that the next caller is served.
-fn is_refused(bytes: &[u8], expected: u16) {
+fn assert_refused(bytes: &[u8], expected: u16) {
     let runner = Runner::answering("pass");
     let entry = Entry::start(&[runner.addr], limits());
     let answer = entry.send(bytes);
@@ -44,22 +44,22 @@
     let mut bytes = b"GET /s/passes/ HTTP/1.1\r\nHost: entry\r\n".to_vec();
     bytes.extend(b"X-Filler: ".iter());
     bytes.extend(std::iter::repeat_n(b'a', 100_000));
-    is_refused(&bytes, 431);
+    assert_refused(&bytes, 431);
 }
 
 #[test]
 fn too_many_headers_are_refused() {
     let headers = "a: 1\r\n".repeat(head::MAX_HEADERS + 1);
-    is_refused(&request("GET /s/passes/ HTTP/1.1", &headers), 431);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", &headers), 431);
 }
 
 /// A body above the limit is refused by its declared length, before memory is allocated for it.
 #[test]
 fn a_body_beyond_the_limit_is_refused_before_it_is_read() {
     let headers = format!("Authorization: Bearer {KEY}\r\nContent-Length: 5000\r\n");
-    is_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
+    assert_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
     let headers = format!("Content-Length: {}\r\n", "9".repeat(40));
-    is_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
+    assert_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
 }
 
 /// Conflicting body lengths let two parsers split the same bytes into different requests (request
@@ -68,31 +68,31 @@
 fn conflicting_body_lengths_are_refused() {
     let line = "POST /s/passes/ HTTP/1.1";
     let both = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n";
-    is_refused(&request(line, both), 400);
+    assert_refused(&request(line, both), 400);
     let twice = "Content-Length: 5\r\nContent-Length: 6\r\n";
-    is_refused(&request(line, twice), 400);
-    is_refused(&request(line, "Content-Length: +5\r\n"), 400);
-    is_refused(&request(line, "Transfer-Encoding: chunked\r\n"), 411);
+    assert_refused(&request(line, twice), 400);
+    assert_refused(&request(line, "Content-Length: +5\r\n"), 400);
+    assert_refused(&request(line, "Transfer-Encoding: chunked\r\n"), 411);
 }
 
 #[test]
 fn bytes_that_are_not_http_are_refused() {
-    is_refused(b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400);
-    is_refused(b"GET http://else/where HTTP/1.1\r\nHost: x\r\n\r\n", 400);
-    is_refused(b"GET /s/passes/ HTTP/1.1\r\n\r\n", 400);
-    is_refused(&request("GET /s/passes/ HTTP/1.1", "Name : x\r\n"), 400);
-    is_refused(&request("POST /s/passes/ HTTP/1.1", "Expect: tea\r\n"), 417);
+    assert_refused(b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400);
+    assert_refused(b"GET http://else/where HTTP/1.1\r\nHost: x\r\n\r\n", 400);
+    assert_refused(b"GET /s/passes/ HTTP/1.1\r\n\r\n", 400);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", "Name : x\r\n"), 400);
+    assert_refused(&request("POST /s/passes/ HTTP/1.1", "Expect: tea\r\n"), 417);
 }
 
 /// A client sends its head or body slowly, or stops half-way. It occupies a connection and a
 /// thread; enough such clients would leave none for others.
 #[test]
 fn slow_senders_get_408_and_are_disconnected() {
-    is_refused(b"GET /s/passes/ HTTP/1.1\r\nHost: en", 408);
+    assert_refused(b"GET /s/passes/ HTTP/1.1\r\nHost: en", 408);
     let headers = format!("Authorization: Bearer {KEY}\r\nContent-Length: 5\r\n");
     let mut bytes = request("POST /s/passes/ HTTP/1.1", &headers);
     bytes.extend(b"ab");
-    is_refused(&bytes, 408);
+    assert_refused(&bytes, 408);
 }
 
 #[test]
@@ -108,11 +108,11 @@
 #[test]
 fn a_missing_or_wrong_key_is_refused() {
     let headers = "Connection: close\r\n";
-    is_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
     let headers = "Connection: close\r\nAuthorization: Bearer guessed\r\n";
-    is_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
     let headers = "Connection: close\r\nAuthorization: Basic Zm9v\r\n";
-    is_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
 }
 
 /// A key is withdrawn while its user has a connection open. Either the record or a peer's
@@ -206,9 +206,9 @@
     let mut first = entry.connect();
     let waiting = request(line, &format!("{headers}Expect: 100-continue\r\n"));
     first.write_all(&waiting).unwrap();
-    let mut go_on = [0; 25];
-    first.read_exact(&mut go_on).unwrap();
-    assert_eq!(&go_on, b"HTTP/1.1 100 Continue\r\n\r\n");
+    let mut interim = [0; 25];
+    first.read_exact(&mut interim).unwrap();
+    assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
     let second = entry.send(&[&request(line, &headers)[..], &[b'x'; 4096][..]].concat());
     assert_eq!(status(&second), 503);
     assert_eq!(problem(&second)["step"], "accept");
--- a/pomelohitchd/tests/front/entry.rs
+++ b/pomelohitchd/tests/front/entry.rs
@@ -24,7 +24,7 @@
 /// API key of the test's team.
 pub const KEY: &str = "valley-station-key";
 /// Upper limit of every wait in these tests.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running entry instance.
 pub struct Entry {
@@ -61,10 +61,10 @@
                 peer_addr: listener.local_addr().unwrap(),
             })
             .collect();
-        let mut place = 0;
+        let mut index = 0;
         listeners.map(|listener| {
-            let node = node(&joins, place, bodies(runners, passes()));
-            place += 1;
+            let node = node(&joins, index, bodies(runners, passes()));
+            index += 1;
             let links = peers::start(&node, listener).unwrap();
             node.permits.use_links(links.commands.clone());
             let _ = peers::follow_members(&node, &links, None);
@@ -103,7 +103,7 @@
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.addr).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
@@ -155,9 +155,9 @@
 }
 
 /// Polls `condition` until it holds; panics after [`WAIT_TIMEOUT`].
-pub fn wait_until(what: &str, is_so: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
-    while !is_so() {
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
@@ -179,8 +179,8 @@
 }
 
 /// A node whose state contains `joins` and `records`; it is the member of `joins[index]`.
-fn node(joins: &[Join], place: usize, records: Vec<Body>) -> Arc<Node> {
-    let node = Arc::new(Node::new(settings(&joins[place].member)));
+fn node(joins: &[Join], index: usize, records: Vec<Body>) -> Arc<Node> {
+    let node = Arc::new(Node::new(settings(&joins[index].member)));
     let mut state = State::default();
     for join in joins {
         apply(&mut state, Body::Join(join.clone()));
@@ -189,21 +189,21 @@
         apply(&mut state, body);
     }
     node.put_in_force(state, Vec::new());
-    node.incarnation.store(place as u64, Ordering::Release);
+    node.incarnation.store(index as u64, Ordering::Release);
     node.life.ready.store(true, Ordering::Release);
     node
 }
 
 fn settings(member: &str) -> Settings {
     // Nothing listens there; these tests need no answer from the platform.
-    let nowhere = "http://127.0.0.1:9";
+    let unreachable = "http://127.0.0.1:9";
     Settings::parse_from([
         "pomelohitchd",
         &format!("--member={member}"),
         "--zone=zone-a",
-        &format!("--log-url={nowhere}"),
-        &format!("--instances-url={nowhere}"),
-        &format!("--workers-url={nowhere}"),
+        &format!("--log-url={unreachable}"),
+        &format!("--instances-url={unreachable}"),
+        &format!("--workers-url={unreachable}"),
         &format!("--admin-key-hash={}", key::hash("operator")),
     ])
 }
--- a/pomelohitchd/tests/front/fleet.rs
+++ b/pomelohitchd/tests/front/fleet.rs
@@ -9,7 +9,7 @@
 use crate::runner::Runner;
 
 /// Whether all of them have heard from their peers and hold permits.
-fn are_settled<'a>(entries: impl IntoIterator<Item = &'a Entry>) -> bool {
+fn are_ready<'a>(entries: impl IntoIterator<Item = &'a Entry>) -> bool {
     entries.into_iter().all(|entry| {
         let (held, _) = permits::held(&entry.node, &Resource::Team("valley".into()));
         held > 0 && freshness::is_fresh(&entry.node)
@@ -23,7 +23,7 @@
     let runner = Runner::answering("booked");
     let [(one, one_links), (two, two_links)] = Entry::pair(&[runner.addr]);
     let entries = [one, two];
-    wait_until("permits arrive", || are_settled(&entries));
+    wait_until("permits arrive", || are_ready(&entries));
     for booking in 0..8 {
         let key = format!("Idempotency-Key: booking-{booking}");
         let first = entries[booking % 2].call("POST", "/s/passes/", &[&key]);
@@ -43,7 +43,7 @@
     let runner = Runner::answering("booked");
     let [(one, _one_links), (two, two_links)] = Entry::pair(&[runner.addr]);
     let entries = [one, two];
-    wait_until("permits arrive", || are_settled(&entries));
+    wait_until("permits arrive", || are_ready(&entries));
     entries[1].node.permits.drop_links();
     two_links.stop();
     entries[0].apply(Body::Leave(Leave {
@@ -83,7 +83,7 @@
     });
     let pair = Entry::pair(&[runner.addr]);
     wait_until("permits arrive", || {
-        are_settled(pair.iter().map(|(entry, _)| entry))
+        are_ready(pair.iter().map(|(entry, _)| entry))
     });
     std::thread::scope(|scope| {
         for caller in 0..32 {
--- a/pomelohitchd/tests/front/retries.rs
+++ b/pomelohitchd/tests/front/retries.rs
@@ -7,10 +7,12 @@
 use pomelohitchd::front::Limits;
 
 use crate::entry::{Entry, problem, status};
-use crate::runner::{Runner, Seen, ok};
+use crate::runner::{ReceivedRequest, Runner, ok};
 
 /// Two runners that share one request counter; `answer` gets the number of the request.
-fn pair(answer: impl Fn(usize, &Seen) -> Option<Vec<u8>> + Send + Sync + 'static) -> Vec<Runner> {
+fn pair(
+    answer: impl Fn(usize, &ReceivedRequest) -> Option<Vec<u8>> + Send + Sync + 'static,
+) -> Vec<Runner> {
     let answer = Arc::new(answer);
     let count = Arc::new(AtomicUsize::new(0));
     let start = || {
@@ -24,7 +26,7 @@
     runners.iter().map(|runner| runner.addr).collect()
 }
 
-fn seen(runners: &[Runner]) -> usize {
+fn request_count(runners: &[Runner]) -> usize {
     runners.iter().map(Runner::count).sum()
 }
 
@@ -36,7 +38,7 @@
     let entry = Entry::start(&addrs(&runners), Limits::default());
     let answer = entry.call("GET", "/s/passes/", &[]);
     assert!(answer.ends_with("whole"), "{answer}");
-    assert_eq!(seen(&runners), 2);
+    assert_eq!(request_count(&runners), 2);
 }
 
 /// A runner may have executed a non-idempotent request before it died; a retry could charge a card
@@ -46,11 +48,11 @@
     let runners = pair(|_, _| None);
     let entry = Entry::start(&addrs(&runners), Limits::default());
     for headers in [&[][..], &["Idempotency-Key: booking-1"]] {
-        let before = seen(&runners);
+        let before = request_count(&runners);
         let answer = entry.call("POST", "/s/passes/", headers);
         assert_eq!(status(&answer), 502, "{answer}");
         assert_eq!(problem(&answer)["ran"], "unknown");
-        assert_eq!(seen(&runners), before + 1);
+        assert_eq!(request_count(&runners), before + 1);
     }
 }
 
@@ -62,7 +64,7 @@
     let runners = pair(|nth, _| (nth > 0).then(|| refusal.to_vec()));
     let entry = Entry::start(&addrs(&runners), Limits::default());
     let answer = entry.call("PUT", "/s/passes/", &[]);
-    assert!(seen(&runners) >= 2);
+    assert!(request_count(&runners) >= 2);
     assert_eq!(problem(&answer)["ran"], "unknown", "{answer}");
     assert!(!answer.contains("Retry-After"), "{answer}");
 }
@@ -90,7 +92,7 @@
     let runner = Runner::start(|seen| {
         let is_silent = seen.header("X-Then").is_none() && seen.header("X-First").is_none();
         if is_silent && seen.lines[0].contains("/silent") {
-            std::thread::sleep(crate::entry::PATIENCE);
+            std::thread::sleep(crate::entry::WAIT_TIMEOUT);
         }
         Some(ok("whole"))
     });
@@ -103,7 +105,7 @@
         assert!(answer.ends_with("whole"), "{answer}");
     }
     assert!(
-        begun.elapsed() < crate::entry::PATIENCE,
+        begun.elapsed() < crate::entry::WAIT_TIMEOUT,
         "waited for the request's timeout"
     );
 }
--- a/pomelohitchd/tests/front/runner.rs
+++ b/pomelohitchd/tests/front/runner.rs
@@ -6,12 +6,12 @@
 
 /// A request as the runner received it: the lines of its head, and its body.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub lines: Vec<String>,
     pub body: Vec<u8>,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.lines[1..].iter().find_map(|line| {
             let (known, value) = line.split_once(':')?;
@@ -23,25 +23,27 @@
 /// A runner that serves requests; its threads end with the test's process.
 pub struct Runner {
     pub addr: SocketAddr,
-    pub seen: Arc<Mutex<Vec<Seen>>>,
+    pub received: Arc<Mutex<Vec<ReceivedRequest>>>,
 }
 
 impl Runner {
     /// Starts a runner that writes the bytes returned by `answer` for each request; on `None` it
     /// closes the connection.
-    pub fn start(answer: impl Fn(&Seen) -> Option<Vec<u8>> + Send + Sync + 'static) -> Runner {
+    pub fn start(
+        answer: impl Fn(&ReceivedRequest) -> Option<Vec<u8>> + Send + Sync + 'static,
+    ) -> Runner {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let seen = Arc::new(Mutex::new(Vec::new()));
+        let received = Arc::new(Mutex::new(Vec::new()));
         let answer = Arc::new(answer);
-        let noted = seen.clone();
+        let requests = received.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (noted, answer) = (noted.clone(), answer.clone());
-                std::thread::spawn(move || handle(&stream, &noted, &*answer));
+                let (requests, answer) = (requests.clone(), answer.clone());
+                std::thread::spawn(move || handle(&stream, &requests, &*answer));
             }
         });
-        Runner { addr, seen }
+        Runner { addr, received }
     }
 
     /// A runner that answers everything with `text`.
@@ -50,7 +52,7 @@
     }
 
     pub fn count(&self) -> usize {
-        self.seen.lock().unwrap().len()
+        self.received.lock().unwrap().len()
     }
 }
 
@@ -59,18 +61,22 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{text}").into_bytes()
 }
 
-fn handle(stream: &TcpStream, noted: &Mutex<Vec<Seen>>, answer: &dyn Fn(&Seen) -> Option<Vec<u8>>) {
+fn handle(
+    stream: &TcpStream,
+    requests: &Mutex<Vec<ReceivedRequest>>,
+    answer: &dyn Fn(&ReceivedRequest) -> Option<Vec<u8>>,
+) {
     let mut reader = BufReader::new(stream);
-    while let Some(seen) = read(&mut reader) {
-        noted.lock().unwrap().push(seen.clone());
-        let Some(bytes) = answer(&seen) else { return };
+    while let Some(req) = read(&mut reader) {
+        requests.lock().unwrap().push(req.clone());
+        let Some(bytes) = answer(&req) else { return };
         if (&mut &*stream).write_all(&bytes).is_err() {
             return;
         }
     }
 }
 
-fn read(reader: &mut BufReader<&TcpStream>) -> Option<Seen> {
+fn read(reader: &mut BufReader<&TcpStream>) -> Option<ReceivedRequest> {
     let mut lines = Vec::new();
     loop {
         let mut line = String::new();
@@ -83,12 +89,12 @@
         }
         lines.push(line);
     }
-    let mut seen = Seen {
+    let mut req = ReceivedRequest {
         lines,
         body: Vec::new(),
     };
-    let length = seen.header("Content-Length").and_then(|v| v.parse().ok());
-    seen.body = vec![0; length.unwrap_or(0)];
-    reader.read_exact(&mut seen.body).ok()?;
-    Some(seen)
+    let length = req.header("Content-Length").and_then(|v| v.parse().ok());
+    req.body = vec![0; length.unwrap_or(0)];
+    reader.read_exact(&mut req.body).ok()?;
+    Some(req)
 }
--- a/pomelohitchd/tests/liveness.rs
+++ b/pomelohitchd/tests/liveness.rs
@@ -46,7 +46,7 @@
         self.members.by_id.insert(id.into(), member);
     }
 
-    fn hear(&mut self, id: &str) {
+    fn receive_heartbeat(&mut self, id: &str) {
         let seen = PeerSeen {
             incarnation: self.members.by_id[id].incarnation,
             next: 0,
@@ -57,7 +57,7 @@
         self.peers.insert(id.into(), seen);
     }
 
-    fn look(&mut self) -> Vec<MemberId> {
+    fn check(&mut self) -> Vec<MemberId> {
         let dead = self
             .tracker
             .dead(self.now, LEASE, "a", &self.members, &self.peers);
@@ -65,15 +65,15 @@
     }
 
     /// Advances the clock while only `heard` send heartbeats; returns the members declared dead.
-    fn pass(&mut self, time: Duration, heard: &[&str]) -> Vec<MemberId> {
+    fn advance(&mut self, time: Duration, heard: &[&str]) -> Vec<MemberId> {
         let end = self.now + time;
         let mut dead = Vec::new();
         while self.now < end {
             self.now += TICK;
             for id in heard {
-                self.hear(id);
+                self.receive_heartbeat(id);
             }
-            dead.extend(self.look());
+            dead.extend(self.check());
         }
         dead.sort();
         dead.dedup();
@@ -84,9 +84,9 @@
 #[test]
 fn a_silent_member_is_dead_after_its_lease() {
     let mut world = World::new();
-    assert!(world.pass(LEASE, &["b", "c", "d"]).is_empty());
-    assert!(world.pass(ALMOST, &["b", "c"]).is_empty());
-    assert_eq!(world.pass(TICK, &["b", "c"]), [MemberId::from("d")]);
+    assert!(world.advance(LEASE, &["b", "c", "d"]).is_empty());
+    assert!(world.advance(ALMOST, &["b", "c"]).is_empty());
+    assert_eq!(world.advance(TICK, &["b", "c"]), [MemberId::from("d")]);
 }
 
 /// A replacement of an entry instance needs a moment after its join until its connections are up.
@@ -95,11 +95,11 @@
 #[test]
 fn a_member_that_just_joined_has_a_whole_lease() {
     let mut world = World::new();
-    world.pass(Duration::from_mins(1), &["b", "c", "d"]);
+    world.advance(Duration::from_mins(1), &["b", "c", "d"]);
     world.join("e", 9);
-    assert!(world.pass(ALMOST, &["b", "c", "d"]).is_empty());
+    assert!(world.advance(ALMOST, &["b", "c", "d"]).is_empty());
     world.join("b", 10);
-    assert!(world.pass(TICK, &["c", "d", "e"]).is_empty());
+    assert!(world.advance(TICK, &["c", "d", "e"]).is_empty());
 }
 
 /// A process is paused for a minute, for example by its hypervisor, and receives no heartbeats
@@ -108,10 +108,10 @@
 #[test]
 fn a_member_that_was_paused_removes_nobody() {
     let mut world = World::new();
-    world.pass(LEASE, &["b", "c", "d"]);
+    world.advance(LEASE, &["b", "c", "d"]);
     world.now += Duration::from_mins(1);
-    assert!(world.look().is_empty());
-    assert!(world.pass(LEASE, &["b", "c", "d"]).is_empty());
+    assert!(world.check().is_empty());
+    assert!(world.advance(LEASE, &["b", "c", "d"]).is_empty());
 }
 
 /// One entry instance loses its connections to all others and still reads the log. The others are
@@ -119,7 +119,7 @@
 #[test]
 fn a_member_that_hears_less_than_half_of_the_members_waits_longer() {
     let mut world = World::new();
-    world.pass(LEASE, &["b", "c", "d"]);
-    assert!(world.pass(4 * LEASE, &[]).is_empty());
-    assert_eq!(world.pass(LEASE, &[]).len(), 3);
+    world.advance(LEASE, &["b", "c", "d"]);
+    assert!(world.advance(4 * LEASE, &[]).is_empty());
+    assert_eq!(world.advance(LEASE, &[]).len(), 3);
 }
--- a/pomelohitchd/tests/planner.rs
+++ b/pomelohitchd/tests/planner.rs
@@ -18,17 +18,17 @@
 use pomelohitchd::{planner, reader};
 
 /// Upper limit of every wait in these tests.
-const PATIENCE: Duration = Duration::from_mins(1);
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 const INSTANCES: usize = 4;
 
-struct Site {
+struct Setup {
     pools: Instances,
     node: Arc<Node>,
     log: Log,
 }
 
 /// A planner, and 4 instances of which 3 must stay active.
-fn site() -> Site {
+fn setup() -> Setup {
     let log = Log::start(&log::Options::default());
     let pools = Instances::start(&instances::Options {
         instances: (0..INSTANCES).map(instance).collect(),
@@ -58,7 +58,7 @@
     );
     let planning = node.clone();
     std::thread::spawn(move || planner::run(&planning));
-    Site { pools, node, log }
+    Setup { pools, node, log }
 }
 
 /// The node of an entry instance, with a thread that reads the log.
@@ -125,21 +125,21 @@
 
 fn propose(node: &Node, body: Body) -> u64 {
     let decided = node
-        .propose(body, PATIENCE)
+        .propose(body, WAIT_TIMEOUT)
         .expect("the log accepts appends");
     assert_eq!(decided.verdict, Verdict::Accepted);
     decided.offset
 }
 
 fn wait_until(what: &str, mut check: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !check() {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-impl Site {
+impl Setup {
     fn active(&self) -> u32 {
         self.node.state.load().fleet.active_in("web")
     }
@@ -168,52 +168,52 @@
 
 #[test]
 fn a_wave_drains_and_reboots_every_instance_once() {
-    let site = site();
-    let wave = site.start_wave();
+    let setup = setup();
+    let wave = setup.start_wave();
     wait_until("the wave ends", || {
-        let state = site.node.state.load();
+        let state = setup.node.state.load();
         assert!(state.fleet.active_in("web") >= 3, "the budget holds");
         state.waves.by_pool.is_empty()
     });
-    let state = site.node.state.load();
+    let state = setup.node.state.load();
     let instances = state.fleet.instances.values();
     assert!(
         instances
             .clone()
             .all(|i| i.maintained > wave && i.phase == Phase::Active)
     );
-    assert_eq!(site.count("drain"), [1; INSTANCES]);
-    assert_eq!(site.count("reboot"), [1; INSTANCES]);
+    assert_eq!(setup.count("drain"), [1; INSTANCES]);
+    assert_eq!(setup.count("reboot"), [1; INSTANCES]);
 }
 
 #[test]
 fn lost_answers_of_the_platform_double_nothing() {
     // The platform executes requests whose answers are lost, and the planner repeats them. A second
     // drain or reboot of an instance that is active again would cut its requests.
-    let site = site();
-    site.pools.set_faults(instances::Faults {
+    let setup = setup();
+    setup.pools.set_faults(instances::Faults {
         calls: CallFaults {
             lose_answers: 12,
             ..CallFaults::default()
         },
         ..instances::Faults::default()
     });
-    site.start_wave();
+    setup.start_wave();
     wait_until("the wave ends", || {
-        site.node.state.load().waves.by_pool.is_empty()
+        setup.node.state.load().waves.by_pool.is_empty()
     });
-    assert_eq!(site.count("drain"), [1; INSTANCES]);
-    assert_eq!(site.count("reboot"), [1; INSTANCES]);
+    assert_eq!(setup.count("drain"), [1; INSTANCES]);
+    assert_eq!(setup.count("reboot"), [1; INSTANCES]);
 }
 
 #[test]
 fn an_entry_instance_starts_after_the_log_was_trimmed() {
     // The log has trimmed its oldest records, and every entry instance is replaced. The members,
     // the configuration and the instances exist only in the snapshots that the planner wrote.
-    let site = site();
-    wait_until("every instance is adopted", || site.active() == 4);
-    let config = site.node.state.load().config.clone();
-    let newest = || pomelohitch_platform::snapshots::load(&site.node.log).expect("the log is up");
+    let setup = setup();
+    wait_until("every instance is adopted", || setup.active() == 4);
+    let config = setup.node.state.load().config.clone();
+    let newest = || pomelohitch_platform::snapshots::load(&setup.node.log).expect("the log is up");
     wait_until("a snapshot contains every instance", || {
         newest().is_some_and(|state| state.fleet.instances.len() == INSTANCES)
     });
@@ -221,9 +221,9 @@
     // snapshot and none of the first records of the fleet.
     for n in 0..50 {
         let key = format!("key-{n}").into();
-        propose(&site.node, Body::WithdrawKey(WithdrawKey { key }));
+        propose(&setup.node, Body::WithdrawKey(WithdrawKey { key }));
     }
-    site.log.set_faults(log::Faults {
+    setup.log.set_faults(log::Faults {
         keep: Some(20),
         ..log::Faults::default()
     });
@@ -231,12 +231,12 @@
         newest().is_some_and(|state| state.withdrawn.len() == 50)
     });
 
-    let joiner = entry(&site.log, &site.pools, "entry-2");
+    let joiner = entry(&setup.log, &setup.pools, "entry-2");
     wait_until("the joiner has read to the head of the log", || {
-        joiner.state.load().next >= site.node.state.load().next
+        joiner.state.load().next >= setup.node.state.load().next
     });
     let state = joiner.state.load();
     assert_eq!(state.config, config);
-    assert_eq!(state.fleet, site.node.state.load().fleet);
+    assert_eq!(state.fleet, setup.node.state.load().fleet);
     assert_eq!(state.withdrawn.len(), 50);
 }
--- a/pomelohitchd/tests/processes/admin.rs
+++ b/pomelohitchd/tests/processes/admin.rs
@@ -10,7 +10,7 @@
 use pomelohitch_standin::{CallFaults, log};
 use serde_json::{Value, json};
 
-use crate::support::{CAP, Fleet, next_id, wait_until};
+use crate::support::{Fleet, WAIT_TIMEOUT, next_id, wait_until};
 
 fn post(entry: &Daemon, path: &str, body: &Value) -> (u16, String) {
     let agent = ureq::Agent::config_builder()
@@ -76,7 +76,7 @@
             202
         );
     }
-    assert_eq!(fleet.entries[0].wait(CAP), Some(0));
+    assert_eq!(fleet.entries[0].wait(WAIT_TIMEOUT), Some(0));
 }
 
 #[test]
@@ -108,7 +108,7 @@
     let hash = json!({ "hash": key::hash(TEAMS[0].1) });
     post(&fleet.entries[0], "/v1/admin/keys/withdraw", &hash);
     post(&fleet.entries[0], "/v1/admin/drain", &json!({}));
-    assert_eq!(fleet.entries[0].wait(CAP), Some(0));
+    assert_eq!(fleet.entries[0].wait(WAIT_TIMEOUT), Some(0));
 
     let url = fleet.log.url().replace([':', '/'], "-");
     let name = format!("{url}-{}.log", fleet.entries[0].member);
--- a/pomelohitchd/tests/processes/burn.rs
+++ b/pomelohitchd/tests/processes/burn.rs
@@ -6,7 +6,7 @@
 use pomelohitch_standin::caller::Outcome;
 use pomelohitch_standin::config::{self, SERVICE};
 
-use crate::support::{CAP, Fleet, wait_until};
+use crate::support::{Fleet, WAIT_TIMEOUT, wait_until};
 
 fn records(fleet: &Fleet) -> Vec<Record> {
     let read = Read {
@@ -32,9 +32,9 @@
     let base = state.config.files[config::PATH].version;
     let mut file = config::small();
     file.services[0].objective = Some(pomelohitch_core::Objective {
-        within: CAP,
+        within: WAIT_TIMEOUT,
         good_ppm: 999_000,
-        window: CAP,
+        window: WAIT_TIMEOUT,
     });
     config::publish(&fleet.client, file, Some(base)).expect("the log is up");
     wait_until("the objective is in force", || {
@@ -44,11 +44,11 @@
     // Requests are refused until the first permits arrive, which counts as bad.
     let mut whole = 0;
     wait_until("three requests were answered", || {
-        whole += u64::from(fleet.ask(0) == Outcome::Whole);
+        whole += u64::from(fleet.probe(0) == Outcome::Whole);
         whole == 3
     });
     fleet.entries[0].terminate();
-    assert_eq!(fleet.entries[0].wait(CAP), Some(0));
+    assert_eq!(fleet.entries[0].wait(WAIT_TIMEOUT), Some(0));
     let records = records(&fleet);
     let last = records.last().expect("the shutdown wrote a record");
     assert!(last.last);
--- a/pomelohitchd/tests/processes/combined_faults.rs
+++ b/pomelohitchd/tests/processes/combined_faults.rs
@@ -14,39 +14,39 @@
 /// Number of faults and recoveries in one run.
 const STEPS: usize = 10;
 /// Number of requests that the runners finish after each step.
-const BETWEEN: u64 = 25;
+const REQUESTS_PER_STEP: u64 = 25;
 /// Index of the entry instance that is never paused or killed, so that requests go on.
-const SPARED: usize = 0;
+const ALWAYS_UP: usize = 0;
 
 /// A fault, or the recovery from earlier ones.
 #[derive(Debug, Clone, Copy)]
 enum Step {
     Runner(Mode),
     RunnerConnections,
-    RunnersWork,
+    RunnersRecover,
     LogDown,
     LogLosesAnswers,
-    LogWorks,
+    LogRecovers,
     Pause,
     Replace,
 }
 
-const ALL: [Step; 12] = [
+const ALL_STEPS: [Step; 12] = [
     Step::Runner(Mode::Freeze),
     Step::Runner(Mode::CutBody),
     Step::Runner(Mode::Refuse),
     Step::Runner(Mode::SilentAfterRun),
     Step::Runner(Mode::SilentBeforeRun),
     Step::RunnerConnections,
-    Step::RunnersWork,
+    Step::RunnersRecover,
     Step::LogDown,
     Step::LogLosesAnswers,
-    Step::LogWorks,
+    Step::LogRecovers,
     Step::Pause,
     Step::Replace,
 ];
 
-fn act(fleet: &mut Fleet, step: Step, rng: &mut StdRng) {
+fn apply(fleet: &mut Fleet, step: Step, rng: &mut StdRng) {
     // Runner 0 has no faults, so that requests keep finishing.
     let runner = &fleet.runners[rng.random_range(1..fleet.runners.len())];
     let log_calls = |calls| log::Faults { calls, keep: None };
@@ -56,7 +56,7 @@
             silence_open: true,
             ..Faults::default()
         }),
-        Step::RunnersWork => work(fleet),
+        Step::RunnersRecover => recover_runners(fleet),
         Step::LogDown => fleet.log.set_faults(log_calls(CallFaults {
             down: true,
             ..CallFaults::default()
@@ -65,7 +65,7 @@
             lose_answers: 3,
             ..CallFaults::default()
         })),
-        Step::LogWorks => fleet.log.set_faults(log::Faults::default()),
+        Step::LogRecovers => fleet.log.set_faults(log::Faults::default()),
         Step::Pause => fleet.entries[1].signal(Signal::STOP),
         Step::Replace => {
             fleet.entries[2].signal(Signal::KILL);
@@ -75,7 +75,7 @@
     }
 }
 
-fn work(fleet: &Fleet) {
+fn recover_runners(fleet: &Fleet) {
     for runner in &fleet.runners {
         runner.set_faults(Faults::default());
     }
@@ -87,8 +87,8 @@
     let entries = Mutex::new(fleet.addresses());
     let calls = under_load(&entries, || {
         for _ in 0..STEPS {
-            let step = *ALL.choose(&mut rng).expect("the list is not empty");
-            act(&mut fleet, step, &mut rng);
+            let step = *ALL_STEPS.choose(&mut rng).expect("the list is not empty");
+            apply(&mut fleet, step, &mut rng);
             let mut addresses = fleet.addresses();
             if matches!(step, Step::Pause) {
                 // A balancer removes a paused process; the requests that it holds are answered once
@@ -96,17 +96,17 @@
                 addresses.remove(1);
             }
             *entries.lock().expect("no thread panics") = addresses;
-            fleet.wait_finished(BETWEEN);
+            fleet.wait_finished(REQUESTS_PER_STEP);
             fleet.entries[1].signal(Signal::CONT);
         }
-        work(&fleet);
+        recover_runners(&fleet);
         fleet.log.set_faults(log::Faults::default());
         fleet.wait_ready();
-        fleet.wait_finished(BETWEEN);
+        fleet.wait_finished(REQUESTS_PER_STEP);
     });
     let tally = fleet.count(&calls);
     assert!(tally.is_clean() && tally.whole > 0, "{seed}: {tally:?}");
-    assert!(fleet.entries[SPARED].is_ready());
+    assert!(fleet.entries[ALWAYS_UP].is_ready());
 }
 
 /// Runners fail, the log goes down or loses answers, one entry instance is paused and another one
--- a/pomelohitchd/tests/processes/jobs.rs
+++ b/pomelohitchd/tests/processes/jobs.rs
@@ -26,12 +26,12 @@
 }
 
 /// Submits a job at one entry instance after the other until one accepts it.
-fn hand_in(fleet: &Fleet, index: usize) -> Done {
+fn submit_until_accepted(fleet: &Fleet, index: usize) -> Done {
     let agent = caller::agent();
     let job = job(index);
-    let mut tries = index..;
+    let mut attempts = index..;
     let handed = wait_for("a job is accepted", || {
-        let entry = &fleet.entries[tries.next()? % fleet.entries.len()];
+        let entry = &fleet.entries[attempts.next()? % fleet.entries.len()];
         let handed = jobs::submit(&agent, entry.callers, &job);
         matches!(handed, Handed::Accepted(_)).then_some(handed)
     });
@@ -63,12 +63,14 @@
 fn lost_answers_and_a_dead_planner_neither_double_nor_lose_a_job() {
     let mut fleet = Fleet::start(3, 1);
     let planner = fleet.planner();
-    let mut all: Vec<Done> = (0..10).map(|index| hand_in(&fleet, index)).collect();
+    let mut all: Vec<Done> = (0..10)
+        .map(|index| submit_until_accepted(&fleet, index))
+        .collect();
     fleet.workers.set_faults(workers::Faults {
         lose_starts: 5,
         ..workers::Faults::default()
     });
-    all.extend((10..20).map(|index| hand_in(&fleet, index)));
+    all.extend((10..20).map(|index| submit_until_accepted(&fleet, index)));
     wait_until("answers are lost", || {
         fleet.workers.faults().lose_starts < 5
     });
@@ -85,7 +87,7 @@
         metrics.all(|text| text.contains("log_read_errors "))
     });
     fleet.log.set_faults(log::Faults::default());
-    all.extend((20..30).map(|index| hand_in(&fleet, index)));
+    all.extend((20..30).map(|index| submit_until_accepted(&fleet, index)));
     wait_ended(&fleet, &mut all);
     let tally = jobs::Tally::count(&all, &fleet.workers.ledger());
     assert!(tally.is_clean(), "{tally:?}");
@@ -99,14 +101,14 @@
     let fleet = Fleet::start(3, 1);
     let job = job(1);
     let ids = std::thread::scope(|scope| {
-        let handing_in: Vec<_> = (0..9)
+        let submits: Vec<_> = (0..9)
             .map(|index| {
                 let entry = fleet.entries[index % 3].callers;
                 let job = &job;
                 scope.spawn(move || jobs::submit(&caller::agent(), entry, job))
             })
             .collect();
-        let handed = handing_in
+        let handed = submits
             .into_iter()
             .map(|one| one.join().expect("no thread panics"));
         handed.collect::<Vec<_>>()
--- a/pomelohitchd/tests/processes/limit_split.rs
+++ b/pomelohitchd/tests/processes/limit_split.rs
@@ -26,13 +26,13 @@
     let jobs = (0..2 * LIMIT).map(job).collect();
     config::append(&fleet.client, Body::Job(JobRecord::Submit(jobs))).expect("the log is up");
     wait_until("jobs have the whole limit", || {
-        part_of_jobs(&fleet) == LIMIT
+        limit_of_jobs(&fleet) == LIMIT
     });
-    assert_eq!(fleet.ask(0), Outcome::Whole);
-    wait_until("requests have a part", || part_of_jobs(&fleet) < LIMIT);
+    assert_eq!(fleet.probe(0), Outcome::Whole);
+    wait_until("requests have a part", || limit_of_jobs(&fleet) < LIMIT);
 }
 
-fn part_of_jobs(fleet: &Fleet) -> u32 {
+fn limit_of_jobs(fleet: &Fleet) -> u32 {
     let state = fleet.state();
     let team = &state.config.teams[TEAMS[0].0];
     state.limits.jobs_of(team)
--- a/pomelohitchd/tests/processes/publish.rs
+++ b/pomelohitchd/tests/processes/publish.rs
@@ -73,11 +73,11 @@
 fn a_withdrawn_key_stops_at_every_entry_instance() {
     let fleet = Fleet::start(3, 1);
     let base = fleet.state().config.files[PATH].version;
-    assert!((0..3).all(|entry| fleet.ask(entry) == Outcome::Whole));
+    assert!((0..3).all(|entry| fleet.probe(entry) == Outcome::Whole));
     config::publish(&fleet.client, without_key(), Some(base)).expect("the log is up");
     for entry in 0..3 {
-        wait_until("the key is refused", || fleet.ask(entry) != Outcome::Whole);
-        let refused = fleet.ask(entry);
+        wait_until("it is refused", || fleet.probe(entry) != Outcome::Whole);
+        let refused = fleet.probe(entry);
         assert!(
             matches!(&refused, Outcome::NotRun(text) if text.starts_with("401")),
             "{refused:?}"
@@ -102,11 +102,11 @@
     let since = Instant::now();
     config::publish(&fleet.client, without_key(), Some(base)).expect("the log is up");
     for entry in 0..2 {
-        wait_until("the key is refused", || fleet.ask(entry) != Outcome::Whole);
+        wait_until("it is refused", || fleet.probe(entry) != Outcome::Whole);
     }
     wait_until("the freshness bound has passed", || since.elapsed() > BOUND);
     let outcomes = std::thread::scope(|scope| {
-        let waiting: Vec<_> = (0..16).map(|_| scope.spawn(|| fleet.ask(2))).collect();
+        let waiting: Vec<_> = (0..16).map(|_| scope.spawn(|| fleet.probe(2))).collect();
         // The requests only need to have been sent; some arrive before the pause ends, some after.
         std::thread::sleep(Duration::from_millis(200));
         paused.signal(Signal::CONT);
@@ -117,7 +117,7 @@
     });
     assert!(!outcomes.contains(&Outcome::Whole), "{outcomes:?}");
     wait_until(
-        "the key is refused",
-        || matches!(fleet.ask(2), Outcome::NotRun(text) if text.starts_with("401")),
+        "it is refused",
+        || matches!(fleet.probe(2), Outcome::NotRun(text) if text.starts_with("401")),
     );
 }
--- a/pomelohitchd/tests/processes/shutdown.rs
+++ b/pomelohitchd/tests/processes/shutdown.rs
@@ -5,7 +5,7 @@
 
 use pomelohitch_standin::caller::{self, Call, Outcome};
 
-use crate::support::{CAP, Fleet, call, under_load, wait_until};
+use crate::support::{Fleet, WAIT_TIMEOUT, call, under_load, wait_until};
 
 /// An entry instance gets SIGTERM under load. Its requests are finished and their callers get
 /// complete answers; no connection is cut.
@@ -22,7 +22,7 @@
         fleet.wait_finished(100);
     });
     let tally = fleet.count(&calls);
-    let exit = fleet.entries[0].wait(CAP);
+    let exit = fleet.entries[0].wait(WAIT_TIMEOUT);
     assert_eq!(exit, Some(0));
     assert!(tally.is_clean(), "{tally:?}");
     assert_eq!(tally.unknown, 0, "{:?}", unknown(&calls));
@@ -52,7 +52,7 @@
         fleet.entries[0].terminate();
         wait_until("it shuts down", || !fleet.entries[0].is_ready());
         fleet.entries[0].terminate();
-        assert_eq!(fleet.entries[0].wait(CAP), Some(3));
+        assert_eq!(fleet.entries[0].wait(WAIT_TIMEOUT), Some(3));
         sent.join().expect("no thread panics")
     });
     assert!(matches!(outcome, Outcome::Unknown(_)), "{outcome:?}");
--- a/pomelohitchd/tests/processes/support.rs
+++ b/pomelohitchd/tests/processes/support.rs
@@ -18,9 +18,9 @@
 use pomelohitch_standin::{instances, log, runner, workers};
 
 /// Upper limit of every wait; generous, so that a busy machine causes no failures.
-pub const CAP: Duration = Duration::from_mins(1);
+pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 /// Interval at which waits check their condition.
-const TICK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Flags for fast detection of dead members and frequent snapshots.
 const FLAGS: [&str; 6] = [
     "--heartbeat-ms",
@@ -51,14 +51,17 @@
 }
 
 /// Waits until `poll` returns a value.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(start.elapsed() < CAP, "timed out waiting until {what}");
-        std::thread::sleep(TICK);
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -88,7 +91,7 @@
             instances: listed,
             ..instances::Options::default()
         });
-        let client = pomelohitch_platform::Log::http(&log.url(), CAP);
+        let client = pomelohitch_platform::Log::http(&log.url(), WAIT_TIMEOUT);
         Fleet {
             entries: Vec::new(),
             log,
@@ -153,8 +156,8 @@
             let planners: Vec<_> = self.entries.iter().map(planner_seen_by).collect();
             let first = planners.first()?.clone()?;
             let is_agreed = planners.iter().all(|seen| seen.as_ref() == Some(&first));
-            let place = || self.entries.iter().position(|e| e.member == first);
-            if is_agreed { place() } else { None }
+            let index = || self.entries.iter().position(|e| e.member == first);
+            if is_agreed { index() } else { None }
         })
     }
 
@@ -169,7 +172,7 @@
     }
 
     /// Sends a request of the first team through the entry instance at this index.
-    pub fn ask(&self, entry: usize) -> Outcome {
+    pub fn probe(&self, entry: usize) -> Outcome {
         let call = call(&next_id());
         let entry = self.entries[entry].callers;
         caller::send(&caller::agent(), entry, &call)
@@ -199,7 +202,7 @@
     let stop = AtomicBool::new(false);
     let load = Load {
         rate: 60.0,
-        time: CAP,
+        time: WAIT_TIMEOUT,
         callers: 48,
         keys: TEAMS.iter().map(|(_, key)| (*key).into()).collect(),
         ..Load::default()
--- a/pomelohitchd/tests/processes/waves.rs
+++ b/pomelohitchd/tests/processes/waves.rs
@@ -57,7 +57,7 @@
 
 /// Checks that every instance was rebooted once, with nothing running on it, and that no record in
 /// the log left the service fewer active instances than its budget.
-fn check(fleet: &Fleet) {
+fn check_wave(fleet: &Fleet) {
     let mut rebooted = reboots(fleet);
     rebooted.sort();
     let all: Vec<_> = fleet.state().fleet.instances.keys().cloned().collect();
@@ -94,7 +94,7 @@
         fleet.entries.remove(planner);
         wait_end(&fleet);
     });
-    check(&fleet);
+    check_wave(&fleet);
     let tally = fleet.count(&calls);
     assert!(tally.is_clean(), "{tally:?}");
 }
@@ -115,5 +115,5 @@
     fleet.wait_ready();
     wait_end(&fleet);
     assert_eq!(fleet.instances.ledger(), before);
-    check(&fleet);
+    check_wave(&fleet);
 }
--- a/pomelohitchd/tests/settings.rs
+++ b/pomelohitchd/tests/settings.rs
@@ -37,11 +37,11 @@
         log_url: "http://log.example:80".into(),
         ..wrong
     };
-    let told = wrong
+    let message = wrong
         .check()
         .expect_err("five settings are wrong")
         .to_string();
-    insta::assert_snapshot!(told, @r"
+    insta::assert_snapshot!(message, @r"
     wrong settings:
     --member: is empty; give a name
     --log-url: 'http://log.example:80' isn't http://IP:PORT
--- a/pomelohitchd/tests/withdraw.rs
+++ b/pomelohitchd/tests/withdraw.rs
@@ -40,10 +40,10 @@
 }
 
 /// Upper limit of every wait in these tests.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn wait_until(what: &str, mut check: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !check() {
         assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
@@ -93,6 +93,6 @@
     wait_until("the log was read", || node.last_log_read().is_some());
     let leaked = key::hash("leaked");
     node.add_withdrawn(std::slice::from_ref(&leaked));
-    withdraw::flush(&node, PATIENCE);
+    withdraw::flush(&node, WAIT_TIMEOUT);
     assert!(node.state.load().withdrawn.contains(&leaked));
 }
