--- a/pomelohitchd/examples/capacity/cost.rs
+++ b/pomelohitchd/examples/capacity/cost.rs
@@ -157,7 +157,7 @@
     total.as_secs_f64() * 1e6 / f64::from(REPEATS)
 }
 
-/// Number of copies that are measured, so that the overhead of the allocator has little weight.
+/// Number of copies that are measured; several reduce the share of allocator overhead.
 const COPIES: u32 = 4;
 
 /// Growth of resident memory per value that `make` returns, in KiB.
--- a/pomelohitchd/tests/liveness.rs
+++ b/pomelohitchd/tests/liveness.rs
@@ -89,9 +89,9 @@
     assert_eq!(world.advance(TICK, &["b", "c"]), [MemberId::from("d")]);
 }
 
-/// A replacement of an entry instance needs a moment after its join until its connections are up.
-/// If silence counted from before the join, every replacement would be removed at once and join
-/// again, until the others reach it.
+/// A new member needs a moment after its join until its connections are up. If silence counted from
+/// before the join, every replacement would be removed at once and join again, until the others
+/// reach it.
 #[test]
 fn a_member_that_just_joined_has_a_whole_lease() {
     let mut world = World::new();
--- a/pomelohitchd/tests/processes/burn.rs
+++ b/pomelohitchd/tests/processes/burn.rs
@@ -42,10 +42,10 @@
         state.config.services[SERVICE].objective.is_some()
     });
     // Requests are refused until the first permits arrive, which counts as bad.
-    let mut whole = 0;
+    let mut answered = 0;
     wait_until("three requests were answered", || {
-        whole += u64::from(fleet.probe(0) == Outcome::Whole);
-        whole == 3
+        answered += u64::from(fleet.probe(0) == Outcome::Whole);
+        answered == 3
     });
     fleet.entries[0].terminate();
     assert_eq!(fleet.entries[0].wait(WAIT_TIMEOUT), Some(0));
--- a/pomelohitchd/tests/processes/combined_faults.rs
+++ b/pomelohitchd/tests/processes/combined_faults.rs
@@ -91,8 +91,8 @@
             apply(&mut fleet, step, &mut rng);
             let mut addresses = fleet.addresses();
             if matches!(step, Step::Pause) {
-                // A balancer removes a paused process; the requests that it holds are answered once
-                // it resumes.
+                // A balancer takes a paused process out of rotation; the requests that it holds are
+                // answered once it resumes.
                 addresses.remove(1);
             }
             *entries.lock().expect("no thread panics") = addresses;
--- a/pomelohitchd/tests/processes/support.rs
+++ b/pomelohitchd/tests/processes/support.rs
@@ -166,7 +166,7 @@
         self.entries.iter().map(|entry| entry.callers).collect()
     }
 
-    /// The requests that each runner has started and finished.
+    /// Ledgers of all runners: the requests that each has started and finished.
     pub fn ledgers(&self) -> Vec<Ledger> {
         self.runners.iter().map(Runner::ledger).collect()
     }
