--- a/crates/pomelohitch-platform/src/error.rs
+++ b/crates/pomelohitch-platform/src/error.rs
@@ -1,68 +1,68 @@
-//! What can go wrong with a call to the platform.
+//! Errors of calls to the platform.
 
 use snafu::Snafu;
 
-/// Whether a call that failed took effect.
+/// Whether a failed call had an effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// It certainly didn't: nothing was sent, or the platform said so.
+    /// It had none: nothing was sent, or the platform said so.
     None,
-    /// It may have: the answer is lost, late or unreadable.
+    /// It may have had one: the answer was lost, late or unreadable.
     Unknown,
 }
 
-/// A call to the platform failed.
+/// The error of a call to the platform.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum Error {
     /// The platform couldn't be reached, or its answer didn't arrive.
     #[snafu(display("{step} at {peer}: {source}"))]
     Transport {
-        /// What was being done.
+        /// The operation that the call was part of.
         step: &'static str,
-        /// The address asked.
+        /// The base address called.
         peer: Box<str>,
-        /// Whether the call took effect.
+        /// Whether the call had an effect.
         effect: Effect,
-        /// What the HTTP client said.
+        /// The error of the HTTP client.
         #[snafu(source(from(ureq::Error, Box::new)))]
         source: Box<ureq::Error>,
     },
-    /// The platform answered with a status that isn't success.
+    /// The platform answered with a status other than 200.
     #[snafu(display("{step} at {peer}: status {status}: {body}"))]
     Status {
-        /// What was being done.
+        /// The operation that the call was part of.
         step: &'static str,
-        /// The address asked.
+        /// The base address called.
         peer: Box<str>,
-        /// Whether the call took effect.
+        /// Whether the call had an effect.
         effect: Effect,
         /// The HTTP status.
         status: u16,
         /// The start of the body.
         body: Box<str>,
     },
-    /// The answer wasn't what the protocol says.
+    /// The request or the answer couldn't be encoded or decoded as JSON.
     #[snafu(display("{step} at {peer}: unreadable answer: {source}"))]
     Decode {
-        /// What was being done.
+        /// The operation that the call was part of.
         step: &'static str,
-        /// The address asked.
+        /// The base address called.
         peer: Box<str>,
-        /// What the decoder said.
+        /// The error of the JSON library.
         source: serde_json::Error,
     },
-    /// The log no longer keeps the offset that was asked for.
+    /// The log no longer keeps the requested offset.
     #[snafu(display("offset {from} of {stream} is no longer kept; the oldest is {first}"))]
     Trimmed {
         /// The stream.
         stream: Box<str>,
-        /// The offset asked for.
+        /// The requested offset.
         from: u64,
-        /// The oldest offset that is kept.
+        /// The oldest offset that the log keeps.
         first: u64,
     },
-    /// The log's head is below what was read from it: it lost its newest records.
+    /// The log's head is below the offset read so far: the log lost its newest records.
     #[snafu(display("{stream} ends at {head}, but was read up to {next}"))]
     WentBack {
         /// The stream.
@@ -72,20 +72,20 @@
         /// The log's head.
         head: u64,
     },
-    /// The log left out a record.
+    /// The log's answer skips a record.
     #[snafu(display("{stream} has {offset} where {next} was expected"))]
     Gap {
         /// The stream.
         stream: Box<str>,
         /// The offset of the next record to read.
         next: u64,
-        /// The offset of the record that came instead.
+        /// The offset of the record in its place.
         offset: u64,
     },
 }
 
 impl Error {
-    /// Whether the call that failed took effect.
+    /// Whether the failed call had an effect.
     #[must_use]
     pub fn effect(&self) -> Effect {
         match self {
--- a/crates/pomelohitch-platform/src/follower.rs
+++ b/crates/pomelohitch-platform/src/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the log's fleet stream and keeps the state that it gives.
+//! Reads the log's fleet stream and folds its records into the fleet's state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,27 +11,27 @@
 use crate::log::{Batch, Log, Read, Stored};
 use crate::snapshots;
 
-/// A record that was read, and what the fold made of it.
+/// A record that was read, with the fold's verdict on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Applied {
-    /// Where it stands.
+    /// Its offset in the stream.
     pub offset: Offset,
-    /// Its id, unless this version couldn't read it.
+    /// Its id; `None` if this version can't decode the record.
     pub id: Option<RecordId>,
-    /// What became of it; `None` for a record that this version couldn't read.
+    /// The fold's verdict; `None` if this version can't decode the record.
     pub verdict: Option<Verdict>,
 }
 
-/// What one read brought.
+/// The outcome of one read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Progress {
-    /// The records, in order.
+    /// The records that were read, in order.
     pub applied: Vec<Applied>,
     /// The log's head at the time of the read.
     pub head: Offset,
     /// The oldest offset that the log keeps.
     pub first: Offset,
-    /// Whether a snapshot was taken over instead of reading records.
+    /// Whether a snapshot replaced the state, instead of records being read.
     pub has_loaded: bool,
 }
 
@@ -43,22 +43,23 @@
 }
 
 impl Follower {
-    /// Follows `log` from the state `from`.
+    /// A follower of `log` that continues from the state `from`.
     #[must_use]
     pub fn new(log: Arc<Log>, from: State) -> Follower {
         Follower { log, state: from }
     }
 
-    /// The state so far.
+    /// The state after the records read so far.
     #[must_use]
     pub fn state(&self) -> &State {
         &self.state
     }
 
-    /// Takes over the newest whole snapshot, if it has more than the state so far.
+    /// Replaces the state with the newest complete snapshot, if that is further ahead, and says
+    /// whether it did.
     ///
     /// # Errors
-    /// If the snapshots can't be read; the state is then as before.
+    /// If the snapshots can't be read; the state is then unchanged.
     pub fn load_snapshot(&mut self) -> Result<bool> {
         match snapshots::load(&self.log)? {
             Some(state) if state.next > self.state.next => {
@@ -69,15 +70,15 @@
         }
     }
 
-    /// Reads and applies once, waiting up to `wait` for something new.
+    /// Reads and applies records once, waiting up to `wait` for a new one.
     ///
-    /// If the next record was trimmed, the newest whole snapshot is taken over instead. Going on
-    /// with the oldest record that is kept would leave out members, keys or instances for good,
-    /// and nobody would notice.
+    /// If the next record was trimmed, the state is replaced with the newest complete snapshot.
+    /// Continuing with the oldest record that the log keeps would silently and permanently omit
+    /// members, keys or instances.
     ///
     /// # Errors
-    /// If the log can't be read, leaves out records or went back, or if the next record was
-    /// trimmed and no snapshot reaches as far; the state is then as before.
+    /// If the log can't be read, skips records or lost its newest ones, or if the next record was
+    /// trimmed and no snapshot covers the trimmed ones; the state is then unchanged.
     pub fn poll(&mut self, wait: Duration) -> Result<Progress> {
         match self.read(usize::MAX, wait) {
             Err(Error::Trimmed { first, .. }) => self.replace_trimmed(first),
@@ -85,11 +86,12 @@
         }
     }
 
-    /// Reads until `end` is the next offset, or the log's head if that comes first.
+    /// Reads until the next offset is `end` or the log's head, whichever comes first.
     ///
     /// # Errors
-    /// If the log can't be read, or no longer keeps a record before `end`: a snapshot may hold
-    /// later ones. What was read before is kept.
+    /// If the log can't be read or no longer keeps a record before `end`; no snapshot is loaded
+    /// then, since it may include records after `end`. Records applied before the error stay
+    /// applied.
     pub fn catch_up_to(&mut self, end: Offset) -> Result<()> {
         while self.state.next < end {
             let left = usize::try_from(end - self.state.next).unwrap_or(usize::MAX);
@@ -122,8 +124,8 @@
         })
     }
 
-    /// A log that lost its newest records or leaves some out isn't the one that was read so far;
-    /// going on would give this process a state that no other has.
+    /// Verifies that the batch continues the records read so far. With a log that lost its newest
+    /// records or skips some, the state of this process would diverge from that of the others.
     fn check(&self, batch: &Batch) -> Result<()> {
         let next = self.state.next;
         if batch.next < next {
@@ -157,7 +159,8 @@
         };
         self.state = state;
         Ok(Progress {
-            // The next read tells the head; until then nobody may take this for it.
+            // The real head is known after the next read; a value above the state's next offset
+            // keeps callers from assuming that they have caught up.
             head: self.state.next + 1,
             first,
             has_loaded: true,
@@ -165,10 +168,10 @@
         })
     }
 
-    /// Reads until nothing newer is there.
+    /// Reads until the log's head is reached.
     ///
     /// # Errors
-    /// If the log can't be read; what was read before is kept.
+    /// If the log can't be read; records applied before the error stay applied.
     pub fn catch_up(&mut self) -> Result<Vec<Applied>> {
         let mut all = Vec::new();
         loop {
@@ -180,7 +183,8 @@
         }
     }
 
-    /// A record of a newer version is passed over by every reader of this one alike.
+    /// Applies a record. One that can't be decoded comes from a newer version, and every reader of
+    /// this version skips it.
     fn apply(&mut self, stored: &Stored) -> Applied {
         let offset = stored.offset;
         let Ok(record) = Record::decode(&stored.data) else {
--- a/crates/pomelohitch-platform/src/http.rs
+++ b/crates/pomelohitch-platform/src/http.rs
@@ -1,4 +1,5 @@
-//! One JSON call over HTTP, with a time limit and a truthful error.
+//! A client for JSON over HTTP whose calls have a timeout, and whose errors say whether the call
+//! may have had an effect.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 /// records; a reader would then fail at the same place for ever.
 const ANSWER_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A base address and an agent that keeps connections to it.
+/// A client of one base address that reuses connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     agent: ureq::Agent,
@@ -23,7 +24,8 @@
 }
 
 impl Client {
-    /// A client of `base`, such as `http://127.0.0.1:80`, whose calls end within `timeout`.
+    /// A client of `base`, such as `http://127.0.0.1:80`; `timeout` applies to each call as a
+    /// whole.
     #[must_use]
     pub fn new(base: &str, timeout: Duration) -> Client {
         let agent = ureq::Agent::config_builder()
@@ -37,26 +39,26 @@
         }
     }
 
-    /// The address that is asked.
+    /// The base address.
     #[must_use]
     pub fn peer(&self) -> &str {
         &self.base
     }
 
-    /// Asks for `path` and decodes the answer.
+    /// Sends a GET request for `path` and decodes the answer.
     ///
     /// # Errors
-    /// If the platform can't be reached, refuses or answers unreadably.
+    /// If the platform can't be reached, refuses, or its answer can't be decoded.
     pub fn get<T: DeserializeOwned>(&self, step: &'static str, path: &str) -> Result<T> {
         let url = format!("{}{path}", self.base);
         let answer = self.agent.get(&url).call();
         self.read(step, answer, Effect::None)
     }
 
-    /// Sends `body` to `path` and decodes the answer.
+    /// Sends `body` to `path` in a POST request and decodes the answer.
     ///
     /// # Errors
-    /// If the platform can't be reached, refuses or answers unreadably.
+    /// If the platform can't be reached, refuses, or its answer can't be decoded.
     pub fn post<T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -116,7 +118,7 @@
     }
 }
 
-/// Whether no byte of the request can have left: the connection was never made.
+/// Whether the connection was never established, so that no byte of the request was sent.
 fn is_unsent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(io) => io.kind() == std::io::ErrorKind::ConnectionRefused,
--- a/crates/pomelohitch-platform/src/instances.rs
+++ b/crates/pomelohitch-platform/src/instances.rs
@@ -1,4 +1,4 @@
-//! Pools of instances, and the lagging list of live and leaving ones.
+//! The platform's instances: their list, which lags behind, and operations on them.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,19 +10,19 @@
 use crate::error::Result;
 use crate::http::Client;
 
-/// What the platform says of an instance.
+/// State of an instance, as reported by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ListedState {
-    /// It works.
+    /// It accepts work.
     Live,
-    /// It gets no new work.
+    /// It gets no new work and finishes what it has.
     Draining,
-    /// Nothing runs on it.
+    /// It is drained: nothing runs on it.
     Drained,
-    /// It reboots.
+    /// It is rebooting.
     Rebooting,
-    /// The platform takes it away.
+    /// The platform is removing it.
     Leaving,
     /// It failed.
     Down,
@@ -33,71 +33,71 @@
 pub struct Listed {
     /// Its id.
     pub id: InstanceId,
-    /// The pool that the platform has it in.
+    /// The pool that it belongs to according to the platform.
     pub pool: PoolId,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Its rack.
     pub rack: RackId,
-    /// Where it accepts requests.
+    /// Address where it accepts requests.
     pub addr: SocketAddr,
-    /// What it is doing.
+    /// Its state.
     pub state: ListedState,
 }
 
-/// The list, as it was some time ago.
+/// The list of instances at some time in the past.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// When it was true.
+    /// The time of the list.
     #[serde(rename = "as_of_ms", with = "pomelohitch_core::millis")]
     pub as_of: Timestamp,
     /// The instances.
     pub instances: Vec<Listed>,
 }
 
-/// What to do with an instance.
+/// An operation on an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// Give it no new work and let it finish.
+    /// Stop giving it new work, and let it finish what it has.
     Drain,
-    /// Take a drain back.
+    /// Cancel a drain.
     Undrain,
     /// Reboot it.
     Reboot,
-    /// Move it to the pool.
+    /// Move it to this pool.
     Move(PoolId),
 }
 
-/// An effect on an instance.
+/// An operation on an instance, as requested from the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Effect {
     /// The instance.
     pub instance: InstanceId,
-    /// The offset of the decision that asks for it; repeating it is harmless.
+    /// The offset of the decision that requests it, which makes repeated requests idempotent.
     pub op: Offset,
-    /// What to do.
+    /// The operation.
     pub action: Action,
 }
 
-/// Whether an effect is complete.
+/// Whether an operation is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
     /// It is complete.
     Done,
-    /// It goes on; ask again.
+    /// It is still in progress; request it again later.
     Pending,
 }
 
-/// Returns the list.
+/// Returns the list of instances.
 pub type ListFn = Box<dyn Fn() -> Result<List> + Send + Sync>;
-/// Asks for an effect.
+/// Requests an operation, or asks for its progress if it was requested before.
 pub type ApplyFn = Box<dyn Fn(&Effect) -> Result<Progress> + Send + Sync>;
 
-/// The platform's pools of instances.
+/// A client of the platform's instances.
 pub struct Instances {
-    /// Returns the list.
+    /// Returns the list of instances.
     pub list: ListFn,
-    /// Asks for an effect.
+    /// Requests an operation, or asks for its progress if it was requested before.
     pub apply: ApplyFn,
 }
 
@@ -120,7 +120,7 @@
 }
 
 impl Instances {
-    /// The pools at `base`; calls end within `timeout`.
+    /// A client of the platform at `base`; `timeout` applies to each call.
     #[must_use]
     pub fn http(base: &str, timeout: Duration) -> Instances {
         let lister = Client::new(base, timeout);
--- a/crates/pomelohitch-platform/src/lib.rs
+++ b/crates/pomelohitch-platform/src/lib.rs
@@ -1,11 +1,11 @@
-//! Clients of the platform: log, instances, workers and runners' list.
+//! Clients of the platform's log, instances and workers over HTTP.
 //!
-//! Each client is a plain struct of closures, so that tests put functions in place of sockets,
-//! and so that this crate is the only one that changes when the platform's real protocol is
-//! known. The protocol that is spoken today stands in `docs/PLATFORM.md`.
+//! Each client is a struct of closures, so that tests can replace the HTTP calls by functions, and
+//! so that only this crate changes when the platform's real protocol is known. The current protocol
+//! is described in `docs/PLATFORM.md`.
 //!
-//! Calls block; each has a time limit. An error says at which step and peer it arose, and whether
-//! the call certainly had no effect.
+//! Calls block, and each has a timeout. An error names the step and the peer, and says whether the
+//! call may have had an effect.
 
 pub mod error;
 pub mod follower;
--- a/crates/pomelohitch-platform/src/log.rs
+++ b/crates/pomelohitch-platform/src/log.rs
@@ -9,7 +9,7 @@
 use crate::error::{Error, Result};
 use crate::http::Client;
 
-/// Where records landed.
+/// The offsets of appended records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Appended {
     /// The offset of the first record.
@@ -23,31 +23,31 @@
 pub struct Stored {
     /// Its offset.
     pub offset: Offset,
-    /// Its bytes.
+    /// Its content.
     pub data: Box<str>,
 }
 
-/// What a read returned.
+/// The result of a read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// The oldest offset that is kept.
+    /// The oldest offset that the log keeps.
     pub first: Offset,
-    /// The offset that the next append gets.
+    /// The log's head: the offset that the next append gets.
     pub next: Offset,
     /// The records, in order, without gaps.
     pub records: Vec<Stored>,
 }
 
-/// What to read.
+/// Parameters of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Read<'a> {
     /// The stream.
     pub stream: &'a str,
-    /// The first offset wanted.
+    /// The first offset to read.
     pub from: Offset,
-    /// How many records at the most.
+    /// Maximum number of records.
     pub max: usize,
-    /// How long to wait for the first record.
+    /// Maximum time to wait for the first record.
     pub wait: Duration,
 }
 
@@ -67,7 +67,7 @@
 /// Reads records of a stream.
 pub type ReadFn = Box<dyn Fn(&Read<'_>) -> Result<Batch> + Send + Sync>;
 
-/// The log service.
+/// A client of the log service.
 pub struct Log {
     /// Appends records to a stream, all or none.
     pub append: AppendFn,
@@ -87,9 +87,9 @@
 }
 
 impl Log {
-    /// The log at `base`; calls end within `timeout`, also reads that wait. They wait for half of it
-    /// at the most: a read that the log answers after the time limit would count as an outage, again
-    /// and again while nothing new is appended.
+    /// A client of the log at `base`; `timeout` applies to each call, including reads that wait.
+    /// These wait for at most half of it: if the log answered after the timeout, every read would
+    /// count as an outage while no record is appended.
     #[must_use]
     pub fn http(base: &str, timeout: Duration) -> Log {
         let appender = Client::new(base, timeout);
--- a/crates/pomelohitch-platform/src/snapshots.rs
+++ b/crates/pomelohitch-platform/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! Reads and writes snapshots of the state in their stream of the log.
+//! Reads and writes snapshots of the fleet's state in the log's snapshot stream.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 use crate::error::{Error, Result};
 use crate::log::{Batch, Log, Read, Stored};
 
-/// How far from the head the search begins; the snapshot of a fleet of some thousand instances
-/// fits.
+/// Number of records before the head that the search reads first; a snapshot of a fleet of some
+/// thousand instances fits.
 const FIRST_WINDOW: Offset = 64;
-/// How many chunks are read at once. Escaped in JSON, a chunk takes up to twice its bytes; an
-/// answer with all chunks of a large fleet's snapshot would be refused by the HTTP client.
+/// Maximum number of chunks in one read. A chunk takes up to twice its size when escaped in JSON,
+/// and the HTTP client refuses an answer with all chunks of a large fleet's snapshot.
 const CHUNKS_PER_READ: usize = 32;
-/// By how much the window grows when nothing whole was in it.
+/// Factor by which the window grows if it holds no complete snapshot.
 const WINDOW_GROWTH: Offset = 4;
 
-/// The newest whole snapshot, if there is one.
+/// Loads the newest complete snapshot, if there is one.
 ///
-/// The search goes backwards from the head, so that older snapshots aren't read.
+/// Searches backwards from the head, so that older snapshots aren't read.
 ///
 /// # Errors
 /// If the log can't be read.
@@ -41,7 +41,7 @@
 /// Writes a snapshot of `state`, one append for each chunk.
 ///
 /// # Errors
-/// If an append fails; what was written is then torn, and no reader uses it.
+/// If an append fails; the snapshot is then incomplete, and readers ignore it.
 pub fn save(log: &Log, state: &State, id: RecordId) -> Result<()> {
     for chunk in split(state, id, CHUNK_BYTES) {
         (log.append)(SNAPSHOT_STREAM, &[chunk])?;
@@ -49,7 +49,7 @@
     Ok(())
 }
 
-/// The oldest offset that is kept, and the head.
+/// The oldest offset that the stream keeps, and its head.
 fn bounds(log: &Log) -> Result<(Offset, Offset)> {
     let mut from = 0;
     loop {
--- a/crates/pomelohitch-platform/src/workers.rs
+++ b/crates/pomelohitch-platform/src/workers.rs
@@ -1,4 +1,4 @@
-//! Workers that run tasks under leases.
+//! The platform's workers, which run tasks under leases.
 
 use std::fmt;
 use std::time::Duration;
@@ -10,26 +10,26 @@
 use crate::error::Result;
 use crate::http::Client;
 
-/// A worker in the list.
+/// A worker in the list of workers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
     /// Its id, the same as the instance's.
     pub id: InstanceId,
-    /// The pool that the platform has it in.
+    /// The pool that it belongs to according to the platform.
     pub pool: PoolId,
     /// Its availability zone.
     pub zone: ZoneId,
     /// Its rack.
     pub rack: RackId,
-    /// What it has.
+    /// Its total resources.
     #[serde(flatten)]
     pub capacity: Resources,
 }
 
-/// The list, as it was some time ago.
+/// The list of workers at some time in the past.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
-    /// When it was true.
+    /// The time of the list.
     #[serde(rename = "as_of_ms", with = "pomelohitch_core::millis")]
     pub as_of: Timestamp,
     /// The workers.
@@ -39,24 +39,24 @@
 /// A task to start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
-    /// The offset of the placement; a worker starts a task once per offset.
+    /// The offset of the placement; a worker starts a task at most once per offset.
     pub op: Offset,
     /// The job.
     pub job: JobId,
-    /// What to run.
+    /// The command to run.
     pub command: Box<str>,
-    /// How long it runs, as declared.
+    /// Its declared run time.
     #[serde(rename = "run_ms", with = "pomelohitch_core::millis")]
     pub run: Duration,
-    /// What it may use.
+    /// The resources reserved for it.
     #[serde(flatten)]
     pub reserve: Resources,
-    /// The worker stops it when the lease isn't renewed for so long.
+    /// Length of the lease; the worker stops the task if the lease isn't renewed in this time.
     #[serde(rename = "lease_ms", with = "pomelohitch_core::millis")]
     pub lease: Duration,
 }
 
-/// What to do with a task.
+/// An operation on a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Renew its lease.
@@ -69,38 +69,38 @@
     Throttle,
 }
 
-/// An effect on a task.
+/// An operation on a task, as requested from its worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Effect {
     /// The worker.
     pub worker: InstanceId,
     /// The offset of the placement that started the task.
     pub op: Offset,
-    /// What to do.
+    /// The operation.
     pub action: Action,
-    /// The new lease, counted from now.
+    /// Length of the renewed lease, from the time of the call.
     pub lease: Duration,
 }
 
-/// What a worker reported.
+/// An event that a worker reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Event {
-    /// The task began.
+    /// The task started.
     Started,
-    /// The task used this much.
+    /// A sample of the task's resource usage.
     Usage,
-    /// It ended well.
+    /// It succeeded.
     Succeeded,
-    /// It ended badly.
+    /// It failed.
     Failed,
-    /// It used more memory than it may.
+    /// It was killed because it exceeded its memory limit.
     MemoryKilled,
-    /// Its state is saved; it no longer runs.
+    /// Its state was saved, and it no longer runs.
     Checkpointed,
     /// It was stopped.
     Stopped,
-    /// Its lease ran out; it no longer runs.
+    /// Its lease expired, and it no longer runs.
     LeaseExpired,
 }
 
@@ -113,56 +113,56 @@
     pub op: Offset,
     /// The worker.
     pub worker: InstanceId,
-    /// What happened.
+    /// The event.
     pub event: Event,
-    /// What it used.
+    /// The resources that the task used.
     #[serde(flatten)]
     pub used: Resources,
 }
 
-/// Reports from some position on.
+/// Reports of all workers from some position on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reports {
-    /// The position to ask for next.
+    /// The position to read from next.
     pub next: u64,
     /// The reports.
     pub reports: Vec<Report>,
 }
 
-/// What a worker knows of a start.
+/// What became of the start of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum TaskState {
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It ran and no longer does.
+    /// The task ran and has ended.
     Ended,
-    /// It never ran and never will.
+    /// The task never ran and never will.
     Never,
 }
 
-/// Returns the list.
+/// Returns the list of workers.
 pub type ListFn = Box<dyn Fn() -> Result<List> + Send + Sync>;
-/// Starts a task.
+/// Starts a task on a worker.
 pub type StartFn = Box<dyn Fn(&InstanceId, &Start) -> Result<()> + Send + Sync>;
-/// Asks for an effect on a task.
+/// Requests an operation on a task.
 pub type ApplyFn = Box<dyn Fn(&Effect) -> Result<()> + Send + Sync>;
-/// Reads reports from a position on.
+/// Reads workers' reports from a position on.
 pub type ReportsFn = Box<dyn Fn(u64) -> Result<Reports> + Send + Sync>;
-/// Asks what became of a start.
+/// Asks what became of a start, and rules out a later one if the task never ran.
 pub type TaskFn = Box<dyn Fn(Offset) -> Result<TaskState> + Send + Sync>;
 
-/// The platform's workers.
+/// A client of the platform's workers.
 pub struct Workers {
-    /// Returns the list.
+    /// Returns the list of workers.
     pub list: ListFn,
     /// Starts a task on a worker.
     pub start: StartFn,
-    /// Asks for an effect on a task.
+    /// Requests an operation on a task.
     pub apply: ApplyFn,
-    /// Reads reports from a position on.
+    /// Reads workers' reports from a position on.
     pub reports: ReportsFn,
-    /// Asks what became of a start, and rules out a later one if it never ran.
+    /// Asks what became of a start, and rules out a later one if the task never ran.
     pub task: TaskFn,
 }
 
@@ -179,7 +179,7 @@
     lease: Duration,
 }
 
-/// The body of an answer whose status says everything.
+/// The body of an answer of which only the status matters.
 #[derive(Deserialize)]
 struct Ignored {}
 
@@ -189,7 +189,7 @@
 }
 
 impl Workers {
-    /// The workers at `base`; calls end within `timeout`.
+    /// A client of the platform at `base`; `timeout` applies to each call.
     #[must_use]
     pub fn http(base: &str, timeout: Duration) -> Workers {
         let client = Client::new(base, timeout);
