--- a/crates/pomelohitch-platform/src/error.rs
+++ b/crates/pomelohitch-platform/src/error.rs
@@ -64,7 +64,7 @@
     },
     /// The log's head is below the offset read so far: the log lost its newest records.
     #[snafu(display("{stream} ends at {head}, but was read up to {next}"))]
-    WentBack {
+    HeadRegressed {
         /// The stream.
         stream: Box<str>,
         /// The offset of the next record to read.
@@ -91,7 +91,7 @@
         match self {
             Error::Transport { effect, .. } | Error::Status { effect, .. } => *effect,
             Error::Decode { .. } => Effect::Unknown,
-            Error::Trimmed { .. } | Error::WentBack { .. } | Error::Gap { .. } => Effect::None,
+            Error::Trimmed { .. } | Error::HeadRegressed { .. } | Error::Gap { .. } => Effect::None,
         }
     }
 
--- a/crates/pomelohitch-platform/src/follower.rs
+++ b/crates/pomelohitch-platform/src/follower.rs
@@ -94,8 +94,8 @@
     /// applied.
     pub fn catch_up_to(&mut self, end: Offset) -> Result<()> {
         while self.state.next < end {
-            let left = usize::try_from(end - self.state.next).unwrap_or(usize::MAX);
-            let Progress { head, .. } = self.read(left, Duration::ZERO)?;
+            let remaining = usize::try_from(end - self.state.next).unwrap_or(usize::MAX);
+            let Progress { head, .. } = self.read(remaining, Duration::ZERO)?;
             if self.state.next >= head {
                 break;
             }
@@ -110,10 +110,10 @@
             max: max.min(Read::default().max),
             wait,
         })?;
-        self.take(&batch)
+        self.apply_batch(&batch)
     }
 
-    fn take(&mut self, batch: &Batch) -> Result<Progress> {
+    fn apply_batch(&mut self, batch: &Batch) -> Result<Progress> {
         self.check(batch)?;
         let applied = batch.records.iter().map(|stored| self.apply(stored));
         Ok(Progress {
@@ -129,7 +129,7 @@
     fn check(&self, batch: &Batch) -> Result<()> {
         let next = self.state.next;
         if batch.next < next {
-            return Err(Error::WentBack {
+            return Err(Error::HeadRegressed {
                 stream: FLEET_STREAM.into(),
                 next,
                 head: batch.next,
--- a/crates/pomelohitch-platform/src/http.rs
+++ b/crates/pomelohitch-platform/src/http.rs
@@ -9,12 +9,12 @@
 
 use crate::error::{DecodeSnafu, Effect, Error, Result, StatusSnafu, TransportSnafu};
 
-/// How much of an error's body is kept.
-const ERROR_BODY_BYTES: usize = 512;
+/// How much of the answer's body an error keeps.
+const MAX_ERROR_BODY_BYTES: usize = 512;
 
-/// Largest answer that is read. The client's own default of 10 MiB is below a thousand large
-/// records; a reader would then fail at the same place for ever.
-const ANSWER_BYTES: u64 = 64 * 1024 * 1024;
+/// Largest answer that is read. The library's default of 10 MiB is less than a thousand large
+/// records take; a reader would then fail at the same offset on every attempt.
+const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
 
 /// A client of one base address that reuses connections.
 #[derive(Debug, Clone)]
@@ -81,7 +81,7 @@
         &self,
         step: &'static str,
         answer: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
-        on_loss: Effect,
+        effect_if_lost: Effect,
     ) -> Result<T> {
         let peer = self.peer();
         let mut answer = match answer {
@@ -90,23 +90,23 @@
                 let effect = if is_unsent(&source) {
                     Effect::None
                 } else {
-                    on_loss
+                    effect_if_lost
                 };
                 return Err(source).context(TransportSnafu { step, peer, effect });
             }
         };
-        let body = answer.body_mut().with_config().limit(ANSWER_BYTES);
+        let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
         let body = body.read_to_vec().context(TransportSnafu {
             step,
             peer,
-            effect: on_loss,
+            effect: effect_if_lost,
         })?;
         let status = answer.status().as_u16();
         if status == 200 {
             return serde_json::from_slice(&body).context(DecodeSnafu { step, peer });
         }
-        let effect = effect_of(status, on_loss);
-        let body = String::from_utf8_lossy(&body[..body.len().min(ERROR_BODY_BYTES)]);
+        let effect = effect_of(status, effect_if_lost);
+        let body = String::from_utf8_lossy(&body[..body.len().min(MAX_ERROR_BODY_BYTES)]);
         StatusSnafu {
             step,
             peer,
@@ -127,11 +127,12 @@
     }
 }
 
-/// The platform says with a 4xx or 503 that it did nothing; other failures leave it open.
-fn effect_of(status: u16, on_loss: Effect) -> Effect {
+/// The effect of a call that failed with this status: with 4xx and 503 the platform did nothing,
+/// with any other status it may have acted.
+fn effect_of(status: u16, effect_if_lost: Effect) -> Effect {
     match status {
         400..=499 | 503 => Effect::None,
-        _ => on_loss,
+        _ => effect_if_lost,
     }
 }
 
--- a/crates/pomelohitch-platform/src/instances.rs
+++ b/crates/pomelohitch-platform/src/instances.rs
@@ -115,7 +115,7 @@
 }
 
 #[derive(Deserialize)]
-struct Done {
+struct ApplyAnswer {
     done: bool,
 }
 
@@ -123,11 +123,11 @@
     /// A client of the platform at `base`; `timeout` applies to each call.
     #[must_use]
     pub fn http(base: &str, timeout: Duration) -> Instances {
-        let lister = Client::new(base, timeout);
-        let actor = lister.clone();
+        let list_client = Client::new(base, timeout);
+        let apply_client = list_client.clone();
         Instances {
-            list: Box::new(move || lister.get("list instances", "/instances")),
-            apply: Box::new(move |effect| apply_http(&actor, effect)),
+            list: Box::new(move || list_client.get("list instances", "/instances")),
+            apply: Box::new(move |effect| apply_http(&apply_client, effect)),
         }
     }
 }
@@ -144,7 +144,7 @@
         op: effect.op,
         pool,
     };
-    let Done { done } = client.post("change instance", &path, &body)?;
+    let ApplyAnswer { done } = client.post("change instance", &path, &body)?;
     Ok(if done {
         Progress::Done
     } else {
--- a/crates/pomelohitch-platform/src/log.rs
+++ b/crates/pomelohitch-platform/src/log.rs
@@ -82,7 +82,7 @@
 }
 
 #[derive(Deserialize)]
-struct Bounds {
+struct TrimmedAnswer {
     first: Offset,
 }
 
@@ -92,15 +92,15 @@
     /// count as an outage while no record is appended.
     #[must_use]
     pub fn http(base: &str, timeout: Duration) -> Log {
-        let appender = Client::new(base, timeout);
-        let reader = Client::new(base, timeout);
+        let append_client = Client::new(base, timeout);
+        let read_client = Client::new(base, timeout);
         Log {
             append: Box::new(move |stream, records| {
-                appender.post("append", &format!("/log/{stream}"), &records)
+                append_client.post("append", &format!("/log/{stream}"), &records)
             }),
             read: Box::new(move |read| {
                 let wait = read.wait.min(timeout / 2);
-                read_http(&reader, &Read { wait, ..*read })
+                read_http(&read_client, &Read { wait, ..*read })
             }),
         }
     }
@@ -117,20 +117,20 @@
     let path = format!("/log/{stream}?from={from}&max={max}&wait_ms={wait}");
     client
         .get("read", &path)
-        .map_err(|error| as_trimmed(error, read))
+        .map_err(|error| detect_trimmed(error, read))
 }
 
-/// A trimmed stream must not look like any other failure: whoever retried it for ever would
-/// never again see a new record.
-fn as_trimmed(error: Error, read: &Read<'_>) -> Error {
+/// Turns status 410 into [`Error::Trimmed`], which must be distinct from other failures: a reader
+/// that only retried would never get another record.
+fn detect_trimmed(error: Error, read: &Read<'_>) -> Error {
     let Error::Status {
         status: 410, body, ..
     } = &error
     else {
         return error;
     };
-    match serde_json::from_str::<Bounds>(body) {
-        Ok(Bounds { first }) => Error::Trimmed {
+    match serde_json::from_str::<TrimmedAnswer>(body) {
+        Ok(TrimmedAnswer { first }) => Error::Trimmed {
             stream: read.stream.into(),
             from: read.from,
             first,
--- a/crates/pomelohitch-platform/src/workers.rs
+++ b/crates/pomelohitch-platform/src/workers.rs
@@ -193,18 +193,19 @@
     #[must_use]
     pub fn http(base: &str, timeout: Duration) -> Workers {
         let client = Client::new(base, timeout);
-        let [lister, starter, actor, reporter] = std::array::from_fn(|_| client.clone());
+        let [list_client, start_client, apply_client, reports_client] =
+            std::array::from_fn(|_| client.clone());
         Workers {
-            list: Box::new(move || lister.get("list workers", "/workers")),
+            list: Box::new(move || list_client.get("list workers", "/workers")),
             start: Box::new(move |worker, start| {
                 let path = format!("/workers/{worker}/start");
-                starter
+                start_client
                     .post("start task", &path, start)
                     .map(|_: Ignored| ())
             }),
-            apply: Box::new(move |effect| apply_http(&actor, effect)),
+            apply: Box::new(move |effect| apply_http(&apply_client, effect)),
             reports: Box::new(move |from| {
-                reporter.get("read reports", &format!("/reports?from={from}"))
+                reports_client.get("read reports", &format!("/reports?from={from}"))
             }),
             task: Box::new(move |op| {
                 let answer: TaskAnswer = client.get("look up task", &format!("/tasks/{op}"))?;
--- a/crates/pomelohitch-platform/tests/follower.rs
+++ b/crates/pomelohitch-platform/tests/follower.rs
@@ -197,7 +197,7 @@
     let error = reader.poll(Duration::ZERO).unwrap_err();
     assert!(matches!(
         error,
-        Error::WentBack {
+        Error::HeadRegressed {
             next: 10,
             head: 5,
             ..
