--- a/crates/pomelohitch-platform/tests/follower.rs
+++ b/crates/pomelohitch-platform/tests/follower.rs
@@ -1,4 +1,4 @@
-//! Following the log, and starting from snapshots.
+//! Following the log, and starting from a snapshot.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -65,7 +65,9 @@
     let (written, read) = (streams.clone(), streams.clone());
     let log = Log {
         append: Box::new(move |name, records| {
-            let mut streams = written.lock().expect("no holder panics");
+            let mut streams = written
+                .lock()
+                .expect("the lock isn't poisoned, since no thread panics while holding it");
             let stream = streams.get(name);
             let first = stream.next();
             stream.records.extend(records.iter().cloned());
@@ -73,7 +75,9 @@
             Ok(Appended { first, next })
         }),
         read: Box::new(move |wanted| {
-            let mut streams = read.lock().expect("no holder panics");
+            let mut streams = read
+                .lock()
+                .expect("the lock isn't poisoned, since no thread panics while holding it");
             streams.get(wanted.stream).read(wanted)
         }),
     };
@@ -91,7 +95,8 @@
                 key: format!("k{n}").into(),
             }),
         };
-        (log.append)(FLEET_STREAM, &[record.encode()]).expect("the log takes it");
+        (log.append)(FLEET_STREAM, &[record.encode()])
+            .expect("the log in memory accepts every append");
     }
 }
 
@@ -100,8 +105,9 @@
 }
 
 #[test]
-fn a_joiner_starts_from_the_newest_whole_snapshot() {
-    // The newest snapshot's writer died half-way, and the log no longer keeps its oldest records.
+fn a_joiner_starts_from_the_newest_complete_snapshot() {
+    // Guards against loading an incomplete snapshot: the writer of the newest one crashed half-way,
+    // and the records that the older one covers are trimmed.
     let (streams, log) = log();
     append_keys(&log, 0..10);
     let mut writer = follower(&log);
@@ -109,8 +115,8 @@
     snapshots::save(&log, writer.state(), RecordId::from_u128(1)).unwrap();
     append_keys(&log, 10..20);
     writer.catch_up().unwrap();
-    let torn = split(writer.state(), RecordId::from_u128(2), 200);
-    (log.append)(SNAPSHOT_STREAM, &torn[..torn.len() - 1]).unwrap();
+    let incomplete = split(writer.state(), RecordId::from_u128(2), 200);
+    (log.append)(SNAPSHOT_STREAM, &incomplete[..incomplete.len() - 1]).unwrap();
     streams.lock().unwrap().fleet.first = 10;
 
     let mut joiner = follower(&log);
@@ -121,9 +127,9 @@
 }
 
 #[test]
-fn a_reader_whose_records_were_trimmed_takes_over_a_snapshot() {
-    // A reader was paused for longer than the log keeps records. Going on with the oldest one
-    // kept, it would never learn of the keys withdrawn in between.
+fn a_reader_whose_records_were_trimmed_loads_a_snapshot() {
+    // Guards against a reader that was paused for longer than the log keeps records and continues
+    // with the oldest one kept: it would miss the keys withdrawn in between.
     let (streams, log) = log();
     append_keys(&log, 0..5);
     let mut late = follower(&log);
@@ -138,14 +144,15 @@
     assert!(progress.has_loaded);
     assert!(
         progress.head > late.state().next,
-        "not yet known to be at the head"
+        "the reader isn't yet known to be at the head"
     );
     assert_eq!(late.state(), other.state());
 }
 
 #[test]
 fn trimmed_records_without_a_snapshot_are_an_error() {
-    // Nobody wrote a snapshot in time. The reader says so, and keeps what it has in force.
+    // No snapshot was written before the records were trimmed: the reader reports an error and
+    // keeps its state.
     let (streams, log) = log();
     append_keys(&log, 0..30);
     streams.lock().unwrap().fleet.first = 20;
@@ -163,7 +170,7 @@
 }
 
 #[test]
-fn a_snapshot_that_ends_below_the_oldest_record_is_not_enough() {
+fn a_snapshot_that_ends_before_the_oldest_record_is_an_error() {
     let (streams, log) = log();
     append_keys(&log, 0..5);
     let mut writer = follower(&log);
@@ -186,8 +193,8 @@
 
 #[test]
 fn a_log_that_lost_its_newest_records_is_not_followed() {
-    // The log service was restored from a backup. What was accepted since is in force here and
-    // must not be taken back; offsets read twice would give each process a state of its own.
+    // The log service was restored from an old backup. Records accepted since then must stay in
+    // force, and reading offsets a second time would make the states of processes diverge.
     let (streams, log) = log();
     append_keys(&log, 0..10);
     let mut reader = follower(&log);
@@ -207,15 +214,15 @@
 }
 
 #[test]
-fn a_large_stream_of_snapshots_is_searched_from_its_end() {
+fn a_long_snapshot_stream_is_searched_from_its_end() {
     let (streams, log) = log();
     append_keys(&log, 0..3);
     let mut writer = follower(&log);
     writer.catch_up().unwrap();
     snapshots::save(&log, writer.state(), RecordId::from_u128(1)).unwrap();
-    let torn = split(writer.state(), RecordId::from_u128(2), 20);
+    let incomplete = split(writer.state(), RecordId::from_u128(2), 20);
     for _ in 0..100 {
-        (log.append)(SNAPSHOT_STREAM, &torn[1..]).unwrap();
+        (log.append)(SNAPSHOT_STREAM, &incomplete[1..]).unwrap();
     }
     assert!(streams.lock().unwrap().snapshots.next() > 1000);
     assert_eq!(
@@ -224,31 +231,33 @@
     );
 }
 
-/// What an HTTP client reads of one answer at the most, by default.
-const ANSWER_BYTES: usize = 10 * 1024 * 1024;
+/// Largest answer that an HTTP client reads by default.
+const DEFAULT_MAX_ANSWER_BYTES: usize = 10 * 1024 * 1024;
 
-/// A large fleet's snapshot has many chunks, and the client refuses an answer that holds them all
-/// at once. An entry instance that asked for all of them could neither start nor write the next
-/// snapshot, and once the records are trimmed nobody could start any more.
+/// Guards against reading all chunks of a large fleet's snapshot in one answer, which the HTTP
+/// client refuses. An entry instance that did so could neither start nor write the next snapshot;
+/// once the records are trimmed, no instance could start.
 #[test]
-fn snapshots_are_read_in_answers_that_the_client_takes() {
+fn snapshots_are_read_in_answers_below_the_client_limit() {
     let (_, inner) = log();
     append_keys(&inner, 0..3);
     let mut writer = follower(&inner);
     writer.catch_up().unwrap();
     snapshots::save(&inner, writer.state(), RecordId::from_u128(1)).unwrap();
-    let torn: Box<str> = "x".repeat(CHUNK_BYTES).into();
+    let incomplete: Box<str> = "x".repeat(CHUNK_BYTES).into();
     for _ in 0..250 {
-        (inner.append)(SNAPSHOT_STREAM, std::slice::from_ref(&torn)).unwrap();
+        (inner.append)(SNAPSHOT_STREAM, std::slice::from_ref(&incomplete)).unwrap();
     }
     let largest = Arc::new(Mutex::new(0));
     let (seen, reading) = (largest.clone(), inner.clone());
     let log = Log {
-        append: Box::new(|_, _| unreachable!("nothing is written")),
+        append: Box::new(|_, _| unreachable!("loading a snapshot appends nothing")),
         read: Box::new(move |read| {
             let batch = (reading.read)(read)?;
             let bytes = batch.records.iter().map(|record| record.data.len()).sum();
-            let mut largest = seen.lock().expect("no holder panics");
+            let mut largest = seen
+                .lock()
+                .expect("the lock isn't poisoned, since no thread panics while holding it");
             *largest = (*largest).max(bytes);
             Ok(batch)
         }),
@@ -256,5 +265,5 @@
     let loaded = snapshots::load(&log).unwrap();
     assert_eq!(loaded.as_ref(), Some(writer.state()));
     let largest: usize = *largest.lock().unwrap();
-    assert!(largest < ANSWER_BYTES, "{largest}");
+    assert!(largest < DEFAULT_MAX_ANSWER_BYTES, "{largest}");
 }
