--- a/crates/pomelohitch-model/src/step.rs
+++ b/crates/pomelohitch-model/src/step.rs
@@ -1,4 +1,4 @@
-//! What can happen next.
+//! Transitions of the model; those of the log are defined here.
 
 use std::sync::Arc;
 
@@ -6,35 +6,35 @@
 use pomelohitch_core::{State, Verdict};
 
 use crate::promise;
-use crate::proposal::{FILE, Proposal, What, pools};
+use crate::proposal::{FILE, Payload, Proposal, pools};
 use crate::scenario::{Mutant, Scenario};
 use crate::world::{Entry, World};
 use crate::{planning, publishing, reading};
 
-/// One thing that happens.
+/// A transition between two states of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
     /// A node sends a proposal to the log.
     Propose(Proposal),
-    /// An append lands and is answered.
+    /// An append succeeds and is acknowledged.
     Land(Proposal),
-    /// An append lands, its answer is lost, and it will be sent again.
+    /// An append succeeds, its acknowledgement is lost, and the proposal will be sent again.
     LandUnanswered(Proposal),
-    /// An append certainly doesn't land.
+    /// An append fails definitively.
     Refuse(Proposal),
-    /// The log goes down.
+    /// The log becomes unavailable.
     LogDown,
-    /// The log answers again.
+    /// The log becomes available again.
     LogUp,
-    /// A step of a planner or of the platform.
+    /// A transition of a planner or of the platform.
     Planning(planning::Step),
-    /// A step of a reader.
+    /// A transition of a reader.
     Reading(reading::Step),
-    /// A step of an operator.
+    /// A transition of an operator.
     Publishing(publishing::Step),
 }
 
-/// Every world that can follow `world`.
+/// Returns all states that can follow `world`.
 #[must_use]
 pub fn successors(scenario: &Scenario, world: &World) -> Vec<World> {
     let mut next = Vec::new();
@@ -44,13 +44,13 @@
     publishing::steps(scenario, world, &mut next);
     for world in &mut next {
         if world.broken.is_none() {
-            world.broken = promise::broken(scenario, world);
+            world.broken = promise::first_broken(scenario, world);
         }
     }
     next
 }
 
-/// `world` after `step`, which `change` carries out.
+/// Returns a copy of `world` with `change` applied and `step` recorded as the last transition.
 pub(crate) fn after(world: &World, step: Step, change: impl FnOnce(&mut World)) -> World {
     let mut next = world.clone();
     next.last = Some(step);
@@ -58,16 +58,17 @@
     next
 }
 
-/// `world` with one more proposal on its way, if it isn't already.
+/// Adds the transition that sends `proposal`, unless it is already in flight or in the log, or the
+/// bounds permit no further proposal.
 pub(crate) fn propose(
     scenario: &Scenario,
     world: &World,
     proposal: Proposal,
     next: &mut Vec<World>,
 ) {
-    let is_known = world.in_flight.contains(&proposal)
+    let is_duplicate = world.in_flight.contains(&proposal)
         || world.log.iter().any(|entry| entry.proposal == proposal);
-    if is_known || !may_propose(scenario, world) {
+    if is_duplicate || !may_propose(scenario, world) {
         return;
     }
     next.push(after(world, Step::Propose(proposal), |world| {
@@ -75,7 +76,7 @@
     }));
 }
 
-/// Whether the scenario's bounds leave room for one more proposal.
+/// Whether the scenario's bounds permit another proposal.
 pub(crate) fn may_propose(scenario: &Scenario, world: &World) -> bool {
     world.in_flight.len() < scenario.in_flight
         && world.log.len() + world.in_flight.len() < scenario.records
@@ -91,10 +92,10 @@
         }
         if world.log_is_up
             && world.log.len() < scenario.records
-            && world.spent.lost_answers < scenario.lost_answers
+            && world.event_counts.lost_answers < scenario.lost_answers
         {
             next.push(after(world, Step::LandUnanswered(proposal), |world| {
-                world.spent.lost_answers += 1;
+                world.event_counts.lost_answers += 1;
                 append(scenario, world, proposal);
             }));
         }
@@ -102,9 +103,9 @@
             world.in_flight.remove(&proposal);
         }));
     }
-    if world.log_is_up && world.spent.outages < scenario.outages {
+    if world.log_is_up && world.event_counts.outages < scenario.outages {
         next.push(after(world, Step::LogDown, |world| {
-            world.spent.outages += 1;
+            world.event_counts.outages += 1;
             world.log_is_up = false;
         }));
     }
@@ -124,17 +125,17 @@
     Arc::make_mut(&mut world.log).push(entry);
 }
 
-/// The real fold, or, for a mutant, the real fold over a state or record that hides from it what
-/// it should have noticed.
+/// Applies a proposal with the real fold. For a mutant that weakens the fold, the state or the
+/// record is changed first so that the fold cannot detect the conflict.
 fn fold(scenario: &Scenario, state: &mut State, proposal: &Proposal) -> Verdict {
     let offset = state.next;
     let mut record = proposal.record();
     match scenario.mutant {
-        Some(Mutant::FoldSkipsBudget) => return without_budget(scenario, state, &record),
-        Some(Mutant::FoldCountsRepeats) => {
+        Some(Mutant::FoldSkipsBudget) => return apply_without_budget(scenario, state, &record),
+        Some(Mutant::FoldAppliesRepeats) => {
             record.id = pomelohitch_core::id::RecordId::from_u128(u128::from(offset) << 64);
         }
-        Some(Mutant::FoldSkipsSince) => hide_since(state, proposal, &mut record),
+        Some(Mutant::FoldSkipsSince) => match_current_phase(state, proposal, &mut record),
         Some(Mutant::FoldSkipsBase) => {
             let version = state.config.files[FILE].version;
             if let Body::Publish(publish) = &mut record.body {
@@ -153,7 +154,7 @@
     state.apply(offset, &record)
 }
 
-fn without_budget(scenario: &Scenario, state: &mut State, record: &Record) -> Verdict {
+fn apply_without_budget(scenario: &Scenario, state: &mut State, record: &Record) -> Verdict {
     let config = state.config.clone();
     for service in Arc::make_mut(&mut state.config).services.values_mut() {
         service.min_available = 0;
@@ -167,8 +168,8 @@
     verdict
 }
 
-fn hide_since(state: &State, proposal: &Proposal, record: &mut Record) {
-    let What::Fleet {
+fn match_current_phase(state: &State, proposal: &Proposal, record: &mut Record) {
+    let Payload::Fleet {
         instance, change, ..
     } = proposal.what
     else {
@@ -176,7 +177,7 @@
     };
     let since = state.fleet.instances[&crate::proposal::instance(instance)].since;
     let what = match proposal.what {
-        What::Fleet { term, .. } => What::Fleet {
+        Payload::Fleet { term, .. } => Payload::Fleet {
             term,
             instance,
             since,
