--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -136,9 +136,9 @@
     };
     let site = shared.site.load();
     let settings = Settings {
-        lease: LEASE.min(site.bounds.longest_lease),
-        job_retention: site.bounds.keep_ended + JOB_RETENTION_MARGIN,
-        operation_gap: site.bounds.holder_gap + OPERATION_GAP_MARGIN,
+        lease: LEASE.min(site.bounds.max_lease),
+        job_retention: site.bounds.job_retention + JOB_RETENTION_MARGIN,
+        operation_gap: site.bounds.operation_gap + OPERATION_GAP_MARGIN,
         operations_per_s: site.operations_per_s,
         link_bytes_per_s: site.link_bytes_per_s,
         fleet_ms: shared.fleet_ms(),
