--- a/pomelohitchd/src/fleet/calls.rs
+++ b/pomelohitchd/src/fleet/calls.rs
@@ -118,7 +118,7 @@
         let timeout = self.rto.borrow().timeout();
         let extra = timeout.saturating_sub(ORDER_TIMEOUT.shortest);
         let sent_at = clock::steady();
-        let mut reply = endpoints::look(&client.connections, order, POLL_MARGIN + extra).await?;
+        let mut reply = endpoints::poll(&client.connections, order, POLL_MARGIN + extra).await?;
         reply.sent_at = sent_at;
         reply.answered_at = clock::steady();
         Ok(reply)
--- a/pomelohitchd/src/fleet/forwarding.rs
+++ b/pomelohitchd/src/fleet/forwarding.rs
@@ -204,14 +204,14 @@
             Some(&[][..])
         }
     };
-    let answer = shared.leader_client(leader.addr).pass_on(
+    let answer = shared.leader_client(leader.addr).call_with_method(
         &head.method,
         &Request {
             step: "forward request",
             path: &path,
             body,
             headers: &headers,
-            within: timeout,
+            timeout,
         },
     );
     match answer {
--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use pomelohitch_adapter::records::{self, OperatorRecord};
-use pomelohitch_adapter::store::{Appended, Guard, Newest, Store, Topic};
+use pomelohitch_adapter::store::{AppendCondition, Appended, Newest, Store, Topic};
 use pomelohitch_sched::progress;
 use pomelohitch_sched::{Cell, Epoch, Settings};
 use snafu::{ResultExt, Snafu, ensure};
@@ -124,7 +124,8 @@
         core::hand_over(peer, Claim { has_ended: false });
         return YieldedSnafu { peer }.fail();
     }
-    let appended = retry(|| store.append(Topic::Jobs, &[], epoch_guard(epoch, 0), APPEND_TIMEOUT))?;
+    let appended =
+        retry(|| store.append(Topic::Jobs, &[], epoch_condition(epoch, 0), APPEND_TIMEOUT))?;
     ensure!(matches!(appended, Appended::Done { .. }), FencedSnafu);
     // Read only once the former leader is fenced: whatever it has read and acted on must be visible
     // here too.
@@ -244,9 +245,9 @@
 /// Margin added to the required gap between the operations of two leaders.
 const OPERATION_GAP_MARGIN: Duration = Duration::from_millis(400);
 
-/// Guard of an append by the leader of `epoch`.
-fn epoch_guard(epoch: Epoch, sequence: u64) -> Guard {
-    Guard::Epoch { epoch, sequence }
+/// Condition of an append by the leader of `epoch`.
+fn epoch_condition(epoch: Epoch, sequence: u64) -> AppendCondition {
+    AppendCondition::Epoch { epoch, sequence }
 }
 
 /// Writes the record that makes this member the leader, and returns the new and the former leader.
@@ -285,8 +286,8 @@
         began_ms: shared.started_ms,
     };
     let record = progress::encode(wire::LEADER_KEY.into(), &leader).context(RecordSnafu)?;
-    let guard = Guard::At(end.unwrap_or_default());
-    match store.append(Topic::Members, &[record], guard, APPEND_TIMEOUT) {
+    let condition = AppendCondition::EndsAt(end.unwrap_or_default());
+    match store.append(Topic::Members, &[record], condition, APPEND_TIMEOUT) {
         Ok(Appended::Done { .. }) => Ok(Some((leader, former))),
         Ok(_) => Ok(None),
         Err(source) => {
--- a/pomelohitchd/src/fleet/leader/heartbeats.rs
+++ b/pomelohitchd/src/fleet/leader/heartbeats.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Sender;
 use std::time::Duration;
 
-use pomelohitch_adapter::store::{Guard, Topic};
+use pomelohitch_adapter::store::{AppendCondition, Topic};
 use pomelohitch_sched::progress;
 use tracing::{info, warn};
 
@@ -125,8 +125,14 @@
             fleet_ms: shared.fleet_ms(),
         };
         let record = progress::encode(wire::LIVENESS_KEY.into(), &record);
-        let written = record
-            .map(|r| store.append(Topic::Members, &[r], Guard::Free, LIVENESS_APPEND_TIMEOUT));
+        let written = record.map(|r| {
+            store.append(
+                Topic::Members,
+                &[r],
+                AppendCondition::Always,
+                LIVENESS_APPEND_TIMEOUT,
+            )
+        });
         if !matches!(written, Ok(Ok(_))) {
             info!(?written, "liveness record not written");
         }
--- a/pomelohitchd/src/fleet/leader/journal.rs
+++ b/pomelohitchd/src/fleet/leader/journal.rs
@@ -16,7 +16,7 @@
 
 use super::append_timeout::AppendTimeout;
 use super::core::{Event, mark_confirmed};
-use super::epoch_guard;
+use super::epoch_condition;
 use crate::fleet::clock;
 use crate::fleet::shared::{Shared, spawn};
 
@@ -176,7 +176,7 @@
     /// Retries an append until the store has accepted it or a later one.
     fn append(&self, append: &Append) -> Result<(), LeadershipEnded> {
         let Append { sequence, records } = append;
-        let guard = epoch_guard(self.common.epoch, *sequence);
+        let condition = epoch_condition(self.common.epoch, *sequence);
         let mut failed_attempts = 0;
         while !self.common.is_durable(*sequence) {
             if !self.is_leader() {
@@ -192,7 +192,7 @@
             let is_predecessor_durable = self.common.is_durable(sequence - 1);
             let started_at = clock::steady();
             let within = lock(&self.common.timeout).for_attempt(failed_attempts);
-            match self.store.append(Topic::Jobs, records, guard, within) {
+            match self.store.append(Topic::Jobs, records, condition, within) {
                 Ok(Appended::Done { .. }) => return self.mark_durable(*sequence, started_at),
                 Ok(Appended::OutOfSequence)
                     if !is_predecessor_durable || self.common.is_durable(*sequence) =>
--- a/pomelohitchd/src/fleet/leader/platform_calls.rs
+++ b/pomelohitchd/src/fleet/leader/platform_calls.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use pomelohitch_adapter::records;
-use pomelohitch_adapter::store::{Guard, Topic};
+use pomelohitch_adapter::store::{AppendCondition, Topic};
 use pomelohitch_adapter::{Client, instances, policy};
 use pomelohitch_sched::order::{Operation, OperationOutcome};
 use pomelohitch_sched::{EndpointId, Epoch, InstanceId, Steady, TaskId};
@@ -212,7 +212,12 @@
             };
             while shared.leadership().is_some_and(|l| l.epoch == epoch) {
                 let records = std::slice::from_ref(&record);
-                match store.append(Topic::Status, records, Guard::Free, STATUS_TIMEOUT) {
+                match store.append(
+                    Topic::Status,
+                    records,
+                    AppendCondition::Always,
+                    STATUS_TIMEOUT,
+                ) {
                     Ok(_) => break,
                     Err(error) => info!(%error, wave, "failed to append wave status; retrying"),
                 }
--- a/pomelohitchd/src/fleet/members.rs
+++ b/pomelohitchd/src/fleet/members.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use pomelohitch_adapter::store::{Guard, Read, Store, Topic};
+use pomelohitch_adapter::store::{AppendCondition, Read, Store, Topic};
 use pomelohitch_sched::progress::{self, Record};
 use tracing::{info, warn};
 
@@ -130,7 +130,14 @@
         return;
     }
     let record = progress::encode(wire::member_key(&site.member), &member);
-    let written = record.map(|r| store.append(Topic::Members, &[r], Guard::Free, REGISTER_TIMEOUT));
+    let written = record.map(|r| {
+        store.append(
+            Topic::Members,
+            &[r],
+            AppendCondition::Always,
+            REGISTER_TIMEOUT,
+        )
+    });
     match written {
         Ok(Ok(_)) => info!(member = %site.member, addr = %site.internal, "member registered"),
         Ok(Err(error)) => warn!(%error, "member not registered"),
--- a/pomelohitchd/src/fleet/peers.rs
+++ b/pomelohitchd/src/fleet/peers.rs
@@ -59,11 +59,11 @@
     let peer = client.peer();
     let body = postcard::to_allocvec(message).context(MessageSnafu { path, peer })?;
     let body = client
-        .get_ok(&Request {
+        .call_ok(&Request {
             step: path,
             path,
             body: Some(&body),
-            within: timeout,
+            timeout,
             ..Request::default()
         })
         .context(CallSnafu)?;
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -131,7 +131,8 @@
         match &*kept {
             Some(client) if client.peer() == addr => client.clone(),
             _ => {
-                let client = Client::keeping(addr, LEADER_CONNECT_TIMEOUT, LEADER_CONNECTIONS);
+                let client =
+                    Client::with_max_idle(addr, LEADER_CONNECT_TIMEOUT, LEADER_CONNECTIONS);
                 *kept = Some(client.clone());
                 client
             }
