--- a/crates/pomelohitch-maintain/src/moves.rs
+++ b/crates/pomelohitch-maintain/src/moves.rs
@@ -1,8 +1,8 @@
-//! Which instances go to another pool.
+//! Moves instances between pools.
 //!
-//! A move costs a drain, a move, and requests that wait meanwhile. A pool therefore gets an
-//! instance only when it has lacked one for a while, and gives one back only when it has had too
-//! many for much longer; in between nothing moves (hysteresis).
+//! A move takes a drain and a platform call, and requests queue meanwhile. Hysteresis limits moves:
+//! a pool receives an instance only after a lasting shortage, and returns one only after a much
+//! longer surplus.
 
 use std::time::Duration;
 
@@ -10,34 +10,34 @@
 use pomelohitch_core::id::PoolId;
 use pomelohitch_core::record::{DrainPurpose, FleetStep};
 
+use crate::conditions::ConditionTracker;
 use crate::demand::Weighting;
-use crate::memory::Lasting;
 use crate::observe::Observation;
 use crate::planner::Decision;
 use crate::pools::{Member, Pools};
 
-/// Times and limits of moves.
+/// Timeouts and limits of moves.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// A pool gets an instance once it has lacked one for so long.
-    pub take_after: Duration,
-    /// A pool gives an instance back once it has had too many for so long.
-    pub give_after: Duration,
-    /// How many more than needed a pool keeps.
+    /// A pool receives instances after a shortage of this duration.
+    pub shortage_delay: Duration,
+    /// A pool returns instances after a surplus of this duration.
+    pub surplus_delay: Duration,
+    /// Number of instances above the requirement that do not count as surplus.
     pub slack: u32,
-    /// How many instances are on their way at once.
-    pub at_once: u32,
+    /// Maximum number of instances being moved at the same time.
+    pub max_in_transit: u32,
 }
 
 impl Options {
-    /// The options for a weighting.
+    /// Returns the options for a trade-off.
     #[must_use]
     pub fn weighted(weighting: Weighting) -> Options {
         match weighting {
             Weighting::FewMoves => Options::default(),
             Weighting::SmallBuffer => Options {
-                take_after: Duration::from_mins(1),
-                give_after: Duration::from_mins(30),
+                shortage_delay: Duration::from_mins(1),
+                surplus_delay: Duration::from_mins(30),
                 slack: 0,
                 ..Options::default()
             },
@@ -48,101 +48,107 @@
 impl Default for Options {
     fn default() -> Self {
         Options {
-            take_after: Duration::from_mins(2),
-            // Longer than a rush, so that what one rush needed is still there for the next.
-            give_after: Duration::from_hours(6),
+            shortage_delay: Duration::from_mins(2),
+            // Longer than a load peak, so that instances stay from one peak to the next.
+            surplus_delay: Duration::from_hours(6),
             slack: 2,
-            at_once: 4,
+            max_in_transit: 4,
         }
     }
 }
 
-/// Since when pools have lacked instances or had too many.
+/// Tracks how long pools have had a shortage or surplus of instances.
 #[derive(Debug, Clone, Default)]
-pub struct Memory {
-    lacking: Lasting<PoolId>,
-    surplus: Lasting<PoolId>,
+pub struct Imbalances {
+    shortage: ConditionTracker<PoolId>,
+    surplus: ConditionTracker<PoolId>,
 }
 
-/// Decides about moves.
+/// Decides which instances to drain for a move to another pool.
 pub(crate) fn decide(
     options: &Options,
-    memory: &mut Memory,
+    imbalances: &mut Imbalances,
     state: &State,
-    seen: &Observation,
+    observation: &Observation,
     pools: &mut Pools<'_>,
     decisions: &mut Vec<Decision>,
 ) {
-    memory.lacking.begin();
-    memory.surplus.begin();
-    let lacking = lacking(options, memory, seen, pools);
-    let giving = giving(options, memory, seen, pools);
-    let mut free = options.at_once.saturating_sub(on_their_way(pools));
-    for (pool, count) in lacking {
+    imbalances.shortage.begin_pass();
+    imbalances.surplus.begin_pass();
+    let shortages = persistent_shortages(options, imbalances, observation, pools);
+    let surpluses = persistent_surpluses(options, imbalances, observation, pools);
+    let mut remaining = options.max_in_transit.saturating_sub(in_transit(pools));
+    for (pool, count) in shortages {
         for _ in 0..count {
-            let Some(from) = source(state, pools, &giving, &pool) else {
+            let Some(from) = source(state, pools, &surpluses, &pool) else {
                 break;
             };
-            if free == 0 || !send(pools, &from, &pool, decisions) {
+            if remaining == 0 || !drain_one(pools, &from, &pool, decisions) {
                 break;
             }
-            free -= 1;
+            remaining -= 1;
         }
     }
-    give_back(state, pools, &giving, free, decisions);
+    return_to_spares(state, pools, &surpluses, remaining, decisions);
 }
 
-fn on_their_way(pools: &Pools<'_>) -> u32 {
-    pools.values().map(|view| view.coming).sum()
+fn in_transit(pools: &Pools<'_>) -> u32 {
+    pools.values().map(|view| view.incoming).sum()
 }
 
-/// The pools that have lacked instances for long enough, and how many each, the neediest first.
-fn lacking(
+/// Pools with a shortage of at least `shortage_delay` and the number of missing instances, largest
+/// shortage first.
+fn persistent_shortages(
     options: &Options,
-    memory: &mut Memory,
-    seen: &Observation,
+    imbalances: &mut Imbalances,
+    observation: &Observation,
     pools: &Pools<'_>,
 ) -> Vec<(PoolId, u32)> {
-    let mut lacking = Vec::new();
-    for (pool, need) in &seen.needs {
+    let mut shortages = Vec::new();
+    for (pool, need) in &observation.needs {
         let Some(view) = pools.get(pool) else {
             continue;
         };
-        let missing = need.saturating_sub(view.staying + view.coming);
-        if missing > 0 && memory.lacking.note(pool.clone(), seen.now) >= options.take_after {
-            lacking.push((pool.clone(), missing));
+        let missing = need.saturating_sub(view.staying + view.incoming);
+        if missing > 0
+            && imbalances.shortage.observe(pool.clone(), observation.now) >= options.shortage_delay
+        {
+            shortages.push((pool.clone(), missing));
         }
     }
-    lacking.sort_by_key(|(pool, missing)| (std::cmp::Reverse(*missing), pool.clone()));
-    lacking
+    shortages.sort_by_key(|(pool, missing)| (std::cmp::Reverse(*missing), pool.clone()));
+    shortages
 }
 
-/// The pools that have had too many for long enough, and how many each.
-fn giving(
+/// Pools with a surplus of at least `surplus_delay` and the number of surplus instances.
+fn persistent_surpluses(
     options: &Options,
-    memory: &mut Memory,
-    seen: &Observation,
+    imbalances: &mut Imbalances,
+    observation: &Observation,
     pools: &Pools<'_>,
 ) -> Vec<(PoolId, u32)> {
-    let mut giving = Vec::new();
-    for (pool, need) in &seen.needs {
+    let mut surpluses = Vec::new();
+    for (pool, need) in &observation.needs {
         let Some(view) = pools.get(pool) else {
             continue;
         };
         let keep = need.saturating_add(options.slack);
-        let surplus = (view.staying + view.coming).saturating_sub(keep);
-        if surplus > 0 && memory.surplus.note(pool.clone(), seen.now) >= options.give_after {
-            giving.push((pool.clone(), surplus));
+        let surplus = (view.staying + view.incoming).saturating_sub(keep);
+        if surplus > 0
+            && imbalances.surplus.observe(pool.clone(), observation.now) >= options.surplus_delay
+        {
+            surpluses.push((pool.clone(), surplus));
         }
     }
-    giving
+    surpluses
 }
 
-/// Where an instance for `to` comes from: spares first, then pools that have had too many.
+/// Selects the pool that an instance for `to` comes from: spare pools first, then pools with a
+/// surplus.
 fn source(
     state: &State,
     pools: &Pools<'_>,
-    giving: &[(PoolId, u32)],
+    surpluses: &[(PoolId, u32)],
     to: &PoolId,
 ) -> Option<PoolId> {
     let can_lend = |pool: &PoolId| {
@@ -151,27 +157,32 @@
     };
     let spares = pools.iter().filter(|(_, view)| view.spare);
     let spare = spares.map(|(pool, _)| *pool).find(|pool| can_lend(pool));
-    let others = giving.iter().map(|(pool, _)| pool);
+    let others = surpluses.iter().map(|(pool, _)| pool);
     spare
         .or(others.into_iter().find(|pool| can_lend(pool)))
         .cloned()
 }
 
-/// Sends one instance, unless the pool has none that works.
-fn send(pools: &mut Pools<'_>, from: &PoolId, to: &PoolId, decisions: &mut Vec<Decision>) -> bool {
+/// Drains one instance of `from` for a move to `to`; returns `false` if none can be drained.
+fn drain_one(
+    pools: &mut Pools<'_>,
+    from: &PoolId,
+    to: &PoolId,
+    decisions: &mut Vec<Decision>,
+) -> bool {
     let Some(view) = pools.get_mut(from) else {
         return false;
     };
-    let taken = |member: &Member<'_>| {
+    let is_taken = |member: &Member<'_>| {
         decisions.iter().any(|decision| {
             matches!(decision, Decision::Fleet(FleetStep::Drain { instance, .. }) if instance == member.id)
         })
     };
-    let works = |member: &&Member<'_>| member.can_drain();
-    // The most recently maintained one needs the least work in its new pool.
-    let mut working: Vec<_> = view.members.iter().filter(works).collect();
-    working.sort_by_key(|member| std::cmp::Reverse(member.instance.maintained));
-    let Some(member) = working.into_iter().find(|member| !taken(member)) else {
+    let is_drainable = |member: &&Member<'_>| member.can_drain();
+    // The most recently maintained instance is due for maintenance last in its new pool.
+    let mut candidates: Vec<_> = view.members.iter().filter(is_drainable).collect();
+    candidates.sort_by_key(|member| std::cmp::Reverse(member.instance.maintained));
+    let Some(member) = candidates.into_iter().find(|member| !is_taken(member)) else {
         return false;
     };
     decisions.push(Decision::Fleet(FleetStep::Drain {
@@ -182,30 +193,30 @@
     view.active -= 1;
     view.staying -= 1;
     if let Some(view) = pools.get_mut(to) {
-        view.coming += 1;
+        view.incoming += 1;
     }
     true
 }
 
-/// What nobody lacks goes back to the first pool of spares.
-fn give_back(
+/// Moves remaining surplus instances to the first spare pool.
+fn return_to_spares(
     state: &State,
     pools: &mut Pools<'_>,
-    giving: &[(PoolId, u32)],
-    mut free: u32,
+    surpluses: &[(PoolId, u32)],
+    mut remaining: u32,
     decisions: &mut Vec<Decision>,
 ) {
     let spare = pools.iter().find(|(_, view)| view.spare);
     let Some(spare) = spare.map(|(pool, _)| (*pool).clone()) else {
         return;
     };
-    for (pool, surplus) in giving.iter().filter(|(pool, _)| *pool != spare) {
+    for (pool, surplus) in surpluses.iter().filter(|(pool, _)| *pool != spare) {
         let lendable = pools.get(pool).map_or(0, super::pools::PoolView::lendable);
-        for _ in 0..(*surplus).min(lendable).min(free) {
-            if state.waves.is_paused(pool) || !send(pools, pool, &spare, decisions) {
+        for _ in 0..(*surplus).min(lendable).min(remaining) {
+            if state.waves.is_paused(pool) || !drain_one(pools, pool, &spare, decisions) {
                 break;
             }
-            free -= 1;
+            remaining -= 1;
         }
     }
 }
