--- a/pomelohitchd/tests/front/entry.rs
+++ b/pomelohitchd/tests/front/entry.rs
@@ -21,10 +21,10 @@
 use pomelohitchd::peers;
 use pomelohitchd::settings::Settings;
 
-/// The key of the test's team.
+/// API key of the test's team.
 pub const KEY: &str = "valley-station-key";
-/// Longest wait for anything that a test expects.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Upper limit of every wait in these tests.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A running entry instance.
 pub struct Entry {
@@ -49,7 +49,7 @@
         Entry::serve(node, limits)
     }
 
-    /// Two entry instances that know one another, over real links.
+    /// Two entry instances that are each other's peers, over real connections.
     pub fn pair(runners: &[SocketAddr]) -> [(Entry, Links); 2] {
         let listeners = [1, 2].map(|_| TcpListener::bind("127.0.0.1:0").unwrap());
         let joins: Vec<_> = listeners
@@ -61,10 +61,10 @@
                 peer_addr: listener.local_addr().unwrap(),
             })
             .collect();
-        let mut place = 0;
+        let mut index = 0;
         listeners.map(|listener| {
-            let node = node(&joins, place, bodies(runners, passes()));
-            place += 1;
+            let node = node(&joins, index, bodies(runners, passes()));
+            index += 1;
             let links = peers::start(&node, listener).unwrap();
             node.permits.use_links(links.commands.clone());
             let _ = peers::follow_members(&node, &links, None);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Puts another record in force.
+    /// Applies another record and publishes the new state to the entry instance's threads.
     pub fn apply(&self, body: Body) {
         let mut state = State::clone(&self.node.state.load());
         apply(&mut state, body);
@@ -103,7 +103,7 @@
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.addr).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
@@ -117,7 +117,7 @@
         String::from_utf8_lossy(&answer).into_owned()
     }
 
-    /// A request with the team's key on a connection of its own.
+    /// Sends a request with the team's key over a new connection.
     pub fn call(&self, method: &str, path: &str, headers: &[&str]) -> String {
         let headers = headers.join("\r\n");
         let headers = if headers.is_empty() {
@@ -135,7 +135,7 @@
     }
 }
 
-/// The status line's number.
+/// Status code of an answer.
 pub fn status(answer: &str) -> u16 {
     let mut words = answer.split(' ');
     words
@@ -144,22 +144,21 @@
         .unwrap_or_else(|| panic!("no answer: {answer:?}"))
 }
 
-/// The body of an answer.
 pub fn body(answer: &str) -> &str {
     answer.split_once("\r\n\r\n").map_or("", |(_, body)| body)
 }
 
-/// The problem document of an answer.
+/// Problem document (`application/problem+json`) of an answer.
 pub fn problem(answer: &str) -> serde_json::Value {
     assert!(answer.contains("Content-Type: application/problem+json\r\n"));
     serde_json::from_str(body(answer)).unwrap()
 }
 
-/// Waits until `is_so`, which has to become true by itself.
-pub fn wait_until(what: &str, is_so: impl Fn() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
-    while !is_so() {
-        assert!(Instant::now() < deadline, "never so: {what}");
+/// Polls `condition` until it holds; panics after [`WAIT_TIMEOUT`].
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -179,9 +178,9 @@
     }
 }
 
-/// A node for which the joins and records are in force, as the member that joined at `place`.
-fn node(joins: &[Join], place: usize, records: Vec<Body>) -> Arc<Node> {
-    let node = Arc::new(Node::new(settings(&joins[place].member)));
+/// A node whose state contains `joins` and `records`; it is the member of `joins[index]`.
+fn node(joins: &[Join], index: usize, records: Vec<Body>) -> Arc<Node> {
+    let node = Arc::new(Node::new(settings(&joins[index].member)));
     let mut state = State::default();
     for join in joins {
         apply(&mut state, Body::Join(join.clone()));
@@ -190,21 +189,21 @@
         apply(&mut state, body);
     }
     node.put_in_force(state, Vec::new());
-    node.incarnation.store(place as u64, Ordering::Release);
+    node.incarnation.store(index as u64, Ordering::Release);
     node.life.ready.store(true, Ordering::Release);
     node
 }
 
 fn settings(member: &str) -> Settings {
-    // Nobody listens there: what isn't asked of the platform isn't missed.
-    let nowhere = "http://127.0.0.1:9";
+    // Nothing listens there; these tests need no answer from the platform.
+    let unreachable = "http://127.0.0.1:9";
     Settings::parse_from([
         "pomelohitchd",
         &format!("--member={member}"),
         "--zone=zone-a",
-        &format!("--log-url={nowhere}"),
-        &format!("--instances-url={nowhere}"),
-        &format!("--workers-url={nowhere}"),
+        &format!("--log-url={unreachable}"),
+        &format!("--instances-url={unreachable}"),
+        &format!("--workers-url={unreachable}"),
         &format!("--admin-key-hash={}", key::hash("operator")),
     ])
 }
--- a/pomelohitchd/tests/processes/admin.rs
+++ b/pomelohitchd/tests/processes/admin.rs
@@ -1,4 +1,4 @@
-//! Operators administer running entry instances.
+//! The admin API of running entry instances.
 
 use std::path::Path;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use pomelohitch_standin::{CallFaults, log};
 use serde_json::{Value, json};
 
-use crate::support::{CAP, Fleet, next_id, wait_until};
+use crate::support::{Fleet, WAIT_TIMEOUT, next_id, wait_until};
 
 fn post(entry: &Daemon, path: &str, body: &Value) -> (u16, String) {
     let agent = ureq::Agent::config_builder()
@@ -21,7 +21,10 @@
     let req = agent.post(format!("http://{}{path}", entry.admin));
     let req = req.header("Authorization", format!("Bearer {ADMIN_KEY}"));
     let mut answer = req.send(body.to_string()).expect("the port answers");
-    let text = answer.body_mut().read_to_string().expect("it is text");
+    let text = answer
+        .body_mut()
+        .read_to_string()
+        .expect("the body is UTF-8");
     (answer.status().as_u16(), text)
 }
 
@@ -34,8 +37,8 @@
     caller::send(&caller::agent(), fleet.entries[entry].callers, &call) == Outcome::Whole
 }
 
-/// A key leaked while the platform's log is down. Nothing can be published, and still the key
-/// has to stop working everywhere within seconds.
+/// A key is withdrawn while the log is down, so that nothing can be published. It must still be
+/// refused everywhere within seconds.
 #[test]
 fn a_key_is_withdrawn_everywhere_while_the_log_is_down() {
     let fleet = Fleet::start(3, 2);
@@ -59,13 +62,13 @@
     fleet.log.set_faults(log::Faults::default());
     let (status, _) = post(&fleet.entries[0], "/v1/admin/keys/withdraw", &hash);
     assert_eq!(status, 200);
-    wait_until("the withdrawal lasts", || {
+    wait_until("the withdrawal is recorded", || {
         !fleet.state().withdrawn.is_empty()
     });
 }
 
 #[test]
-fn a_drain_over_the_api_is_a_graceful_shutdown_also_when_asked_twice() {
+fn a_repeated_drain_over_the_api_is_a_graceful_shutdown() {
     let mut fleet = Fleet::start(2, 1);
     for _ in 0..2 {
         assert_eq!(
@@ -73,7 +76,7 @@
             202
         );
     }
-    assert_eq!(fleet.entries[0].wait(CAP), Some(0));
+    assert_eq!(fleet.entries[0].wait(WAIT_TIMEOUT), Some(0));
 }
 
 #[test]
@@ -85,7 +88,7 @@
         &json!({"pause": {"pool": null}}),
     );
     assert_eq!(status, 200);
-    wait_until("it is paused", || fleet.state().waves.all_paused);
+    wait_until("maintenance is paused", || fleet.state().waves.all_paused);
     let unknown = json!({"pause": {"pool": "gone"}});
     let (status, text) = post(&fleet.entries[0], "/v1/admin/maintain", &unknown);
     assert_eq!(
@@ -95,7 +98,7 @@
     );
 }
 
-/// Logs are read by more people than may hold keys, and are kept for long. A key in them is a
+/// Logs are kept for long, and more people read them than may know a key: a key in a log is a
 /// leaked key.
 #[test]
 fn the_logs_of_a_run_hold_no_key() {
@@ -105,12 +108,12 @@
     let hash = json!({ "hash": key::hash(TEAMS[0].1) });
     post(&fleet.entries[0], "/v1/admin/keys/withdraw", &hash);
     post(&fleet.entries[0], "/v1/admin/drain", &json!({}));
-    assert_eq!(fleet.entries[0].wait(CAP), Some(0));
+    assert_eq!(fleet.entries[0].wait(WAIT_TIMEOUT), Some(0));
 
     let url = fleet.log.url().replace([':', '/'], "-");
     let name = format!("{url}-{}.log", fleet.entries[0].member);
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    let text = std::fs::read_to_string(path).expect("the run logged there");
+    let text = std::fs::read_to_string(path).expect("the process wrote its log there");
     assert!(text.contains("an operator withdrew a key"), "{text}");
     for key in [TEAMS[0].1, TEAMS[1].1, ADMIN_KEY, "pmh_unknown_key"] {
         assert!(!text.contains(key), "a key is in the log: {text}");
--- a/pomelohitchd/tests/processes/planner.rs
+++ b/pomelohitchd/tests/processes/planner.rs
@@ -5,8 +5,8 @@
 
 use crate::support::{Fleet, wait_until};
 
-/// The entry instance that plans dies without a word. Nobody would plan any more; another one
-/// notices, removes it and takes the term.
+/// The planner is killed. Another entry instance detects it, removes it from the members and takes
+/// the next term, so that planning goes on.
 #[test]
 fn when_the_planner_is_killed_another_entry_instance_takes_the_term() {
     let mut fleet = Fleet::start(3, 2);
@@ -14,21 +14,20 @@
     let planner = fleet.planner();
     fleet.entries[planner].signal(Signal::KILL);
     let dead = fleet.entries.remove(planner);
-    wait_until("another one plans", || {
+    wait_until("another entry instance is the planner", || {
         let members = fleet.state().members;
         members.term > term
             && !members.by_id.contains_key(&dead.member)
             && members.planner.is_some()
     });
-    assert_eq!(fleet.ask(0), Outcome::Whole);
-    assert_eq!(fleet.ask(1), Outcome::Whole);
+    assert_eq!(fleet.probe(0), Outcome::Whole);
+    assert_eq!(fleet.probe(1), Outcome::Whole);
 }
 
-/// The entry instance that plans is paused for so long that the others remove it, and then goes on
-/// as if nothing had been. What it decides in its old term changes nothing, and it joins again as
-/// a new incarnation.
+/// The planner is paused until the others remove it, and resumes with outdated state. Its decisions
+/// in the old term have no effect, and it joins again as a new incarnation.
 #[test]
-fn a_planner_that_was_paused_does_no_harm_and_joins_again() {
+fn a_paused_planner_decides_nothing_in_its_old_term_and_joins_again() {
     let fleet = Fleet::start(3, 2);
     let planner = fleet.planner();
     let paused = &fleet.entries[planner];
@@ -45,17 +44,21 @@
             })
         })
     });
-    let term = others[0].state().expect("it answers").members.term;
+    let term = others[0]
+        .state()
+        .expect("the entry instance is running")
+        .members
+        .term;
     paused.signal(Signal::CONT);
-    wait_until("it joins again", || {
+    wait_until("the paused entry instance joins again", || {
         fleet.entries.iter().all(|entry| {
             let members = entry.state().map(|state| state.members);
             let member = members.and_then(|members| members.by_id.get(&paused.member).cloned());
             member.is_some_and(|member| member.incarnation > incarnation)
         })
     });
-    wait_until("it serves", || {
-        paused.is_ready() && fleet.ask(planner) == Outcome::Whole
+    wait_until("it serves requests", || {
+        paused.is_ready() && fleet.probe(planner) == Outcome::Whole
     });
     let after = fleet.state();
     assert_eq!(after.config, before.config);
