--- a/pomelohitchd/tests/planner.rs
+++ b/pomelohitchd/tests/planner.rs
@@ -17,18 +17,18 @@
 use pomelohitchd::settings::Settings;
 use pomelohitchd::{planner, reader};
 
-/// Longest wait for anything that a test expects.
-const PATIENCE: Duration = Duration::from_mins(1);
+/// Upper limit of every wait in these tests.
+const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
 const INSTANCES: usize = 4;
 
-struct Site {
+struct Setup {
     pools: Instances,
     node: Arc<Node>,
     log: Log,
 }
 
-/// A planner, and 4 instances of which 3 have to stay.
-fn site() -> Site {
+/// A planner, and 4 instances of which 3 must stay active.
+fn setup() -> Setup {
     let log = Log::start(&log::Options::default());
     let pools = Instances::start(&instances::Options {
         instances: (0..INSTANCES).map(instance).collect(),
@@ -58,10 +58,10 @@
     );
     let planning = node.clone();
     std::thread::spawn(move || planner::run(&planning));
-    Site { pools, node, log }
+    Setup { pools, node, log }
 }
 
-/// The shared part of an entry instance, and a reader.
+/// The node of an entry instance, with a thread that reads the log.
 fn entry(log: &Log, pools: &Instances, member: &str) -> Arc<Node> {
     let settings = Settings::parse_from([
         "pomelohitchd",
@@ -124,20 +124,22 @@
 }
 
 fn propose(node: &Node, body: Body) -> u64 {
-    let decided = node.propose(body, PATIENCE).expect("the log takes it");
+    let decided = node
+        .propose(body, WAIT_TIMEOUT)
+        .expect("the log accepts appends");
     assert_eq!(decided.verdict, Verdict::Accepted);
     decided.offset
 }
 
 fn wait_until(what: &str, mut check: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !check() {
-        assert!(Instant::now() < deadline, "waited too long until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-impl Site {
+impl Setup {
     fn active(&self) -> u32 {
         self.node.state.load().fleet.active_in("web")
     }
@@ -151,7 +153,7 @@
         propose(&self.node, Body::Maintain(order))
     }
 
-    /// How often the platform began this, for each instance.
+    /// Number of times that the platform has executed `action`, for each instance.
     fn count(&self, action: &str) -> Vec<usize> {
         let ledger = self.pools.ledger();
         let of = |n| {
@@ -166,62 +168,62 @@
 
 #[test]
 fn a_wave_drains_and_reboots_every_instance_once() {
-    let site = site();
-    let wave = site.start_wave();
+    let setup = setup();
+    let wave = setup.start_wave();
     wait_until("the wave ends", || {
-        let state = site.node.state.load();
+        let state = setup.node.state.load();
         assert!(state.fleet.active_in("web") >= 3, "the budget holds");
         state.waves.by_pool.is_empty()
     });
-    let state = site.node.state.load();
+    let state = setup.node.state.load();
     let instances = state.fleet.instances.values();
     assert!(
         instances
             .clone()
             .all(|i| i.maintained > wave && i.phase == Phase::Active)
     );
-    assert_eq!(site.count("drain"), [1; INSTANCES]);
-    assert_eq!(site.count("reboot"), [1; INSTANCES]);
+    assert_eq!(setup.count("drain"), [1; INSTANCES]);
+    assert_eq!(setup.count("reboot"), [1; INSTANCES]);
 }
 
 #[test]
 fn lost_answers_of_the_platform_double_nothing() {
-    // The platform does what it is asked, and the answers are lost. The planner asks again; a second
-    // drain or reboot of an instance that is back at work would cut its requests.
-    let site = site();
-    site.pools.set_faults(instances::Faults {
+    // The platform executes requests whose answers are lost, and the planner repeats them. A second
+    // drain or reboot of an instance that is active again would cut its requests.
+    let setup = setup();
+    setup.pools.set_faults(instances::Faults {
         calls: CallFaults {
             lose_answers: 12,
             ..CallFaults::default()
         },
         ..instances::Faults::default()
     });
-    site.start_wave();
+    setup.start_wave();
     wait_until("the wave ends", || {
-        site.node.state.load().waves.by_pool.is_empty()
+        setup.node.state.load().waves.by_pool.is_empty()
     });
-    assert_eq!(site.count("drain"), [1; INSTANCES]);
-    assert_eq!(site.count("reboot"), [1; INSTANCES]);
+    assert_eq!(setup.count("drain"), [1; INSTANCES]);
+    assert_eq!(setup.count("reboot"), [1; INSTANCES]);
 }
 
 #[test]
 fn an_entry_instance_starts_after_the_log_was_trimmed() {
-    // Every entry instance is replaced after the log has dropped its oldest records: the members, the
-    // configuration and the instances stand only in the snapshots that the planner wrote.
-    let site = site();
-    wait_until("every instance is adopted", || site.active() == 4);
-    let config = site.node.state.load().config.clone();
-    let newest = || pomelohitch_platform::snapshots::load(&site.node.log).expect("it is up");
-    wait_until("a snapshot has it all", || {
+    // The log has trimmed its oldest records, and every entry instance is replaced. The members,
+    // the configuration and the instances exist only in the snapshots that the planner wrote.
+    let setup = setup();
+    wait_until("every instance is adopted", || setup.active() == 4);
+    let config = setup.node.state.load().config.clone();
+    let newest = || pomelohitch_platform::snapshots::load(&setup.node.log).expect("the log is up");
+    wait_until("a snapshot contains every instance", || {
         newest().is_some_and(|state| state.fleet.instances.len() == INSTANCES)
     });
-    // Half a hundred records hold the chunks of the newest snapshot, and none of the first ones of
-    // the fleet.
+    // With 50 more records, a log that is trimmed to its last 20 holds the chunks of the newest
+    // snapshot and none of the first records of the fleet.
     for n in 0..50 {
         let key = format!("key-{n}").into();
-        propose(&site.node, Body::WithdrawKey(WithdrawKey { key }));
+        propose(&setup.node, Body::WithdrawKey(WithdrawKey { key }));
     }
-    site.log.set_faults(log::Faults {
+    setup.log.set_faults(log::Faults {
         keep: Some(20),
         ..log::Faults::default()
     });
@@ -229,12 +231,12 @@
         newest().is_some_and(|state| state.withdrawn.len() == 50)
     });
 
-    let joiner = entry(&site.log, &site.pools, "entry-2");
-    wait_until("it reads to the head", || {
-        joiner.state.load().next >= site.node.state.load().next
+    let joiner = entry(&setup.log, &setup.pools, "entry-2");
+    wait_until("the joiner has read to the head of the log", || {
+        joiner.state.load().next >= setup.node.state.load().next
     });
     let state = joiner.state.load();
     assert_eq!(state.config, config);
-    assert_eq!(state.fleet, site.node.state.load().fleet);
+    assert_eq!(state.fleet, setup.node.state.load().fleet);
     assert_eq!(state.withdrawn.len(), 50);
 }
--- a/pomelohitchd/tests/processes/borders.rs
+++ b/pomelohitchd/tests/processes/limit_split.rs
@@ -1,4 +1,4 @@
-//! A team's limit is divided between its requests and its jobs by what it wants.
+//! A team's limit is split between its requests and its jobs by their demand.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 
 const LIMIT: u32 = 4;
 
-/// A team hands in many jobs at night, when nobody calls, and its customers call in the morning
-/// while jobs still wait. If jobs kept all that they were given, no customer would be served; if
-/// requests kept their part, the night's jobs would take twice as long.
+/// Jobs get the whole limit while there are no requests, and give back a part when requests arrive.
+/// If jobs kept it, requests would be refused; if requests kept an unused half, jobs would take
+/// twice as long.
 #[test]
-fn jobs_get_what_requests_leave_and_requests_get_it_back() {
+fn jobs_get_the_unused_limit_of_requests_and_give_it_back() {
     let fleet = Fleet::start(3, 2);
     let mut file = config::small();
     for team in &mut file.teams {
@@ -26,13 +26,13 @@
     let jobs = (0..2 * LIMIT).map(job).collect();
     config::append(&fleet.client, Body::Job(JobRecord::Submit(jobs))).expect("the log is up");
     wait_until("jobs have the whole limit", || {
-        part_of_jobs(&fleet) == LIMIT
+        limit_of_jobs(&fleet) == LIMIT
     });
-    assert_eq!(fleet.ask(0), Outcome::Whole);
-    wait_until("requests have a part", || part_of_jobs(&fleet) < LIMIT);
+    assert_eq!(fleet.probe(0), Outcome::Whole);
+    wait_until("requests have a part", || limit_of_jobs(&fleet) < LIMIT);
 }
 
-fn part_of_jobs(fleet: &Fleet) -> u32 {
+fn limit_of_jobs(fleet: &Fleet) -> u32 {
     let state = fleet.state();
     let team = &state.config.teams[TEAMS[0].0];
     state.limits.jobs_of(team)
--- a/pomelohitchd/tests/settings.rs
+++ b/pomelohitchd/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What the daemon says of wrong settings.
+//! Error messages about invalid settings.
 
 use clap::Parser;
 use pomelohitchd::settings::Settings;
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn good_settings_have_no_fault() {
+fn valid_settings_are_accepted() {
     assert!(settings(&[]).check().is_ok());
 }
 
-/// An operator starts an entry instance with several wrong settings at night. Told of one at a
-/// time, it would take a start for each until the instance serves.
+/// An entry instance is started with several invalid settings. If each start reported one of them,
+/// fixing all would take as many starts.
 #[test]
-fn every_fault_is_told_at_once() {
+fn all_invalid_settings_are_reported_at_once() {
     let wrong = settings(&[
         "--heartbeat-ms=5",
         "--member-lease-ms=1",
@@ -37,11 +37,11 @@
         log_url: "http://log.example:80".into(),
         ..wrong
     };
-    let told = wrong
+    let message = wrong
         .check()
         .expect_err("five settings are wrong")
         .to_string();
-    insta::assert_snapshot!(told, @r"
+    insta::assert_snapshot!(message, @r"
     wrong settings:
     --member: is empty; give a name
     --log-url: 'http://log.example:80' isn't http://IP:PORT
