--- a/pomelohitchd/src/admin.rs
+++ b/pomelohitchd/src/admin.rs
@@ -1,8 +1,8 @@
 //! The operators' port: health, metrics and the administration API of `docs/ADMIN.md`.
 //!
-//! * [`operator`]: who may administer.
-//! * [`view`]: what is shown of the node and of the state in force.
-//! * [`change`]: what operators may change here.
+//! * [`operator`]: authenticates operators.
+//! * [`view`]: status of this entry instance and of the fleet.
+//! * [`change`]: changes by operators.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -17,10 +17,10 @@
 pub mod operator;
 pub mod view;
 
-/// How many requests are answered at once; further ones wait in the server.
+/// Number of requests answered at the same time; further ones wait in the server.
 const THREADS: usize = 4;
 
-/// The port couldn't be opened.
+/// The operators' port couldn't be opened.
 #[derive(Debug, snafu::Snafu)]
 #[snafu(display("listen for operators on {addr}: {message}"))]
 pub struct Error {
@@ -28,13 +28,13 @@
     message: Box<str>,
 }
 
-/// The result of this module.
+/// The result of opening the operators' port.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// The server of the operators' port.
 pub type Server = rouille::Server<Box<dyn Fn(&Request) -> Response + Send + Sync>>;
 
-/// What the answers need.
+/// State behind the operators' port.
 #[derive(Debug)]
 struct Admin {
     node: Arc<Node>,
@@ -42,7 +42,7 @@
     drain_asked: AtomicBool,
 }
 
-/// Opens the port.
+/// Opens the operators' port.
 ///
 /// # Errors
 /// If the address can't be listened on.
--- a/pomelohitchd/src/admin/change.rs
+++ b/pomelohitchd/src/admin/change.rs
@@ -1,4 +1,4 @@
-//! What operators may change here.
+//! Changes by operators: withdrawing keys, maintenance orders and draining this entry instance.
 
 use std::io::Read as _;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,9 +16,9 @@
 use crate::node::{Node, ProposeError};
 use crate::withdraw;
 
-/// Largest body of a request.
+/// Largest body of a request, in bytes.
 const BODY_BYTES: u64 = 16 * 1024;
-/// How long a proposal may take.
+/// Timeout of one proposal.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
 /// Length of a key hash in hexadecimal digits.
 const KEY_HASH_DIGITS: usize = 64;
@@ -28,44 +28,44 @@
     hash: KeyHash,
 }
 
-/// How far a withdrawal has come.
+/// Progress of a withdrawal.
 #[derive(Debug, Serialize)]
 struct Withdrawn {
-    /// Its place in the log; `None` if it couldn't be appended yet. It is tried until it can.
+    /// Its offset in the log; `None` if it couldn't be appended yet. The append is retried.
     offset: Option<Offset>,
-    /// How many entry instances there are.
+    /// Number of entry instances.
     members: usize,
-    /// How many of them refuse the key now, or within a heartbeat.
+    /// Number of entry instances that refuse the key now or within a heartbeat.
     reached: usize,
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Debug, Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 enum Outcome {
-    /// It is in force everywhere once each entry instance has read so far.
+    /// It was accepted; each entry instance applies it when it reads the record.
     InForce {
-        /// Its place in the log.
+        /// Its offset in the log.
         offset: Offset,
     },
-    /// The state in force doesn't allow it.
+    /// The fold rejected it.
     NotInForce {
-        /// The rule.
+        /// The rule that it violates.
         rejection: Rejection,
     },
-    /// The log refused it.
+    /// The log refused the append.
     LogRefused {
-        /// What to do.
+        /// Advice for the operator.
         fix: &'static str,
     },
-    /// It may or may not come into force.
+    /// It may or may not take effect.
     NotKnown {
-        /// What to do.
+        /// Advice for the operator.
         fix: &'static str,
     },
 }
 
-/// Refuses a key at once, here and by the peers that the links reach, also with the log down.
+/// Withdraws a key at once, here and at the peers that can be reached, even while the log is down.
 pub(super) fn withdraw_key(node: &Node, req: &Request) -> Response {
     let Some(Withdraw { hash }) = read(req) else {
         return bad_request("send {\"hash\": HASH}, the key's hash, never the key");
@@ -103,8 +103,8 @@
     )
 }
 
-/// Begins the graceful shutdown of this entry instance, as SIGTERM does. A second signal would
-/// cut it short, so only the first request raises one.
+/// Starts the graceful shutdown of this entry instance, as SIGTERM does. A second signal would
+/// abort it, so only the first request raises one.
 pub(super) fn drain(drain_asked: &AtomicBool) -> Response {
     if drain_asked.swap(true, Ordering::AcqRel) {
         return Response::text("draining already\n").with_status_code(202);
--- a/pomelohitchd/src/admin/operator.rs
+++ b/pomelohitchd/src/admin/operator.rs
@@ -1,18 +1,18 @@
-//! Who may administer.
+//! Authenticates operators.
 //!
-//! Operators show a key of their own; the settings hold only hashes. Several hashes are in force
-//! at once, so that a key is replaced without a moment in which none works: start the entry
-//! instances with old and new, hand the new key out, start them with the new one only.
+//! Operators have keys of their own, of which the settings hold only hashes. Several hashes may be
+//! configured, so that a key can be replaced without interruption: restart the entry instances with
+//! the old and the new hash, distribute the new key, then restart them with the new hash only.
 
 use pomelohitch_core::key;
 use rouille::Request;
 
 use crate::settings::Settings;
 
-/// Whether the request shows a key in force.
+/// Whether the request has a valid operator key.
 ///
-/// Every hash is compared, and each in constant time, so that the time of an answer tells
-/// nothing about the hashes.
+/// Compares every hash, each in constant time, so that response times reveal nothing about the
+/// hashes.
 #[must_use]
 pub fn is_known(settings: &Settings, req: &Request) -> bool {
     let shown = req
--- a/pomelohitchd/src/admin/view.rs
+++ b/pomelohitchd/src/admin/view.rs
@@ -1,4 +1,4 @@
-//! What is shown of the node and of the state in force.
+//! Status of this entry instance and of the fleet, as shown to operators.
 
 use std::sync::atomic::Ordering;
 
@@ -8,7 +8,7 @@
 
 use crate::node::Node;
 
-/// The view of `node`.
+/// Status of `node`, its peers and the fleet.
 #[must_use]
 pub fn status(node: &Node) -> NodeStatus {
     let state = node.state.load_full();
@@ -35,7 +35,7 @@
     }
 }
 
-/// The whole state, for programs; large in a large fleet.
+/// The complete state, for programs; its size grows with the fleet.
 #[derive(Debug, Serialize)]
 pub struct Whole<'a> {
     member: &'a str,
@@ -44,7 +44,7 @@
     state: &'a State,
 }
 
-/// Everything in force at `node`.
+/// The complete state at `node`.
 #[must_use]
 pub fn whole<'a>(node: &'a Node, state: &'a State) -> Whole<'a> {
     Whole {
--- a/pomelohitchd/src/batch.rs
+++ b/pomelohitchd/src/batch.rs
@@ -1,11 +1,11 @@
-//! The planner's part for batch work: tells `pomelohitch-place` what changed, proposes what it
-//! decides, and carries out what the log accepted.
+//! Plans batch jobs: passes changes to `pomelohitch-place`, proposes its decisions, and carries
+//! out what the log accepted.
 //!
-//! Nothing here lasts: a new planner starts from the state and from the platform's reports.
+//! Nothing is persisted here: a new planner starts from the state and the platform's reports.
 //!
 //! * [`effects`]: calls to workers.
-//! * [`polls`]: the platform's lists and reports.
-//! * [`driver`]: one step after the other.
+//! * [`polls`]: reads the platform's lists and reports.
+//! * [`driver`]: the planning loop.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,15 +20,15 @@
 
 pub use driver::Driver;
 
-/// How often the driver looks whether something changed.
+/// Interval between two steps of the driver.
 const TICK: Duration = Duration::from_millis(25);
 
-/// How batch work is driven.
+/// Options for batch jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// The shortest lease. A change of planner takes seconds, so that no lease lapses by it.
+    /// The shortest lease. A change of planner takes seconds, so no lease expires because of it.
     pub shortest_lease: Duration,
-    /// The longest lease: so long a worker that was cut off may go on running something.
+    /// The longest lease. A partitioned worker may go on running an attempt for this long.
     pub longest_lease: Duration,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// Drives batch work for ever, while this member holds the term.
+/// Plans batch jobs forever; does nothing while another member holds the term.
 pub fn run(node: &Arc<Node>) {
     run_with(node, Options::default());
 }
 
-/// As [`run`], with other options.
+/// [`run`] with options other than the default.
 pub fn run_with(node: &Arc<Node>, options: Options) {
     let mut driver = None;
     loop {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Whether this member holds the term by all that it has read.
+/// Whether this member is ready and holds the term, according to the records applied here.
 pub(crate) fn is_planner(node: &Node) -> bool {
     let state = node.state.load();
     node.is_ready() && state.members.planner.as_ref() == Some(&node.settings.member)
--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -1,4 +1,5 @@
-//! One step after the other: what changed, what happened, what to do, and doing it.
+//! The planning loop for batch jobs: applies changes of the state and reports of workers, decides,
+//! and calls workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, mpsc};
@@ -20,24 +21,24 @@
 use super::polls::{self, News};
 use crate::node::{BadNews, Node};
 
-/// How long one proposal may take.
+/// Timeout of one proposal.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(4);
-/// A lease is renewed when this part of it is over.
+/// A lease is renewed after its length divided by this.
 const RENEW_PART: u32 = 3;
-/// How long to wait before a call that taught nothing is made again.
+/// Delay before a call without a usable answer is repeated.
 const CALL_AGAIN_AFTER: Duration = Duration::from_millis(300);
-/// How long the reports of an attempt that has ended may take before it is given up on.
+/// Timeout for the reports of an attempt that has ended; afterwards its outcome is unknown.
 const REPORTS_WITHIN: Duration = Duration::from_secs(30);
-/// The most reports in one record.
+/// Maximum number of reports in one record.
 const MAX_REPORTS: usize = 1024;
 
-/// Drives batch work while this member plans.
+/// Plans batch jobs during one term of this member.
 #[derive(Debug)]
 pub struct Driver {
     options: super::Options,
     node: Arc<Node>,
     planner: Planner,
-    /// The state that the planner's books follow.
+    /// The state that the planner's accounting reflects.
     known: Arc<State>,
     known_news: Arc<BadNews>,
     has_list: bool,
@@ -45,18 +46,18 @@
     news: mpsc::Receiver<News>,
     effects: Effects,
     began: Instant,
-    /// Where the platform's reports are dealt with up to, once `pending` is in the log.
+    /// Position in the platform's reports after which to continue once `pending` is in the log.
     reports_next: u64,
     reports_read: Duration,
     pending: Vec<Report>,
     renew: BTreeSet<(Duration, JobId, AttemptId)>,
     again: BTreeSet<(Duration, JobId, AttemptId)>,
-    /// Attempts that have ended and whose reports haven't come, with the time that was found.
+    /// Attempts that have ended without a report so far, with the time at which that was detected.
     unexplained: BTreeMap<JobId, (AttemptId, Duration)>,
 }
 
 impl Driver {
-    /// Takes batch work over as the log has it.
+    /// Starts from the state in the log.
     #[must_use]
     pub fn start(node: &Arc<Node>, options: super::Options) -> Driver {
         let state = node.state.load_full();
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Does what is to be done now. Waits for the log at the most.
+    /// Runs one step. Blocks only on proposals to the log.
     pub fn step(&mut self) {
         let now = self.began.elapsed();
         self.take_news(now);
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Brings the planner's books to the newest state, and asks for what follows from it.
+    /// Updates the planner's accounting to the newest state, and calls workers for jobs that changed.
     fn follow(&mut self, now: Duration) {
         let state = self.node.state.load_full();
         let known = std::mem::replace(&mut self.known, state.clone());
@@ -128,8 +129,8 @@
                 };
                 self.planner.set_team(id, terms);
             }
-            // The fold places nothing of a team that is gone; a planner that tried all the same
-            // would append a useless decision with every step.
+            // The fold rejects placements for a team that was removed; without this, the planner
+            // would append a useless decision in every step.
             let is_gone = |id: &&TeamId| !state.config.teams.contains_key(*id);
             for id in known.config.teams.keys().filter(is_gone) {
                 self.planner.set_team(id, TeamTerms { share: 1, limit: 0 });
@@ -161,8 +162,8 @@
         }
     }
 
-    /// Asks workers for what the log accepted. A new planner gets here for every job, and so
-    /// takes over the attempts of the one before it.
+    /// Makes the worker calls that the job's state requires. A new planner does this for every job
+    /// and thereby takes over the attempts of its predecessor.
     fn act_on(&mut self, entry: &Entry, before: Option<&Entry>, now: Duration) {
         let Some(attempt) = entry.attempt() else {
             return;
@@ -171,7 +172,7 @@
         let is_new = before.and_then(Entry::attempt) != Some(attempt);
         if is_new {
             let due = now + self.lease(id) / RENEW_PART;
-            // A lease of an earlier planner may be older, so it is renewed soon.
+            // The age of a lease that an earlier planner granted isn't known, so renew it at once.
             let due = if matches!(entry.state, JobState::Placed(_)) {
                 due
             } else {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// What has to be asked of the worker for a job in this state.
+    /// The worker call that a job in this state requires, if any.
     fn call_for(&self, entry: &Entry) -> Option<Call> {
         match &entry.state {
             JobState::Placed(attempt) => Some(Call::Start(Start {
@@ -213,7 +214,7 @@
         });
     }
 
-    /// A lease that a job of this length rarely has to have renewed.
+    /// Length of a lease: twice the expected run time, so that most jobs need few renewals.
     fn lease(&self, id: &JobId) -> Duration {
         let run_time = self.planner.run_time(id).unwrap_or_default();
         run_time
@@ -221,7 +222,7 @@
             .clamp(self.options.shortest_lease, self.options.longest_lease)
     }
 
-    /// The attempt of a job, if it is still this one.
+    /// The job's entry and attempt, if `attempt` is still the current one.
     fn current(&self, id: &JobId, attempt: AttemptId) -> Option<(&Entry, &Attempt)> {
         let entry = self.known.jobs.get(id)?;
         let current = entry.attempt()?;
@@ -238,8 +239,8 @@
             match learned {
                 Learned::Event(event) => {
                     if event == Event::NotStarted {
-                        // The worker has less room than the books say; asking it again at once
-                        // would go round and round.
+                        // The worker has less capacity than the accounting shows. Without a
+                        // backoff the job would be placed there again at once.
                         self.planner.shun(&ask.attempt.worker, now);
                     }
                     self.pending.push(Report {
@@ -261,8 +262,8 @@
         }
     }
 
-    /// An attempt has ended, and no report tells how. As long as reports can't be read they may
-    /// still come; after that the outcome is unknown, which is said and not guessed.
+    /// Reports ended attempts as `Unknown` if no report about them arrived in time. Time during
+    /// which reports can't be read doesn't count, because the report may still arrive.
     fn give_up(&mut self) {
         let mut lost = Vec::new();
         let known = self.known.clone();
@@ -315,8 +316,8 @@
             Event::MemoryKilled { memory_mib } => self.planner.memory_killed(id, memory_mib),
             _ => {}
         }
-        // The log may be ahead of the state known here, so that only what certainly changes
-        // nothing is left out: an attempt that the log has and knows to run.
+        // The log may be ahead of the state here, so a report is dropped only if it certainly changes
+        // nothing: the start of an attempt that the state already shows as running.
         let runs = |entry: &Entry| matches!(entry.state, JobState::Running(_));
         let is_known_to_run = self
             .current(id, attempt)
@@ -330,7 +331,7 @@
         }
     }
 
-    /// Puts what happened into the log; what couldn't be put there is kept for the next step.
+    /// Appends pending reports to the log; what can't be appended is kept for the next step.
     fn report(&mut self) {
         let state = self.node.state.load_full();
         self.pending.retain(|report| {
@@ -387,8 +388,9 @@
         self.correct(&decision, now);
     }
 
-    /// The books took the decision for granted. What the log didn't accept, or not yet, is taken
-    /// back; should it come into force after all, the next step sees it in the state.
+    /// Resets the planner's accounting to the state for everything in the decision, because the
+    /// planner assumed that the log would accept it. Parts that are accepted later reach the planner
+    /// with the state in a later step.
     fn correct(&mut self, decision: &Decision, now: Duration) {
         let state = self.node.state.load_full();
         let placed = decision.place.iter().map(|placement| &placement.job);
@@ -429,7 +431,8 @@
             let Some((entry, current)) = self.current(&id, attempt) else {
                 continue;
             };
-            // Without a call a renewal got no answer; the worker counts the old lease on.
+            // If the state requires no call, the failed call was a renewal; the old lease still
+            // runs at the worker.
             let lease = self.lease(&id);
             let call = self.call_for(entry);
             let call = call.unwrap_or(Call::Act(Action::Renew, lease));
--- a/pomelohitchd/src/batch/effects.rs
+++ b/pomelohitchd/src/batch/effects.rs
@@ -1,4 +1,4 @@
-//! Calls to workers, each keyed by its attempt, so that repeating one does no harm.
+//! Calls to workers. Each call carries its attempt's id, so repeating it is harmless.
 
 use std::sync::{Arc, Mutex, PoisonError, mpsc};
 use std::time::Duration;
@@ -11,17 +11,17 @@
 
 use crate::node::Node;
 
-/// How many calls are under way at once.
+/// Number of threads, and thus of concurrent calls.
 const CALLS: usize = 16;
 
-/// What to ask of a worker.
+/// An operation on an attempt at its worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
     /// Start the attempt.
     Start(Start),
-    /// Do this to the attempt.
+    /// Apply an action to the attempt; the duration is the new lease of a renewal, otherwise zero.
     Act(Action, Duration),
-    /// Slow the attempt down.
+    /// Throttle the attempt.
     Throttle,
 }
 
@@ -30,35 +30,35 @@
 pub struct Ask {
     /// The job.
     pub job: JobId,
-    /// Its attempt.
+    /// The attempt, with its worker.
     pub attempt: Attempt,
-    /// What to ask.
+    /// The operation.
     pub call: Call,
 }
 
-/// What a call taught.
+/// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Learned {
     /// This happened to the attempt.
     Event(Event),
-    /// It has ended; how, its reports will tell.
+    /// It has ended; how is only known from its reports.
     Ended,
-    /// Nothing; it is asked again later, if it still matters.
+    /// No usable answer. The call is repeated later if the attempt is still current.
     Nothing,
-    /// The call was carried out, which changes nothing in the log.
+    /// The call succeeded and has no effect on the log.
     Done,
 }
 
-/// What became of a call.
+/// A finished call with its result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
-    /// What was asked.
+    /// The call.
     pub ask: Ask,
-    /// What it taught.
+    /// Its result.
     pub learned: Learned,
 }
 
-/// Threads that make calls. Dropping this ends them once their present calls are over.
+/// A pool of threads that make calls. After a drop, each thread ends when its current call is done.
 #[derive(Debug)]
 pub struct Effects {
     asks: mpsc::Sender<Ask>,
@@ -79,13 +79,13 @@
         Effects { asks, outcomes }
     }
 
-    /// Makes a call soon.
+    /// Queues a call.
     pub fn ask(&self, ask: Ask) {
-        // The threads end only after this is dropped.
+        // Can't fail: the threads keep the receiver until this is dropped.
         let _ = self.asks.send(ask);
     }
 
-    /// What became of calls since the last time.
+    /// Calls that finished since the last call of this function.
     pub fn outcomes(&self) -> impl Iterator<Item = Outcome> {
         self.outcomes.try_iter()
     }
@@ -119,10 +119,11 @@
     }
 }
 
-/// This thread may have waited or been paused since the ask. Just before the call it looks again
-/// whether the attempt is still to be started and this member still plans; what is left between
-/// look and call, the worker's fence covers: whoever settles the attempt in the meantime does so
-/// by asking for the task, after which the worker refuses the start.
+/// Whether the attempt is still to be started and this member still plans. Checked just before
+/// the call, because the call may have been queued or the process paused for a long time.
+///
+/// The worker's fencing covers the race between this check and the call: a planner that settles
+/// the attempt meanwhile does so by querying the task, after which the worker refuses its start.
 fn is_wanted(node: &Node, ask: &Ask) -> bool {
     let state = node.state.load();
     let entry = state.jobs.get(&ask.job);
@@ -133,8 +134,8 @@
     placed && super::is_planner(node)
 }
 
-/// The answer to a start can be lost after it took effect. Unless it was a plain yes, the worker
-/// is asked what it knows; if it knows nothing, that answer also rules out a later start.
+/// Starts an attempt. If the call fails it may still have taken effect, so the task is queried.
+/// If the worker doesn't know the task, that query also rules out a later start.
 fn start_attempt(node: &Node, ask: &Ask, start: &Start) -> Learned {
     if (node.workers.start)(&ask.attempt.worker, start).is_ok() {
         return Learned::Event(Event::Started);
@@ -150,7 +151,7 @@
             Action::Checkpoint => Learned::Event(Event::Checkpointed),
             Action::Renew | Action::Throttle => Learned::Done,
         },
-        // No such task: it never began or has ended.
+        // No such task is running: it never started or has ended.
         Err(error) if error.is_status(404) => look_up(node, ask.attempt.attempt, Learned::Nothing),
         Err(_) => Learned::Nothing,
     }
--- a/pomelohitchd/src/batch/polls.rs
+++ b/pomelohitchd/src/batch/polls.rs
@@ -1,4 +1,4 @@
-//! The platform's lists of workers and their reports, read in the background.
+//! Reads the platform's lists of workers and their reports in the background.
 
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
@@ -7,22 +7,22 @@
 
 use crate::node::Node;
 
-/// How often the list of workers is read.
+/// Interval between reads of the list of workers.
 const LIST_EVERY: Duration = Duration::from_secs(1);
-/// How often reports are read.
+/// Interval between reads of the reports.
 const REPORTS_EVERY: Duration = Duration::from_millis(100);
 
-/// What was read.
+/// The result of one read.
 #[derive(Debug)]
 pub enum News {
-    /// The workers.
+    /// The list of workers.
     List(List),
-    /// Reports, perhaps none.
+    /// New reports; may be empty.
     Reports(Reports),
 }
 
-/// Reads in the background from now on, reports from `reports_from` on. A slow platform holds
-/// up these threads and not the decisions. Dropping the receiver ends them.
+/// Starts threads that read lists, and reports from position `reports_from` on, so that a slow
+/// platform doesn't delay decisions. They end after the receiver is dropped.
 #[must_use]
 pub fn start(node: &Arc<Node>, reports_from: u64) -> mpsc::Receiver<News> {
     let (tx, rx) = mpsc::channel();
--- a/pomelohitchd/src/burn.rs
+++ b/pomelohitchd/src/burn.rs
@@ -1,4 +1,5 @@
-//! Counts answers for service-level burn, and appends each minute's counts to the log.
+//! Counts answers for the burn rate of service-level objectives, and appends each minute's counts
+//! to the log.
 
 use std::collections::VecDeque;
 use std::ops::Range;
@@ -16,18 +17,19 @@
 
 use crate::node::{Node, wall_clock};
 
-/// How often the end of a minute is looked for.
+/// Interval at which the end of a minute is checked.
 const TICK: Duration = Duration::from_millis(500);
-/// The first status that isn't the caller's own fault.
+/// The lowest status that counts as a failure of the service.
 const FIRST_FAILURE: u16 = 500;
-/// The counts of this run.
+
+/// The counts of this process.
 #[derive(Debug, Default)]
 pub struct Burn {
     counts: Mutex<Counts>,
     run: Mutex<Run>,
 }
 
-/// Which minutes still have to be closed.
+/// Tracks which minutes still have to be closed.
 #[derive(Debug, Default)]
 pub struct Minutes {
     next: Option<Minute>,
@@ -35,10 +37,10 @@
 
 impl Minutes {
     /// The minutes that are over at `now` and weren't returned before; none at the first call,
-    /// with which counting begins.
+    /// which starts the count.
     ///
-    /// A clock that was set far ahead gives no more than a day's minutes, and one that was set back
-    /// none until it has caught up.
+    /// After the clock was set far ahead, at most a day's minutes are returned; after it was set
+    /// back, none until it has caught up.
     pub fn past(&mut self, now: Minute) -> Range<Minute> {
         let next = self.next.unwrap_or(now);
         let from = next.max(now.saturating_sub(MINUTES_KEPT as Minute));
@@ -47,7 +49,7 @@
     }
 }
 
-/// The records of this run.
+/// The records of this process.
 #[derive(Debug, Default)]
 struct Run {
     minutes: Minutes,
@@ -56,8 +58,8 @@
     pending: VecDeque<Box<str>>,
 }
 
-/// Whether an answer is good by the service's objective; `None` if it isn't counted: the service
-/// has no objective, or the caller's request was at fault.
+/// Whether an answer meets the service's objective; `None` if it isn't counted, because the
+/// service has no objective or the caller's request was at fault.
 #[must_use]
 pub fn is_good(
     service: &Service,
@@ -87,12 +89,13 @@
         }
     }
 
-    /// Makes the record of `minute`, which is over.
+    /// Queues the record of `minute`, which is over.
     fn close(&self, node: &Node, minute: Minute, last: bool) {
         let rows = lock(&self.counts).take(minute);
         let mut run = lock(&self.run);
         let joined = node.incarnation.load(Ordering::Acquire);
-        // A process that has to join again goes on under its first incarnation: its numbers do.
+        // A process that joins again keeps its first incarnation, because its sequence numbers
+        // continue.
         let incarnation = *run.incarnation.get_or_insert(joined);
         let record = Record {
             member: node.settings.member.clone(),
@@ -104,14 +107,14 @@
         };
         run.seq += 1;
         run.pending.push_back(record.encode());
-        // The number that is missing then shows as a gap.
+        // The dropped record shows as a gap in the sequence numbers.
         if run.pending.len() > MINUTES_KEPT {
             run.pending.pop_front();
         }
     }
 
-    /// Appends what waits. A record whose append may have taken effect is appended again: its
-    /// number makes it count once.
+    /// Appends the queued records. A record whose append may have taken effect is appended again;
+    /// its sequence number makes it count once.
     fn append(&self, node: &Node) {
         let mut run = lock(&self.run);
         if run.pending.is_empty() {
@@ -124,8 +127,8 @@
     }
 }
 
-/// Appends each minute's counts until a graceful shutdown begins. While the log is down the
-/// records wait, up to a day of them.
+/// Appends each minute's counts until a graceful shutdown begins. While the log is down, up to a
+/// day of records is queued.
 pub fn run(node: &Arc<Node>) {
     while !node.is_leaving() {
         if node.is_ready() {
@@ -146,11 +149,11 @@
     }
 }
 
-/// Appends the counts up to the last answer, marked as the run's last record: without it a report
-/// would show that the run ended abruptly.
+/// Appends the counts up to the last answer in a record marked as the last one. Without it, a
+/// report would show that the process ended abruptly.
 ///
-/// The minute before may have ended since the last look; it is closed as well, or an entry instance
-/// that is replaced around a full minute would take its counts along.
+/// The previous minute may have ended since the last check and is closed as well. Otherwise an
+/// entry instance that is replaced around a full minute would lose its counts.
 pub fn finish(node: &Node) {
     let now = minute_of(wall_clock());
     close_past(node, now);
@@ -158,7 +161,7 @@
     node.burn.append(node);
 }
 
-/// Both values are whole after every step, also when a holder panicked.
+/// Ignores poisoning: both values are consistent after every step, even if a holder panicked.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/pomelohitchd/src/freshness.rs
+++ b/pomelohitchd/src/freshness.rs
@@ -1,41 +1,42 @@
-//! Whether what this process knows is recent enough to send work by it.
+//! Whether the state of this process is recent enough to dispatch work.
 //!
-//! A process that was paused, or cut off from the log and its peers, would go on accepting a
-//! withdrawn key and sending requests to an instance that left, for as long as callers reach it.
-//! Users would notice a key that still works long after it was withdrawn. Nobody can tell such a
-//! process anything, so it has to find out by itself, on the monotonic clock, right before it
-//! sends: either it read the log lately, or, the log being down, it lately heard more than half
-//! of the members and none that has read more of the log. Bad news that is known to more than half
-//! of them has reached one that it heard; what a publish withdrew isn't told as bad news, so that
-//! one that has read more may know of a withdrawal. Otherwise it refuses until it knows more.
+//! A process that was paused, or partitioned from the log and its peers, would go on accepting
+//! withdrawn keys and sending requests to instances that left, for as long as callers reach it. As
+//! no message reaches such a process, it checks by itself, on the monotonic clock, right before it
+//! sends. Its state is fresh if it read the log within [`BOUND`]. While the log is down, it is also
+//! fresh if within [`BOUND`] the process heard more than half of the members, and none of them has
+//! applied more of the log. A withdrawal in the heartbeats of more than half of the members has
+//! then arrived from one of those heard. Withdrawals by a published configuration aren't in
+//! heartbeats, so a member that has applied more may know of one. In all other cases the process
+//! refuses requests.
 //!
-//! A log that goes down right after some members read a record leaves those who didn't refusing
-//! until it is up again: the balancer's other entry instances serve meanwhile.
+//! If the log goes down right after some members read a record, the members without that record
+//! refuse requests until it is up again; the balancer's other entry instances serve meanwhile.
 
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
 use crate::node::Node;
 
-/// Knowledge older than this isn't acted on; withdrawn keys stop working, and leaving instances
-/// get no new work, within about this time everywhere.
+/// Work isn't dispatched by a state older than this. Withdrawn keys stop working, and leaving
+/// instances get no new work, within about this time at every entry instance.
 pub const BOUND: Duration = Duration::from_secs(4);
 
-/// What speaks for the knowledge being recent.
+/// The observations that show whether the state is recent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
-    /// How long ago the last read of the log that succeeded was begun; `None` if none was.
+    /// Time since the start of the last successful read of the log; `None` before the first.
     pub log_read: Option<Duration>,
-    /// How many members there are, this one included.
+    /// Number of members, including this one.
     pub members: usize,
-    /// How many of them were heard within [`BOUND`], this one included.
+    /// Number of members heard within [`BOUND`], including this one.
     pub heard: usize,
-    /// Whether one of those heard has applied more of the log.
+    /// Whether one of the members heard has applied more of the log.
     pub is_behind: bool,
 }
 
 impl Evidence {
-    /// Whether it is enough.
+    /// Whether the state may be used to dispatch work.
     #[must_use]
     pub fn is_fresh(&self) -> bool {
         let has_read = self.log_read.is_some_and(|age| age <= BOUND);
@@ -43,7 +44,7 @@
     }
 }
 
-/// Whether `node` may send work by what it knows now.
+/// Whether the state of `node` is recent enough to dispatch work now.
 #[must_use]
 pub fn is_fresh(node: &Node) -> bool {
     let now = Instant::now();
@@ -61,7 +62,7 @@
     let peers = node.peers();
     let own = node.incarnation.load(Ordering::Acquire);
     let is_recent = |at| now.saturating_duration_since(at) <= BOUND;
-    // Not when it arrived: after a pause, heartbeats of long ago arrive all at once.
+    // Not the arrival time: after a pause, old heartbeats arrive all at once.
     let said_after = |id: &str| peers.get(id).and_then(|seen| seen.said_after);
     let is_recent = |id: &str| said_after(id).is_some_and(is_recent);
     let is_self = |id: &str, incarnation| id == &*node.settings.member && incarnation == own;
--- a/pomelohitchd/src/front.rs
+++ b/pomelohitchd/src/front.rs
@@ -1,12 +1,13 @@
 //! The callers' port.
 //!
-//! * [`limits`]: what one caller, and all of them together, may take up.
+//! * [`limits`]: limits per request, per connection and over all connections.
 //! * [`connection`]: reads requests from one connection and writes their answers.
-//! * [`exchange`]: one request from its head to its answer.
+//! * [`exchange`]: handles one request from its head to its answer.
 //!
-//! The server inside `rouille` bounds neither heads, bodies, connections nor slow senders, so
-//! that a few callers could use up the memory of an entry instance. Connections are therefore
-//! accepted here, within limits; `rouille` gives the requests and responses.
+//! The server of `rouille` limits neither the size of heads and bodies, nor the number of
+//! connections, nor slow senders, so a few callers could exhaust the memory of an entry instance.
+//! Connections are therefore accepted here, within limits; only the request and response types
+//! are those of `rouille`.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -28,27 +29,27 @@
 use exchange::Exchange;
 use limits::{Gauge, Guard};
 
-/// How often the end of a graceful shutdown is looked for.
+/// Polling interval during a graceful shutdown.
 const TICK: Duration = Duration::from_millis(10);
-/// Stack of a connection's thread, bytes.
+/// Stack size of a connection's thread, in bytes.
 const STACK: usize = 512 * 1024;
-/// After an accept that failed, which mostly means that descriptors have run out.
+/// Delay after a failed accept, most often caused by a lack of file descriptors.
 const ACCEPT_AGAIN_AFTER: Duration = Duration::from_millis(50);
 
-/// One request as it was read, whole.
+/// One complete request.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Its head.
+    /// Request line and headers.
     pub head: Head,
-    /// Its body.
+    /// Body; empty if the request has none.
     pub body: Vec<u8>,
-    /// Who sent it.
+    /// Address of the caller.
     pub peer: SocketAddr,
-    /// When its head was complete.
+    /// Time at which its head was complete.
     pub arrived: Instant,
 }
 
-/// Whose requests are served, and how.
+/// The service behind the port.
 pub struct Service {
     /// Whether the process shuts down.
     pub is_leaving: Box<dyn Fn() -> bool + Send + Sync>,
@@ -56,10 +57,10 @@
     pub answer: Box<dyn Fn(Incoming) -> Response + Send + Sync>,
 }
 
-/// What the connections share.
+/// State shared by the connections.
 pub struct Front {
     service: Service,
-    /// What callers may take up.
+    /// Limits on connections, sizes and times.
     pub limits: Limits,
     connections: Gauge,
     body_bytes: Gauge,
@@ -87,7 +88,7 @@
     serve_with(service, listener, limits);
 }
 
-/// Serves `service` within `limits` until it leaves and the last answer is written.
+/// Serves `service` within `limits` until it shuts down and the last answer is written.
 pub fn serve_with(service: Service, listener: &TcpListener, limits: Limits) {
     let front = front(service, limits);
     match listener.try_clone() {
@@ -114,15 +115,15 @@
     })
 }
 
-/// The balancer notices only after a while that this entry instance leaves. For that long new
-/// connections are still served; afterwards they are told to go elsewhere until the last request
-/// in flight has its answer.
+/// The balancer takes a while to notice that this entry instance shuts down. During
+/// `leaving_grace` new connections are still served; afterwards they are refused until the last
+/// request in flight has its answer.
 fn shut_down(front: &Front, listener: &TcpListener) {
     std::thread::sleep(front.limits.leaving_grace);
     while front.connections.used() > 0 {
         std::thread::sleep(TICK);
     }
-    // Wakes the accepting thread, which then sees that the port is closed.
+    // Wakes the accepting thread, which then sees that the shutdown is over.
     if let Ok(addr) = listener.local_addr() {
         let _ = TcpStream::connect_timeout(&addr, TICK);
     }
@@ -178,7 +179,8 @@
     }
 }
 
-/// The answer fits into the empty send buffer of a new connection, so that this never waits.
+/// Refuses a connection. The answer fits into the empty send buffer of a new connection, so the
+/// write never blocks.
 fn refuse(mut stream: &TcpStream) {
     metrics::counter!("callers_refused").increment(1);
     let answer = connection::refusal("no room for another connection");
--- a/pomelohitchd/src/front/connection.rs
+++ b/pomelohitchd/src/front/connection.rs
@@ -12,12 +12,12 @@
 use super::exchange;
 use super::{Front, Incoming};
 
-/// Bytes read at a time.
+/// Size of one read, in bytes.
 const CHUNK: usize = 8 * 1024;
-/// After a refusal, what the caller still sends is read and dropped for so long, and so much.
+/// Limits in time and bytes on reading and discarding what the caller still sends after a refusal.
 const LINGER: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 1024 * 1024;
-/// When to come back after a refusal for lack of room.
+/// `Retry-After` of a refusal for lack of memory or connections.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why no request was read.
@@ -32,14 +32,14 @@
     /// The bytes can't become a request.
     #[snafu(display("{source}"))]
     Unreadable { source: head::Error },
-    /// All bodies together take too much memory.
+    /// The bodies of all connections exceed their memory limit.
     #[snafu(display("no room for the body"))]
     NoRoom,
 }
 
 type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A connection, and what was read from it beyond the last request.
+/// A connection, with the bytes read beyond its last request.
 struct Connection<'a> {
     front: &'a Front,
     stream: &'a TcpStream,
@@ -48,7 +48,7 @@
 
 /// Serves the requests of one connection, one after another.
 pub fn serve(front: &Front, stream: &TcpStream, peer: SocketAddr) {
-    // Answers are written whole; without this they'd wait for the caller's acknowledgements.
+    // Each answer is one write, so Nagle's algorithm would only delay it.
     let _ = stream.set_nodelay(true);
     let _ = stream.set_write_timeout(Some(front.limits.write_within));
     let mut connection = Connection {
@@ -99,8 +99,7 @@
         }
     }
 
-    /// Waits for the first byte of a request. A shutdown ends the wait once callers had the time
-    /// to hear of it.
+    /// Waits for the first byte of a request. During a shutdown, waits at most `leaving_grace`.
     fn wait_for_request(&mut self) -> Result<()> {
         let limits = &self.front.limits;
         let mut deadline = Instant::now() + limits.idle;
@@ -135,8 +134,8 @@
         Ok(std::mem::replace(&mut self.buf, rest))
     }
 
-    /// Reads some bytes. A time limit for each read alone would let a caller that sends one byte
-    /// now and then hold its connection for ever.
+    /// Reads some bytes before `deadline`, which covers the whole head or body: a timeout per read
+    /// would let a caller that sends single bytes hold its connection forever.
     fn read_until(&mut self, deadline: Instant) -> Result<()> {
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
@@ -158,7 +157,7 @@
         }
     }
 
-    /// Tells the caller what was wrong, if it can be told, and ends the connection.
+    /// Answers with a problem document, if the caller is still connected, and ends the connection.
     fn refuse(&mut self, error: &Error) -> bool {
         let detail = error.to_string();
         let problem = match error {
@@ -178,8 +177,8 @@
         false
     }
 
-    /// Closing a connection while bytes of the caller are still unread resets it, and the reset
-    /// may overtake the answer: the caller would see a broken connection and no reason.
+    /// Lingering close: reads and discards what the caller still sends. Closing a connection with
+    /// unread bytes resets it, and the reset may overtake the answer.
     fn linger(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let deadline = Instant::now() + LINGER;
@@ -201,19 +200,20 @@
     }
 }
 
-/// The bytes that refuse a new connection for lack of room.
+/// The answer that refuses a connection because a limit is reached, as bytes.
 #[must_use]
 pub fn refusal(detail: &str) -> Vec<u8> {
     let problem = Problem::not_run(Kind::EntryFull, detail).retry_after(FULL_RETRY_AFTER);
     encode(exchange::problem_response(&problem), true, false).unwrap_or_default()
 }
 
-/// Headers that are written by [`encode`] itself.
+/// Headers that [`encode`] sets itself.
 const FRAMING: [&str; 3] = ["connection", "content-length", "transfer-encoding"];
 
 /// The answer as bytes; `None` if its body can't be read.
 ///
-/// The body is in memory already, so its length is always stated and a cut answer shows.
+/// The body is in memory, so `Content-Length` is always known and callers detect a truncated
+/// answer.
 fn encode(response: Response, is_last: bool, is_head: bool) -> Option<Vec<u8>> {
     let status = response.status_code;
     let (mut reader, _) = response.data.into_reader_and_size();
@@ -224,13 +224,13 @@
     let _ = write!(bytes, "HTTP/1.1 {status} {}\r\n", reason(status));
     for (name, value) in &response.headers {
         let is_framing = FRAMING.iter().any(|f| name.eq_ignore_ascii_case(f));
-        // A line break inside a value would begin a header of its own.
+        // A line break in a value would start another header.
         if !is_framing && !value.contains(['\r', '\n']) {
             let _ = write!(bytes, "{name}: {value}\r\n");
         }
     }
     let has_length = !matches!(status, 100..=199 | 204 | 304);
-    // To HEAD only headers are sent, and no length is better than a wrong one.
+    // An answer to HEAD has no body, and no length is better than a wrong one.
     if has_length && !is_head {
         let _ = write!(bytes, "Content-Length: {}\r\n", body.len());
     }
--- a/pomelohitchd/src/front/exchange.rs
+++ b/pomelohitchd/src/front/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! Handles one request: checks its key, dispatches it and builds the answer.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -23,24 +23,24 @@
 use crate::permits::keys::{self, Granted};
 use crate::permits::{self, NoTurn, Wanted};
 
-/// The result of this module.
+/// A result whose error becomes a problem document.
 pub type Result<T, E = Problem> = std::result::Result<T, E>;
 
-/// When to come back if no runner takes requests.
+/// `Retry-After` if no runner takes requests.
 const NO_RUNNER_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// When to come back if the entry's knowledge is too old.
+/// `Retry-After` if the state of this entry instance is stale.
 const STALE_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// When to come back if an idempotency key can't be checked.
+/// `Retry-After` if an idempotency key can't be checked.
 const KEY_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// How requests are answered.
+/// Answers requests of callers.
 #[derive(Debug)]
 pub struct Exchange {
     node: Arc<Node>,
     sender: Sender,
 }
 
-/// A request whose caller is known.
+/// An authenticated request.
 #[derive(Debug)]
 struct Call {
     id: Box<str>,
@@ -53,7 +53,7 @@
 }
 
 impl Exchange {
-    /// Answers from what `node` knows.
+    /// An exchange that answers by the state of `node`.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Exchange {
         Exchange {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Answers a request that arrived whole; `arrived` is when its head had.
+    /// Answers a complete request; `arrived` is the time at which its head was complete.
     #[must_use]
     pub fn answer(
         &self,
@@ -108,11 +108,11 @@
         answered.map(endpoint_response)
     }
 
-    /// The team whose key it is, by a state that isn't old.
+    /// The state, and the team whose key it is.
     ///
-    /// A process that wakes from a pause learns within moments that its knowledge is recent again,
-    /// while it still holds the state of before. So the state is taken after that was checked, not
-    /// before: a key that was withdrawn meanwhile would be accepted otherwise.
+    /// The state is loaded after the freshness check, not before. Otherwise a process that resumes
+    /// after a pause could pass the check while it holds the state from before the pause, and
+    /// accept a key that was withdrawn meanwhile.
     fn check_key(&self, key: &KeyHash) -> Result<(Arc<State>, Team)> {
         if !freshness::is_fresh(&self.node) {
             let detail = "neither the log nor the peers were heard lately";
@@ -131,8 +131,8 @@
     fn call(&self, call: &Call) -> Result<Answer> {
         let granted = self.claim_key(call)?;
         let answered = self.send_in_turn(call);
-        // The key stays taken unless the request certainly didn't run: then the caller may send
-        // it again.
+        // The key stays taken unless the request certainly didn't run, in which case the caller may
+        // send it again.
         if let (Some(granted), Err(problem)) = (granted, &answered)
             && problem.ran == Ran::No
         {
@@ -141,7 +141,8 @@
         answered
     }
 
-    /// A request that may run any number of times needs nobody's leave.
+    /// Claims the idempotency key. Idempotent requests may run any number of times and need no
+    /// claim.
     fn claim_key(&self, call: &Call) -> Result<Option<Granted>> {
         let Some(key) = call.terms.key.as_ref().filter(|_| !call.terms.idempotent) else {
             return Ok(None);
@@ -149,8 +150,8 @@
         let key = format!("{}/{}/{key}", call.service.id, call.team.id);
         match keys::claim(&self.node, &key, &call.id) {
             Ok(granted) => Ok(Some(granted)),
-            // This request didn't run, but one with its key may have: "no" would invite the
-            // caller to send it again under another key.
+            // This request didn't run, but another one with its key may have. With `ran: no` the
+            // caller would send it again under another key.
             Err(Verdict::Taken) => Err(Problem::unknown(
                 Kind::DuplicateKey,
                 "a request with this idempotency key was sent to the endpoint before",
@@ -189,7 +190,7 @@
             };
             may_have_run |= !error.is_not_run();
             if let Some(next) = self.next_try(call, &sent, &error) {
-                // Whatever made the first try fail, the next one doesn't trust old connections.
+                // After a failure, a reused connection isn't trusted any more.
                 connection = Connection::New;
                 sent = next;
                 continue;
@@ -198,9 +199,9 @@
         }
     }
 
-    /// Right before sending: a process that was paused since its turn came may have been held for
-    /// dead, and its permits given to others; and a key may be withdrawn while its request waits
-    /// for its turn.
+    /// Repeats the checks right before sending. While the process was paused, its incarnation may
+    /// have been ended and its permits granted to others, and the key may have been withdrawn while
+    /// the request waited in the queue.
     fn check_again(&self, call: &Call, sent: &Sent) -> Result<()> {
         let (_, team) = self.check_key(&call.key)?;
         if !permits::may_send(&self.node, sent) {
@@ -218,7 +219,7 @@
     }
 
     fn try_once(&self, call: &Call, sent: &Sent, connection: Connection) -> send::Result<Answer> {
-        // The runner was chosen by the state of before, which may have been a pause ago.
+        // The runner was chosen by an earlier state, which is outdated if the process was paused.
         let state = self.node.state.load();
         let runner = state.fleet.instances.get(&sent.runner);
         if runner.is_none_or(|runner| runner.phase != Phase::Active) {
@@ -237,8 +238,8 @@
         answered
     }
 
-    /// A kept connection may have gone silent: a request that may run twice doesn't spend its whole
-    /// time on finding that out.
+    /// Timeout of one attempt. A reused connection may be dead, so an idempotent request doesn't
+    /// spend its whole remaining time on it.
     fn limit_of_try(&self, call: &Call, connection: Connection, left: Duration) -> Duration {
         match connection {
             Connection::New => left,
@@ -247,7 +248,8 @@
         }
     }
 
-    /// A request that may not run twice is tried again only if no byte of it has left.
+    /// The next attempt, if there is one. A request that isn't idempotent is retried only if none of
+    /// its bytes were sent.
     fn next_try(&self, call: &Call, sent: &Sent, error: &send::Error) -> Option<Sent> {
         let is_unsent = matches!(error, send::Error::Unsent { .. });
         let has_time = Instant::now() < call.deadline;
@@ -268,7 +270,7 @@
         .ok_or_else(|| Problem::not_run(Kind::UnknownKey, "show a key: Authorization: Bearer KEY"))
 }
 
-/// Without any runner the wait has no end that could be told.
+/// Refuses at once if the pool has no active instance, because no waiting time can be estimated.
 fn check_runners(state: &State, service: &Service) -> Result<()> {
     if state.fleet.active_in(&service.pool) > 0 {
         return Ok(());
@@ -351,7 +353,7 @@
     })
 }
 
-/// Splits `SERVICE/PATH?QUERY` into the service and what the runner is asked for.
+/// Splits `SERVICE/PATH?QUERY` into the service and the target that is sent to the runner.
 fn split_target(target: &str) -> (&str, Box<str>) {
     let end = target.find(['/', '?']).unwrap_or(target.len());
     let (name, rest) = target.split_at(end);
@@ -363,10 +365,10 @@
     (name, path)
 }
 
-/// The one place that turns failed tries into words for the caller.
+/// The problem document for failed attempts.
 ///
-/// The last try alone doesn't tell: one before it may have run although this one certainly
-/// didn't.
+/// `error` is that of the last attempt; an earlier attempt may have run even if the last one
+/// certainly didn't.
 fn problem_of(error: &send::Error, may_have_run: bool) -> Problem {
     let detail = error.to_string();
     let problem = match error {
--- a/pomelohitchd/src/front/limits.rs
+++ b/pomelohitchd/src/front/limits.rs
@@ -1,4 +1,4 @@
-//! What one caller, and all of them together, may take up.
+//! Limits of the callers' port, per request, per connection and over all connections.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,31 +6,31 @@
 
 use pomelohitch_route::head;
 
-/// Sizes and times of the callers' port.
+/// Limits on sizes and times at the callers' port.
 ///
-/// An entry instance is small: at these defaults its callers together hold no more than about
-/// 64 MiB of bodies, 8 MiB of heads and the stacks of 512 threads.
+/// With the defaults, all callers together use at most about 64 MiB for bodies, 8 MiB for heads
+/// and the stacks of 512 threads, so that a small instance suffices.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Sizes of one request.
+    /// Limits on the head and body of one request, in bytes.
     pub request: head::Limits,
-    /// Most connections at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Most bytes of bodies held at once, over all connections.
+    /// Maximum number of body bytes in memory, over all connections.
     pub body_bytes_together: usize,
-    /// How long a head may take from its first byte.
+    /// Timeout for reading a head, from its first byte.
     pub head_within: Duration,
-    /// How long a body may take.
+    /// Timeout for reading a body.
     pub body_within: Duration,
-    /// How long writing an answer may take.
+    /// Timeout for a blocking write of an answer.
     pub write_within: Duration,
-    /// How long a connection may be idle between requests.
+    /// A connection is closed after this time without a request.
     pub idle: Duration,
-    /// How often an idle connection looks whether the process shuts down.
+    /// Interval at which an idle connection checks for a shutdown.
     pub idle_tick: Duration,
-    /// How often the accepting side looks whether the process shuts down.
+    /// Interval at which the serving thread checks for a shutdown.
     pub leaving_tick: Duration,
-    /// How long new connections are served after a graceful shutdown began.
+    /// New connections are still served for this long after a graceful shutdown begins.
     pub leaving_grace: Duration,
 }
 
@@ -51,14 +51,14 @@
     }
 }
 
-/// Counts something of which only so much may be in use.
+/// A limited amount (of connections or bytes) and how much of it is in use.
 #[derive(Debug)]
 pub struct Gauge {
     used: Arc<AtomicUsize>,
     most: usize,
 }
 
-/// Gives its part back when dropped, also by a panic.
+/// Returns its amount when dropped, also during a panic.
 #[derive(Debug)]
 pub struct Guard {
     used: Arc<AtomicUsize>,
@@ -66,7 +66,7 @@
 }
 
 impl Gauge {
-    /// A gauge of which `most` may be in use.
+    /// A budget of which at most `most` may be in use.
     #[must_use]
     pub fn new(most: usize) -> Gauge {
         Gauge {
@@ -75,13 +75,13 @@
         }
     }
 
-    /// How much is in use.
+    /// The amount in use.
     #[must_use]
     pub fn used(&self) -> usize {
         self.used.load(Ordering::Acquire)
     }
 
-    /// Takes `amount`, if so much is left.
+    /// Takes `amount`; `None` if less than that is left.
     #[must_use]
     pub fn take(&self, amount: usize) -> Option<Guard> {
         let add = |used: usize| used.checked_add(amount).filter(|&sum| sum <= self.most);
--- a/pomelohitchd/src/group_commit.rs
+++ b/pomelohitchd/src/group_commit.rs
@@ -1,8 +1,8 @@
-//! Many callers' proposals about jobs in one append.
+//! Group commit: combines changes of jobs by many callers in one append.
 //!
-//! The log takes several hundred appends a second for the whole region. Whoever comes first
-//! appends; whoever comes while an append is under way waits in the next batch, which one of them
-//! then appends for all.
+//! The log takes only several hundred appends per second for the whole region. While an append is
+//! in flight, further changes collect in the next batch, which one of the waiting threads then
+//! appends for all.
 
 use std::sync::{Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,26 +13,26 @@
 
 use crate::node::{Decided, ProposeError};
 
-/// The most jobs that one record carries.
+/// Maximum number of jobs in one record.
 const MAX_JOBS: usize = 512;
-/// How long one append with its verdict may take.
+/// Timeout of one append with its verdict.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(4);
-/// How many batches in a row are kept for those who wait in them.
+/// Number of recent batches whose outcomes are kept for the threads that wait for them.
 const OUTCOMES_KEPT: usize = 64;
 
-/// What a caller asks for.
+/// A change of jobs by a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ask {
-    /// Take in these jobs.
+    /// Submit these jobs.
     Submit(Vec<Job>),
     /// Cancel these jobs.
     Cancel(Vec<JobId>),
 }
 
-/// What became of the append that carried an ask.
+/// The outcome of the append that contained a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The record stands in the log and is in force here; each job in it was judged by itself.
+    /// The record is in the log and applied here; the fold evaluated each job in it separately.
     Durable,
     /// Nothing was appended.
     NotAppended,
@@ -43,7 +43,7 @@
 /// Appends a proposal and waits for its verdict.
 pub type ProposeFn<'a> = &'a dyn Fn(Body, Duration) -> Result<Decided, ProposeError>;
 
-/// Asks that wait for an append.
+/// Changes that wait for an append.
 #[derive(Debug, Default)]
 pub struct GroupCommit {
     inner: Mutex<Inner>,
@@ -52,19 +52,18 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// The batch that is being filled.
+    /// Number of the batch that collects changes.
     filling: u64,
     submits: Vec<Job>,
     cancels: Vec<JobId>,
     is_appending: bool,
     /// The outcomes of the last batches; the newest is that of the batch before `filling`, or of
-    /// the one before that while an append is under way.
+    /// the one before that while an append is in flight.
     outcomes: std::collections::BTreeMap<u64, Outcome>,
 }
 
 impl GroupCommit {
-    /// Appends `ask` together with those of other callers, and returns when it is known what
-    /// became of the append.
+    /// Appends `ask` together with the changes of other callers; returns the outcome of the append.
     pub fn commit(&self, ask: Ask, propose: ProposeFn<'_>) -> Outcome {
         let mut inner = self.lock();
         while inner.submits.len() + inner.cancels.len() >= MAX_JOBS {
@@ -115,7 +114,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        // The data is whole after every step, also when a holder panicked.
+        // Ignores poisoning: the data is consistent after every step, even if a holder panicked.
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -126,12 +125,13 @@
     }
 }
 
-/// The oldest batch whose outcome can still be looked up.
+/// The oldest batch whose outcome is still kept.
 fn oldest(inner: &Inner) -> u64 {
     inner.outcomes.keys().next().copied().unwrap_or(0)
 }
 
-/// Submits go first: a cancel can only name a job that its caller knows to be taken in.
+/// Appends submits before cancels. No cancel depends on a submit in the same batch, since callers
+/// learn a job's id only after its submit is durable.
 fn append_all(submits: Vec<Job>, cancels: Vec<JobId>, propose: ProposeFn<'_>) -> Outcome {
     let mut outcome = Outcome::Durable;
     if !submits.is_empty() {
@@ -155,8 +155,8 @@
     }
 }
 
-/// When one of two appends went wrong, none of those who share the batch may be told "nothing
-/// happened": only two that both did nothing did nothing.
+/// The outcome of a batch with two appends. Unless both have the same outcome, it is unknown:
+/// `NotAppended` would be wrong for a caller whose change was in the append that succeeded.
 fn worse(first: Outcome, second: Outcome) -> Outcome {
     if first == second {
         first
--- a/pomelohitchd/src/jobs_api.rs
+++ b/pomelohitchd/src/jobs_api.rs
@@ -1,11 +1,11 @@
-//! `/v1/jobs`: callers hand in, read and cancel batch jobs.
+//! `/v1/jobs`: callers submit, read and cancel batch jobs.
 //!
-//! * `POST /v1/jobs`, body a [`JobRequest`]: `201` with a [`JobView`] once the job is durable, `200` if
-//!   the same `Idempotency-Key` was used before.
+//! * `POST /v1/jobs`, body a [`JobRequest`]: `201` with a [`JobView`] once the job is durable, `200`
+//!   if the same `Idempotency-Key` was used before.
 //! * `GET /v1/jobs`: the team's jobs, `GET /v1/jobs/ID`: one of them.
-//! * `DELETE /v1/jobs/ID`: cancels it; the answer tells the state that follows.
+//! * `DELETE /v1/jobs/ID`: cancels it and answers with its new state.
 //!
-//! Everything else is a problem document (RFC 9457) with `ran`.
+//! All other answers are problem documents (RFC 9457) with the member `ran`.
 
 use std::io::Read;
 use std::time::Duration;
@@ -21,42 +21,42 @@
 use crate::group_commit::{Ask, Outcome};
 use crate::node::Node;
 
-/// The largest body that is read, in bytes.
+/// Largest accepted body, in bytes.
 const MAX_BODY: u64 = 64 * 1024;
-/// The longest class, group or key, in bytes.
+/// Longest class, group or idempotency key, in bytes.
 const MAX_NAME: usize = 200;
-/// With so many jobs kept, ended ones among them, no more are taken in: every entry instance holds
-/// all of them, and would run out of memory without a word to anyone.
+/// No more jobs are accepted while the table holds this many, including ended ones. Every entry
+/// instance keeps all of them and would otherwise run out of memory without any error to callers.
 pub const MOST_JOBS: usize = 40_000;
-/// The most jobs that a list carries.
+/// Maximum number of jobs in a list.
 const MAX_LISTED: usize = 1000;
-/// When to come back after a refusal that is about to pass, in seconds.
+/// `Retry-After` of a refusal for a temporary reason, in seconds.
 const RETRY_AFTER: &str = "2";
 
-/// What a caller declares of a job.
+/// A job as its caller declares it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobRequest {
-    /// Jobs of one class behave alike.
+    /// Class of the job; jobs of one class have similar usage and run times.
     pub class: JobClass,
-    /// When it wants to run.
+    /// How soon it should run.
     #[serde(default = "patient")]
     pub urgency: Urgency,
-    /// Thousandths of a processor.
+    /// Processor time needed, in thousandths of a processor.
     pub cpu_milli: u64,
-    /// Memory in mebibytes.
+    /// Memory needed, in mebibytes.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators needed.
     #[serde(default)]
     pub accelerators: u64,
-    /// How long it runs, in milliseconds.
+    /// Expected run time in milliseconds.
     pub run_ms: u64,
-    /// Whether running it twice does no harm.
+    /// Whether it may safely run twice.
     #[serde(default)]
     pub idempotent: bool,
-    /// What the worker is to run.
+    /// Command that the worker runs.
     pub command: Box<str>,
-    /// Jobs with the same group are spread over availability zones and racks.
+    /// Jobs of the same group are spread over availability zones and racks.
     #[serde(default)]
     pub group: Option<Box<str>>,
 }
@@ -65,37 +65,37 @@
     Urgency::Patient
 }
 
-/// What a caller reads of a job.
+/// A job as its caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
     /// Its id.
     pub id: JobId,
     /// Its class.
     pub class: JobClass,
-    /// When it wants to run.
+    /// How soon it should run.
     pub urgency: Urgency,
     /// `waiting`, `placed`, `running`, `cancelling`, `stopping` or `ended`.
     pub state: Box<str>,
-    /// The worker that runs it, if one does.
+    /// Worker of the current attempt, if there is one.
     pub worker: Option<InstanceId>,
-    /// How often it was tried, but for attempts that never began or were checkpointed.
+    /// Number of attempts, not counting those that never started or were checkpointed.
     pub attempts: u32,
-    /// How it ended, if it did.
+    /// How it ended, if it has.
     pub end: Option<End>,
-    /// The offset at which it was submitted.
+    /// Offset of the record that submitted it.
     pub submitted: Offset,
 }
 
 /// A list of jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobList {
-    /// The jobs, by id.
+    /// The jobs, latest submission first.
     pub jobs: Vec<JobView>,
     /// Whether the team has more jobs than are listed.
     pub more: bool,
 }
 
-/// Answers a request of `team`, whose key was checked.
+/// Answers a request of `team`, whose key the caller of this function has checked.
 #[must_use]
 pub fn answer(node: &Node, team: &Team, req: &Request) -> Response {
     let path = req.url();
@@ -162,8 +162,8 @@
     Ok(declared)
 }
 
-/// A caller that never got an answer submits again with the same key, maybe at another entry
-/// instance. The id follows from team and key, so that the fold sees the same job.
+/// Builds the job. Its id is derived from team and key, so that the fold recognises a job that a
+/// caller submits again after a lost answer, possibly at another entry instance.
 fn job_of(team: &TeamId, key: Option<&str>, declared: JobRequest) -> Job {
     let id = match key {
         Some(key) => pomelohitch_core::key::hash(&format!("{team}\0{key}"))[..32].into(),
@@ -186,7 +186,7 @@
     }
 }
 
-/// The answer for a job whose id is known already, without an append.
+/// The answer for a job whose id is already in the state, without an append.
 fn known(node: &Node, job: &Job) -> Option<Response> {
     let state = node.state.load();
     if let Some(entry) = state.jobs.get(&job.id) {
@@ -199,8 +199,8 @@
     })
 }
 
-/// The log may have shown the same key first with another job; each caller is told the truth
-/// about its own.
+/// Another caller may have submitted a different job with the same key first; only a caller whose
+/// job equals the stored one gets it as an answer.
 fn same_or_conflict(entry: &Entry, job: &Job, status: u16) -> Response {
     if *entry.job == *job {
         json(status, &view(entry))
@@ -261,7 +261,7 @@
     }
 }
 
-/// Another team's job looks the same as one that doesn't exist.
+/// The job if it belongs to `team`, so that other teams' jobs look like ones that don't exist.
 fn own<'a>(jobs: &'a pomelohitch_core::state::Jobs, team: &TeamId, id: &str) -> Option<&'a Entry> {
     jobs.get(id).filter(|entry| entry.job.team == *team)
 }
@@ -270,7 +270,7 @@
     problem(404, "no", "the team has no job with this id")
 }
 
-/// What a caller reads of `entry`.
+/// The job of `entry` as its caller sees it.
 #[must_use]
 pub fn view(entry: &Entry) -> JobView {
     let (state, end) = match &entry.state {
--- a/pomelohitchd/src/leaving.rs
+++ b/pomelohitchd/src/leaving.rs
@@ -1,12 +1,12 @@
-//! Instances that the platform takes away while no record can say so.
+//! Instances that the platform removes while the log can't record it.
 //!
-//! Normally the planner sees an instance leave and drains it by a record. While the log is down
-//! nobody can decide anything, and callers would be sent to an instance that goes away under
-//! them. Every entry instance then looks at the platform's list by itself, and tells its peers what
-//! it saw. It can only lead to sending less, so nothing has to be agreed.
+//! Normally the planner sees that an instance leaves, and drains it by a record. While the log is
+//! down no decision is possible, and requests would be sent to an instance that is being removed.
+//! Every entry instance then reads the platform's list by itself and reports leaving instances to
+//! its peers in heartbeats. This needs no agreement, because it can only reduce the work sent.
 //!
-//! Each member tells only what it saw itself: news that was passed on would keep itself alive, and
-//! an instance that stays after all would never be used again.
+//! Each member reports only what it saw itself. If reports were forwarded, members would refresh
+//! them for each other forever, and an instance that stays after all would never be used again.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,26 +17,26 @@
 
 use crate::node::Node;
 
-/// How often the list is looked at while the log is down.
+/// Interval between reads of the list while the log is down.
 const TICK: Duration = Duration::from_secs(1);
-/// The log counts as down when it wasn't read for so long.
+/// The log counts as down if it wasn't read for this long.
 const LOG_DOWN_AFTER: Duration = Duration::from_secs(2);
-/// What a member told counts for so long, unless it tells something else.
+/// A member's report counts for this long, unless the member replaces it.
 pub const KEPT: Duration = Duration::from_secs(10);
 
-/// Who saw which instances leave.
+/// The instances that each member sees leaving.
 #[derive(Debug, Default)]
 pub struct Sightings {
     by_member: BTreeMap<MemberId, (Instant, BTreeSet<InstanceId>)>,
 }
 
 impl Sightings {
-    /// Takes over what `member` sees now; it no longer sees anything else.
+    /// Replaces the report of `member`.
     pub fn see(&mut self, member: &MemberId, instances: BTreeSet<InstanceId>, now: Instant) {
         self.by_member.insert(member.clone(), (now, instances));
     }
 
-    /// What `member` told last.
+    /// The last report of `member`; empty if there is none.
     #[must_use]
     pub fn of(&self, member: &str) -> BTreeSet<InstanceId> {
         let told = self.by_member.get(member);
@@ -44,7 +44,7 @@
             .unwrap_or_default()
     }
 
-    /// Every instance that somebody saw leave within [`KEPT`].
+    /// All instances that any member reported within [`KEPT`].
     #[must_use]
     pub fn all(&self, now: Instant) -> BTreeSet<InstanceId> {
         let recent = self.by_member.values();
@@ -55,7 +55,7 @@
     }
 }
 
-/// Looks for ever.
+/// Reads the platform's list while the log is down, forever.
 pub fn run(node: &Arc<Node>) {
     loop {
         std::thread::sleep(TICK);
@@ -73,7 +73,7 @@
     }
 }
 
-/// What the platform says leaves; `None` if it can't be asked.
+/// The instances that the platform lists as leaving; `None` if the list can't be read.
 fn look(node: &Node) -> Option<BTreeSet<InstanceId>> {
     let list = (node.instances.list)();
     if list.is_err() {
--- a/pomelohitchd/src/lifecycle.rs
+++ b/pomelohitchd/src/lifecycle.rs
@@ -21,18 +21,18 @@
     withdraw,
 };
 
-/// The start failed.
+/// Exit code of a failed start.
 const EXIT_START: u8 = 1;
-/// The settings are wrong; `clap` uses the same code.
+/// Exit code for invalid settings; the same as that of `clap`.
 const EXIT_SETTINGS: u8 = 2;
-/// A second signal cut the graceful shutdown short.
+/// Exit code if a second signal aborts the graceful shutdown.
 const EXIT_CUT_SHORT: i32 = 3;
-/// How often waiting loops look.
+/// Polling interval of the loops here.
 const TICK: Duration = Duration::from_millis(20);
-/// How long one proposal of the own join or leave may take.
+/// Timeout of one proposal of this member's join or leave.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
 
-/// How long a shutdown waits for the log to take bad news that it doesn't have yet.
+/// Timeout during shutdown for appending withdrawals that aren't in the log yet.
 const FLUSH_LIMIT: Duration = Duration::from_secs(5);
 
 /// The daemon couldn't start.
@@ -137,7 +137,7 @@
     Ok(())
 }
 
-/// Other programs read the addresses from these lines when ports were left to the system.
+/// Prints the addresses. Other programs read them from these lines if the system chose the ports.
 fn announce(callers: &TcpListener, admin: SocketAddr, peers: SocketAddr) {
     if let Ok(addr) = callers.local_addr() {
         println!("listening callers {addr}");
@@ -149,8 +149,8 @@
 fn install_signals() -> Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
-        // Registered first, so that it acts on the second signal: the flag is still unset when
-        // the first one arrives.
+        // Registered before the handler that sets the flag. At the first signal the flag is still
+        // unset, so only a second signal exits the process.
         signal_hook::flag::register_conditional_shutdown(signal, EXIT_CUT_SHORT, stop.clone())
             .context(SignalsSnafu)?;
         signal_hook::flag::register(signal, stop.clone()).context(SignalsSnafu)?;
@@ -178,15 +178,15 @@
     spawn(name, move || run(&node))
 }
 
-/// The own join, once it is in force.
+/// This member's join, once it has taken effect.
 #[derive(Debug, Clone, Copy)]
 struct Joined {
     incarnation: Incarnation,
     at: Instant,
 }
 
-/// Joins at the start, and again as a new incarnation when the peers held this one for dead.
-/// Serves only once it has caught up.
+/// Joins at the start, and again as a new incarnation if the peers removed this one as dead.
+/// Serves only after it has caught up.
 fn keep_joined(node: &Node, joined: &mut Option<Joined>, peer_addr: SocketAddr) {
     let state = node.state.load_full();
     let member = state.members.by_id.get(&node.settings.member);
@@ -211,7 +211,7 @@
     if node.life.ready.swap(false, Ordering::AcqRel) {
         warn!("this incarnation was ended by a record in the log; joining again");
     }
-    // Before anything was read, the reader couldn't show the verdict either.
+    // Until the reader has read the log, no verdict can arrive.
     node.last_log_read()?;
     let join = Join {
         member: node.settings.member.clone(),
@@ -237,8 +237,9 @@
     }
 }
 
-/// Not ready first, so that the balancer and the peers send nothing new; then the answers that
-/// are still owed; then the leave, so that the peers need not wait for a lease to run out.
+/// Shuts down gracefully: becomes not ready, so that the balancer and the peers send nothing new;
+/// finishes requests in flight; then leaves, so that the peers needn't wait for the lease to
+/// expire.
 fn shut_down(node: &Node, serving: &std::thread::JoinHandle<()>) {
     info!("shutting down");
     node.life.leaving.store(true, Ordering::Release);
--- a/pomelohitchd/src/liveness.rs
+++ b/pomelohitchd/src/liveness.rs
@@ -1,9 +1,9 @@
-//! Which members are held for dead, and who plans next.
+//! Removes dead members, and proposes the next planner.
 //!
-//! A member that stopped without saying so would stay the planner, and the home of permits, for
-//! ever. Whoever hasn't heard of it for a lease proposes its leave. A member that is alive and was
-//! only cut off sees the record and joins again as a new incarnation, so a wrong guess costs
-//! work, never a promise; the rules here keep wrong guesses few.
+//! A member that crashed would otherwise stay the planner, and the home of permits, forever. A
+//! member that got no heartbeat from it for a lease proposes its leave. If the removed member is
+//! alive and was only partitioned, it sees the record and joins again as a new incarnation. A
+//! false positive therefore costs work but violates no guarantee; the rules here keep them rare.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,27 +18,27 @@
 
 use crate::node::{Node, PeerSeen};
 
-/// How often it is looked.
+/// Interval between checks.
 const TICK: Duration = Duration::from_millis(250);
-/// How long one proposal may take.
+/// Timeout of one proposal.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
-/// A member that hears less than half of the others is probably cut off itself; it waits for so
-/// many leases before it holds them for dead.
+/// A member that has lost more than half of the members is probably partitioned itself. It waits
+/// this many leases before it treats them as dead.
 const ISOLATED_LEASES: u32 = 5;
 
-/// Remembers since when each member could have been heard.
+/// Tracks since when each member could have been heard.
 #[derive(Debug, Default)]
 pub struct Tracker {
     known: BTreeMap<MemberId, (Incarnation, Instant)>,
     last_look: Option<Instant>,
-    /// Nobody is taken to be silent for longer than since then.
+    /// Silence is counted from this time at the earliest.
     floor: Option<Instant>,
 }
 
 impl Tracker {
-    /// The members to remove: those of `members` but `own` that were silent for too long.
+    /// The members to remove: those of `members`, except `own`, that were silent for too long.
     ///
-    /// Call it every few hundred milliseconds; `lease` is how long a member may be silent.
+    /// Call it every few hundred milliseconds. `lease` is the longest allowed silence of a member.
     pub fn dead(
         &mut self,
         now: Instant,
@@ -72,8 +72,10 @@
         dead.map(|(leave, _)| leave).collect()
     }
 
-    /// A process that was paused has heard nobody meanwhile. It would hold everybody for dead the
-    /// moment it goes on; a gap between two looks shows the pause, and the silence counts anew.
+    /// Updates the known members, and restarts the count of silence after a pause of this process.
+    ///
+    /// A process that was paused has received no heartbeats meanwhile and would treat all members
+    /// as dead when it resumes. A long gap between two calls reveals the pause.
     fn look(&mut self, now: Instant, lease: Duration, members: &Members) {
         let was_paused = self.last_look.is_some_and(|last| now - last >= lease / 2);
         if was_paused {
@@ -108,7 +110,7 @@
     }
 }
 
-/// Looks for ever.
+/// Checks members forever.
 pub fn run(node: &Arc<Node>) {
     let mut tracker = Tracker::default();
     loop {
@@ -139,7 +141,7 @@
 }
 
 fn take_term(node: &Node, state: &State) {
-    // One proposer is enough; the fold would reject the others.
+    // One proposer is enough: the fold would reject the other proposals.
     let first = state.members.by_id.keys().next();
     if first != Some(&node.settings.member) {
         return;
--- a/pomelohitchd/src/node.rs
+++ b/pomelohitchd/src/node.rs
@@ -1,4 +1,4 @@
-//! What the threads of the daemon share.
+//! State shared by the threads of the daemon.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -22,80 +22,82 @@
 use crate::permits::Permits;
 use crate::settings::Settings;
 
-/// A proposal didn't get a verdict.
+/// A proposal got no verdict.
 #[derive(Debug, Snafu)]
 pub enum ProposeError {
-    /// The log refused the append: certainly not in force.
+    /// The log refused the append: the record certainly has no effect.
     #[snafu(display("propose: {source}"))]
     NotAppended {
-        /// What the log said.
+        /// The error of the append.
         source: pomelohitch_platform::Error,
     },
-    /// The log took the record, or may have, but didn't show it in time: it may come into force.
+    /// The record was or may have been appended, but wasn't read back in time. It may still take
+    /// effect.
     #[snafu(display("propose: no verdict within {limit:?}; the record may still come into force"))]
     NoVerdict {
-        /// How long was waited.
+        /// The timeout that passed.
         limit: Duration,
     },
 }
 
-/// The result of this module.
+/// The result of a proposal.
 pub type Result<T, E = ProposeError> = std::result::Result<T, E>;
 
-/// A verdict and where the record stands.
+/// A verdict and the offset of the record.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Decided {
     /// The offset of the record; for a repeat, of the first one.
     pub offset: Offset,
-    /// What the fold made of it.
+    /// The verdict of the fold.
     pub verdict: Verdict,
 }
 
-/// Where the process is in its life.
+/// Lifecycle of the process.
 #[derive(Debug, Default)]
 pub struct Life {
-    /// The own join record is in force and the log's head was reached since.
+    /// This member's join has taken effect, and the log's head was reached since.
     pub ready: AtomicBool,
-    /// A graceful shutdown goes on.
+    /// A graceful shutdown is in progress.
     pub leaving: AtomicBool,
 }
 
-/// What was last heard of a peer.
+/// The last heartbeat of a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerSeen {
     /// Its incarnation.
     pub incarnation: Incarnation,
     /// The offset of the next record that it will apply.
     pub next: Offset,
-    /// Whether it shuts down.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// When it was heard of. What was heard may be older: it may have waited in a buffer.
+    /// Time at which the heartbeat arrived. It may have been sent earlier and waited in a buffer.
     pub at: Instant,
-    /// What was heard was said after this time; `None` if that isn't known.
+    /// The heartbeat was sent after this time; `None` if that isn't known.
     pub said_after: Option<Instant>,
 }
 
-/// Bad news that may be acted on before the log tells it, because it can only make us refuse.
+/// Withdrawn keys and leaving instances that may not be in the log yet. Acting on them before the
+/// log confirms them is safe, because they can only cause refusals.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BadNews {
     /// Hashes of keys that were withdrawn.
     pub withdrawn_keys: BTreeSet<KeyHash>,
-    /// Instances seen to leave.
+    /// Instances that the platform is removing, as seen by any member.
     pub leaving_instances: BTreeSet<InstanceId>,
 }
 
-/// What the threads share.
+/// State shared by the threads.
 #[derive(Debug)]
 pub struct Node {
-    /// What the process was told.
+    /// The settings of the process.
     pub settings: Settings,
-    /// The platform's log.
+    /// Client for the platform's log.
     pub log: Arc<Log>,
-    /// The platform's pools.
+    /// Client for the platform's instances.
     pub instances: Instances,
-    /// The platform's workers.
+    /// Client for the platform's workers.
     pub workers: Workers,
-    /// The state in force here.
+    /// The current state: all records that this process has applied.
     pub state: ArcSwap<State>,
     /// The log's head when it was last read.
     pub head: AtomicU64,
@@ -103,15 +105,15 @@
     pub first_kept: AtomicU64,
     /// Whether the last read of the log failed.
     pub log_is_down: AtomicBool,
-    /// Where the process is in its life.
+    /// Lifecycle of the process.
     pub life: Life,
-    /// The own incarnation; 0 before the join is in force.
+    /// Incarnation of this member; 0 before its join takes effect.
     pub incarnation: AtomicU64,
-    /// Bad news in force here.
+    /// Withdrawals known here, whether or not the log has them.
     pub bad_news: ArcSwap<BadNews>,
-    /// Answers counted for service-level burn.
+    /// Counts of answers for the burn rate of service-level objectives.
     pub burn: Burn,
-    /// The decisions about requests.
+    /// Permits, queues and runners for requests.
     pub permits: Permits,
     sightings: Mutex<Sightings>,
     log_read: Mutex<Option<Instant>>,
@@ -120,11 +122,11 @@
     jobs: GroupCommit,
 }
 
-/// How long to wait before an append whose outcome is unknown is sent again.
+/// Delay before an append whose outcome is unknown is repeated.
 const APPEND_AGAIN_AFTER: Duration = Duration::from_millis(100);
 
 impl Node {
-    /// The shared part of a process with `settings`.
+    /// The shared state of a process with `settings`, before any record is read.
     #[must_use]
     pub fn new(settings: Settings) -> Node {
         let timeout = settings.platform_timeout();
@@ -150,13 +152,13 @@
         }
     }
 
-    /// Appends a proposal and waits for what the fold makes of it.
+    /// Appends a proposal and waits for the fold's verdict.
     ///
-    /// An append whose answer was lost may have taken effect; it is sent again with the same id,
-    /// which the fold counts once.
+    /// An append whose answer was lost may have taken effect. It is repeated with the same id, and
+    /// the fold applies a record with the same id only once.
     ///
     /// # Errors
-    /// If the log refuses, or nothing is known after `limit`.
+    /// If the log refuses, or no verdict is known after `limit`.
     pub fn propose(&self, body: Body, limit: Duration) -> Result<Decided> {
         let deadline = Instant::now() + limit;
         let record = self.record(body);
@@ -167,7 +169,7 @@
         decided
     }
 
-    /// Appends what a caller asks of jobs, together with other callers' asks.
+    /// Appends a caller's change of jobs, in one record with those of other callers.
     pub fn commit_jobs(&self, ask: Ask) -> Outcome {
         self.jobs
             .commit(ask, &|body, limit| self.propose(body, limit))
@@ -213,7 +215,7 @@
         }
     }
 
-    /// Puts a new state in force and tells those who wait for its records.
+    /// Publishes a new state and notifies the threads that wait for its records.
     pub fn put_in_force(&self, state: State, applied: Vec<Applied>) {
         self.state.store(Arc::new(state));
         let mut waiting = lock(&self.waiting);
@@ -232,35 +234,35 @@
             } else {
                 offset
             };
-            // Whoever waited may have given up since.
+            // The waiting thread may have timed out.
             let _ = tx.send(Decided { offset, verdict });
             waiting.remove(&id);
         }
     }
 
-    /// Notes that a read of the log succeeded which was begun at `begun`.
+    /// Records the start time of the last successful read of the log.
     pub fn read_log(&self, begun: Instant) {
         *lock(&self.log_read) = Some(begun);
     }
 
-    /// When the last read of the log that succeeded was begun.
+    /// Start time of the last successful read of the log.
     #[must_use]
     pub fn last_log_read(&self) -> Option<Instant> {
         *lock(&self.log_read)
     }
 
-    /// Notes that a peer was heard of.
+    /// Records a heartbeat of a peer.
     pub fn saw_peer(&self, member: MemberId, seen: PeerSeen) {
         lock(&self.peers).insert(member, seen);
     }
 
-    /// What was last heard of each peer.
+    /// The last heartbeat of each peer.
     #[must_use]
     pub fn peers(&self) -> BTreeMap<MemberId, PeerSeen> {
         lock(&self.peers).clone()
     }
 
-    /// Takes over keys that were withdrawn.
+    /// Adds keys that were withdrawn.
     pub fn add_withdrawn(&self, keys: &[KeyHash]) {
         let known = self.bad_news.load();
         if keys.iter().all(|key| known.withdrawn_keys.contains(key)) {
@@ -273,7 +275,7 @@
         });
     }
 
-    /// Takes over which instances `member` sees leaving now.
+    /// Replaces the set of instances that `member` sees leaving.
     pub fn saw_leaving(&self, member: &MemberId, instances: BTreeSet<InstanceId>) {
         let now = Instant::now();
         let mut sightings = lock(&self.sightings);
@@ -288,19 +290,19 @@
         });
     }
 
-    /// Which instances this member itself sees leaving.
+    /// The instances that this member itself sees leaving.
     #[must_use]
     pub fn sees_leaving(&self) -> BTreeSet<InstanceId> {
         lock(&self.sightings).of(&self.settings.member)
     }
 
-    /// Whether callers are served: the own join is in force and no shutdown goes on.
+    /// Whether callers are served: this member has joined and caught up, and isn't shutting down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.life.ready.load(Ordering::Acquire) && !self.is_leaving()
     }
 
-    /// Whether a graceful shutdown goes on.
+    /// Whether a graceful shutdown is in progress.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
         self.life.leaving.load(Ordering::Acquire)
@@ -315,7 +317,7 @@
         .unwrap_or_default()
 }
 
-/// The data behind each mutex here is whole after every step, also when a holder panicked.
+/// Ignores poisoning: the data is consistent after every step, even if a lock holder panicked.
 fn lock<T>(mutex: &Mutex<T>) -> std::sync::MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/pomelohitchd/src/peers.rs
+++ b/pomelohitchd/src/peers.rs
@@ -11,7 +11,8 @@
 use crate::node::{Node, PeerSeen};
 use crate::permits;
 
-/// How much bad news of one kind a heartbeat carries at the most; the log carries the rest.
+/// Maximum number of withdrawn keys, and of leaving instances, in a heartbeat. The log carries the
+/// rest.
 const NEWS_PER_BEAT: usize = 200;
 
 /// Starts the links on `listener`.
@@ -28,14 +29,15 @@
     Links::start(listener, settings, move || handlers(&node))
 }
 
-/// Where the other entry instances reach this one.
+/// The address at which the other entry instances reach this one.
 #[must_use]
 pub fn advertised(node: &Node, bound: SocketAddr) -> SocketAddr {
     let ip = node.settings.peer_advertise.unwrap_or(bound.ip());
     SocketAddr::new(ip, bound.port())
 }
 
-/// Keeps links to the members of the state in force; returns the epoch that is followed.
+/// Sets the peers to the other members of the current state if the epoch isn't `followed`; returns
+/// the epoch of that state.
 #[must_use]
 pub fn follow_members(node: &Node, links: &Links, followed: Option<Offset>) -> Option<Offset> {
     let state = node.state.load();
@@ -54,7 +56,7 @@
             addr: member.peer_addr,
         })
         .collect();
-    // The thread only ends at shutdown.
+    // The send fails only during shutdown, when the links' thread has ended.
     let _ = links.commands.send(Command::Peers(peers));
     epoch
 }
--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -1,13 +1,13 @@
 //! Permits, queues and runners of this entry instance, and the exchange with the other ones.
 //!
-//! One lock holds the decisions of `pomelohitch-route` and the homes of `pomelohitch-permits`;
-//! every step under it is short and does no I/O. [`run`] looks several times a second what there
-//! is to say to the homes.
+//! One lock guards the dispatcher of `pomelohitch-route` and the homes of `pomelohitch-permits`;
+//! every step under it is short and does no I/O. [`run`] sends batches to the homes several times
+//! a second.
 //!
-//! * [`borders`]: what of a team's limit is for requests, and what for jobs.
-//! * `exchange`: what entry instances say to one another about permits.
+//! * [`borders`]: splits each team's limit between requests and jobs.
+//! * `exchange`: permit messages between entry instances.
 //! * [`keys`]: idempotency keys.
-//! * [`view`]: what of the state concerns requests.
+//! * [`view`]: derives the dispatcher's view from the fleet state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::Ordering;
@@ -34,20 +34,20 @@
 pub use exchange::{on_batch, run, step};
 use keys::KeyHome;
 
-/// How long after the last request, ask or change looks follow one another quickly.
+/// Permits are exchanged at every tick for this long after the last request, ask or change.
 const STIRRED: Duration = Duration::from_secs(2);
-/// Longer than a deadline's last look in the queue takes.
+/// Margin after a request's deadline, so that the queue has time to expire it.
 const SLACK: Duration = Duration::from_millis(100);
 
-/// Tells a waiting request where to go; `None` if its turn can't come before its deadline.
+/// Receives the runner and permits of a waiting request, or `None` if it expires in the queue.
 type Turn = mpsc::Sender<Option<Sent>>;
 
-/// The decisions about requests, behind one lock.
+/// Dispatcher, permit homes and idempotency keys behind one lock.
 #[derive(Debug)]
 pub struct Permits {
     start: Instant,
     inner: Mutex<Inner>,
-    /// Where peers are reached; `None` before the start and after the end.
+    /// Commands to the peer links; `None` before the start and during shutdown.
     links: Mutex<Option<Commands>>,
 }
 
@@ -59,15 +59,15 @@
     borders: Borders,
     limits: view::Limits,
     seen: Seen,
-    /// Nothing happens from then on.
+    /// Until this time permits are exchanged at every tick, afterwards only at idle ticks.
     quiet_from: Monotonic,
-    /// Peers whose answer to a batch is under way.
+    /// Peers that haven't answered the last batch yet.
     busy: BTreeSet<MemberId>,
-    /// Whether peers were last told that there's nothing here.
+    /// Whether the last loads that peers received from here were empty.
     told_empty: bool,
 }
 
-/// What the view was last made from.
+/// The inputs from which the dispatcher's view was last built.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Seen {
     next: Offset,
@@ -75,14 +75,14 @@
     leaving: BTreeSet<InstanceId>,
 }
 
-/// Why a request doesn't get its turn; it certainly didn't run.
+/// Why a request gets no runner and permits. Such a request certainly didn't run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoTurn {
     /// It wouldn't be served before its deadline, or the queue is full.
     Refused(Refusal),
     /// Its deadline passed while it waited.
     Expired {
-        /// When there's capacity.
+        /// Expected time until capacity is free.
         retry_after: Duration,
     },
 }
@@ -108,19 +108,19 @@
 }
 
 impl Permits {
-    /// Where peers are reached from now on.
+    /// Sets the links over which peers are called.
     pub fn use_links(&self, links: Commands) {
         *self.lock_links() = Some(links);
     }
 
-    /// How many requests of each service run or wait in the whole fleet, as far as is known here.
+    /// Requests of each service that run or wait in the whole fleet, from the loads received so far.
     #[must_use]
     pub fn demand(&self) -> BTreeMap<ServiceId, u32> {
         self.lock().dispatcher.demand()
     }
 
-    /// No peer is reached any more. The links end when the last one lets go of them, so a process
-    /// that kept them here would wait for their end for ever.
+    /// Drops the command sender. The links' thread ends only after every sender is dropped, so
+    /// keeping this one would block shutdown forever.
     pub fn drop_links(&self) {
         *self.lock_links() = None;
     }
@@ -129,44 +129,44 @@
         self.links.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Time on the clock by which all decisions here are made.
+    /// Time since the start of the process, on the monotonic clock of all decisions here.
     #[must_use]
     pub fn now(&self) -> Monotonic {
         self.start.elapsed()
     }
 
-    /// The data is whole after every step, also when a holder of the lock panicked.
+    /// Ignores poisoning: the data is consistent after every step, even if a lock holder panicked.
     fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn call(&self, member: MemberId, call: Call) {
         match &*self.lock_links() {
-            // The links' thread only ends at shutdown; an answer that never comes is waited for
-            // no longer than each caller's own limit.
+            // A send fails only during shutdown, when the links' thread has ended. Callers bound
+            // their wait for an answer themselves.
             Some(links) => drop(links.send(Command::Call(member, call))),
             None => drop(call),
         }
     }
 }
 
-/// A request that waits for its turn.
+/// A request that needs a runner and permits.
 #[derive(Debug, Clone)]
 pub struct Wanted<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// The team.
     pub team: &'a TeamId,
-    /// How urgent it is.
+    /// Its priority in the queue.
     pub priority: Priority,
-    /// When its caller gives up.
+    /// The request expires at this time.
     pub deadline: Instant,
 }
 
 /// Waits until a request has a runner and its permits.
 ///
 /// # Errors
-/// If it won't before its deadline.
+/// If the queue refuses it or its deadline passes first.
 pub fn acquire(node: &Node, wanted: &Wanted<'_>) -> Result<Sent, NoTurn> {
     let (tx, rx) = mpsc::channel();
     let permits = &node.permits;
@@ -195,8 +195,8 @@
 
 /// Whether this incarnation's permits may be used now.
 ///
-/// Fresh knowledge may say that this incarnation was ended. Its permits may then be with others,
-/// until the process has joined again and got new ones.
+/// If the state is stale, or it records that this incarnation has ended, its permits may have been
+/// granted to other members. They may be used again once the process has rejoined.
 fn is_covered(node: &Node) -> bool {
     if !freshness::is_fresh(node) {
         return false;
@@ -207,7 +207,7 @@
     member.is_some_and(|member| member.incarnation == incarnation)
 }
 
-/// Whether the permits of `sent` are still this process's, right before it is sent.
+/// Whether this process still holds the permits of `sent`; checked right before sending.
 #[must_use]
 pub fn may_send(node: &Node, sent: &Sent) -> bool {
     let permits = &node.permits;
@@ -216,8 +216,8 @@
     is_covered(node) && inner.dispatcher.is_current(sent)
 }
 
-/// Another try, at another runner, for a request whose `last` one failed, if there may be one right
-/// now.
+/// Picks another runner for a request whose `last` attempt failed, if another attempt is allowed
+/// and possible right now.
 #[must_use]
 pub fn retry(node: &Node, last: &Sent) -> Option<Sent> {
     let permits = &node.permits;
@@ -230,14 +230,14 @@
         .retry(service, team, &last.runner, now, is_covered)
 }
 
-/// How long a try on a kept connection may stay without an answer before another one is made;
-/// `None` if another one may not be made.
+/// Timeout of an attempt on a reused connection, after which another attempt is made; `None` if
+/// no further attempt is allowed.
 #[must_use]
 pub fn patience(node: &Node, service: &ServiceId) -> Option<Duration> {
     node.permits.lock().dispatcher.attempt_timeout(service)
 }
 
-/// Notes how a request that was sent ended, and lets others have their turn.
+/// Records how a dispatched request ended, and dispatches waiting ones.
 pub fn end(node: &Node, sent: &Sent, how: Completion) {
     let permits = &node.permits;
     let mut inner = permits.lock();
@@ -246,25 +246,25 @@
     inner.pump(node, now);
 }
 
-/// When a refused request of `team` would find capacity.
+/// Expected time until a refused request of `team` finds capacity.
 #[must_use]
 pub fn expected_wait(node: &Node, service: &ServiceId, team: &TeamId) -> Duration {
     node.permits.lock().dispatcher.expected_wait(service, team)
 }
 
-/// Permits of a resource that are held here and in use.
+/// The number of permits of `resource` held here, and how many of them are in use.
 #[must_use]
 pub fn held(node: &Node, resource: &Resource) -> (u32, u32) {
     node.permits.lock().dispatcher.permits(resource)
 }
 
 impl Inner {
-    /// Something happened: looks follow one another quickly for a while.
+    /// Exchanges permits at every tick for a while, because something changed.
     fn stir(&mut self, now: Monotonic) {
         self.quiet_from = now + STIRRED;
     }
 
-    /// Takes over what the log and the peers have said since the last look.
+    /// Rebuilds the view if the fleet state, the incarnation or the leaving instances changed.
     fn refresh(&mut self, node: &Node, now: Monotonic) {
         let state = node.state.load();
         let news = node.bad_news.load();
@@ -302,17 +302,17 @@
 
     fn expire(&mut self, now: Monotonic) {
         for expired in self.dispatcher.expire(now) {
-            // Whoever waited may have left in the same moment.
+            // The waiting thread may have timed out at the same moment.
             let _ = expired.token.send(None);
         }
     }
 
-    /// Sends everything that can be sent now.
+    /// Hands runners and permits to all waiting requests that can be dispatched now.
     fn pump(&mut self, node: &Node, now: Monotonic) {
         let is_covered = is_covered(node);
         for (turn, sent) in self.dispatcher.dispatch(now, is_covered) {
             if let Err(mpsc::SendError(Some(sent))) = turn.send(Some(sent)) {
-                // Its caller was told meanwhile that the deadline passed; nothing was sent.
+                // The waiting thread has given up at the deadline; nothing was sent.
                 self.dispatcher.complete(&sent, Completion::Refused, now);
             }
         }
--- a/pomelohitchd/src/permits/borders.rs
+++ b/pomelohitchd/src/permits/borders.rs
@@ -1,6 +1,6 @@
-//! Moves the border between a team's requests and its jobs; see docs/design/limit-parts.md.
+//! Splits each team's limit between its requests and its jobs; see docs/design/limit-parts.md.
 //!
-//! Done by the home of the team's permits, one border after the other.
+//! The home of the team's permits proposes the changes, one team after the other.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,39 +17,40 @@
 use super::Inner;
 use crate::node::{Node, ProposeError};
 
-/// How often borders are looked at.
+/// Interval at which the splits are checked.
 const TICK: Duration = Duration::from_millis(500);
-/// How long one proposal may take.
+/// Timeout of one proposal.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
-/// Permits that are asked back for jobs but don't come are let go of after so long: the requests
-/// that use them run for long.
+/// A reservation for jobs is dropped if its permits aren't free after this time, because long
+/// requests use them.
 const RECLAIM_LIMIT: Duration = Duration::from_secs(10);
-/// A border whose both sides have enough is moved only by more than this part of the limit, so
-/// that a demand that goes up and down doesn't fill the log.
+/// If neither side lacks permits, a split changes only by more than the limit divided by this, so
+/// that fluctuating demand doesn't fill the log.
 const SLACK_PART: u32 = 8;
 
-/// What the home keeps free for jobs beyond what the log says.
+/// Permits that the home withholds from requests for a split that isn't in the log yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct Reserved {
     jobs: u32,
-    /// The border's version and the epoch for which this holds: a proposal that names others is
-    /// rejected.
+    /// Version of the split and epoch for which this holds. The fold rejects a proposal whose
+    /// version or epoch isn't the current one.
     base: Option<Offset>,
     epoch: Offset,
     since: Instant,
     is_proposed: bool,
-    /// Whether a proposal may still land.
+    /// Whether a proposal without a known verdict may still be appended.
     is_open: bool,
 }
 
-/// Borders that are being moved by this member.
+/// Changes of splits that this member has in progress.
 #[derive(Debug, Default)]
 pub struct Borders {
     reserved: BTreeMap<TeamId, Reserved>,
 }
 
 impl Borders {
-    /// How many requests of the team may run, by the log and by what is reserved for jobs.
+    /// Number of requests of the team that may run: its part of the limit in the log, less what is
+    /// reserved for jobs.
     #[must_use]
     pub fn requests_of(&self, state: &State, team: &TeamId) -> u32 {
         let Some(team) = state.config.teams.get(team) else {
@@ -60,8 +61,8 @@
         limit.min(team.limit.saturating_sub(reserved))
     }
 
-    /// Lets go of what is settled: the border or the members changed, or the permits for it didn't
-    /// come back.
+    /// Drops reservations that no longer apply: the split or the epoch changed, or the permits
+    /// weren't freed in time.
     pub fn settle(&mut self, state: &State) {
         self.reserved.retain(|team, reserved| {
             let is_current = state.limits.version_of(team) == reserved.base
@@ -72,7 +73,7 @@
     }
 }
 
-/// What both sides of a border want.
+/// Demand of a team's jobs and requests for its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Wants {
     /// Jobs that run or are being started or stopped.
@@ -83,10 +84,11 @@
     pub requests: u32,
 }
 
-/// Where the border belongs: how much of `limit` is for jobs.
+/// The part of `limit` that should be for jobs.
 ///
-/// Each side has what it wants if both fit, and what is left over is halved. If they don't fit, each
-/// has at least half of the limit or what it wants, whichever is less. What runs is never cut.
+/// If both demands fit, each side gets its demand and half of the remainder. Otherwise each side
+/// gets at least the lesser of its demand and half of the limit. Jobs never get less than what is
+/// active.
 #[must_use]
 pub fn part_of_jobs(limit: u32, wants: &Wants) -> u32 {
     let half = limit / 2;
@@ -101,7 +103,7 @@
     jobs.max(wants.active).min(limit)
 }
 
-/// Whether a border at `now` is worth moving to `target`.
+/// Whether the part for jobs should change from `now` to `target`.
 #[must_use]
 pub fn is_worth_moving(limit: u32, now: u32, target: u32, wants: &Wants) -> bool {
     let lacks_jobs = now < wants.jobs && target > now;
@@ -109,7 +111,7 @@
     lacks_jobs || lacks_requests || now.abs_diff(target) > limit / SLACK_PART
 }
 
-/// Looks for ever.
+/// Checks and proposes splits forever.
 pub fn run(node: &Arc<Node>) {
     loop {
         std::thread::sleep(TICK);
@@ -122,13 +124,14 @@
     }
 }
 
-/// The moves that can be proposed now; reserves for those that need permits back first.
+/// The changes that can be proposed now. Also reserves permits for those that have to wait until
+/// requests free them.
 fn due(node: &Node) -> Vec<DivideLimit> {
     let state = node.state.load_full();
     let waiting = waiting_jobs(&state);
     let mut inner = node.permits.lock();
     inner.borders.settle(&state);
-    // What a later epoch's home doesn't know of mustn't be promised by an earlier one's.
+    // The home of a newer epoch doesn't know reservations made for an older one.
     if inner.homes.epoch().offset != state.members.epoch {
         return Vec::new();
     }
@@ -194,13 +197,13 @@
 }
 
 impl Borders {
-    /// Where a border is to go, if anywhere; from now on that is reserved for jobs.
+    /// The part for jobs to propose, if it should change; reserves it for jobs.
     pub fn target(&mut self, state: &State, team: &Team, wants: &Wants) -> Option<u32> {
         let current = state.limits.jobs_of(team);
         if let Some(reserved) = self.reserved.get_mut(&team.id) {
             let is_waited_for = reserved.is_proposed && reserved.since.elapsed() < RECLAIM_LIMIT;
             reserved.jobs = reserved.jobs.max(wants.active);
-            // A limit that was lowered meanwhile would have it rejected for ever.
+            // If the limit was lowered meanwhile, a larger value would be rejected every time.
             return (!is_waited_for).then_some(reserved.jobs.min(team.limit));
         }
         let target = part_of_jobs(team.limit, wants);
@@ -219,10 +222,10 @@
         Some(target)
     }
 
-    /// Takes over what became of a proposal.
+    /// Applies the outcome of a proposal.
     ///
-    /// One whose verdict isn't known may still land, also after a later one was rejected; what it
-    /// gives to jobs stays reserved until the border has another version.
+    /// A proposal without a known verdict may still be appended, even after a later one was
+    /// rejected. Its part for jobs stays reserved until the version of the split changes.
     pub fn on_outcome(&mut self, team: &TeamId, outcome: Outcome) {
         let Some(reserved) = self.reserved.get_mut(team) else {
             return;
@@ -234,14 +237,14 @@
     }
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The border is where it was proposed.
+    /// The proposed split is the current one.
     Accepted,
-    /// It certainly changed nothing and won't.
+    /// The proposal has no effect, now or later.
     Refused,
-    /// It may still land.
+    /// The proposal may still be appended.
     Unknown,
 }
 
--- a/pomelohitchd/src/permits/exchange.rs
+++ b/pomelohitchd/src/permits/exchange.rs
@@ -1,4 +1,4 @@
-//! What entry instances say to one another about permits.
+//! Permit messages between entry instances.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,16 +16,17 @@
 use super::{Inner, view};
 use crate::node::Node;
 
-/// How often it is looked what there is to say.
+/// Interval between two exchange steps.
 const TICK: Duration = Duration::from_millis(25);
-/// Every so many ticks parts are worked out anew and peers told what there is here.
+/// Every this many ticks, shares are recomputed and peers get the loads of this member.
 const TICKS_PER_SHARE_OUT: u32 = 10;
-/// Every so many ticks homes are asked also without news, while there is work.
+/// Every this many ticks, homes are asked for every resource even without a change, while there
+/// is load.
 const TICKS_PER_REFRESH: u32 = 40;
-/// Every so many ticks it is looked while nothing happens; a divisor of the other intervals.
+/// While idle, a step runs only every this many ticks. Must divide the other tick counts.
 const TICKS_PER_QUIET_LOOK: u32 = 10;
 
-/// Talks to the homes for ever.
+/// Exchanges permits with the homes forever.
 pub fn run(node: &Arc<Node>) {
     for tick in 0u32.. {
         step(node, tick);
@@ -33,7 +34,7 @@
     }
 }
 
-/// One look at what there is to say.
+/// One exchange step: expires requests, then asks and answers the homes as far as `tick` demands.
 pub fn step(node: &Arc<Node>, tick: u32) {
     let permits = &node.permits;
     let mut inner = permits.lock();
@@ -101,8 +102,8 @@
 }
 
 impl Inner {
-    /// Whether to look at this tick. Each look goes over every resource, and with nothing to say
-    /// that would be most of what an entry instance does in a large fleet at night.
+    /// Whether a step runs at this tick. A step visits every resource, which would dominate the
+    /// load of an idle entry instance in a large fleet.
     fn is_look_due(&self, tick: u32, now: Monotonic) -> bool {
         now < self.quiet_from || tick.is_multiple_of(TICKS_PER_QUIET_LOOK)
     }
@@ -132,7 +133,7 @@
         self.homes.on_ask(ask, &bounds, now)
     }
 
-    /// What there is to say to each peer; what this process is the home of itself is done here.
+    /// The batch for each peer. Asks whose home is this member are answered directly.
     fn batches(
         &mut self,
         node: &Node,
--- a/pomelohitchd/src/permits/keys.rs
+++ b/pomelohitchd/src/permits/keys.rs
@@ -1,12 +1,12 @@
-//! Idempotency keys: one home for each, which remembers it for a window.
+//! Idempotency keys. Each key has one home, which remembers it for a window.
 //!
 //! A caller that got no answer sends the same request with the same key again, perhaps to
-//! another entry instance. If both ran, the customer pays twice. So before a request with a key
-//! runs, the key's home has to grant it, and grants it to one request only.
+//! another entry instance. If both ran, the customer would pay twice. So before a request with a
+//! key runs, the key's home has to grant it, and it grants each key to one request only.
 //!
 //! When the set of members changes, keys get new homes that don't know what the old ones granted.
-//! Within the window everyone who was the home is asked; one of them that is gone or doesn't
-//! answer means that nobody can say, and the request is refused.
+//! Every member that was the key's home within the window is asked. If one of them is gone or
+//! doesn't answer, the key can't be checked and the request is refused.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::mpsc;
@@ -23,14 +23,14 @@
 use crate::freshness;
 use crate::node::Node;
 
-/// How long the homes of a key may take to answer.
+/// Timeout for the answers of a key's homes.
 const ANSWER_WITHIN: Duration = Duration::from_secs(1);
 
-/// What this process remembers as a home, and who were homes lately.
+/// The keys granted by this process as a home, and the recent sets of members.
 #[derive(Debug, Default)]
 pub(super) struct KeyHome {
     keys: Keys,
-    /// Sets of members, each with when it was entered; the newest last.
+    /// Sets of members, each with the time when it became current; the newest last.
     epochs: VecDeque<(Monotonic, Epoch)>,
     /// Whether `epochs` has all sets since the window began.
     has_all: bool,
@@ -60,7 +60,8 @@
         self.epochs.push_back((now, epoch.clone()));
     }
 
-    /// If nobody ever ended, the sets before were those of the first members, in their order.
+    /// Adds the earlier sets of members. While no member has ever ended, these follow from the
+    /// order of the joins.
     fn enter_joins(&mut self, epoch: &Epoch, now: Monotonic) {
         let mut joins: Vec<_> = epoch.members.iter().collect();
         joins.sort_by_key(|(_, incarnation)| **incarnation);
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Forgets sets of members that nobody goes by since before the window.
+    /// Drops sets of members that no member can have used within the window.
     fn forget(&mut self, now: Monotonic) {
         let window = WINDOW + freshness::BOUND;
         while let Some((left, _)) = self.epochs.get(1) {
@@ -88,7 +89,7 @@
         self.has_all |= now >= self.started + window;
     }
 
-    /// Everyone who was the home of `key` within the window; `None` if one of them is gone.
+    /// All members that were the home of `key` within the window; `None` if one of them is gone.
     fn homes(&mut self, key: &str, now: Monotonic) -> Option<BTreeSet<MemberId>> {
         self.forget(now);
         let (_, current) = self.epochs.back()?;
@@ -103,7 +104,7 @@
         Some(homes)
     }
 
-    /// Whether this process alone knows all that was granted for `key` within the window.
+    /// Whether this process was the only home of `key` during the whole window.
     fn knows_all(&mut self, own: &MemberId, key: &str, now: Monotonic) -> bool {
         self.forget(now);
         let is_home =
@@ -136,14 +137,14 @@
     let mut inner = permits.lock();
     let now = permits.now();
     inner.refresh(node, now);
-    // A member that goes by another set of members may ask the wrong homes.
+    // A member with another set of members may ask the wrong homes.
     if inner.homes.epoch().offset != claim.epoch {
         return Verdict::Unknown;
     }
     inner.keys.on_claim(&node.settings.member, claim, now)
 }
 
-/// Asks everyone who was the home of `key` within the window whether `request` may run.
+/// Asks all members that were the home of `key` within the window whether `request` may run.
 ///
 /// # Errors
 /// With `Taken` or `Unknown` if it may not.
@@ -193,13 +194,13 @@
     Ok((homes, verdict))
 }
 
-/// The worst of what the homes say.
+/// Asks each home and returns the worst verdict.
 fn ask_each(node: &Node, claim: &Claim, homes: &BTreeSet<MemberId>) -> Verdict {
     let (tx, rx) = mpsc::channel();
     for home in homes {
         let tx = tx.clone();
         let on_answer = move |verdict: Option<Verdict>| {
-            // Whoever asked may have stopped waiting.
+            // The receiver is gone if the asking thread timed out.
             let _ = tx.send(verdict.unwrap_or(Verdict::Unknown));
         };
         if *home == node.settings.member {
@@ -215,7 +216,8 @@
         let left = deadline.saturating_duration_since(Instant::now());
         rx.recv_timeout(left).unwrap_or(Verdict::Unknown)
     });
-    // Every answer is waited for: a home that granted has to be told if the request doesn't run.
+    // Waits for every answer: a home that granted the key has to be notified if the request
+    // doesn't run.
     verdicts.fold(Verdict::Granted, worse)
 }
 
@@ -227,7 +229,7 @@
     }
 }
 
-/// The request certainly didn't run: another one with its key may.
+/// Releases a key whose request certainly didn't run, so that another request with it may run.
 pub fn release(node: &Node, granted: &Granted) {
     let epoch = node.permits.lock().homes.epoch().offset;
     let claim = Claim {
@@ -243,7 +245,8 @@
         if *home == node.settings.member {
             let _ = on_claim(node, &claim);
         } else {
-            // If it is lost, the key stays taken for the window, which refuses and runs nothing.
+            // If the message is lost, the key stays taken for the window: further requests with it
+            // are refused, none runs twice.
             let call = Call::Claim(claim.clone(), Box::new(|_| {}));
             node.permits.call(home.clone(), call);
         }
--- a/pomelohitchd/src/permits/view.rs
+++ b/pomelohitchd/src/permits/view.rs
@@ -1,4 +1,4 @@
-//! What of the state in force concerns requests.
+//! Derives the dispatcher's view, epoch and limits from the fleet state.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,17 +15,17 @@
 use crate::node::BadNews;
 use crate::settings::Settings;
 
-/// How far the clocks of two machines may drift apart during the waits.
+/// Allowance for the drift between the clocks of two machines during the waits.
 const CLOCK_MARGIN: Duration = Duration::from_secs(1);
 
-/// The teams' limits as they were last seen.
+/// The teams' limits in the last state that was processed.
 #[derive(Debug, Default)]
 pub(super) struct Limits {
     by_team: BTreeMap<TeamId, u32>,
 }
 
 impl Limits {
-    /// Takes the limits of `state` over; returns what was lowered.
+    /// Stores the limits of `state` and returns the resources whose limit was lowered or removed.
     pub(super) fn lowered(&mut self, state: &State) -> Vec<Resource> {
         let teams = state.config.teams.values();
         let now: BTreeMap<_, _> = teams.map(|team| (team.id.clone(), team.limit)).collect();
@@ -37,7 +37,7 @@
     }
 }
 
-/// The set of members.
+/// The members and their incarnations, with the offset at which this set became current.
 pub(super) fn epoch(state: &State) -> Epoch {
     let members = state.members.by_id.iter();
     Epoch {
@@ -49,7 +49,7 @@
     }
 }
 
-/// What requests are dispatched by.
+/// The dispatcher's view of `state`, without instances that are known to be leaving.
 pub(super) fn view(settings: &Settings, state: &State, news: &BadNews) -> View {
     let mut pools: BTreeMap<_, Vec<Runner>> = BTreeMap::new();
     for pool in state.config.pools.keys() {
@@ -87,7 +87,7 @@
     }
 }
 
-/// The limit of a resource, and how long those that ended may still use it.
+/// The limit of a resource, and how long members that ended may still use its permits.
 pub(super) fn bounds(state: &State, resource: &Resource) -> Bounds {
     let limit = match resource {
         Resource::Team(team) => {
@@ -106,7 +106,8 @@
     }
 }
 
-/// Services that share a pool share its runners' slots; the least that one states holds for all.
+/// Slots of an instance. Services that share a pool share its runners' slots, so the smallest
+/// number that any of them configures applies.
 fn slots(state: &State, instance: &Instance) -> u32 {
     let services = state.config.services_of(&instance.pool);
     services.map(|service| service.slots).min().unwrap_or(0)
--- a/pomelohitchd/src/planner.rs
+++ b/pomelohitchd/src/planner.rs
@@ -1,13 +1,14 @@
 //! Decides about instances while this member holds the term, and carries the decisions out.
 //!
-//! The decisions are those of `pomelohitch-maintain`; here are the platform's list, the proposals
-//! and the effects. An effect is asked for only because of an accepted record, with the record's
-//! offset as its key, and again at every look until the platform says that it is complete.
+//! `pomelohitch-maintain` makes the decisions; this module reads the platform's list, proposes the
+//! decisions and applies the effects. An effect is requested only because of an accepted record,
+//! with the record's offset as its key, and is requested again in every planning pass until the
+//! platform reports it as complete.
 //!
-//! Right before each call the log is read to its head, and the call is left out if the instance is
-//! no longer in the phase that asks for it. The window that remains is the time from that read to
-//! the platform's receipt of the call: one round trip, or as long as this process is paused in
-//! between. `docs/PROTOCOL.md` says what can happen in it.
+//! Right before each call the log is read to its head, and the call is skipped if the instance has
+//! left the phase that requires it. A race remains between that read and the platform's receipt of
+//! the call: one round trip, or as long as this process is paused in between. `docs/PROTOCOL.md`
+//! describes its consequences.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,24 +28,24 @@
 use crate::node::{Node, wall_clock};
 use crate::snapshots::Writer;
 
-/// How often the planner looks, while a look is short.
+/// Interval between planning passes while they are short.
 const TICK: Duration = Duration::from_millis(500);
-/// How often it looks at least.
+/// Longest interval between planning passes.
 const LONGEST_TICK: Duration = Duration::from_secs(5);
-/// It decides for at most one part in so many of the time. In a large fleet it would otherwise take
-/// the processor time that requests need.
+/// The interval is at least this many times the duration of the last pass. In a large fleet,
+/// planning would otherwise take the processor time that requests need.
 const SHARE_OF_TIME: u32 = 200;
-/// How long one proposal may take.
+/// Timeout of one proposal.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
-/// How long the own reader may take to reach the head before an effect.
+/// Timeout for this member's reader to reach the head of the log before an effect.
 const HEAD_LIMIT: Duration = Duration::from_secs(2);
-/// A list that is older starts nothing new.
+/// An older list of instances isn't used.
 const LIST_LIMIT: Duration = Duration::from_secs(10);
-/// How many proposals and how many effects one look carries out at the most, so that a look stays
-/// short; the rest comes at the next one.
+/// Maximum number of proposals and of effects in one planning pass, so that a pass stays short.
+/// The rest follows in the next pass.
 const PER_LOOK: usize = 200;
 
-/// Plans for ever, while this member holds the term.
+/// Plans forever; does nothing while another member holds the term.
 pub fn run(node: &Arc<Node>) {
     let started = Instant::now();
     let mut planning: Option<Planning> = None;
@@ -67,14 +68,14 @@
     node.is_ready() && state.members.planner.as_ref() == Some(&node.settings.member)
 }
 
-/// What a planner keeps from look to look.
+/// State kept between planning passes of one term.
 #[derive(Debug)]
 struct Planning {
     planner: Planner,
     demand: demand::Options,
     loads: BTreeMap<ServiceId, Load>,
     snapshots: Writer,
-    /// Where the effects of the last look ended.
+    /// Index of the effect with which the next pass starts, modulo their number.
     next_effect: usize,
 }
 
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Looks once; returns how long deciding took.
+    /// Runs one planning pass; returns how long deciding took.
     fn look(&mut self, node: &Node, state: &State, now: Duration) -> Duration {
         let mut seen = observe(node, state, now);
         seen.needs = self.needs(state, &node.permits.demand(), now);
@@ -108,7 +109,7 @@
     fn carry_out_plan(&mut self, node: &Node, state: &State, plan: Plan) {
         for decision in plan.decisions.into_iter().take(PER_LOOK) {
             if !propose(node, state, decision) {
-                // The log is down or this is no longer the planner; look anew.
+                // The log is down or this member is no longer the planner: start over.
                 return;
             }
         }
@@ -116,7 +117,7 @@
         self.snapshots.tick(node, &node.state.load_full());
     }
 
-    /// How many instances each pool needs for the services that are measured.
+    /// Number of instances that each pool needs, for pools whose services have measured demand.
     fn needs(
         &mut self,
         state: &State,
@@ -137,7 +138,7 @@
         needs
     }
 
-    /// Asks for effects in turn, so that those which never complete hold up no others.
+    /// Requests effects round-robin, so that effects that never complete don't block others.
     fn carry_out(&mut self, node: &Node, effects: &[Wanted]) {
         if effects.is_empty() {
             return;
@@ -171,8 +172,9 @@
     }
 }
 
-/// Every entry instance has applied the records below this offset. One that wasn't heard lately
-/// may know nothing; it stops sending by itself within the bound.
+/// Every entry instance has applied the records below this offset. 0 if a member wasn't heard
+/// within [`BOUND`]: it may have applied nothing, but it stops sending work by itself within
+/// [`BOUND`].
 fn known_by_all(node: &Node, state: &State) -> Offset {
     let peers = node.peers();
     let others = state.members.by_id.iter();
@@ -186,7 +188,7 @@
     lowest.unwrap_or(state.next).min(state.next)
 }
 
-/// Proposes, and returns whether to go on.
+/// Proposes a decision; returns whether the pass should continue.
 fn propose(node: &Node, state: &State, decision: Decision) -> bool {
     let Ok(decided) = node.propose(decision.body(state), PROPOSE_LIMIT) else {
         metrics::counter!("planner_proposal_errors").increment(1);
@@ -201,7 +203,7 @@
     is_planner(node, &node.state.load())
 }
 
-/// Asks for an effect, records its completion, and returns whether to go on.
+/// Requests an effect and records its completion; returns whether the pass should continue.
 fn ask_for(node: &Node, wanted: &Wanted) -> bool {
     let Some(state) = state_at_head(node) else {
         return false;
@@ -219,14 +221,14 @@
         },
         Ok(Progress::Pending) => true,
         Err(_) => {
-            // Whether it took effect or not, the same call is repeated at the next look.
+            // Whether or not it took effect, the same call is repeated in the next pass.
             metrics::counter!("instance_effect_errors").increment(1);
             true
         }
     }
 }
 
-/// The state in force here once it has reached the log's head of now.
+/// The state, once it includes all records up to the current head of the log.
 fn state_at_head(node: &Node) -> Option<Arc<State>> {
     let probe = Read {
         stream: FLEET_STREAM,
--- a/pomelohitchd/src/reader.rs
+++ b/pomelohitchd/src/reader.rs
@@ -1,4 +1,4 @@
-//! Follows the log and puts each new state in force.
+//! Reads the log and publishes each new state to the other threads.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,12 +11,12 @@
 
 use crate::node::Node;
 
-/// How long one read waits for something new.
+/// Time that one read waits for new records.
 const READ_WAIT: Duration = Duration::from_secs(1);
-/// How long to wait after a read that failed.
+/// Delay after a failed read.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Reads for ever. While the log can't be read, what is in force stays in force.
+/// Reads the log forever. While it can't be read, the last state stays current.
 pub fn run(node: &Arc<Node>) {
     let mut follower = Follower::new(node.log.clone(), State::default());
     load_first(node, &mut follower);
@@ -32,7 +32,7 @@
                 node.log_is_down.store(false, Ordering::Release);
                 let is_at_head = follower.state().next >= progress.head;
                 take_over(node, &follower, progress);
-                // A reader that is behind, after a pause say, knows only old news yet.
+                // A reader that is behind, for example after a pause, has an outdated state.
                 if is_at_head {
                     node.read_log(begun);
                 }
@@ -50,8 +50,8 @@
     }
 }
 
-/// A joiner starts from the newest snapshot; without one it reads the log from its beginning,
-/// which fails loudly if that was trimmed.
+/// Starts from the newest snapshot. Without one the log is read from its beginning, which fails
+/// with an error if the beginning was trimmed.
 fn load_first(node: &Node, follower: &mut Follower) {
     match follower.load_snapshot() {
         Ok(true) => {
--- a/pomelohitchd/src/readiness.rs
+++ b/pomelohitchd/src/readiness.rs
@@ -1,9 +1,9 @@
 //! Whether an entry instance that joined has caught up far enough to serve.
 //!
-//! One that serves too early meets callers with the configuration of long ago: a changed limit
-//! reverts, a withdrawn key works again. The model check found that the three conditions here
-//! have to hold at the same time (`docs/PROTOCOL.md`): a head that was reached before a peer was heard
-//! may be an old one by then.
+//! An entry instance that serves too early uses an outdated configuration: a changed limit reverts,
+//! a withdrawn key works again. The three conditions here have to hold at the same time, as model
+//! checking showed (`docs/PROTOCOL.md`): a head that was reached before a peer was heard may be
+//! outdated by then.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -13,32 +13,32 @@
 use crate::freshness::BOUND;
 use crate::node::Node;
 
-/// What speaks for having caught up.
+/// The observations that show whether the process has caught up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Evidence {
     /// The offset of the next record to apply.
     pub next: Offset,
-    /// Whether the log's head was reached lately.
+    /// Whether the log was read to its head within [`BOUND`].
     pub is_at_head: bool,
     /// Whether the log can't be read.
     pub log_is_down: bool,
-    /// How many other members there are.
+    /// Number of other members.
     pub others: usize,
-    /// How many of them were heard lately.
+    /// Number of other members heard within [`BOUND`].
     pub heard: usize,
-    /// The highest offset that any of those has.
+    /// The highest offset that any of these has applied.
     pub highest: Offset,
-    /// How long ago the own join came into force.
+    /// Time since this member's join took effect.
     pub since_join: Duration,
-    /// A peer not heard of for so long is held for dead.
+    /// A peer that isn't heard for this long is treated as dead.
     pub lease: Duration,
 }
 
 impl Evidence {
-    /// Whether it is enough.
+    /// Whether this member may serve.
     ///
-    /// While the log is down, the peers stand in for its head. Members that nobody can hear any more
-    /// don't hold up a start for longer than their lease: they may have died together.
+    /// While the log is down, the offsets of peers replace its head. If no peer is heard, members
+    /// that died at the same time delay a start for no longer than their lease.
     #[must_use]
     pub fn may_serve(&self) -> bool {
         let has_reached = self.is_at_head || (self.log_is_down && self.heard > 0);
@@ -48,7 +48,7 @@
     }
 }
 
-/// What speaks for `node` having caught up, its join being in force for `since_join`.
+/// The observations of `node`, whose join took effect `since_join` ago.
 #[must_use]
 pub fn evidence(node: &Node, since_join: Duration) -> Evidence {
     let state = node.state.load();
--- a/pomelohitchd/src/snapshots.rs
+++ b/pomelohitchd/src/snapshots.rs
@@ -10,19 +10,20 @@
 
 use crate::node::Node;
 
-/// A joiner applies about this many records at the most after the snapshot.
+/// A snapshot is written after at most about this many records, which bounds the number that a
+/// joining member has to apply.
 const EVERY_RECORDS: Offset = 4096;
-/// How long to wait after a snapshot that failed.
+/// Delay after a failed attempt to write a snapshot.
 const RETRY_AFTER: Duration = Duration::from_secs(10);
 
-/// What decides whether a snapshot is due.
+/// The inputs that decide whether a snapshot is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct View {
-    /// The offset that the newest whole snapshot reaches.
+    /// The offset up to which the newest complete snapshot reaches.
     pub snapshot: Offset,
-    /// How long ago it was written, as far as this process knows.
+    /// Time since it was written, or since this process first saw it.
     pub age: Duration,
-    /// The longest time between two, while there is something new.
+    /// The longest time between two snapshots while there are new records.
     pub interval: Duration,
     /// The oldest offset that the log keeps.
     pub first: Offset,
@@ -31,11 +32,11 @@
 }
 
 impl View {
-    /// Whether to write one now.
+    /// Whether to write a snapshot now.
     ///
-    /// The log's retention isn't known beforehand. Once it trims, what is kept shows it: the
-    /// snapshot has to reach into the newer half of that, so that half of the retention is left
-    /// for writing the next one.
+    /// The log's retention isn't configured here; once the log is trimmed, the records that it
+    /// keeps show it. The newest snapshot has to reach into the newer half of them, so that half
+    /// of the retention is left for writing the next one.
     #[must_use]
     pub fn is_due(&self) -> bool {
         if self.next <= self.snapshot {
@@ -47,7 +48,7 @@
     }
 }
 
-/// Remembers the newest snapshot during a term.
+/// Writes snapshots during a term of this member.
 #[derive(Debug, Default)]
 pub struct Writer {
     term: Term,
@@ -56,13 +57,13 @@
 }
 
 impl Writer {
-    /// Writes a snapshot if one is due. To be called while this member plans.
+    /// Writes a snapshot if one is due. Call it only while this member plans.
     pub fn tick(&mut self, node: &Node, state: &State) {
         if self.failed.is_some_and(|at| at.elapsed() < RETRY_AFTER) {
             return;
         }
         if let Err(error) = self.write_if_due(node, state) {
-            // Readers pass over what was written in part.
+            // Readers ignore incomplete snapshots.
             warn!(%error, "could not write a snapshot");
             self.failed = Some(Instant::now());
         }
--- a/pomelohitchd/src/withdraw.rs
+++ b/pomelohitchd/src/withdraw.rs
@@ -1,9 +1,9 @@
-//! Withdraws a key at once, also while the log is down.
+//! Withdraws a key at once, even while the log is down.
 //!
-//! The key is refused here from the moment the call is made, and by the other entry instances with
-//! their next heartbeats. The record in the log makes it last; until that can be read, every entry
-//! instance that knows the news keeps it, tells it, and tries to append it. So it outlives the
-//! entry instance at which the operator asked.
+//! The key is refused here immediately, and by the other entry instances once they get the next
+//! heartbeat. The record in the log makes the withdrawal durable. Until that record is read, every
+//! entry instance that knows of the withdrawal keeps it, includes it in its heartbeats and tries to
+//! append it, so it survives the loss of the entry instance that received the operator's request.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,25 +16,25 @@
 use crate::freshness::BOUND;
 use crate::node::Node;
 
-/// How often news that isn't in the log is looked for.
+/// Interval between attempts to append withdrawals that aren't in the log.
 const TICK: Duration = Duration::from_secs(1);
-/// How long one proposal may take.
+/// Timeout of one proposal.
 const PROPOSE_LIMIT: Duration = Duration::from_secs(2);
 
-/// How far a withdrawal has come.
+/// Progress of a withdrawal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Withdrawal {
-    /// Where the record stands in the log; `None` if it couldn't be appended or isn't read yet.
-    /// Entry instances go on trying until it does.
+    /// Offset of the record in the log; `None` if it couldn't be appended or wasn't read back in
+    /// time. Entry instances retry the append until the record is read.
     pub offset: Option<Offset>,
-    /// How many members there are, this one included.
+    /// Number of members, including this one.
     pub members: usize,
-    /// How many of them were heard within the bound, this one included; they refuse the key within
-    /// a heartbeat, and the others before they send anything new.
+    /// Number of members heard within [`BOUND`], including this one. They refuse the key within a
+    /// heartbeat; the others learn of it before they send any new work.
     pub reached: usize,
 }
 
-/// Puts the withdrawal of the key with this hash in force.
+/// Withdraws the key with this hash here, and tries to append the withdrawal to the log.
 pub fn withdraw_key(node: &Node, key: &KeyHash) -> Withdrawal {
     node.add_withdrawn(std::slice::from_ref(key));
     let offset = append(node, key);
@@ -66,7 +66,7 @@
         .count()
 }
 
-/// The withdrawals that are known here and don't stand in the log yet.
+/// The withdrawals known here that aren't in the log as far as `state` shows.
 #[must_use]
 pub fn unlogged(node: &Node, state: &State) -> Vec<KeyHash> {
     let news = node.bad_news.load();
@@ -76,7 +76,7 @@
         .collect()
 }
 
-/// Appends, for ever, whatever withdrawal is known and doesn't stand in the log.
+/// Appends known withdrawals that aren't in the log, forever.
 pub fn run(node: &Arc<Node>) {
     loop {
         std::thread::sleep(TICK);
@@ -84,9 +84,9 @@
     }
 }
 
-/// Appends whatever withdrawal is known and doesn't stand in the log, and forgets the news that
-/// does. Every entry instance does so: the record is harmless however often it stands there, and
-/// any one of them may be the last that knows.
+/// Appends known withdrawals that aren't in the log, and forgets those that are. Every entry
+/// instance does so, because any of them may be the last one that knows; duplicate records are
+/// harmless.
 pub fn log_news(node: &Node) {
     for key in unlogged(node, &node.state.load()) {
         if append(node, &key).is_none() {
@@ -97,7 +97,7 @@
     forget_logged(node);
 }
 
-/// News that stands in the log needn't be told any more.
+/// Withdrawals in the log needn't be sent in heartbeats any more.
 fn forget_logged(node: &Node) {
     let state = node.state.load();
     let news = node.bad_news.load();
@@ -116,7 +116,8 @@
     });
 }
 
-/// Tries for `limit` to leave nothing behind that only this process knows.
+/// Tries for at most `limit` to append all known withdrawals, so that none is lost with this
+/// process.
 pub fn flush(node: &Node, limit: Duration) {
     let deadline = Instant::now() + limit;
     while !unlogged(node, &node.state.load()).is_empty() && Instant::now() < deadline {
