--- a/pomelohitchd/src/admin.rs
+++ b/pomelohitchd/src/admin.rs
@@ -39,7 +39,7 @@
 struct Admin {
     node: Arc<Node>,
     metrics: PrometheusHandle,
-    drain_asked: AtomicBool,
+    drain_requested: AtomicBool,
 }
 
 /// Opens the operators' port.
@@ -51,7 +51,7 @@
     let admin = Admin {
         node: node.clone(),
         metrics,
-        drain_asked: AtomicBool::new(false),
+        drain_requested: AtomicBool::new(false),
     };
     let handler: Box<dyn Fn(&Request) -> Response + Send + Sync> =
         Box::new(move |req| admin.answer(req));
@@ -91,10 +91,12 @@
             ("GET", "/v1/admin/members") => Response::json(&view::status(node).fleet.members),
             ("GET", "/v1/admin/pools") => Response::json(&view::status(node).fleet.pools),
             ("GET", "/v1/admin/waves") => Response::json(&view::status(node).fleet.waves),
-            ("GET", "/v1/admin/state") => Response::json(&view::whole(node, &node.state.load())),
+            ("GET", "/v1/admin/state") => {
+                Response::json(&view::full_state(node, &node.state.load()))
+            }
             ("POST", "/v1/admin/keys/withdraw") => change::withdraw_key(node, req),
             ("POST", "/v1/admin/maintain") => change::maintain(node, req),
-            ("POST", "/v1/admin/drain") => change::drain(&self.drain_asked),
+            ("POST", "/v1/admin/drain") => change::drain(&self.drain_requested),
             _ => Response::empty_404(),
         }
     }
--- a/pomelohitchd/src/admin/change.rs
+++ b/pomelohitchd/src/admin/change.rs
@@ -17,9 +17,9 @@
 use crate::withdraw;
 
 /// Largest body of a request, in bytes.
-const BODY_BYTES: u64 = 16 * 1024;
+const MAX_BODY_BYTES: u64 = 16 * 1024;
 /// Timeout of one proposal.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Length of a key hash in hexadecimal digits.
 const KEY_HASH_DIGITS: usize = 64;
 
@@ -67,7 +67,7 @@
 
 /// Withdraws a key at once, here and at the peers that can be reached, even while the log is down.
 pub(super) fn withdraw_key(node: &Node, req: &Request) -> Response {
-    let Some(Withdraw { hash }) = read(req) else {
+    let Some(Withdraw { hash }) = parse_body(req) else {
         return bad_request("send {\"hash\": HASH}, the key's hash, never the key");
     };
     let is_hash = hash.len() == KEY_HASH_DIGITS && hash.bytes().all(|b| b.is_ascii_hexdigit());
@@ -92,7 +92,7 @@
 
 /// Starts, pauses or resumes maintenance.
 pub(super) fn maintain(node: &Node, req: &Request) -> Response {
-    let Some(order) = read::<MaintainOrder>(req) else {
+    let Some(order) = parse_body::<MaintainOrder>(req) else {
         return bad_request("send an order as docs/ADMIN.md describes it");
     };
     info!(?order, "an operator ordered maintenance");
@@ -105,8 +105,8 @@
 
 /// Starts the graceful shutdown of this entry instance, as SIGTERM does. A second signal would
 /// abort it, so only the first request raises one.
-pub(super) fn drain(drain_asked: &AtomicBool) -> Response {
-    if drain_asked.swap(true, Ordering::AcqRel) {
+pub(super) fn drain(drain_requested: &AtomicBool) -> Response {
+    if drain_requested.swap(true, Ordering::AcqRel) {
         return Response::text("draining already\n").with_status_code(202);
     }
     info!("an operator drains this entry instance");
@@ -114,14 +114,14 @@
         Ok(()) => Response::text("draining\n").with_status_code(202),
         Err(error) => {
             warn!(%error, "the drain couldn't be started");
-            drain_asked.store(false, Ordering::Release);
+            drain_requested.store(false, Ordering::Release);
             Response::text("send SIGTERM to the process\n").with_status_code(500)
         }
     }
 }
 
 fn propose(node: &Node, body: Body, fix: &'static str) -> Response {
-    let (status, outcome) = match node.propose(body, PROPOSE_LIMIT) {
+    let (status, outcome) = match node.propose(body, PROPOSE_TIMEOUT) {
         Ok(decided) => match decided.verdict {
             Verdict::Rejected(rejection) => (409, Outcome::NotInForce { rejection }),
             Verdict::Accepted | Verdict::Repeat(_) => {
@@ -135,10 +135,10 @@
     Response::json(&outcome).with_status_code(status)
 }
 
-fn read<T: DeserializeOwned>(req: &Request) -> Option<T> {
+fn parse_body<T: DeserializeOwned>(req: &Request) -> Option<T> {
     let mut buf = Vec::new();
     let body = req.data()?;
-    body.take(BODY_BYTES).read_to_end(&mut buf).ok()?;
+    body.take(MAX_BODY_BYTES).read_to_end(&mut buf).ok()?;
     serde_json::from_slice(&buf).ok()
 }
 
--- a/pomelohitchd/src/admin/view.rs
+++ b/pomelohitchd/src/admin/view.rs
@@ -37,7 +37,7 @@
 
 /// The complete state, for programs; its size grows with the fleet.
 #[derive(Debug, Serialize)]
-pub struct Whole<'a> {
+pub struct FullState<'a> {
     member: &'a str,
     ready: bool,
     leaving: bool,
@@ -46,8 +46,8 @@
 
 /// The complete state at `node`.
 #[must_use]
-pub fn whole<'a>(node: &'a Node, state: &'a State) -> Whole<'a> {
-    Whole {
+pub fn full_state<'a>(node: &'a Node, state: &'a State) -> FullState<'a> {
+    FullState {
         member: &node.settings.member,
         ready: node.is_ready(),
         leaving: node.is_leaving(),
--- a/pomelohitchd/src/batch.rs
+++ b/pomelohitchd/src/batch.rs
@@ -21,7 +21,7 @@
 pub use driver::Driver;
 
 /// Interval between two steps of the driver.
-const TICK: Duration = Duration::from_millis(25);
+const STEP_INTERVAL: Duration = Duration::from_millis(25);
 
 /// Options for batch jobs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -50,7 +50,7 @@
 pub fn run_with(node: &Arc<Node>, options: Options) {
     let mut driver = None;
     loop {
-        std::thread::sleep(TICK);
+        std::thread::sleep(STEP_INTERVAL);
         if !is_planner(node) {
             if driver.take().is_some() {
                 info!("no longer plans batch work");
--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -17,18 +17,18 @@
 use pomelohitch_platform::workers::{self as platform, Action, Listed, Reports, Start};
 use tracing::{info, warn};
 
-use super::effects::{Ask, Call, Effects, Learned, Outcome};
-use super::polls::{self, News};
-use crate::node::{BadNews, Node};
+use super::effects::{Call, CallRequest, CallResult, Effects, Outcome};
+use super::polls::{self, Update};
+use crate::node::{KnownWithdrawals, Node};
 
 /// Timeout of one proposal.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(4);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// A lease is renewed after its length divided by this.
-const RENEW_PART: u32 = 3;
+const RENEW_DIVISOR: u32 = 3;
 /// Delay before a call without a usable answer is repeated.
-const CALL_AGAIN_AFTER: Duration = Duration::from_millis(300);
+const CALL_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Timeout for the reports of an attempt that has ended; afterwards its outcome is unknown.
-const REPORTS_WITHIN: Duration = Duration::from_secs(30);
+const REPORTS_TIMEOUT: Duration = Duration::from_secs(30);
 /// Maximum number of reports in one record.
 const MAX_REPORTS: usize = 1024;
 
@@ -40,18 +40,18 @@
     planner: Planner,
     /// The state that the planner's accounting reflects.
     known: Arc<State>,
-    known_news: Arc<BadNews>,
+    known_withdrawals: Arc<KnownWithdrawals>,
     has_list: bool,
     listed: Vec<Listed>,
-    news: mpsc::Receiver<News>,
+    updates: mpsc::Receiver<Update>,
     effects: Effects,
-    began: Instant,
+    started_at: Instant,
     /// Position in the platform's reports after which to continue once `pending` is in the log.
     reports_next: u64,
-    reports_read: Duration,
+    reports_read_at: Duration,
     pending: Vec<Report>,
-    renew: BTreeSet<(Duration, JobId, AttemptId)>,
-    again: BTreeSet<(Duration, JobId, AttemptId)>,
+    renewals: BTreeSet<(Duration, JobId, AttemptId)>,
+    retries: BTreeSet<(Duration, JobId, AttemptId)>,
     /// Attempts that have ended without a report so far, with the time at which that was detected.
     unexplained: BTreeMap<JobId, (AttemptId, Duration)>,
 }
@@ -67,56 +67,57 @@
             node: node.clone(),
             planner: Planner::new(Options::default()),
             known: Arc::new(State::default()),
-            known_news: Arc::default(),
+            known_withdrawals: Arc::default(),
             has_list: false,
             listed: Vec::new(),
-            news: polls::start(node, reports_next),
+            updates: polls::start(node, reports_next),
             effects: Effects::start(node),
-            began: Instant::now(),
+            started_at: Instant::now(),
             reports_next,
-            reports_read: Duration::ZERO,
+            reports_read_at: Duration::ZERO,
             pending: Vec::new(),
-            renew: BTreeSet::new(),
-            again: BTreeSet::new(),
+            renewals: BTreeSet::new(),
+            retries: BTreeSet::new(),
             unexplained: BTreeMap::new(),
         }
     }
 
     /// Runs one step. Blocks only on proposals to the log.
     pub fn step(&mut self) {
-        let now = self.began.elapsed();
-        self.take_news(now);
+        let now = self.started_at.elapsed();
+        self.take_updates(now);
         if !self.has_list {
             return;
         }
-        self.follow(now);
-        self.take_outcomes(now);
-        self.give_up();
+        self.sync(now);
+        self.process_outcomes(now);
+        self.report_unexplained();
         self.report();
-        self.follow(now);
+        self.sync(now);
         self.decide(now);
-        self.follow(now);
-        self.renew(now);
-        self.call_again(now);
+        self.sync(now);
+        self.renew_leases(now);
+        self.retry_calls(now);
     }
 
-    fn take_news(&mut self, now: Duration) {
-        while let Ok(news) = self.news.try_recv() {
-            match news {
-                News::List(list) => {
+    fn take_updates(&mut self, now: Duration) {
+        while let Ok(update) = self.updates.try_recv() {
+            match update {
+                Update::List(list) => {
                     self.has_list = true;
                     if self.listed != list.workers {
                         self.listed = list.workers;
                         self.set_workers(now);
                     }
                 }
-                News::Reports(reports) => self.take_reports(reports, now),
+                Update::Reports(reports) => self.take_reports(reports, now),
             }
         }
     }
 
-    /// Updates the planner's accounting to the newest state, and calls workers for jobs that changed.
-    fn follow(&mut self, now: Duration) {
+    /// Updates the planner's accounting to the newest state, and calls workers for jobs that
+    /// changed.
+    fn sync(&mut self, now: Duration) {
         let state = self.node.state.load_full();
         let known = std::mem::replace(&mut self.known, state.clone());
         let is_same =
@@ -136,9 +137,11 @@
                 self.planner.set_team(id, TeamQuota { share: 1, limit: 0 });
             }
         }
-        let news = self.node.bad_news.load_full();
-        if !Arc::ptr_eq(&known.fleet, &state.fleet) || !Arc::ptr_eq(&news, &self.known_news) {
-            self.known_news = news;
+        let withdrawals = self.node.bad_news.load_full();
+        if !Arc::ptr_eq(&known.fleet, &state.fleet)
+            || !Arc::ptr_eq(&withdrawals, &self.known_withdrawals)
+        {
+            self.known_withdrawals = withdrawals;
             self.set_workers(now);
         }
         if Arc::ptr_eq(&known.jobs, &state.jobs) {
@@ -157,31 +160,31 @@
             let entry = state.jobs.get(&id);
             self.planner.set_job(&id, entry, now);
             if let Some(entry) = entry {
-                self.act_on(entry, known.jobs.get(&id), now);
+                self.call_worker(entry, known.jobs.get(&id), now);
             }
         }
     }
 
     /// Makes the worker calls that the job's state requires. A new planner does this for every job
     /// and thereby takes over the attempts of its predecessor.
-    fn act_on(&mut self, entry: &Entry, before: Option<&Entry>, now: Duration) {
+    fn call_worker(&mut self, entry: &Entry, before: Option<&Entry>, now: Duration) {
         let Some(attempt) = entry.attempt() else {
             return;
         };
         let id = &entry.job.id;
         let is_new = before.and_then(Entry::attempt) != Some(attempt);
         if is_new {
-            let due = now + self.lease(id) / RENEW_PART;
+            let due = now + self.lease(id) / RENEW_DIVISOR;
             // The age of a lease that an earlier planner granted isn't known, so renew it at once.
             let due = if matches!(entry.state, JobState::Placed(_)) {
                 due
             } else {
                 now
             };
-            self.renew.insert((due, id.clone(), attempt.attempt));
+            self.renewals.insert((due, id.clone(), attempt.attempt));
         }
         if let Some(call) = self.call_for(entry) {
-            self.ask(id, attempt, call);
+            self.submit_call(id, attempt, call);
         }
     }
 
@@ -206,8 +209,8 @@
         }
     }
 
-    fn ask(&self, id: &JobId, attempt: &Attempt, call: Call) {
-        self.effects.ask(Ask {
+    fn submit_call(&self, id: &JobId, attempt: &Attempt, call: Call) {
+        self.effects.submit(CallRequest {
             job: id.clone(),
             attempt: attempt.clone(),
             call,
@@ -229,48 +232,49 @@
         (current.attempt == attempt).then_some((entry, current))
     }
 
-    fn take_outcomes(&mut self, now: Duration) {
+    fn process_outcomes(&mut self, now: Duration) {
         let outcomes: Vec<Outcome> = self.effects.outcomes().collect();
-        for Outcome { ask, learned } in outcomes {
-            let attempt = ask.attempt.attempt;
-            if self.current(&ask.job, attempt).is_none() {
+        for Outcome { request, result } in outcomes {
+            let attempt = request.attempt.attempt;
+            if self.current(&request.job, attempt).is_none() {
                 continue;
             }
-            match learned {
-                Learned::Event(event) => {
+            match result {
+                CallResult::Event(event) => {
                     if event == Event::NotStarted {
                         // The worker has less capacity than the accounting shows. Without a
                         // backoff the job would be placed there again at once.
-                        self.planner.observe_start_refusal(&ask.attempt.worker, now);
+                        self.planner
+                            .observe_start_refusal(&request.attempt.worker, now);
                     }
                     self.pending.push(Report {
-                        job: ask.job,
+                        job: request.job,
                         attempt,
                         event,
                     });
                 }
-                Learned::Ended => {
+                CallResult::Ended => {
                     let found = (attempt, now);
-                    self.unexplained.entry(ask.job).or_insert(found);
+                    self.unexplained.entry(request.job).or_insert(found);
                 }
-                Learned::Nothing => {
-                    let due = now + CALL_AGAIN_AFTER;
-                    self.again.insert((due, ask.job, attempt));
+                CallResult::NoAnswer => {
+                    let due = now + CALL_RETRY_DELAY;
+                    self.retries.insert((due, request.job, attempt));
                 }
-                Learned::Done => {}
+                CallResult::Done => {}
             }
         }
     }
 
     /// Reports ended attempts as `Unknown` if no report about them arrived in time. Time during
     /// which reports can't be read doesn't count, because the report may still arrive.
-    fn give_up(&mut self) {
+    fn report_unexplained(&mut self) {
         let mut lost = Vec::new();
         let known = self.known.clone();
         self.unexplained.retain(|id, (attempt, found)| {
             let current = known.jobs.get(id).and_then(|entry| entry.attempt());
             let is_current = current.is_some_and(|current| current.attempt == *attempt);
-            let is_late = self.reports_read >= *found + REPORTS_WITHIN;
+            let is_late = self.reports_read_at >= *found + REPORTS_TIMEOUT;
             if is_current && is_late {
                 lost.push(Report {
                     job: id.clone(),
@@ -284,7 +288,7 @@
     }
 
     fn take_reports(&mut self, reports: Reports, now: Duration) {
-        self.reports_read = now;
+        self.reports_read_at = now;
         self.reports_next = reports.next;
         for report in reports.reports {
             self.take_report(&report, now);
@@ -319,8 +323,8 @@
             Event::MemoryKilled { memory_mib } => self.planner.observe_memory_kill(id, memory_mib),
             _ => {}
         }
-        // The log may be ahead of the state here, so a report is dropped only if it certainly changes
-        // nothing: the start of an attempt that the state already shows as running.
+        // The log may be ahead of the state here, so a report is dropped only if it certainly
+        // changes nothing: the start of an attempt that the state already shows as running.
         let runs = |entry: &Entry| matches!(entry.state, JobState::Running(_));
         let is_known_to_run = self
             .current(id, attempt)
@@ -355,7 +359,7 @@
             next,
             reports: self.pending[..count].to_vec(),
         };
-        match self.node.propose(Body::Job(record), PROPOSE_LIMIT) {
+        match self.node.propose(Body::Job(record), PROPOSE_TIMEOUT) {
             Ok(_) => drop(self.pending.drain(..count)),
             Err(_) => metrics::counter!("job_report_errors").increment(1),
         }
@@ -380,7 +384,7 @@
             release: decision.release.clone(),
         };
         let body = Body::Job(JobRecord::Decide(record));
-        match self.node.propose(body, PROPOSE_LIMIT) {
+        match self.node.propose(body, PROPOSE_TIMEOUT) {
             Ok(decided) if decided.verdict == Verdict::Accepted => {}
             Ok(decided) => info!(verdict = ?decided.verdict, "a decision about jobs was rejected"),
             Err(error) => {
@@ -388,13 +392,13 @@
                 warn!(%error, "could not decide about jobs");
             }
         }
-        self.correct(&decision, now);
+        self.reconcile(&decision, now);
     }
 
     /// Resets the planner's accounting to the state for everything in the decision, because the
-    /// planner assumed that the log would accept it. Parts that are accepted later reach the planner
-    /// with the state in a later step.
-    fn correct(&mut self, decision: &Decision, now: Duration) {
+    /// planner assumed that the log would accept it. Parts that are accepted later reach the
+    /// planner with the state in a later step.
+    fn reconcile(&mut self, decision: &Decision, now: Duration) {
         let state = self.node.state.load_full();
         let placed = decision.place.iter().map(|placement| &placement.job);
         let preempted = decision.preempt.iter().map(|preemption| &preemption.job);
@@ -408,27 +412,28 @@
     fn throttle(&self, throttle: &pomelohitch_place::planner::Throttle) {
         let jobs = self.known.jobs.get(&throttle.job);
         if let Some(attempt) = jobs.and_then(Entry::attempt) {
-            self.ask(&throttle.job, attempt, Call::Throttle);
+            self.submit_call(&throttle.job, attempt, Call::Throttle);
         }
     }
 
-    fn renew(&mut self, now: Duration) {
-        while self.renew.first().is_some_and(|(due, ..)| *due <= now) {
-            let Some((_, id, attempt)) = self.renew.pop_first() else {
+    fn renew_leases(&mut self, now: Duration) {
+        while self.renewals.first().is_some_and(|(due, ..)| *due <= now) {
+            let Some((_, id, attempt)) = self.renewals.pop_first() else {
                 return;
             };
             let Some((_, current)) = self.current(&id, attempt) else {
                 continue;
             };
             let lease = self.lease(&id);
-            self.ask(&id, &current.clone(), Call::Act(Action::Renew, lease));
-            self.renew.insert((now + lease / RENEW_PART, id, attempt));
+            self.submit_call(&id, &current.clone(), Call::Act(Action::Renew, lease));
+            self.renewals
+                .insert((now + lease / RENEW_DIVISOR, id, attempt));
         }
     }
 
-    fn call_again(&mut self, now: Duration) {
-        while self.again.first().is_some_and(|(due, ..)| *due <= now) {
-            let Some((_, id, attempt)) = self.again.pop_first() else {
+    fn retry_calls(&mut self, now: Duration) {
+        while self.retries.first().is_some_and(|(due, ..)| *due <= now) {
+            let Some((_, id, attempt)) = self.retries.pop_first() else {
                 return;
             };
             let Some((entry, current)) = self.current(&id, attempt) else {
@@ -439,13 +444,13 @@
             let lease = self.lease(&id);
             let call = self.call_for(entry);
             let call = call.unwrap_or(Call::Act(Action::Renew, lease));
-            self.ask(&id, current, call);
+            self.submit_call(&id, current, call);
         }
     }
 
     fn set_workers(&mut self, now: Duration) {
         let state = self.node.state.load_full();
-        let leaving = self.node.bad_news.load();
+        let withdrawals = self.node.bad_news.load();
         let mut gone: BTreeSet<InstanceId> = self.planner.workers().cloned().collect();
         for listed in &self.listed {
             gone.remove(&listed.id);
@@ -456,7 +461,7 @@
                 zone: listed.zone.clone(),
                 rack: listed.rack.clone(),
                 capacity: listed.capacity,
-                takes_work: is_active && !leaving.leaving_instances.contains(&listed.id),
+                takes_work: is_active && !withdrawals.leaving_instances.contains(&listed.id),
             };
             self.planner.set_worker(worker, now);
         }
--- a/pomelohitchd/src/batch/effects.rs
+++ b/pomelohitchd/src/batch/effects.rs
@@ -12,7 +12,7 @@
 use crate::node::Node;
 
 /// Number of threads, and thus of concurrent calls.
-const CALLS: usize = 16;
+const THREADS: usize = 16;
 
 /// An operation on an attempt at its worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 
 /// A call about an attempt.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Ask {
+pub struct CallRequest {
     /// The job.
     pub job: JobId,
     /// The attempt, with its worker.
@@ -38,13 +38,13 @@
 
 /// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Learned {
+pub enum CallResult {
     /// This happened to the attempt.
     Event(Event),
     /// It has ended; how is only known from its reports.
     Ended,
     /// No usable answer. The call is repeated later if the attempt is still current.
-    Nothing,
+    NoAnswer,
     /// The call succeeded and has no effect on the log.
     Done,
 }
@@ -53,15 +53,15 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outcome {
     /// The call.
-    pub ask: Ask,
+    pub request: CallRequest,
     /// Its result.
-    pub learned: Learned,
+    pub result: CallResult,
 }
 
 /// A pool of threads that make calls. After a drop, each thread ends when its current call is done.
 #[derive(Debug)]
 pub struct Effects {
-    asks: mpsc::Sender<Ask>,
+    requests: mpsc::Sender<CallRequest>,
     outcomes: mpsc::Receiver<Outcome>,
 }
 
@@ -69,20 +69,20 @@
     /// Starts the threads.
     #[must_use]
     pub fn start(node: &Arc<Node>) -> Effects {
-        let (asks, asked) = mpsc::channel();
+        let (requests, receiver) = mpsc::channel();
         let (tx, outcomes) = mpsc::channel();
-        let asked = Arc::new(Mutex::new(asked));
-        for _ in 0..CALLS {
-            let (node, asked, tx) = (node.clone(), asked.clone(), tx.clone());
-            std::thread::spawn(move || make_calls(&node, &asked, &tx));
+        let receiver = Arc::new(Mutex::new(receiver));
+        for _ in 0..THREADS {
+            let (node, receiver, tx) = (node.clone(), receiver.clone(), tx.clone());
+            std::thread::spawn(move || make_calls(&node, &receiver, &tx));
         }
-        Effects { asks, outcomes }
+        Effects { requests, outcomes }
     }
 
     /// Queues a call.
-    pub fn ask(&self, ask: Ask) {
+    pub fn submit(&self, request: CallRequest) {
         // Can't fail: the threads keep the receiver until this is dropped.
-        let _ = self.asks.send(ask);
+        let _ = self.requests.send(request);
     }
 
     /// Calls that finished since the last call of this function.
@@ -91,30 +91,37 @@
     }
 }
 
-fn make_calls(node: &Node, asked: &Mutex<mpsc::Receiver<Ask>>, tx: &mpsc::Sender<Outcome>) {
+fn make_calls(
+    node: &Node,
+    receiver: &Mutex<mpsc::Receiver<CallRequest>>,
+    tx: &mpsc::Sender<Outcome>,
+) {
     loop {
-        let next = asked.lock().unwrap_or_else(PoisonError::into_inner).recv();
-        let Ok(ask) = next else { return };
-        let learned = make_call(node, &ask);
-        if tx.send(Outcome { ask, learned }).is_err() {
+        let next = receiver
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .recv();
+        let Ok(request) = next else { return };
+        let result = make_call(node, &request);
+        if tx.send(Outcome { request, result }).is_err() {
             return;
         }
     }
 }
 
-fn make_call(node: &Node, ask: &Ask) -> Learned {
-    let op = ask.attempt.attempt;
-    match &ask.call {
-        Call::Start(start) if is_wanted(node, ask) => start_attempt(node, ask, start),
-        Call::Start(_) => Learned::Nothing,
-        Call::Act(action, lease) => act(node, ask, *action, *lease),
+fn make_call(node: &Node, request: &CallRequest) -> CallResult {
+    let op = request.attempt.attempt;
+    match &request.call {
+        Call::Start(start) if is_wanted(node, request) => start_attempt(node, request, start),
+        Call::Start(_) => CallResult::NoAnswer,
+        Call::Act(action, lease) => apply_action(node, request, *action, *lease),
         Call::Throttle => {
-            let effect = effect(ask, Action::Throttle, Duration::ZERO);
+            let effect = effect(request, Action::Throttle, Duration::ZERO);
             match (node.workers.apply)(&effect) {
                 Ok(()) => metrics::counter!("tasks_throttled").increment(1),
                 Err(error) => tracing::debug!(%error, op, "could not throttle"),
             }
-            Learned::Done
+            CallResult::Done
         }
     }
 }
@@ -124,11 +131,11 @@
 ///
 /// The worker's fencing covers the race between this check and the call: a planner that settles
 /// the attempt meanwhile does so by querying the task, after which the worker refuses its start.
-fn is_wanted(node: &Node, ask: &Ask) -> bool {
+fn is_wanted(node: &Node, request: &CallRequest) -> bool {
     let state = node.state.load();
-    let entry = state.jobs.get(&ask.job);
+    let entry = state.jobs.get(&request.job);
     let placed = entry.is_some_and(|entry| match &entry.state {
-        JobState::Placed(attempt) => *attempt == ask.attempt,
+        JobState::Placed(attempt) => *attempt == request.attempt,
         _ => false,
     });
     placed && super::is_planner(node)
@@ -136,40 +143,46 @@
 
 /// Starts an attempt. If the call fails it may still have taken effect, so the task is queried.
 /// If the worker doesn't know the task, that query also rules out a later start.
-fn start_attempt(node: &Node, ask: &Ask, start: &Start) -> Learned {
-    if (node.workers.start)(&ask.attempt.worker, start).is_ok() {
-        return Learned::Event(Event::Started);
+fn start_attempt(node: &Node, request: &CallRequest, start: &Start) -> CallResult {
+    if (node.workers.start)(&request.attempt.worker, start).is_ok() {
+        return CallResult::Event(Event::Started);
     }
     metrics::counter!("task_start_errors").increment(1);
-    look_up(node, ask.attempt.attempt, Learned::Event(Event::Started))
+    query_task(
+        node,
+        request.attempt.attempt,
+        CallResult::Event(Event::Started),
+    )
 }
 
-fn act(node: &Node, ask: &Ask, action: Action, lease: Duration) -> Learned {
-    match (node.workers.apply)(&effect(ask, action, lease)) {
+fn apply_action(node: &Node, request: &CallRequest, action: Action, lease: Duration) -> CallResult {
+    match (node.workers.apply)(&effect(request, action, lease)) {
         Ok(()) => match action {
-            Action::Stop => Learned::Event(Event::Stopped),
-            Action::Checkpoint => Learned::Event(Event::Checkpointed),
-            Action::Renew | Action::Throttle => Learned::Done,
+            Action::Stop => CallResult::Event(Event::Stopped),
+            Action::Checkpoint => CallResult::Event(Event::Checkpointed),
+            Action::Renew | Action::Throttle => CallResult::Done,
         },
         // No such task is running: it never started or has ended.
-        Err(error) if error.is_status(404) => look_up(node, ask.attempt.attempt, Learned::Nothing),
-        Err(_) => Learned::Nothing,
+        Err(error) if error.is_status(404) => {
+            query_task(node, request.attempt.attempt, CallResult::NoAnswer)
+        }
+        Err(_) => CallResult::NoAnswer,
     }
 }
 
-fn look_up(node: &Node, op: AttemptId, if_running: Learned) -> Learned {
+fn query_task(node: &Node, op: AttemptId, if_running: CallResult) -> CallResult {
     match (node.workers.task)(op) {
         Ok(TaskState::Running) => if_running,
-        Ok(TaskState::Ended) => Learned::Ended,
-        Ok(TaskState::Never) => Learned::Event(Event::NotStarted),
-        Err(_) => Learned::Nothing,
+        Ok(TaskState::Ended) => CallResult::Ended,
+        Ok(TaskState::Never) => CallResult::Event(Event::NotStarted),
+        Err(_) => CallResult::NoAnswer,
     }
 }
 
-fn effect(ask: &Ask, action: Action, lease: Duration) -> Effect {
+fn effect(request: &CallRequest, action: Action, lease: Duration) -> Effect {
     Effect {
-        worker: ask.attempt.worker.clone(),
-        op: ask.attempt.attempt,
+        worker: request.attempt.worker.clone(),
+        op: request.attempt.attempt,
         action,
         lease,
     }
--- a/pomelohitchd/src/burn.rs
+++ b/pomelohitchd/src/burn.rs
@@ -18,9 +18,9 @@
 use crate::node::{Node, wall_clock};
 
 /// Interval at which the end of a minute is checked.
-const TICK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// The lowest status that counts as a failure of the service.
-const FIRST_FAILURE: u16 = 500;
+const MIN_FAILURE_STATUS: u16 = 500;
 
 /// The counts of this process.
 #[derive(Debug, Default)]
@@ -68,8 +68,8 @@
 ) -> Option<bool> {
     let objective = service.objective.as_ref()?;
     match answered {
-        Ok(answer) => Some(answer.status < FIRST_FAILURE && took <= objective.within),
-        Err(problem) if problem.kind.status() < FIRST_FAILURE => None,
+        Ok(answer) => Some(answer.status < MIN_FAILURE_STATUS && took <= objective.within),
+        Err(problem) if problem.kind.status() < MIN_FAILURE_STATUS => None,
         Err(_) => Some(false),
     }
 }
@@ -134,7 +134,7 @@
         if node.is_ready() {
             close_past(node, minute_of(wall_clock()));
         }
-        std::thread::sleep(TICK);
+        std::thread::sleep(CHECK_INTERVAL);
     }
 }
 
--- a/pomelohitchd/src/front.rs
+++ b/pomelohitchd/src/front.rs
@@ -27,14 +27,14 @@
 pub use limits::Limits;
 
 use exchange::Exchange;
-use limits::{Gauge, Guard};
+use limits::{Budget, BudgetGuard};
 
 /// Polling interval during a graceful shutdown.
-const TICK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Stack size of a connection's thread, in bytes.
-const STACK: usize = 512 * 1024;
+const STACK_BYTES: usize = 512 * 1024;
 /// Delay after a failed accept, most often caused by a lack of file descriptors.
-const ACCEPT_AGAIN_AFTER: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// One complete request.
 #[derive(Debug)]
@@ -62,8 +62,8 @@
     service: Service,
     /// Limits on connections, sizes and times.
     pub limits: Limits,
-    connections: Gauge,
-    body_bytes: Gauge,
+    connections: Budget,
+    body_bytes: Budget,
 }
 
 impl Front {
@@ -109,8 +109,8 @@
 fn front(service: Service, limits: Limits) -> Arc<Front> {
     Arc::new(Front {
         service,
-        connections: Gauge::new(limits.connections),
-        body_bytes: Gauge::new(limits.body_bytes_together),
+        connections: Budget::new(limits.connections),
+        body_bytes: Budget::new(limits.body_bytes_together),
         limits,
     })
 }
@@ -121,11 +121,11 @@
 fn shut_down(front: &Front, listener: &TcpListener) {
     std::thread::sleep(front.limits.leaving_grace);
     while front.connections.used() > 0 {
-        std::thread::sleep(TICK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     // Wakes the accepting thread, which then sees that the shutdown is over.
     if let Ok(addr) = listener.local_addr() {
-        let _ = TcpStream::connect_timeout(&addr, TICK);
+        let _ = TcpStream::connect_timeout(&addr, POLL_INTERVAL);
     }
 }
 
@@ -153,7 +153,7 @@
         }
         let Ok((stream, peer)) = accepted else {
             metrics::counter!("caller_accept_errors").increment(1);
-            std::thread::sleep(ACCEPT_AGAIN_AFTER);
+            std::thread::sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
         match front.connections.take(1) {
@@ -163,7 +163,7 @@
     }
 }
 
-fn start(front: &Arc<Front>, stream: TcpStream, peer: std::net::SocketAddr, guard: Guard) {
+fn start(front: &Arc<Front>, stream: TcpStream, peer: std::net::SocketAddr, guard: BudgetGuard) {
     let front = front.clone();
     let serving = move || {
         connection::serve(&front, &stream, peer);
@@ -171,7 +171,7 @@
     };
     let started = std::thread::Builder::new()
         .name("caller".into())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(serving);
     if started.is_err() {
         // The connection is dropped, and with it the guard: the caller sees it close unanswered.
--- a/pomelohitchd/src/front/connection.rs
+++ b/pomelohitchd/src/front/connection.rs
@@ -13,12 +13,12 @@
 use super::{Front, Incoming};
 
 /// Size of one read, in bytes.
-const CHUNK: usize = 8 * 1024;
+const READ_BYTES: usize = 8 * 1024;
 /// Limits in time and bytes on reading and discarding what the caller still sends after a refusal.
 const LINGER: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 1024 * 1024;
 /// `Retry-After` of a refusal for lack of memory or connections.
-const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why no request was read.
 #[derive(Debug, Snafu)]
@@ -34,7 +34,7 @@
     Unreadable { source: head::Error },
     /// The bodies of all connections exceed their memory limit.
     #[snafu(display("no room for the body"))]
-    NoRoom,
+    BodyBudgetExhausted,
 }
 
 type Result<T, E = Error> = std::result::Result<T, E>;
@@ -67,8 +67,8 @@
             Err(error) => return self.refuse(&error),
         };
         let arrived = Instant::now();
-        let Some(_room) = self.front.body_bytes.take(head.body_length) else {
-            return self.refuse(&Error::NoRoom);
+        let Some(_guard) = self.front.body_bytes.take(head.body_length) else {
+            return self.refuse(&Error::BodyBudgetExhausted);
         };
         let body = match self.read_body(&head) {
             Ok(body) => body,
@@ -123,8 +123,8 @@
 
     fn read_body(&mut self, head: &Head) -> Result<Vec<u8>> {
         if head.expects_continue && self.buf.len() < head.body_length {
-            let go_on = (&mut &*self.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
-            go_on.map_err(|_| Error::Ended)?;
+            let sent = (&mut &*self.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
+            sent.map_err(|_| Error::Ended)?;
         }
         let deadline = Instant::now() + self.front.limits.body_within;
         while self.buf.len() < head.body_length {
@@ -142,7 +142,7 @@
             return SlowSnafu.fail();
         }
         let _ = self.stream.set_read_timeout(Some(left));
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_BYTES];
         match (&mut &*self.stream).read(&mut chunk) {
             Ok(0) => EndedSnafu.fail(),
             Ok(count) => {
@@ -166,8 +166,8 @@
             Error::Unreadable { source } => {
                 Problem::not_run(Kind::BadRequest(source.status()), detail)
             }
-            Error::NoRoom => {
-                Problem::not_run(Kind::EntryFull, detail).retry_after(FULL_RETRY_AFTER)
+            Error::BodyBudgetExhausted => {
+                Problem::not_run(Kind::EntryFull, detail).retry_after(OVERLOAD_RETRY_AFTER)
             }
         };
         metrics::counter!("requests_unreadable").increment(1);
@@ -203,7 +203,7 @@
 /// The answer that refuses a connection because a limit is reached, as bytes.
 #[must_use]
 pub fn refusal(detail: &str) -> Vec<u8> {
-    let problem = Problem::not_run(Kind::EntryFull, detail).retry_after(FULL_RETRY_AFTER);
+    let problem = Problem::not_run(Kind::EntryFull, detail).retry_after(OVERLOAD_RETRY_AFTER);
     encode(exchange::problem_response(&problem), true, false).unwrap_or_default()
 }
 
--- a/pomelohitchd/src/front/exchange.rs
+++ b/pomelohitchd/src/front/exchange.rs
@@ -21,7 +21,7 @@
 use crate::jobs_api;
 use crate::node::Node;
 use crate::permits::keys::{self, Granted};
-use crate::permits::{self, NoTurn, Wanted};
+use crate::permits::{self, AcquireError, AcquireRequest};
 
 /// A result whose error becomes a problem document.
 pub type Result<T, E = Problem> = std::result::Result<T, E>;
@@ -86,7 +86,7 @@
         peer: SocketAddr,
         arrived: Instant,
     ) -> Result<Response> {
-        let key = shown_key(&head.headers)?;
+        let key = bearer_key(&head.headers)?;
         let (state, team) = self.check_key(&key)?;
         if is_jobs_path(&head.target) {
             return Ok(jobs_api::answer(
@@ -130,7 +130,7 @@
 
     fn call(&self, call: &Call) -> Result<Answer> {
         let granted = self.claim_key(call)?;
-        let answered = self.send_in_turn(call);
+        let answered = self.acquire_and_send(call);
         // The key stays taken unless the request certainly didn't run, in which case the caller may
         // send it again.
         if let (Some(granted), Err(problem)) = (granted, &answered)
@@ -164,14 +164,14 @@
         }
     }
 
-    fn send_in_turn(&self, call: &Call) -> Result<Answer> {
-        let wanted = Wanted {
+    fn acquire_and_send(&self, call: &Call) -> Result<Answer> {
+        let request = AcquireRequest {
             service: &call.service.id,
             team: &call.team.id,
             priority: call.terms.priority,
             deadline: call.deadline,
         };
-        let mut sent = permits::acquire(&self.node, &wanted).map_err(no_turn)?;
+        let mut sent = permits::acquire(&self.node, &request).map_err(acquire_problem)?;
         let mut may_have_run = false;
         let mut connection = if call.terms.idempotent {
             Connection::Reused
@@ -179,17 +179,17 @@
             Connection::New
         };
         loop {
-            if let Err(problem) = self.check_again(call, &sent) {
-                permits::end(&self.node, &sent, Completion::Refused);
+            if let Err(problem) = self.recheck(call, &sent) {
+                permits::complete(&self.node, &sent, Completion::Refused);
                 let ran = if may_have_run { Ran::Unknown } else { Ran::No };
                 return Err(Problem { ran, ..problem });
             }
-            let error = match self.try_once(call, &sent, connection) {
+            let error = match self.attempt(call, &sent, connection) {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
             };
             may_have_run |= !error.is_not_run();
-            if let Some(next) = self.next_try(call, &sent, &error) {
+            if let Some(next) = self.next_attempt(call, &sent, &error) {
                 // After a failure, a reused connection isn't trusted any more.
                 connection = Connection::New;
                 sent = next;
@@ -202,7 +202,7 @@
     /// Repeats the checks right before sending. While the process was paused, its incarnation may
     /// have been ended and its permits granted to others, and the key may have been withdrawn while
     /// the request waited in the queue.
-    fn check_again(&self, call: &Call, sent: &Sent) -> Result<()> {
+    fn recheck(&self, call: &Call, sent: &Sent) -> Result<()> {
         let (_, team) = self.check_key(&call.key)?;
         if !permits::may_send(&self.node, sent) {
             let detail = "this entry instance was held for dead meanwhile";
@@ -218,43 +218,45 @@
         ))
     }
 
-    fn try_once(&self, call: &Call, sent: &Sent, connection: Connection) -> send::Result<Answer> {
+    fn attempt(&self, call: &Call, sent: &Sent, connection: Connection) -> send::Result<Answer> {
         // The runner was chosen by an earlier state, which is outdated if the process was paused.
         let state = self.node.state.load();
         let runner = state.fleet.instances.get(&sent.runner);
         if runner.is_none_or(|runner| runner.phase != Phase::Active) {
-            permits::end(&self.node, sent, Completion::Refused);
+            permits::complete(&self.node, sent, Completion::Refused);
             return Err(send::Error::Unsent {
                 reason: "the runner takes no new work".into(),
             });
         }
         let left = call.deadline.saturating_duration_since(Instant::now());
-        let limit = self.limit_of_try(call, connection, left);
+        let limit = self.attempt_limit(call, connection, left);
         let mut out = call.out.clone();
         out.headers
             .add("Request-Timeout-Ms", &left.as_millis().to_string());
         let answered = self.sender.send(sent.addr, &out, connection, limit);
-        permits::end(&self.node, sent, end_of(&answered));
+        permits::complete(&self.node, sent, completion_of(&answered));
         answered
     }
 
     /// Timeout of one attempt. A reused connection may be dead, so an idempotent request doesn't
     /// spend its whole remaining time on it.
-    fn limit_of_try(&self, call: &Call, connection: Connection, left: Duration) -> Duration {
+    fn attempt_limit(&self, call: &Call, connection: Connection, left: Duration) -> Duration {
         match connection {
             Connection::New => left,
-            Connection::Reused => permits::patience(&self.node, &call.service.id)
-                .map_or(left, |patience| left.min(patience)),
+            Connection::Reused => permits::attempt_timeout(&self.node, &call.service.id)
+                .map_or(left, |timeout| left.min(timeout)),
         }
     }
 
-    /// The next attempt, if there is one. A request that isn't idempotent is retried only if none of
-    /// its bytes were sent.
-    fn next_try(&self, call: &Call, sent: &Sent, error: &send::Error) -> Option<Sent> {
+    /// The next attempt, if there is one. A request that isn't idempotent is retried only if none
+    /// of its bytes were sent.
+    fn next_attempt(&self, call: &Call, sent: &Sent, error: &send::Error) -> Option<Sent> {
         let is_unsent = matches!(error, send::Error::Unsent { .. });
         let has_time = Instant::now() < call.deadline;
-        let may_try = has_time && (call.terms.idempotent || is_unsent);
-        let next = may_try.then(|| permits::retry(&self.node, sent)).flatten();
+        let may_retry = has_time && (call.terms.idempotent || is_unsent);
+        let next = may_retry
+            .then(|| permits::retry(&self.node, sent))
+            .flatten();
         if next.is_some() {
             metrics::counter!("request_retries").increment(1);
         }
@@ -262,10 +264,10 @@
     }
 }
 
-fn shown_key(headers: &Headers) -> Result<KeyHash> {
-    let shown = headers.get("Authorization");
-    let shown = shown.and_then(|value| value.strip_prefix("Bearer "));
-    shown
+fn bearer_key(headers: &Headers) -> Result<KeyHash> {
+    let header = headers.get("Authorization");
+    let header = header.and_then(|value| value.strip_prefix("Bearer "));
+    header
         .map(key::hash)
         .ok_or_else(|| Problem::not_run(Kind::UnknownKey, "show a key: Authorization: Bearer KEY"))
 }
@@ -279,7 +281,7 @@
     Err(Problem::not_run(Kind::NoRunner, detail).retry_after(NO_RUNNER_RETRY_AFTER))
 }
 
-fn end_of(answered: &send::Result<Answer>) -> Completion {
+fn completion_of(answered: &send::Result<Answer>) -> Completion {
     match answered {
         Ok(_) => Completion::Answered,
         Err(send::Error::Unsent { .. }) => Completion::Unsent,
@@ -288,14 +290,14 @@
     }
 }
 
-fn no_turn(reason: NoTurn) -> Problem {
+fn acquire_problem(reason: AcquireError) -> Problem {
     match reason {
-        NoTurn::Refused(refusal) => Problem::not_run(
+        AcquireError::Refused(refusal) => Problem::not_run(
             Kind::QueueFull,
             "it would not be served before its deadline",
         )
         .retry_after(refusal.retry_after),
-        NoTurn::Expired { retry_after } => Problem::not_run(
+        AcquireError::Expired { retry_after } => Problem::not_run(
             Kind::WaitedTooLong,
             "no runner and permit came free before its deadline",
         )
--- a/pomelohitchd/src/front/limits.rs
+++ b/pomelohitchd/src/front/limits.rs
@@ -53,25 +53,25 @@
 
 /// A limited amount (of connections or bytes) and how much of it is in use.
 #[derive(Debug)]
-pub struct Gauge {
+pub struct Budget {
     used: Arc<AtomicUsize>,
-    most: usize,
+    max: usize,
 }
 
 /// Returns its amount when dropped, also during a panic.
 #[derive(Debug)]
-pub struct Guard {
+pub struct BudgetGuard {
     used: Arc<AtomicUsize>,
     amount: usize,
 }
 
-impl Gauge {
-    /// A budget of which at most `most` may be in use.
+impl Budget {
+    /// A budget of which at most `max` may be in use.
     #[must_use]
-    pub fn new(most: usize) -> Gauge {
-        Gauge {
+    pub fn new(max: usize) -> Budget {
+        Budget {
             used: Arc::default(),
-            most,
+            max,
         }
     }
 
@@ -83,19 +83,19 @@
 
     /// Takes `amount`; `None` if less than that is left.
     #[must_use]
-    pub fn take(&self, amount: usize) -> Option<Guard> {
-        let add = |used: usize| used.checked_add(amount).filter(|&sum| sum <= self.most);
+    pub fn take(&self, amount: usize) -> Option<BudgetGuard> {
+        let add = |used: usize| used.checked_add(amount).filter(|&sum| sum <= self.max);
         self.used
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, add)
             .ok()?;
-        Some(Guard {
+        Some(BudgetGuard {
             used: self.used.clone(),
             amount,
         })
     }
 }
 
-impl Drop for Guard {
+impl Drop for BudgetGuard {
     fn drop(&mut self) {
         self.used.fetch_sub(self.amount, Ordering::AcqRel);
     }
--- a/pomelohitchd/src/group_commit.rs
+++ b/pomelohitchd/src/group_commit.rs
@@ -16,13 +16,13 @@
 /// Maximum number of jobs in one record.
 const MAX_JOBS: usize = 512;
 /// Timeout of one append with its verdict.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(4);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Number of recent batches whose outcomes are kept for the threads that wait for them.
-const OUTCOMES_KEPT: usize = 64;
+const MAX_OUTCOMES: usize = 64;
 
 /// A change of jobs by a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ask {
+pub enum JobChange {
     /// Submit these jobs.
     Submit(Vec<Job>),
     /// Cancel these jobs.
@@ -63,16 +63,17 @@
 }
 
 impl GroupCommit {
-    /// Appends `ask` together with the changes of other callers; returns the outcome of the append.
-    pub fn commit(&self, ask: Ask, propose: ProposeFn<'_>) -> Outcome {
+    /// Appends `change` together with the changes of other callers; returns the outcome of the
+    /// append.
+    pub fn commit(&self, change: JobChange, propose: ProposeFn<'_>) -> Outcome {
         let mut inner = self.lock();
         while inner.submits.len() + inner.cancels.len() >= MAX_JOBS {
             inner = self.wait(inner);
         }
         let batch = inner.filling;
-        match ask {
-            Ask::Submit(jobs) => inner.submits.extend(jobs),
-            Ask::Cancel(ids) => inner.cancels.extend(ids),
+        match change {
+            JobChange::Submit(jobs) => inner.submits.extend(jobs),
+            JobChange::Cancel(ids) => inner.cancels.extend(ids),
         }
         loop {
             if let Some(&outcome) = inner.outcomes.get(&batch) {
@@ -106,7 +107,7 @@
         let mut inner = self.lock();
         inner.is_appending = false;
         inner.outcomes.insert(batch, outcome);
-        while inner.outcomes.len() > OUTCOMES_KEPT {
+        while inner.outcomes.len() > MAX_OUTCOMES {
             inner.outcomes.pop_first();
         }
         self.changed.notify_all();
@@ -138,14 +139,14 @@
         outcome = append_one(JobRecord::Submit(submits), propose);
     }
     if !cancels.is_empty() {
-        outcome = worse(outcome, append_one(JobRecord::Cancel(cancels), propose));
+        outcome = combined_outcome(outcome, append_one(JobRecord::Cancel(cancels), propose));
     }
     outcome
 }
 
 fn append_one(record: JobRecord, propose: ProposeFn<'_>) -> Outcome {
     metrics::counter!("job_appends").increment(1);
-    match propose(Body::Job(record), PROPOSE_LIMIT) {
+    match propose(Body::Job(record), PROPOSE_TIMEOUT) {
         Ok(Decided {
             verdict: Verdict::Accepted | Verdict::Repeat(_),
             ..
@@ -157,7 +158,7 @@
 
 /// The outcome of a batch with two appends. Unless both have the same outcome, it is unknown:
 /// `NotAppended` would be wrong for a caller whose change was in the append that succeeded.
-fn worse(first: Outcome, second: Outcome) -> Outcome {
+fn combined_outcome(first: Outcome, second: Outcome) -> Outcome {
     if first == second {
         first
     } else {
--- a/pomelohitchd/src/jobs_api.rs
+++ b/pomelohitchd/src/jobs_api.rs
@@ -1,7 +1,7 @@
 //! `/v1/jobs`: callers submit, read and cancel batch jobs.
 //!
-//! * `POST /v1/jobs`, body a [`JobRequest`]: `201` with a [`JobView`] once the job is durable, `200`
-//!   if the same `Idempotency-Key` was used before.
+//! * `POST /v1/jobs`, body a [`JobRequest`]: `201` with a [`JobView`] once the job is durable,
+//!   `200` if the same `Idempotency-Key` was used before.
 //! * `GET /v1/jobs`: the team's jobs, `GET /v1/jobs/ID`: one of them.
 //! * `DELETE /v1/jobs/ID`: cancels it and answers with its new state.
 //!
@@ -18,13 +18,13 @@
 use rouille::{Request, Response};
 use serde::{Deserialize, Serialize};
 
-use crate::group_commit::{Ask, Outcome};
+use crate::group_commit::{JobChange, Outcome};
 use crate::node::Node;
 
 /// Largest accepted body, in bytes.
-const MAX_BODY: u64 = 64 * 1024;
+const MAX_BODY_BYTES: u64 = 64 * 1024;
 /// Longest class, group or idempotency key, in bytes.
-const MAX_NAME: usize = 200;
+const MAX_NAME_BYTES: usize = 200;
 /// No more jobs are accepted while the table holds this many, including ended ones. Every entry
 /// instance keeps all of them and would otherwise run out of memory without any error to callers.
 pub const MOST_JOBS: usize = 40_000;
@@ -115,11 +115,11 @@
         Err(refusal) => return refusal,
     };
     let key = req.header("Idempotency-Key");
-    if key.is_some_and(|key| key.is_empty() || key.len() > MAX_NAME) {
+    if key.is_some_and(|key| key.is_empty() || key.len() > MAX_NAME_BYTES) {
         return problem(400, "no", "Idempotency-Key is empty or too long");
     }
     let job = job_of(team, key, declared);
-    if let Some(answer) = known(node, &job) {
+    if let Some(answer) = known_job(node, &job) {
         return answer;
     }
     if node.state.load().jobs.table.len() >= MOST_JOBS {
@@ -127,8 +127,8 @@
         return problem(503, "no", "too many jobs are kept; nothing was taken in")
             .with_additional_header("Retry-After", RETRY_AFTER);
     }
-    match node.commit_jobs(Ask::Submit(vec![job.clone()])) {
-        Outcome::Durable => taken_in(node, &job),
+    match node.commit_jobs(JobChange::Submit(vec![job.clone()])) {
+        Outcome::Durable => submitted_job(node, &job),
         outcome => not_durable(outcome),
     }
 }
@@ -139,10 +139,14 @@
         return refuse("the body was read before");
     };
     let mut bytes = Vec::new();
-    if body.take(MAX_BODY + 1).read_to_end(&mut bytes).is_err() {
+    if body
+        .take(MAX_BODY_BYTES + 1)
+        .read_to_end(&mut bytes)
+        .is_err()
+    {
         return refuse("the body ended early");
     }
-    if bytes.len() as u64 > MAX_BODY {
+    if bytes.len() as u64 > MAX_BODY_BYTES {
         return Err(problem(413, "no", "the body is larger than 65536 bytes"));
     }
     let declared: JobRequest = match serde_json::from_slice(&bytes) {
@@ -152,7 +156,7 @@
     let group = declared.group.as_deref().unwrap_or("-");
     if [&*declared.class, group]
         .iter()
-        .any(|name| name.is_empty() || name.len() > MAX_NAME)
+        .any(|name| name.is_empty() || name.len() > MAX_NAME_BYTES)
     {
         return refuse("class or group is empty or too long");
     }
@@ -187,7 +191,7 @@
 }
 
 /// The answer for a job whose id is already in the state, without an append.
-fn known(node: &Node, job: &Job) -> Option<Response> {
+fn known_job(node: &Node, job: &Job) -> Option<Response> {
     let state = node.state.load();
     if let Some(entry) = state.jobs.get(&job.id) {
         return Some(same_or_conflict(entry, job, 200));
@@ -210,7 +214,7 @@
     }
 }
 
-fn taken_in(node: &Node, job: &Job) -> Response {
+fn submitted_job(node: &Node, job: &Job) -> Response {
     let state = node.state.load();
     match state.jobs.get(&job.id) {
         Some(entry) => same_or_conflict(entry, job, 201),
@@ -255,7 +259,7 @@
     if own(&node.state.load().jobs, team, id).is_none() {
         return unknown_job();
     }
-    match node.commit_jobs(Ask::Cancel(vec![id.into()])) {
+    match node.commit_jobs(JobChange::Cancel(vec![id.into()])) {
         Outcome::Durable => show(node, team, id),
         outcome => not_durable(outcome),
     }
--- a/pomelohitchd/src/leaving.rs
+++ b/pomelohitchd/src/leaving.rs
@@ -18,7 +18,7 @@
 use crate::node::Node;
 
 /// Interval between reads of the list while the log is down.
-const TICK: Duration = Duration::from_secs(1);
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
 /// The log counts as down if it wasn't read for this long.
 const LOG_DOWN_AFTER: Duration = Duration::from_secs(2);
 /// A member's report counts for this long, unless the member replaces it.
@@ -39,8 +39,9 @@
     /// The last report of `member`; empty if there is none.
     #[must_use]
     pub fn of(&self, member: &str) -> BTreeSet<InstanceId> {
-        let told = self.by_member.get(member);
-        told.map(|(_, instances)| instances.clone())
+        let report = self.by_member.get(member);
+        report
+            .map(|(_, instances)| instances.clone())
             .unwrap_or_default()
     }
 
@@ -58,12 +59,12 @@
 /// Reads the platform's list while the log is down, forever.
 pub fn run(node: &Arc<Node>) {
     loop {
-        std::thread::sleep(TICK);
+        std::thread::sleep(LIST_INTERVAL);
         let is_down = node
             .last_log_read()
             .is_none_or(|at| at.elapsed() > LOG_DOWN_AFTER);
         let seen = if is_down {
-            look(node)
+            list_leaving(node)
         } else {
             Some(BTreeSet::new())
         };
@@ -74,7 +75,7 @@
 }
 
 /// The instances that the platform lists as leaving; `None` if the list can't be read.
-fn look(node: &Node) -> Option<BTreeSet<InstanceId>> {
+fn list_leaving(node: &Node) -> Option<BTreeSet<InstanceId>> {
     let list = (node.instances.list)();
     if list.is_err() {
         metrics::counter!("instance_list_errors").increment(1);
--- a/pomelohitchd/src/lifecycle.rs
+++ b/pomelohitchd/src/lifecycle.rs
@@ -26,14 +26,14 @@
 /// Exit code for invalid settings; the same as that of `clap`.
 const EXIT_SETTINGS: u8 = 2;
 /// Exit code if a second signal aborts the graceful shutdown.
-const EXIT_CUT_SHORT: i32 = 3;
+const EXIT_ABORTED: i32 = 3;
 /// Polling interval of the loops here.
-const TICK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout of one proposal of this member's join or leave.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Timeout during shutdown for appending withdrawals that aren't in the log yet.
-const FLUSH_LIMIT: Duration = Duration::from_secs(5);
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The daemon couldn't start.
 #[derive(Debug, Snafu)]
@@ -129,7 +129,7 @@
     while !stop.load(Ordering::Acquire) {
         epoch = peers::follow_members(&node, &links, epoch);
         keep_joined(&node, &mut joined, advertised);
-        std::thread::sleep(TICK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     shut_down(&node, &serving);
     node.permits.drop_links();
@@ -151,7 +151,7 @@
     for signal in [SIGTERM, SIGINT] {
         // Registered before the handler that sets the flag. At the first signal the flag is still
         // unset, so only a second signal exits the process.
-        signal_hook::flag::register_conditional_shutdown(signal, EXIT_CUT_SHORT, stop.clone())
+        signal_hook::flag::register_conditional_shutdown(signal, EXIT_ABORTED, stop.clone())
             .context(SignalsSnafu)?;
         signal_hook::flag::register(signal, stop.clone()).context(SignalsSnafu)?;
     }
@@ -218,7 +218,7 @@
         zone: node.settings.zone.clone(),
         peer_addr,
     };
-    match node.propose(Body::Join(join), PROPOSE_LIMIT) {
+    match node.propose(Body::Join(join), PROPOSE_TIMEOUT) {
         Ok(decided) if matches!(decided.verdict, Verdict::Accepted | Verdict::Repeat(_)) => {
             let incarnation = decided.offset;
             node.incarnation.store(incarnation, Ordering::Release);
@@ -245,19 +245,19 @@
     node.life.leaving.store(true, Ordering::Release);
     let deadline = Instant::now() + Duration::from_millis(node.settings.shutdown_ms);
     while !serving.is_finished() && Instant::now() < deadline {
-        std::thread::sleep(TICK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     if !serving.is_finished() {
         warn!("the longest shutdown has passed; requests in flight are cut");
     }
-    withdraw::flush(node, FLUSH_LIMIT);
+    withdraw::flush(node, FLUSH_TIMEOUT);
     burn::finish(node);
     let incarnation = node.incarnation.load(Ordering::Acquire);
     let leave = Leave {
         member: node.settings.member.clone(),
         incarnation,
     };
-    if let Err(error) = node.propose(Body::Leave(leave), PROPOSE_LIMIT) {
+    if let Err(error) = node.propose(Body::Leave(leave), PROPOSE_TIMEOUT) {
         warn!(%error, "could not tell the log; the peers will notice");
     }
     info!("stopped");
--- a/pomelohitchd/src/liveness.rs
+++ b/pomelohitchd/src/liveness.rs
@@ -19,9 +19,9 @@
 use crate::node::{Node, PeerSeen};
 
 /// Interval between checks.
-const TICK: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of one proposal.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// A member that has lost more than half of the members is probably partitioned itself. It waits
 /// this many leases before it treats them as dead.
 const ISOLATED_LEASES: u32 = 5;
@@ -30,9 +30,9 @@
 #[derive(Debug, Default)]
 pub struct Tracker {
     known: BTreeMap<MemberId, (Incarnation, Instant)>,
-    last_look: Option<Instant>,
+    last_call: Option<Instant>,
     /// Silence is counted from this time at the earliest.
-    floor: Option<Instant>,
+    silent_from: Option<Instant>,
 }
 
 impl Tracker {
@@ -47,7 +47,7 @@
         members: &Members,
         peers: &BTreeMap<MemberId, PeerSeen>,
     ) -> Vec<Leave> {
-        self.look(now, lease, members);
+        self.update(now, lease, members);
         let others = members.by_id.iter().filter(|(id, _)| &***id != own);
         let silent: Vec<_> = others
             .map(|(id, member)| {
@@ -76,12 +76,12 @@
     ///
     /// A process that was paused has received no heartbeats meanwhile and would treat all members
     /// as dead when it resumes. A long gap between two calls reveals the pause.
-    fn look(&mut self, now: Instant, lease: Duration, members: &Members) {
-        let was_paused = self.last_look.is_some_and(|last| now - last >= lease / 2);
+    fn update(&mut self, now: Instant, lease: Duration, members: &Members) {
+        let was_paused = self.last_call.is_some_and(|last| now - last >= lease / 2);
         if was_paused {
-            self.floor = Some(now);
+            self.silent_from = Some(now);
         }
-        self.last_look = Some(now);
+        self.last_call = Some(now);
         self.known.retain(|id, _| members.by_id.contains_key(id));
         for (id, member) in &members.by_id {
             let known = self
@@ -105,7 +105,10 @@
         let heard = seen
             .filter(|seen| seen.incarnation == incarnation)
             .map(|seen| seen.at);
-        let latest = [Some(known), heard, self.floor].into_iter().flatten().max();
+        let latest = [Some(known), heard, self.silent_from]
+            .into_iter()
+            .flatten()
+            .max();
         now.saturating_duration_since(latest.unwrap_or(now))
     }
 }
@@ -114,7 +117,7 @@
 pub fn run(node: &Arc<Node>) {
     let mut tracker = Tracker::default();
     loop {
-        std::thread::sleep(TICK);
+        std::thread::sleep(CHECK_INTERVAL);
         let state = node.state.load_full();
         let lease = node.settings.member_lease();
         let own = &node.settings.member;
@@ -133,7 +136,7 @@
 
 fn remove(node: &Node, leave: Leave) {
     let member = leave.member.clone();
-    if let Ok(decided) = node.propose(Body::Leave(leave), PROPOSE_LIMIT)
+    if let Ok(decided) = node.propose(Body::Leave(leave), PROPOSE_TIMEOUT)
         && decided.verdict == Verdict::Accepted
     {
         info!(%member, "a member that wasn't heard of was removed");
@@ -151,7 +154,7 @@
         incarnation: node.incarnation.load(Ordering::Acquire),
         term: state.members.term + 1,
     };
-    match node.propose(Body::TakeTerm(take), PROPOSE_LIMIT) {
+    match node.propose(Body::TakeTerm(take), PROPOSE_TIMEOUT) {
         Ok(decided) => info!(verdict = ?decided.verdict, "proposed to plan"),
         Err(error) => warn!(%error, "could not propose to plan"),
     }
--- a/pomelohitchd/src/node.rs
+++ b/pomelohitchd/src/node.rs
@@ -17,7 +17,7 @@
 use snafu::{ResultExt, Snafu};
 
 use crate::burn::Burn;
-use crate::group_commit::{Ask, GroupCommit, Outcome};
+use crate::group_commit::{GroupCommit, JobChange, Outcome};
 use crate::leaving::Sightings;
 use crate::permits::Permits;
 use crate::settings::Settings;
@@ -79,7 +79,7 @@
 /// Withdrawn keys and leaving instances that may not be in the log yet. Acting on them before the
 /// log confirms them is safe, because they can only cause refusals.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct BadNews {
+pub struct KnownWithdrawals {
     /// Hashes of keys that were withdrawn.
     pub withdrawn_keys: BTreeSet<KeyHash>,
     /// Instances that the platform is removing, as seen by any member.
@@ -110,7 +110,7 @@
     /// Incarnation of this member; 0 before its join takes effect.
     pub incarnation: AtomicU64,
     /// Withdrawals known here, whether or not the log has them.
-    pub bad_news: ArcSwap<BadNews>,
+    pub bad_news: ArcSwap<KnownWithdrawals>,
     /// Counts of answers for the burn rate of service-level objectives.
     pub burn: Burn,
     /// Permits, queues and runners for requests.
@@ -118,12 +118,12 @@
     sightings: Mutex<Sightings>,
     log_read: Mutex<Option<Instant>>,
     peers: Mutex<BTreeMap<MemberId, PeerSeen>>,
-    waiting: Mutex<BTreeMap<RecordId, mpsc::Sender<Decided>>>,
+    waiters: Mutex<BTreeMap<RecordId, mpsc::Sender<Decided>>>,
     jobs: GroupCommit,
 }
 
 /// Delay before an append whose outcome is unknown is repeated.
-const APPEND_AGAIN_AFTER: Duration = Duration::from_millis(100);
+const APPEND_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 impl Node {
     /// The shared state of a process with `settings`, before any record is read.
@@ -146,7 +146,7 @@
             sightings: Mutex::default(),
             log_read: Mutex::default(),
             peers: Mutex::default(),
-            waiting: Mutex::default(),
+            waiters: Mutex::default(),
             jobs: GroupCommit::default(),
             settings,
         }
@@ -163,16 +163,16 @@
         let deadline = Instant::now() + limit;
         let record = self.record(body);
         let (tx, rx) = mpsc::channel();
-        lock(&self.waiting).insert(record.id, tx);
+        lock(&self.waiters).insert(record.id, tx);
         let decided = self.append_and_wait(&record, &rx, limit, deadline);
-        lock(&self.waiting).remove(&record.id);
+        lock(&self.waiters).remove(&record.id);
         decided
     }
 
     /// Appends a caller's change of jobs, in one record with those of other callers.
-    pub fn commit_jobs(&self, ask: Ask) -> Outcome {
+    pub fn commit_jobs(&self, change: JobChange) -> Outcome {
         self.jobs
-            .commit(ask, &|body, limit| self.propose(body, limit))
+            .commit(change, &|body, limit| self.propose(body, limit))
     }
 
     fn append_and_wait(
@@ -183,16 +183,16 @@
         deadline: Instant,
     ) -> Result<Decided> {
         let data = [record.encode()];
-        let mut may_have_landed = false;
+        let mut may_be_appended = false;
         loop {
             match (self.log.append)(FLEET_STREAM, &data) {
                 Ok(_) => break,
-                Err(source) if source.effect() == Effect::None && !may_have_landed => {
+                Err(source) if source.effect() == Effect::None && !may_be_appended => {
                     return Err(source).context(NotAppendedSnafu);
                 }
-                Err(_) => may_have_landed = true,
+                Err(_) => may_be_appended = true,
             }
-            if let Ok(decided) = rx.recv_timeout(APPEND_AGAIN_AFTER) {
+            if let Ok(decided) = rx.recv_timeout(APPEND_RETRY_DELAY) {
                 return Ok(decided);
             }
             if Instant::now() >= deadline {
@@ -218,7 +218,7 @@
     /// Publishes a new state and notifies the threads that wait for its records.
     pub fn put_in_force(&self, state: State, applied: Vec<Applied>) {
         self.state.store(Arc::new(state));
-        let mut waiting = lock(&self.waiting);
+        let mut waiters = lock(&self.waiters);
         for Applied {
             offset,
             id,
@@ -228,7 +228,7 @@
             let (Some(id), Some(verdict)) = (id, verdict) else {
                 continue;
             };
-            let Some(tx) = waiting.get(&id) else { continue };
+            let Some(tx) = waiters.get(&id) else { continue };
             let offset = if let Verdict::Repeat(first) = verdict {
                 first
             } else {
@@ -236,13 +236,13 @@
             };
             // The waiting thread may have timed out.
             let _ = tx.send(Decided { offset, verdict });
-            waiting.remove(&id);
+            waiters.remove(&id);
         }
     }
 
     /// Records the start time of the last successful read of the log.
-    pub fn read_log(&self, begun: Instant) {
-        *lock(&self.log_read) = Some(begun);
+    pub fn read_log(&self, started: Instant) {
+        *lock(&self.log_read) = Some(started);
     }
 
     /// Start time of the last successful read of the log.
@@ -269,9 +269,9 @@
             return;
         }
         self.bad_news.rcu(|known| {
-            let mut news = BadNews::clone(known);
-            news.withdrawn_keys.extend(keys.iter().cloned());
-            news
+            let mut withdrawals = KnownWithdrawals::clone(known);
+            withdrawals.withdrawn_keys.extend(keys.iter().cloned());
+            withdrawals
         });
     }
 
@@ -284,9 +284,9 @@
         if self.bad_news.load().leaving_instances == leaving {
             return;
         }
-        self.bad_news.rcu(|known| BadNews {
+        self.bad_news.rcu(|known| KnownWithdrawals {
             leaving_instances: leaving.clone(),
-            ..BadNews::clone(known)
+            ..KnownWithdrawals::clone(known)
         });
     }
 
--- a/pomelohitchd/src/peers.rs
+++ b/pomelohitchd/src/peers.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of withdrawn keys, and of leaving instances, in a heartbeat. The log carries the
 /// rest.
-const NEWS_PER_BEAT: usize = 200;
+const MAX_PER_HEARTBEAT: usize = 200;
 
 /// Starts the links on `listener`.
 ///
@@ -74,22 +74,22 @@
 }
 
 fn own_beat(node: &Node) -> Heartbeat {
-    let news = node.bad_news.load();
+    let withdrawals = node.bad_news.load();
     Heartbeat {
         member: node.settings.member.clone(),
         incarnation: node.incarnation.load(Ordering::Acquire),
         next: node.state.load().next,
         leaving: node.is_leaving(),
-        withdrawn_keys: news
+        withdrawn_keys: withdrawals
             .withdrawn_keys
             .iter()
-            .take(NEWS_PER_BEAT)
+            .take(MAX_PER_HEARTBEAT)
             .cloned()
             .collect(),
         leaving_instances: node
             .sees_leaving()
             .into_iter()
-            .take(NEWS_PER_BEAT)
+            .take(MAX_PER_HEARTBEAT)
             .collect(),
         ..Heartbeat::default()
     }
--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -23,7 +23,7 @@
 use pomelohitch_route::{Dispatcher, Priority};
 
 use crate::freshness;
-use crate::node::{BadNews, Node};
+use crate::node::{KnownWithdrawals, Node};
 
 pub mod borders;
 mod exchange;
@@ -35,12 +35,12 @@
 use keys::KeyHome;
 
 /// Permits are exchanged at every tick for this long after the last request, ask or change.
-const STIRRED: Duration = Duration::from_secs(2);
+const ACTIVE_FOR: Duration = Duration::from_secs(2);
 /// Margin after a request's deadline, so that the queue has time to expire it.
-const SLACK: Duration = Duration::from_millis(100);
+const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 
 /// Receives the runner and permits of a waiting request, or `None` if it expires in the queue.
-type Turn = mpsc::Sender<Option<Sent>>;
+type GrantSender = mpsc::Sender<Option<Sent>>;
 
 /// Dispatcher, permit homes and idempotency keys behind one lock.
 #[derive(Debug)]
@@ -53,23 +53,23 @@
 
 #[derive(Debug)]
 struct Inner {
-    dispatcher: Dispatcher<Turn>,
+    dispatcher: Dispatcher<GrantSender>,
     homes: Homes,
     keys: KeyHome,
     borders: Borders,
     limits: view::Limits,
-    seen: Seen,
+    view_inputs: ViewInputs,
     /// Until this time permits are exchanged at every tick, afterwards only at idle ticks.
-    quiet_from: Monotonic,
+    active_until: Monotonic,
     /// Peers that haven't answered the last batch yet.
-    busy: BTreeSet<MemberId>,
+    in_flight: BTreeSet<MemberId>,
     /// Whether the last loads that peers received from here were empty.
-    told_empty: bool,
+    sent_empty_loads: bool,
 }
 
 /// The inputs from which the dispatcher's view was last built.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Seen {
+struct ViewInputs {
     next: Offset,
     incarnation: Incarnation,
     leaving: BTreeSet<InstanceId>,
@@ -77,7 +77,7 @@
 
 /// Why a request gets no runner and permits. Such a request certainly didn't run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoTurn {
+pub enum AcquireError {
     /// It wouldn't be served before its deadline, or the queue is full.
     Refused(Refusal),
     /// Its deadline passed while it waited.
@@ -97,10 +97,10 @@
                 keys: KeyHome::default(),
                 borders: Borders::default(),
                 limits: view::Limits::default(),
-                seen: Seen::default(),
-                quiet_from: Monotonic::ZERO,
-                busy: BTreeSet::new(),
-                told_empty: true,
+                view_inputs: ViewInputs::default(),
+                active_until: Monotonic::ZERO,
+                in_flight: BTreeSet::new(),
+                sent_empty_loads: true,
             }),
             links: Mutex::default(),
         }
@@ -152,7 +152,7 @@
 
 /// A request that needs a runner and permits.
 #[derive(Debug, Clone)]
-pub struct Wanted<'a> {
+pub struct AcquireRequest<'a> {
     /// The service.
     pub service: &'a ServiceId,
     /// The team.
@@ -167,29 +167,29 @@
 ///
 /// # Errors
 /// If the queue refuses it or its deadline passes first.
-pub fn acquire(node: &Node, wanted: &Wanted<'_>) -> Result<Sent, NoTurn> {
+pub fn acquire(node: &Node, request: &AcquireRequest<'_>) -> Result<Sent, AcquireError> {
     let (tx, rx) = mpsc::channel();
     let permits = &node.permits;
     {
         let mut inner = permits.lock();
         let now = permits.now();
         inner.refresh(node, now);
-        inner.stir(now);
+        inner.mark_active(now);
         let req = Waiting {
-            team: wanted.team.clone(),
-            priority: wanted.priority,
-            deadline: now + wanted.deadline.saturating_duration_since(Instant::now()),
+            team: request.team.clone(),
+            priority: request.priority,
+            deadline: now + request.deadline.saturating_duration_since(Instant::now()),
             token: tx,
         };
-        inner.dispatcher.record_first_attempt(wanted.service);
-        let offered = inner.dispatcher.offer(wanted.service, req, now);
-        offered.map_err(NoTurn::Refused)?;
-        inner.pump(node, now);
+        inner.dispatcher.record_first_attempt(request.service);
+        let offered = inner.dispatcher.offer(request.service, req, now);
+        offered.map_err(AcquireError::Refused)?;
+        inner.dispatch_ready(node, now);
     }
-    let left = wanted.deadline.saturating_duration_since(Instant::now());
-    let turn = rx.recv_timeout(left + SLACK).ok().flatten();
-    turn.ok_or_else(|| NoTurn::Expired {
-        retry_after: expected_wait(node, wanted.service, wanted.team),
+    let left = request.deadline.saturating_duration_since(Instant::now());
+    let grant = rx.recv_timeout(left + EXPIRY_MARGIN).ok().flatten();
+    grant.ok_or_else(|| AcquireError::Expired {
+        retry_after: expected_wait(node, request.service, request.team),
     })
 }
 
@@ -233,17 +233,17 @@
 /// Timeout of an attempt on a reused connection, after which another attempt is made; `None` if
 /// no further attempt is allowed.
 #[must_use]
-pub fn patience(node: &Node, service: &ServiceId) -> Option<Duration> {
+pub fn attempt_timeout(node: &Node, service: &ServiceId) -> Option<Duration> {
     node.permits.lock().dispatcher.attempt_timeout(service)
 }
 
 /// Records how a dispatched request ended, and dispatches waiting ones.
-pub fn end(node: &Node, sent: &Sent, how: Completion) {
+pub fn complete(node: &Node, sent: &Sent, completion: Completion) {
     let permits = &node.permits;
     let mut inner = permits.lock();
     let now = permits.now();
-    inner.dispatcher.complete(sent, how, now);
-    inner.pump(node, now);
+    inner.dispatcher.complete(sent, completion, now);
+    inner.dispatch_ready(node, now);
 }
 
 /// Expected time until a refused request of `team` finds capacity.
@@ -260,41 +260,47 @@
 
 impl Inner {
     /// Exchanges permits at every tick for a while, because something changed.
-    fn stir(&mut self, now: Monotonic) {
-        self.quiet_from = now + STIRRED;
+    fn mark_active(&mut self, now: Monotonic) {
+        self.active_until = now + ACTIVE_FOR;
     }
 
     /// Rebuilds the view if the fleet state, the incarnation or the leaving instances changed.
     fn refresh(&mut self, node: &Node, now: Monotonic) {
         let state = node.state.load();
-        let news = node.bad_news.load();
+        let withdrawals = node.bad_news.load();
         let incarnation = node.incarnation.load(Ordering::Acquire);
-        let is_current = self.seen.next == state.next
-            && self.seen.incarnation == incarnation
-            && self.seen.leaving == news.leaving_instances;
+        let is_current = self.view_inputs.next == state.next
+            && self.view_inputs.incarnation == incarnation
+            && self.view_inputs.leaving == withdrawals.leaving_instances;
         if is_current {
             return;
         }
-        if self.seen.incarnation != incarnation {
+        if self.view_inputs.incarnation != incarnation {
             self.dispatcher.start_incarnation();
         }
-        self.stir(now);
-        self.take_over(node, &state, &news, now);
-        self.seen = Seen {
+        self.mark_active(now);
+        self.update_view(node, &state, &withdrawals, now);
+        self.view_inputs = ViewInputs {
             next: state.next,
             incarnation,
-            leaving: news.leaving_instances.clone(),
+            leaving: withdrawals.leaving_instances.clone(),
         };
     }
 
-    fn take_over(&mut self, node: &Node, state: &State, news: &BadNews, now: Monotonic) {
+    fn update_view(
+        &mut self,
+        node: &Node,
+        state: &State,
+        withdrawals: &KnownWithdrawals,
+        now: Monotonic,
+    ) {
         let epoch = view::epoch(state);
         self.keys.enter(&epoch, now);
         self.homes.enter(epoch);
-        for resource in self.limits.lowered(state) {
+        for resource in self.limits.update(state) {
             self.dispatcher.require_confirmation(&resource);
         }
-        let view = view::view(&node.settings, state, news);
+        let view = view::view(&node.settings, state, withdrawals);
         if *self.dispatcher.view() != view {
             self.dispatcher.set_view(view);
         }
@@ -308,10 +314,10 @@
     }
 
     /// Hands runners and permits to all waiting requests that can be dispatched now.
-    fn pump(&mut self, node: &Node, now: Monotonic) {
+    fn dispatch_ready(&mut self, node: &Node, now: Monotonic) {
         let is_covered = is_covered(node);
-        for (turn, sent) in self.dispatcher.dispatch(now, is_covered) {
-            if let Err(mpsc::SendError(Some(sent))) = turn.send(Some(sent)) {
+        for (grant, sent) in self.dispatcher.dispatch(now, is_covered) {
+            if let Err(mpsc::SendError(Some(sent))) = grant.send(Some(sent)) {
                 // The waiting thread has given up at the deadline; nothing was sent.
                 self.dispatcher.complete(&sent, Completion::Refused, now);
             }
--- a/pomelohitchd/src/permits/borders.rs
+++ b/pomelohitchd/src/permits/borders.rs
@@ -18,19 +18,19 @@
 use crate::node::{Node, ProposeError};
 
 /// Interval at which the splits are checked.
-const TICK: Duration = Duration::from_millis(500);
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 /// Timeout of one proposal.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// A reservation for jobs is dropped if its permits aren't free after this time, because long
 /// requests use them.
-const RECLAIM_LIMIT: Duration = Duration::from_secs(10);
+const RECLAIM_TIMEOUT: Duration = Duration::from_secs(10);
 /// If neither side lacks permits, a split changes only by more than the limit divided by this, so
 /// that fluctuating demand doesn't fill the log.
-const SLACK_PART: u32 = 8;
+const MIN_CHANGE_DIVISOR: u32 = 8;
 
 /// Permits that the home withholds from requests for a split that isn't in the log yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Reserved {
+struct Reservation {
     jobs: u32,
     /// Version of the split and epoch for which this holds. The fold rejects a proposal whose
     /// version or epoch isn't the current one.
@@ -39,13 +39,13 @@
     since: Instant,
     is_proposed: bool,
     /// Whether a proposal without a known verdict may still be appended.
-    is_open: bool,
+    may_be_accepted: bool,
 }
 
 /// Changes of splits that this member has in progress.
 #[derive(Debug, Default)]
 pub struct Borders {
-    reserved: BTreeMap<TeamId, Reserved>,
+    reserved: BTreeMap<TeamId, Reservation>,
 }
 
 impl Borders {
@@ -67,8 +67,8 @@
         self.reserved.retain(|team, reserved| {
             let is_current = state.limits.version_of(team) == reserved.base
                 && state.members.epoch == reserved.epoch;
-            let is_late = !reserved.is_proposed && reserved.since.elapsed() > RECLAIM_LIMIT;
-            is_current && (reserved.is_open || !is_late)
+            let is_late = !reserved.is_proposed && reserved.since.elapsed() > RECLAIM_TIMEOUT;
+            is_current && (reserved.may_be_accepted || !is_late)
         });
     }
 }
@@ -108,17 +108,17 @@
 pub fn is_worth_moving(limit: u32, now: u32, target: u32, wants: &Wants) -> bool {
     let lacks_jobs = now < wants.jobs && target > now;
     let lacks_requests = limit.saturating_sub(now) < wants.requests && target < now;
-    lacks_jobs || lacks_requests || now.abs_diff(target) > limit / SLACK_PART
+    lacks_jobs || lacks_requests || now.abs_diff(target) > limit / MIN_CHANGE_DIVISOR
 }
 
 /// Checks and proposes splits forever.
 pub fn run(node: &Arc<Node>) {
     loop {
-        std::thread::sleep(TICK);
+        std::thread::sleep(CHECK_INTERVAL);
         if !node.is_ready() {
             continue;
         }
-        for divide in due(node) {
+        for divide in due_proposals(node) {
             propose(node, divide);
         }
     }
@@ -126,7 +126,7 @@
 
 /// The changes that can be proposed now. Also reserves permits for those that have to wait until
 /// requests free them.
-fn due(node: &Node) -> Vec<DivideLimit> {
+fn due_proposals(node: &Node) -> Vec<DivideLimit> {
     let state = node.state.load_full();
     let waiting = waiting_jobs(&state);
     let mut inner = node.permits.lock();
@@ -138,17 +138,17 @@
     let members: Vec<_> = state.members.by_id.keys().collect();
     let own = &node.settings.member;
     let teams = state.config.teams.values();
-    let owned = teams.filter(|team| {
+    let homed_here = teams.filter(|team| {
         let resource = Resource::Team(team.id.clone());
         home_of(&resource, members.iter().copied()) == Some(own)
     });
     let now = node.permits.now();
-    let mut due = Vec::new();
-    for team in owned {
+    let mut proposals = Vec::new();
+    for team in homed_here {
         let waiting = waiting.get(&team.id).copied().unwrap_or(0);
-        due.extend(inner.move_border(&state, team, waiting, now));
+        proposals.extend(inner.propose_split(&state, team, waiting, now));
     }
-    due
+    proposals
 }
 
 fn waiting_jobs(state: &State) -> BTreeMap<TeamId, u32> {
@@ -162,7 +162,7 @@
 }
 
 impl Inner {
-    fn move_border(
+    fn propose_split(
         &mut self,
         state: &State,
         team: &Team,
@@ -201,22 +201,22 @@
     pub fn target(&mut self, state: &State, team: &Team, wants: &Wants) -> Option<u32> {
         let current = state.limits.jobs_of(team);
         if let Some(reserved) = self.reserved.get_mut(&team.id) {
-            let is_waited_for = reserved.is_proposed && reserved.since.elapsed() < RECLAIM_LIMIT;
+            let is_pending = reserved.is_proposed && reserved.since.elapsed() < RECLAIM_TIMEOUT;
             reserved.jobs = reserved.jobs.max(wants.active);
             // If the limit was lowered meanwhile, a larger value would be rejected every time.
-            return (!is_waited_for).then_some(reserved.jobs.min(team.limit));
+            return (!is_pending).then_some(reserved.jobs.min(team.limit));
         }
         let target = part_of_jobs(team.limit, wants);
         if !is_worth_moving(team.limit, current, target, wants) {
             return None;
         }
-        let reserved = Reserved {
+        let reserved = Reservation {
             jobs: target,
             base: state.limits.version_of(&team.id),
             epoch: state.members.epoch,
             since: Instant::now(),
             is_proposed: false,
-            is_open: false,
+            may_be_accepted: false,
         };
         self.reserved.insert(team.id.clone(), reserved);
         Some(target)
@@ -230,8 +230,8 @@
         let Some(reserved) = self.reserved.get_mut(team) else {
             return;
         };
-        reserved.is_open |= outcome == Outcome::Unknown;
-        if outcome == Outcome::Accepted || !reserved.is_open {
+        reserved.may_be_accepted |= outcome == Outcome::Unknown;
+        if outcome == Outcome::Accepted || !reserved.may_be_accepted {
             self.reserved.remove(team);
         }
     }
@@ -250,7 +250,7 @@
 
 fn propose(node: &Node, divide: DivideLimit) {
     let team = divide.team.clone();
-    let outcome = match node.propose(Body::DivideLimit(divide), PROPOSE_LIMIT) {
+    let outcome = match node.propose(Body::DivideLimit(divide), PROPOSE_TIMEOUT) {
         Ok(decided) if decided.verdict == Verdict::Accepted => Outcome::Accepted,
         Ok(_) | Err(ProposeError::NotAppended { .. }) => Outcome::Refused,
         Err(ProposeError::NoVerdict { .. }) => Outcome::Unknown,
--- a/pomelohitchd/src/permits/exchange.rs
+++ b/pomelohitchd/src/permits/exchange.rs
@@ -19,12 +19,12 @@
 /// Interval between two exchange steps.
 const TICK: Duration = Duration::from_millis(25);
 /// Every this many ticks, shares are recomputed and peers get the loads of this member.
-const TICKS_PER_SHARE_OUT: u32 = 10;
+const TICKS_PER_SHARE_REFRESH: u32 = 10;
 /// Every this many ticks, homes are asked for every resource even without a change, while there
 /// is load.
-const TICKS_PER_REFRESH: u32 = 40;
+const TICKS_PER_FULL_ASK: u32 = 40;
 /// While idle, a step runs only every this many ticks. Must divide the other tick counts.
-const TICKS_PER_QUIET_LOOK: u32 = 10;
+const TICKS_PER_IDLE_STEP: u32 = 10;
 
 /// Exchanges permits with the homes forever.
 pub fn run(node: &Arc<Node>) {
@@ -40,21 +40,21 @@
     let mut inner = permits.lock();
     let now = permits.now();
     inner.refresh(node, now);
-    if !node.is_leaving() && !inner.is_look_due(tick, now) {
+    if !node.is_leaving() && !inner.is_step_due(tick, now) {
         return;
     }
     inner.expire(now);
-    let is_telling = tick.is_multiple_of(TICKS_PER_SHARE_OUT);
-    if is_telling {
+    let sends_loads = tick.is_multiple_of(TICKS_PER_SHARE_REFRESH);
+    if sends_loads {
         inner.dispatcher.refresh_shares();
-        inner.review(node, now);
+        inner.recall_excess_permits(node, now);
     }
     if node.is_leaving() {
         inner.dispatcher.leave();
     }
-    let all = tick.is_multiple_of(TICKS_PER_REFRESH);
-    let batches = inner.batches(node, now, is_telling, all);
-    inner.pump(node, now);
+    let asks_all = tick.is_multiple_of(TICKS_PER_FULL_ASK);
+    let batches = inner.batches(node, now, sends_loads, asks_all);
+    inner.dispatch_ready(node, now);
     drop(inner);
     for (member, batch) in batches {
         send(node, member, batch);
@@ -66,11 +66,11 @@
     let on_answer = move |replies: Option<Replies>| {
         let permits = &answered.permits;
         let mut inner = permits.lock();
-        inner.busy.remove(&peer);
+        inner.in_flight.remove(&peer);
         for reply in replies.iter().flat_map(|replies| &replies.replies) {
             inner.dispatcher.on_reply(reply);
         }
-        inner.pump(&answered, permits.now());
+        inner.dispatch_ready(&answered, permits.now());
     };
     metrics::counter!("permit_messages").increment(1);
     node.permits
@@ -85,7 +85,7 @@
     let now = permits.now();
     inner.refresh(node, now);
     if !(batch.asks.is_empty() && batch.recalls.is_empty() && batch.loads.is_empty()) {
-        inner.stir(now);
+        inner.mark_active(now);
     }
     let mut replies = Replies {
         epoch: batch.epoch,
@@ -104,11 +104,11 @@
 impl Inner {
     /// Whether a step runs at this tick. A step visits every resource, which would dominate the
     /// load of an idle entry instance in a large fleet.
-    fn is_look_due(&self, tick: u32, now: Monotonic) -> bool {
-        now < self.quiet_from || tick.is_multiple_of(TICKS_PER_QUIET_LOOK)
+    fn is_step_due(&self, tick: u32, now: Monotonic) -> bool {
+        now < self.active_until || tick.is_multiple_of(TICKS_PER_IDLE_STEP)
     }
 
-    fn review(&mut self, node: &Node, now: Monotonic) {
+    fn recall_excess_permits(&mut self, node: &Node, now: Monotonic) {
         let state = node.state.load();
         let mut homes = std::mem::take(&mut self.homes);
         homes.recall_excess(|resource| self.bounds(&state, resource), now);
@@ -138,13 +138,13 @@
         &mut self,
         node: &Node,
         now: Monotonic,
-        is_telling: bool,
-        all: bool,
+        sends_loads: bool,
+        asks_all: bool,
     ) -> BTreeMap<MemberId, Batch> {
         let own = node.settings.member.clone();
         let asker = Asker {
             member: own.clone(),
-            incarnation: self.seen.incarnation,
+            incarnation: self.view_inputs.incarnation,
             epoch: self.homes.epoch().offset,
             leaving: node.is_leaving(),
         };
@@ -153,18 +153,18 @@
             return BTreeMap::new();
         }
         let loads = self.dispatcher.loads();
-        let scope = if all && !(loads.is_empty() && self.told_empty) {
+        let scope = if asks_all && !(loads.is_empty() && self.sent_empty_loads) {
             AskScope::All
-        } else if is_telling {
+        } else if sends_loads {
             AskScope::BelowPart
         } else {
             AskScope::Changed
         };
-        let busy = std::mem::take(&mut self.busy);
+        let in_flight = std::mem::take(&mut self.in_flight);
         let asks = self
             .dispatcher
-            .asks(&asker, scope, |home| !busy.contains(home));
-        self.busy = busy;
+            .asks(&asker, scope, |home| !in_flight.contains(home));
+        self.in_flight = in_flight;
         let blank = || Batch {
             member: own.clone(),
             incarnation: asker.incarnation,
@@ -186,20 +186,20 @@
         for (member, resource) in self.homes.take_recalls() {
             if member == own {
                 self.dispatcher.recall(&resource);
-            } else if !self.busy.contains(&member) {
+            } else if !self.in_flight.contains(&member) {
                 let batch = batches.entry(member).or_insert_with(blank);
                 batch.recalls.push(resource);
             }
         }
-        if is_telling && !(loads.is_empty() && self.told_empty) {
-            self.told_empty = loads.is_empty();
+        if sends_loads && !(loads.is_empty() && self.sent_empty_loads) {
+            self.sent_empty_loads = loads.is_empty();
             let others = self.homes.epoch().members.keys();
-            let others = others.filter(|id| **id != own && !self.busy.contains(*id));
+            let others = others.filter(|id| **id != own && !self.in_flight.contains(*id));
             for member in others {
                 batches.entry(member.clone()).or_insert_with(blank);
             }
         }
-        self.busy.extend(batches.keys().cloned());
+        self.in_flight.extend(batches.keys().cloned());
         batches
     }
 }
--- a/pomelohitchd/src/permits/keys.rs
+++ b/pomelohitchd/src/permits/keys.rs
@@ -24,7 +24,7 @@
 use crate::node::Node;
 
 /// Timeout for the answers of a key's homes.
-const ANSWER_WITHIN: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The keys granted by this process as a home, and the recent sets of members.
 #[derive(Debug, Default)]
@@ -54,7 +54,7 @@
             self.started = now;
             self.has_all = !epoch.has_ended;
             if self.has_all {
-                self.enter_joins(epoch, now);
+                self.add_join_epochs(epoch, now);
             }
         }
         self.epochs.push_back((now, epoch.clone()));
@@ -62,7 +62,7 @@
 
     /// Adds the earlier sets of members. While no member has ever ended, these follow from the
     /// order of the joins.
-    fn enter_joins(&mut self, epoch: &Epoch, now: Monotonic) {
+    fn add_join_epochs(&mut self, epoch: &Epoch, now: Monotonic) {
         let mut joins: Vec<_> = epoch.members.iter().collect();
         joins.sort_by_key(|(_, incarnation)| **incarnation);
         let mut members = BTreeMap::new();
@@ -78,7 +78,7 @@
     }
 
     /// Drops sets of members that no member can have used within the window.
-    fn forget(&mut self, now: Monotonic) {
+    fn evict_old_epochs(&mut self, now: Monotonic) {
         let window = WINDOW + freshness::BOUND;
         while let Some((left, _)) = self.epochs.get(1) {
             if *left + window > now {
@@ -91,7 +91,7 @@
 
     /// All members that were the home of `key` within the window; `None` if one of them is gone.
     fn homes(&mut self, key: &str, now: Monotonic) -> Option<BTreeSet<MemberId>> {
-        self.forget(now);
+        self.evict_old_epochs(now);
         let (_, current) = self.epochs.back()?;
         let mut homes = BTreeSet::new();
         for (_, epoch) in &self.epochs {
@@ -106,7 +106,7 @@
 
     /// Whether this process was the only home of `key` during the whole window.
     fn knows_all(&mut self, own: &MemberId, key: &str, now: Monotonic) -> bool {
-        self.forget(now);
+        self.evict_old_epochs(now);
         let is_home =
             |(_, epoch): &(Monotonic, Epoch)| home_of(&key, epoch.members.keys()) == Some(own);
         self.has_all && self.epochs.iter().all(is_home)
@@ -181,7 +181,7 @@
         let homes = inner.keys.homes(key, now).ok_or(Verdict::Unknown)?;
         let claim = Claim {
             member: node.settings.member.clone(),
-            incarnation: inner.seen.incarnation,
+            incarnation: inner.view_inputs.incarnation,
             epoch: inner.homes.epoch().offset,
             key: key.into(),
             request: request.into(),
@@ -211,17 +211,17 @@
         }
     }
     drop(tx);
-    let deadline = Instant::now() + ANSWER_WITHIN;
+    let deadline = Instant::now() + ANSWER_TIMEOUT;
     let verdicts = homes.iter().map(|_| {
         let left = deadline.saturating_duration_since(Instant::now());
         rx.recv_timeout(left).unwrap_or(Verdict::Unknown)
     });
     // Waits for every answer: a home that granted the key has to be notified if the request
     // doesn't run.
-    verdicts.fold(Verdict::Granted, worse)
+    verdicts.fold(Verdict::Granted, worse_verdict)
 }
 
-fn worse(one: Verdict, other: Verdict) -> Verdict {
+fn worse_verdict(one: Verdict, other: Verdict) -> Verdict {
     match (one, other) {
         (Verdict::Taken, _) | (_, Verdict::Taken) => Verdict::Taken,
         (Verdict::Unknown, _) | (_, Verdict::Unknown) => Verdict::Unknown,
--- a/pomelohitchd/src/permits/view.rs
+++ b/pomelohitchd/src/permits/view.rs
@@ -12,7 +12,7 @@
 use pomelohitch_route::dispatch::{Runner, ServiceTerms, View};
 
 use crate::freshness;
-use crate::node::BadNews;
+use crate::node::KnownWithdrawals;
 use crate::settings::Settings;
 
 /// Allowance for the drift between the clocks of two machines during the waits.
@@ -26,7 +26,7 @@
 
 impl Limits {
     /// Stores the limits of `state` and returns the resources whose limit was lowered or removed.
-    pub(super) fn lowered(&mut self, state: &State) -> Vec<Resource> {
+    pub(super) fn update(&mut self, state: &State) -> Vec<Resource> {
         let teams = state.config.teams.values();
         let now: BTreeMap<_, _> = teams.map(|team| (team.id.clone(), team.limit)).collect();
         let before = std::mem::replace(&mut self.by_team, now);
@@ -50,13 +50,14 @@
 }
 
 /// The dispatcher's view of `state`, without instances that are known to be leaving.
-pub(super) fn view(settings: &Settings, state: &State, news: &BadNews) -> View {
+pub(super) fn view(settings: &Settings, state: &State, withdrawals: &KnownWithdrawals) -> View {
     let mut pools: BTreeMap<_, Vec<Runner>> = BTreeMap::new();
     for pool in state.config.pools.keys() {
         pools.insert(pool.clone(), Vec::new());
     }
     for (id, instance) in &state.fleet.instances {
-        let takes_work = instance.phase == Phase::Active && !news.leaving_instances.contains(id);
+        let takes_work =
+            instance.phase == Phase::Active && !withdrawals.leaving_instances.contains(id);
         if let Some(runners) = pools.get_mut(&instance.pool).filter(|_| takes_work) {
             runners.push(Runner {
                 id: id.clone(),
--- a/pomelohitchd/src/planner.rs
+++ b/pomelohitchd/src/planner.rs
@@ -29,29 +29,29 @@
 use crate::snapshots::Writer;
 
 /// Interval between planning passes while they are short.
-const TICK: Duration = Duration::from_millis(500);
+const MIN_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest interval between planning passes.
-const LONGEST_TICK: Duration = Duration::from_secs(5);
+const MAX_INTERVAL: Duration = Duration::from_secs(5);
 /// The interval is at least this many times the duration of the last pass. In a large fleet,
 /// planning would otherwise take the processor time that requests need.
-const SHARE_OF_TIME: u32 = 200;
+const INTERVAL_PER_PASS: u32 = 200;
 /// Timeout of one proposal.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout for this member's reader to reach the head of the log before an effect.
-const HEAD_LIMIT: Duration = Duration::from_secs(2);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
 /// An older list of instances isn't used.
-const LIST_LIMIT: Duration = Duration::from_secs(10);
+const MAX_LIST_AGE: Duration = Duration::from_secs(10);
 /// Maximum number of proposals and of effects in one planning pass, so that a pass stays short.
 /// The rest follows in the next pass.
-const PER_LOOK: usize = 200;
+const MAX_PER_PASS: usize = 200;
 
 /// Plans forever; does nothing while another member holds the term.
 pub fn run(node: &Arc<Node>) {
     let started = Instant::now();
     let mut planning: Option<Planning> = None;
-    let mut tick = TICK;
+    let mut interval = MIN_INTERVAL;
     loop {
-        std::thread::sleep(tick);
+        std::thread::sleep(interval);
         let state = node.state.load_full();
         if !is_planner(node, &state) {
             planning = None;
@@ -59,8 +59,8 @@
         }
         let weighting = node.settings.weighting.into();
         let planning = planning.get_or_insert_with(|| Planning::new(weighting));
-        let took = planning.look(node, &state, started.elapsed());
-        tick = (took * SHARE_OF_TIME).clamp(TICK, LONGEST_TICK);
+        let took = planning.pass(node, &state, started.elapsed());
+        interval = (took * INTERVAL_PER_PASS).clamp(MIN_INTERVAL, MAX_INTERVAL);
     }
 }
 
@@ -95,26 +95,27 @@
     }
 
     /// Runs one planning pass; returns how long deciding took.
-    fn look(&mut self, node: &Node, state: &State, now: Duration) -> Duration {
-        let mut seen = observe(node, state, now);
-        seen.needs = self.needs(state, &node.permits.demand(), now);
-        let begun = Instant::now();
-        let plan = self.planner.plan(state, &seen);
-        let took = begun.elapsed();
+    fn pass(&mut self, node: &Node, state: &State, now: Duration) -> Duration {
+        let mut observation = observe(node, state, now);
+        observation.needs = self.needs(state, &node.permits.demand(), now);
+        let started = Instant::now();
+        let plan = self.planner.plan(state, &observation);
+        let took = started.elapsed();
         metrics::histogram!("planner_look_seconds").record(took.as_secs_f64());
-        self.carry_out_plan(node, state, plan);
+        self.execute(node, state, plan);
         took
     }
 
-    fn carry_out_plan(&mut self, node: &Node, state: &State, plan: Plan) {
-        for decision in plan.decisions.into_iter().take(PER_LOOK) {
+    fn execute(&mut self, node: &Node, state: &State, plan: Plan) {
+        for decision in plan.decisions.into_iter().take(MAX_PER_PASS) {
             if !propose(node, state, decision) {
                 // The log is down or this member is no longer the planner: start over.
                 return;
             }
         }
-        self.carry_out(node, &plan.effects);
-        self.snapshots.tick(node, &node.state.load_full());
+        self.apply_effects(node, &plan.effects);
+        self.snapshots
+            .try_write_if_due(node, &node.state.load_full());
     }
 
     /// Number of instances that each pool needs, for pools whose services have measured demand.
@@ -139,15 +140,15 @@
     }
 
     /// Requests effects round-robin, so that effects that never complete don't block others.
-    fn carry_out(&mut self, node: &Node, effects: &[Wanted]) {
+    fn apply_effects(&mut self, node: &Node, effects: &[Wanted]) {
         if effects.is_empty() {
             return;
         }
-        let begin = self.next_effect % effects.len();
-        let in_turn = effects.iter().cycle().skip(begin);
-        for wanted in in_turn.take(effects.len().min(PER_LOOK)) {
+        let first = self.next_effect % effects.len();
+        let rotated = effects.iter().cycle().skip(first);
+        for pending in rotated.take(effects.len().min(MAX_PER_PASS)) {
             self.next_effect = self.next_effect.wrapping_add(1);
-            if !ask_for(node, wanted) {
+            if !apply_effect(node, pending) {
                 return;
             }
         }
@@ -162,7 +163,7 @@
     }
     let listed = listed
         .ok()
-        .and_then(|list| observe::recent(list, wall, LIST_LIMIT));
+        .and_then(|list| observe::recent(list, wall, MAX_LIST_AGE));
     Observation {
         now,
         wall,
@@ -180,9 +181,9 @@
     let others = state.members.by_id.iter();
     let others = others.filter(|(id, _)| **id != node.settings.member);
     let offsets = others.map(|(id, member)| {
-        let seen = peers.get(id)?;
-        let is_current = seen.incarnation == member.incarnation && seen.at.elapsed() <= BOUND;
-        is_current.then_some(seen.next)
+        let peer = peers.get(id)?;
+        let is_current = peer.incarnation == member.incarnation && peer.at.elapsed() <= BOUND;
+        is_current.then_some(peer.next)
     });
     let lowest = offsets.map(|next| next.unwrap_or(0)).min();
     lowest.unwrap_or(state.next).min(state.next)
@@ -190,7 +191,7 @@
 
 /// Proposes a decision; returns whether the pass should continue.
 fn propose(node: &Node, state: &State, decision: Decision) -> bool {
-    let Ok(decided) = node.propose(decision.body(state), PROPOSE_LIMIT) else {
+    let Ok(decided) = node.propose(decision.body(state), PROPOSE_TIMEOUT) else {
         metrics::counter!("planner_proposal_errors").increment(1);
         return false;
     };
@@ -204,18 +205,18 @@
 }
 
 /// Requests an effect and records its completion; returns whether the pass should continue.
-fn ask_for(node: &Node, wanted: &Wanted) -> bool {
+fn apply_effect(node: &Node, pending: &Wanted) -> bool {
     let Some(state) = state_at_head(node) else {
         return false;
     };
     if !is_planner(node, &state) {
         return false;
     }
-    if !wanted.is_current(&state) {
+    if !pending.is_current(&state) {
         return true;
     }
-    match (node.instances.apply)(&wanted.effect) {
-        Ok(Progress::Done) => match wanted.then.clone() {
+    match (node.instances.apply)(&pending.effect) {
+        Ok(Progress::Done) => match pending.then.clone() {
             Some(step) => propose(node, &state, Decision::Fleet(step)),
             None => true,
         },
@@ -237,7 +238,7 @@
         wait: Duration::ZERO,
     };
     let head = (node.log.read)(&probe).ok()?.next;
-    let deadline = Instant::now() + HEAD_LIMIT;
+    let deadline = Instant::now() + HEAD_TIMEOUT;
     loop {
         let state = node.state.load_full();
         if state.next >= head {
--- a/pomelohitchd/src/reader.rs
+++ b/pomelohitchd/src/reader.rs
@@ -19,10 +19,10 @@
 /// Reads the log forever. While it can't be read, the last state stays current.
 pub fn run(node: &Arc<Node>) {
     let mut follower = Follower::new(node.log.clone(), State::default());
-    load_first(node, &mut follower);
+    load_snapshot(node, &mut follower);
     let mut is_down = false;
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         match follower.poll(READ_WAIT) {
             Ok(progress) => {
                 if is_down {
@@ -31,10 +31,10 @@
                 is_down = false;
                 node.log_is_down.store(false, Ordering::Release);
                 let is_at_head = follower.state().next >= progress.head;
-                take_over(node, &follower, progress);
+                publish(node, &follower, progress);
                 // A reader that is behind, for example after a pause, has an outdated state.
                 if is_at_head {
-                    node.read_log(begun);
+                    node.read_log(started);
                 }
             }
             Err(error) => {
@@ -52,7 +52,7 @@
 
 /// Starts from the newest snapshot. Without one the log is read from its beginning, which fails
 /// with an error if the beginning was trimmed.
-fn load_first(node: &Node, follower: &mut Follower) {
+fn load_snapshot(node: &Node, follower: &mut Follower) {
     match follower.load_snapshot() {
         Ok(true) => {
             info!(next = follower.state().next, "started from a snapshot");
@@ -63,7 +63,7 @@
     }
 }
 
-fn take_over(node: &Node, follower: &Follower, progress: Progress) {
+fn publish(node: &Node, follower: &Follower, progress: Progress) {
     node.head.store(progress.head, Ordering::Release);
     node.first_kept.store(progress.first, Ordering::Release);
     if progress.has_loaded {
--- a/pomelohitchd/src/readiness.rs
+++ b/pomelohitchd/src/readiness.rs
@@ -42,9 +42,10 @@
     #[must_use]
     pub fn may_serve(&self) -> bool {
         let has_reached = self.is_at_head || (self.log_is_down && self.heard > 0);
-        let has_all_of_peers = self.next >= self.highest;
-        let nobody_to_hear = self.others == 0 || (self.is_at_head && self.since_join >= self.lease);
-        has_reached && has_all_of_peers && (self.heard > 0 || nobody_to_hear)
+        let has_offsets_of_peers = self.next >= self.highest;
+        let no_peer_expected =
+            self.others == 0 || (self.is_at_head && self.since_join >= self.lease);
+        has_reached && has_offsets_of_peers && (self.heard > 0 || no_peer_expected)
     }
 }
 
--- a/pomelohitchd/src/snapshots.rs
+++ b/pomelohitchd/src/snapshots.rs
@@ -58,7 +58,7 @@
 
 impl Writer {
     /// Writes a snapshot if one is due. Call it only while this member plans.
-    pub fn tick(&mut self, node: &Node, state: &State) {
+    pub fn try_write_if_due(&mut self, node: &Node, state: &State) {
         if self.failed.is_some_and(|at| at.elapsed() < RETRY_AFTER) {
             return;
         }
--- a/pomelohitchd/src/withdraw.rs
+++ b/pomelohitchd/src/withdraw.rs
@@ -17,9 +17,9 @@
 use crate::node::Node;
 
 /// Interval between attempts to append withdrawals that aren't in the log.
-const TICK: Duration = Duration::from_secs(1);
+const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout of one proposal.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(2);
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Progress of a withdrawal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
 
 fn append(node: &Node, key: &KeyHash) -> Option<Offset> {
     let body = Body::WithdrawKey(WithdrawKey { key: key.clone() });
-    let decided = node.propose(body, PROPOSE_LIMIT).ok()?;
+    let decided = node.propose(body, PROPOSE_TIMEOUT).ok()?;
     matches!(decided.verdict, Verdict::Accepted | Verdict::Repeat(_)).then_some(decided.offset)
 }
 
@@ -69,8 +69,8 @@
 /// The withdrawals known here that aren't in the log as far as `state` shows.
 #[must_use]
 pub fn unlogged(node: &Node, state: &State) -> Vec<KeyHash> {
-    let news = node.bad_news.load();
-    let keys = news.withdrawn_keys.iter();
+    let known = node.bad_news.load();
+    let keys = known.withdrawn_keys.iter();
     keys.filter(|key| !state.withdrawn.contains(*key))
         .cloned()
         .collect()
@@ -79,7 +79,7 @@
 /// Appends known withdrawals that aren't in the log, forever.
 pub fn run(node: &Arc<Node>) {
     loop {
-        std::thread::sleep(TICK);
+        std::thread::sleep(RETRY_INTERVAL);
         log_news(node);
     }
 }
@@ -94,25 +94,26 @@
         }
         info!(%key, "a withdrawn key was recorded");
     }
-    forget_logged(node);
+    drop_logged(node);
 }
 
 /// Withdrawals in the log needn't be sent in heartbeats any more.
-fn forget_logged(node: &Node) {
+fn drop_logged(node: &Node) {
     let state = node.state.load();
-    let news = node.bad_news.load();
-    if news
+    let known = node.bad_news.load();
+    if known
         .withdrawn_keys
         .iter()
         .all(|key| !state.withdrawn.contains(key))
     {
         return;
     }
-    node.bad_news.rcu(|news| {
-        let mut news = crate::node::BadNews::clone(news);
-        news.withdrawn_keys
+    node.bad_news.rcu(|known| {
+        let mut known = crate::node::KnownWithdrawals::clone(known);
+        known
+            .withdrawn_keys
             .retain(|key| !state.withdrawn.contains(key));
-        news
+        known
     });
 }
 
