--- a/pomelohitchd/src/admin/change.rs
+++ b/pomelohitchd/src/admin/change.rs
@@ -113,7 +113,7 @@
     match signal_hook::low_level::raise(SIGTERM) {
         Ok(()) => Response::text("draining\n").with_status_code(202),
         Err(error) => {
-            warn!(%error, "the drain couldn't be started");
+            warn!(%error, "could not raise SIGTERM for the drain");
             drain_requested.store(false, Ordering::Release);
             Response::text("send SIGTERM to the process\n").with_status_code(500)
         }
--- a/pomelohitchd/src/batch.rs
+++ b/pomelohitchd/src/batch.rs
@@ -53,12 +53,12 @@
         std::thread::sleep(STEP_INTERVAL);
         if !is_planner(node) {
             if driver.take().is_some() {
-                info!("no longer plans batch work");
+                info!("stopped planning batch jobs");
             }
             continue;
         }
         let driver = driver.get_or_insert_with(|| {
-            info!("plans batch work");
+            info!("started planning batch jobs");
             Driver::start(node, options)
         });
         driver.step();
--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -389,7 +389,7 @@
             Ok(decided) => info!(verdict = ?decided.verdict, "a decision about jobs was rejected"),
             Err(error) => {
                 metrics::counter!("job_decision_errors").increment(1);
-                warn!(%error, "could not decide about jobs");
+                warn!(%error, "could not append a decision about jobs");
             }
         }
         self.reconcile(&decision, now);
@@ -476,9 +476,9 @@
     metrics::counter!("jobs_preempted").increment(decision.preempt.len() as u64);
     metrics::counter!("jobs_refused").increment(decision.refuse.len() as u64);
     for worker in &decision.quarantine {
-        warn!(%worker, "a worker that fails what others don't goes into quarantine");
+        warn!(%worker, "quarantined a worker: attempts fail there that succeed elsewhere");
     }
     for worker in &decision.release {
-        info!(%worker, "a probe went well; the worker is out of quarantine");
+        info!(%worker, "released a worker from quarantine after a successful probe");
     }
 }
--- a/pomelohitchd/src/batch/effects.rs
+++ b/pomelohitchd/src/batch/effects.rs
@@ -119,7 +119,7 @@
             let effect = effect(request, Action::Throttle, Duration::ZERO);
             match (node.workers.apply)(&effect) {
                 Ok(()) => metrics::counter!("tasks_throttled").increment(1),
-                Err(error) => tracing::debug!(%error, op, "could not throttle"),
+                Err(error) => tracing::debug!(%error, op, "could not throttle an attempt"),
             }
             CallResult::Done
         }
--- a/pomelohitchd/src/front.rs
+++ b/pomelohitchd/src/front.rs
@@ -93,7 +93,7 @@
     let front = front(service, limits);
     match listener.try_clone() {
         Ok(listener) => accept_in_background(&front, listener),
-        Err(error) => warn!(%error, "callers can't be accepted"),
+        Err(error) => warn!(%error, "could not start accepting callers"),
     }
     while !front.is_leaving() {
         std::thread::sleep(front.limits.leaving_tick);
@@ -136,7 +136,7 @@
         .name("accept".into())
         .spawn(accepting);
     if let Err(error) = started {
-        warn!(%error, "callers can't be accepted");
+        warn!(%error, "could not start accepting callers");
     }
 }
 
--- a/pomelohitchd/src/lifecycle.rs
+++ b/pomelohitchd/src/lifecycle.rs
@@ -51,9 +51,9 @@
     Peers {
         source: pomelohitch_peer::links::Error,
     },
-    #[snafu(display("install the handlers of signals: {source}"))]
+    #[snafu(display("install signal handlers: {source}"))]
     Signals { source: std::io::Error },
-    #[snafu(display("start counting: {source}"))]
+    #[snafu(display("install the metrics recorder: {source}"))]
     Metrics {
         source: metrics_exporter_prometheus::BuildError,
     },
@@ -248,7 +248,7 @@
         std::thread::sleep(POLL_INTERVAL);
     }
     if !serving.is_finished() {
-        warn!("the longest shutdown has passed; requests in flight are cut");
+        warn!("shutdown timed out; aborting requests in flight");
     }
     withdraw::flush(node, FLUSH_TIMEOUT);
     burn::finish(node);
@@ -258,7 +258,7 @@
         incarnation,
     };
     if let Err(error) = node.propose(Body::Leave(leave), PROPOSE_TIMEOUT) {
-        warn!(%error, "could not tell the log; the peers will notice");
+        warn!(%error, "could not append the leave; peers remove this member after its lease");
     }
     info!("stopped");
 }
--- a/pomelohitchd/src/liveness.rs
+++ b/pomelohitchd/src/liveness.rs
@@ -139,7 +139,7 @@
     if let Ok(decided) = node.propose(Body::Leave(leave), PROPOSE_TIMEOUT)
         && decided.verdict == Verdict::Accepted
     {
-        info!(%member, "a member that wasn't heard of was removed");
+        info!(%member, "removed a member that sent no heartbeats");
     }
 }
 
@@ -155,7 +155,7 @@
         term: state.members.term + 1,
     };
     match node.propose(Body::TakeTerm(take), PROPOSE_TIMEOUT) {
-        Ok(decided) => info!(verdict = ?decided.verdict, "proposed to plan"),
-        Err(error) => warn!(%error, "could not propose to plan"),
+        Ok(decided) => info!(verdict = ?decided.verdict, "proposed this member as planner"),
+        Err(error) => warn!(%error, "could not propose this member as planner"),
     }
 }
--- a/pomelohitchd/src/node.rs
+++ b/pomelohitchd/src/node.rs
@@ -26,14 +26,14 @@
 #[derive(Debug, Snafu)]
 pub enum ProposeError {
     /// The log refused the append: the record certainly has no effect.
-    #[snafu(display("propose: {source}"))]
+    #[snafu(display("append a proposal: {source}"))]
     NotAppended {
         /// The error of the append.
         source: pomelohitch_platform::Error,
     },
     /// The record was or may have been appended, but wasn't read back in time. It may still take
     /// effect.
-    #[snafu(display("propose: no verdict within {limit:?}; the record may still come into force"))]
+    #[snafu(display("propose: no verdict within {limit:?}; the record may still take effect"))]
     NoVerdict {
         /// The timeout that passed.
         limit: Duration,
--- a/pomelohitchd/src/reader.rs
+++ b/pomelohitchd/src/reader.rs
@@ -26,7 +26,7 @@
         match follower.poll(READ_WAIT) {
             Ok(progress) => {
                 if is_down {
-                    info!(next = follower.state().next, "the log can be read again");
+                    info!(next = follower.state().next, "log is readable again");
                 }
                 is_down = false;
                 node.log_is_down.store(false, Ordering::Release);
@@ -39,7 +39,7 @@
             }
             Err(error) => {
                 if !is_down {
-                    warn!(%error, "the log can't be read; what is in force stays in force");
+                    warn!(%error, "could not read the log; keeping the current state");
                 }
                 is_down = true;
                 node.log_is_down.store(true, Ordering::Release);
@@ -59,7 +59,7 @@
             node.put_in_force(follower.state().clone(), Vec::new());
         }
         Ok(false) => {}
-        Err(error) => warn!(%error, "no snapshot could be read; reading the log instead"),
+        Err(error) => warn!(%error, "could not load a snapshot; reading the log instead"),
     }
 }
 
@@ -70,7 +70,7 @@
         metrics::counter!("snapshots_loaded").increment(1);
         warn!(
             next = follower.state().next,
-            "records were trimmed before they were read; took over a snapshot"
+            "records were trimmed before they were read; loaded a snapshot"
         );
     }
     if progress.applied.is_empty() && !progress.has_loaded {
--- a/pomelohitchd/src/withdraw.rs
+++ b/pomelohitchd/src/withdraw.rs
@@ -92,7 +92,7 @@
         if append(node, &key).is_none() {
             return;
         }
-        info!(%key, "a withdrawn key was recorded");
+        info!(%key, "recorded a key withdrawal in the log");
     }
     drop_logged(node);
 }
