--- a/pomelohitchd/src/batch/effects.rs
+++ b/pomelohitchd/src/batch/effects.rs
@@ -58,7 +58,7 @@
     pub result: CallResult,
 }
 
-/// A pool of threads that make calls. After a drop, each thread ends when its current call is done.
+/// A pool of threads that make calls. After a drop, each thread ends with its current call.
 #[derive(Debug)]
 pub struct Effects {
     requests: mpsc::Sender<CallRequest>,
@@ -85,7 +85,7 @@
         let _ = self.requests.send(request);
     }
 
-    /// Calls that finished since the last call of this function.
+    /// Calls that finished since the previous `outcomes()`.
     pub fn outcomes(&self) -> impl Iterator<Item = Outcome> {
         self.outcomes.try_iter()
     }
--- a/pomelohitchd/src/front/connection.rs
+++ b/pomelohitchd/src/front/connection.rs
@@ -99,7 +99,8 @@
         }
     }
 
-    /// Waits for the first byte of a request. During a shutdown, waits at most `leaving_grace`.
+    /// Waits for the first byte of a request. A shutdown ends the wait after `leaving_grace`, so
+    /// that callers have time to notice it.
     fn wait_for_request(&mut self) -> Result<()> {
         let limits = &self.front.limits;
         let mut deadline = Instant::now() + limits.idle;
--- a/pomelohitchd/src/jobs_api.rs
+++ b/pomelohitchd/src/jobs_api.rs
@@ -249,14 +249,14 @@
 
 fn show(node: &Node, team: &TeamId, id: &str) -> Response {
     let state = node.state.load();
-    match own(&state.jobs, team, id) {
+    match find_own(&state.jobs, team, id) {
         Some(entry) => json(200, &view(entry)),
         None => unknown_job(),
     }
 }
 
 fn cancel(node: &Node, team: &TeamId, id: &str) -> Response {
-    if own(&node.state.load().jobs, team, id).is_none() {
+    if find_own(&node.state.load().jobs, team, id).is_none() {
         return unknown_job();
     }
     match node.commit_jobs(JobChange::Cancel(vec![id.into()])) {
@@ -266,7 +266,11 @@
 }
 
 /// The job if it belongs to `team`, so that other teams' jobs look like ones that don't exist.
-fn own<'a>(jobs: &'a pomelohitch_core::state::Jobs, team: &TeamId, id: &str) -> Option<&'a Entry> {
+fn find_own<'a>(
+    jobs: &'a pomelohitch_core::state::Jobs,
+    team: &TeamId,
+    id: &str,
+) -> Option<&'a Entry> {
     jobs.get(id).filter(|entry| entry.job.team == *team)
 }
 
--- a/pomelohitchd/src/lifecycle.rs
+++ b/pomelohitchd/src/lifecycle.rs
@@ -25,7 +25,7 @@
 const EXIT_START: u8 = 1;
 /// Exit code for invalid settings; the same as that of `clap`.
 const EXIT_SETTINGS: u8 = 2;
-/// Exit code if a second signal aborts the graceful shutdown.
+/// Exit code after a second signal, which aborts the graceful shutdown.
 const EXIT_ABORTED: i32 = 3;
 /// Polling interval of the loops here.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
--- a/pomelohitchd/src/node.rs
+++ b/pomelohitchd/src/node.rs
@@ -252,7 +252,7 @@
     }
 
     /// Records a heartbeat of a peer.
-    pub fn saw_peer(&self, member: MemberId, seen: PeerSeen) {
+    pub fn record_peer(&self, member: MemberId, seen: PeerSeen) {
         lock(&self.peers).insert(member, seen);
     }
 
@@ -292,7 +292,7 @@
 
     /// The instances that this member itself sees leaving.
     #[must_use]
-    pub fn sees_leaving(&self) -> BTreeSet<InstanceId> {
+    pub fn own_sightings(&self) -> BTreeSet<InstanceId> {
         lock(&self.sightings).of(&self.settings.member)
     }
 
--- a/pomelohitchd/src/peers.rs
+++ b/pomelohitchd/src/peers.rs
@@ -87,7 +87,7 @@
             .cloned()
             .collect(),
         leaving_instances: node
-            .sees_leaving()
+            .own_sightings()
             .into_iter()
             .take(MAX_PER_HEARTBEAT)
             .collect(),
@@ -106,5 +106,5 @@
         at: Instant::now(),
         said_after,
     };
-    node.saw_peer(beat.member, seen);
+    node.record_peer(beat.member, seen);
 }
--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -39,7 +39,7 @@
 /// Margin after a request's deadline, so that the queue has time to expire it.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
 
-/// Receives the runner and permits of a waiting request, or `None` if it expires in the queue.
+/// Sends the runner and permits to a waiting request, or `None` if it expires in the queue.
 type GrantSender = mpsc::Sender<Option<Sent>>;
 
 /// Dispatcher, permit homes and idempotency keys behind one lock.
--- a/pomelohitchd/src/permits/borders.rs
+++ b/pomelohitchd/src/permits/borders.rs
@@ -131,7 +131,8 @@
     let waiting = waiting_jobs(&state);
     let mut inner = node.permits.lock();
     inner.borders.settle(&state);
-    // The home of a newer epoch doesn't know reservations made for an older one.
+    // A newer epoch's home doesn't know the reservations made here, so none are made while the
+    // epochs differ.
     if inner.homes.epoch().offset != state.members.epoch {
         return Vec::new();
     }
--- a/pomelohitchd/src/permits/exchange.rs
+++ b/pomelohitchd/src/permits/exchange.rs
@@ -148,7 +148,7 @@
             epoch: self.homes.epoch().offset,
             leaving: node.is_leaving(),
         };
-        // Before the join is in force, homes wouldn't know the asker.
+        // Until the join takes effect, homes don't know this member.
         if self.homes.epoch().members.get(&own) != Some(&asker.incarnation) {
             return BTreeMap::new();
         }
--- a/pomelohitchd/src/planner.rs
+++ b/pomelohitchd/src/planner.rs
@@ -39,7 +39,7 @@
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Timeout for this member's reader to reach the head of the log before an effect.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
-/// An older list of instances isn't used.
+/// An older list of instances isn't used, so that it starts no new drains or moves.
 const MAX_LIST_AGE: Duration = Duration::from_secs(10);
 /// Maximum number of proposals and of effects in one planning pass, so that a pass stays short.
 /// The rest follows in the next pass.
--- a/pomelohitchd/src/withdraw.rs
+++ b/pomelohitchd/src/withdraw.rs
@@ -84,7 +84,7 @@
     }
 }
 
-/// Appends known withdrawals that aren't in the log, and forgets those that are. Every entry
+/// Appends known withdrawals that aren't in the log, and drops those that are. Every entry
 /// instance does so, because any of them may be the last one that knows; duplicate records are
 /// harmless.
 pub fn log_news(node: &Node) {
