--- a/crates/pomelohitch-sched/tests/cell.rs
+++ b/crates/pomelohitch-sched/tests/cell.rs
@@ -1,4 +1,4 @@
-//! Tests of the scheduler against endpoints, a log and callers in virtual time.
+//! Scenario tests of the scheduler with emulated endpoints, log and callers in virtual time.
 
 use pomelohitch_emulator::fleet;
 
--- a/crates/pomelohitch-sched/tests/cell/calls.rs
+++ b/crates/pomelohitch-sched/tests/cell/calls.rs
@@ -1,4 +1,4 @@
-//! What callers ask and are told.
+//! API calls and their answers.
 
 use std::time::Duration;
 
@@ -37,8 +37,8 @@
     assert_eq!(fleet.starts.len(), 2);
 }
 
-/// A job is accepted only once its record is durable. Were it told earlier, a caller would think
-/// it safe while nobody knows of it after all entry instances lose power.
+/// Guards against a job that is accepted before its record is durable: it would be lost if all
+/// entry instances lost power.
 #[test]
 fn a_job_is_not_accepted_before_its_record_is_durable() {
     let mut fleet = Fleet::new(2);
@@ -87,8 +87,8 @@
     insta::assert_debug_snapshot!(answers);
 }
 
-/// What isn't a job is refused and starts nothing: no steps, a step that waits for itself or a
-/// later one, no tasks, more tasks than memory allows.
+/// Malformed jobs: no steps, a step that depends on itself or a later one, a step without tasks,
+/// more tasks than memory allows.
 #[test]
 fn what_is_not_a_job_is_refused() {
     let mut fleet = Fleet::new(1);
@@ -137,7 +137,7 @@
     assert_eq!(fleet.replies[&call], Answer::Waiting(2));
 }
 
-/// Guards against a job that is told to be accepted while its record is on its way.
+/// Guards against confirming a job before the append of its record completes.
 #[test]
 fn an_accepted_job_is_confirmed_once_its_record_is_durable() {
     let mut fleet = Fleet::new(1);
--- a/crates/pomelohitch-sched/tests/cell/crashes.rs
+++ b/crates/pomelohitch-sched/tests/cell/crashes.rs
@@ -30,7 +30,7 @@
     task.expect("its occurrence is open").suspicion.lost
 }
 
-/// Guards against starting a task without end that crashes each endpoint that starts it.
+/// Guards against restarting without limit a task that crashes each endpoint that starts it.
 #[test]
 fn a_task_that_crashes_its_endpoints_is_given_up() {
     let mut fleet = Fleet::new(6);
@@ -42,7 +42,7 @@
     assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
 }
 
-/// Guards against a count that a successor doesn't know.
+/// Guards against a count of crashes that a new leader doesn't know.
 #[test]
 fn crashes_are_counted_across_changes_of_leader() {
     for every in [7, 23, 61, 110, 190] {
@@ -60,7 +60,7 @@
     }
 }
 
-/// Guards against crashes that aren't seen while the list of instances can't be read.
+/// Guards against crashes that go unnoticed while the list of instances is unavailable.
 #[test]
 fn a_task_whose_endpoints_fall_silent_is_given_up() {
     let mut fleet = Fleet::new(8);
@@ -73,7 +73,8 @@
     assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
 }
 
-/// Guards against crashes that aren't counted where an endpoint is back under its id, answers or not.
+/// Guards against crashes that aren't counted because the endpoint restarts under the same id, with
+/// or without lost answers.
 #[test]
 fn a_task_whose_endpoints_restart_under_their_ids_is_given_up() {
     for loses_answers in [false, true] {
@@ -95,7 +96,7 @@
     }
 }
 
-/// Guards against lasting tasks that have no limit on attempts and so none on crashes.
+/// Guards against unlimited crashes of lasting tasks, which have no limit on attempts.
 #[test]
 fn a_lasting_task_that_crashes_its_endpoints_is_given_up() {
     let mut fleet = Fleet::new(6);
@@ -112,7 +113,7 @@
     assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
 }
 
-/// Guards against a task that crashes its endpoint some time after its start.
+/// Guards against missing crashes that happen some time after the start of their task.
 #[test]
 fn a_task_that_crashes_its_endpoints_later_is_given_up() {
     for after_ms in [150, 500, 1_200] {
@@ -127,7 +128,7 @@
     }
 }
 
-/// Guards against a sound job that fails because it ran beside one that crashes endpoints.
+/// Guards against a healthy job that fails because it shared endpoints with one that crashes them.
 #[test]
 fn jobs_beside_a_task_that_crashes_endpoints_complete() {
     let mut fleet = Fleet::new(6);
@@ -146,7 +147,7 @@
     assert_eq!(failed, [GUILTY, GUILTY + 7]);
 }
 
-/// Guards against taking an endpoint that was only cut off for one that crashed.
+/// Guards against counting a crash for an endpoint that was only unreachable.
 #[test]
 fn a_cut_endpoint_is_not_held_against_its_tasks() {
     let mut fleet = Fleet::new(2);
@@ -162,7 +163,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against blaming a task for an endpoint that had announced that it leaves.
+/// Guards against counting a crash for an endpoint that drained before it ended.
 #[test]
 fn an_endpoint_that_leaves_is_not_held_against_its_tasks() {
     let mut fleet = Fleet::new(2);
@@ -178,7 +179,7 @@
     assert_eq!(lost(&fleet, GUILTY), 0);
 }
 
-/// Guards against a lasting task that is given up for crashes that lie far apart.
+/// Guards against giving up a lasting task for crashes that are far apart in time.
 #[test]
 fn crashes_long_before_are_forgotten_of_a_task_at_work() {
     let settings = Settings::default();
@@ -202,7 +203,7 @@
     assert_eq!(fleet.state(&id(GUILTY)), Answer::State(JobState::Running));
 }
 
-/// Guards against kinds of steps that pass by the count or by isolation.
+/// Guards against kinds of steps whose crashes aren't counted or that aren't isolated.
 #[test]
 fn whatever_a_step_asks_for_its_crashes_are_counted() {
     let plain = || step(3, 500, 600);
@@ -263,7 +264,7 @@
     }
 }
 
-/// Guards against tasks of later steps or occurrences that aren't counted by themselves.
+/// Guards against crashes that aren't counted for tasks of later steps.
 #[test]
 fn a_task_of_a_later_step_that_crashes_its_endpoints_is_given_up() {
     let mut fleet = Fleet::new(6);
@@ -283,7 +284,7 @@
     assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
 }
 
-/// Guards against suspected jobs that wait for an endpoint of their own while there is none.
+/// Guards against suspected jobs that wait forever for an isolated endpoint in a pool of one.
 #[test]
 fn suspected_jobs_run_in_a_pool_of_one_endpoint() {
     let mut fleet = Fleet::new(1);
--- a/crates/pomelohitch-sched/tests/cell/ends.rs
+++ b/crates/pomelohitch-sched/tests/cell/ends.rs
@@ -1,4 +1,4 @@
-//! Ends of runs, and endpoints that fail.
+//! Starts and ends of runs, with endpoints that fail.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
     assert_eq!(fleet.starts.len(), 3);
 }
 
-/// Guards against a start that every endpoint refuses and that is recorded and sent again at each pass.
+/// Guards against recording and sending a start again at every pass while all endpoints refuse it.
 #[test]
 fn a_task_that_is_refused_everywhere_is_tried_again_less_and_less_often() {
     let mut fleet = Fleet::new(2);
@@ -47,8 +47,8 @@
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
 }
 
-/// Ends are acknowledged to the endpoint only once they are durable. Acknowledged earlier, an end
-/// would be forgotten by the endpoint and unknown to a new leader, and the task would run twice.
+/// Guards against acknowledging a completion before it is durable: the endpoint would drop it, a
+/// new leader would not know it, and the task would run twice.
 #[test]
 fn ends_are_acknowledged_only_when_durable() {
     let mut fleet = Fleet::new(1);
@@ -62,8 +62,8 @@
     assert_eq!(fleet.endpoint("e0").unacknowledged(), 0);
 }
 
-/// An endpoint stops answering while it runs a task. The task must not start elsewhere before the
-/// lease has surely run out, and must then, or the caller waits for ever.
+/// An endpoint stops answering while it runs a task. The task must not start elsewhere until the
+/// lease has certainly expired, and must start then.
 #[test]
 fn what_a_silent_endpoint_ran_starts_elsewhere_after_its_lease() {
     let mut fleet = Fleet::new(2);
@@ -79,8 +79,8 @@
     fleet.assert_sound();
 }
 
-/// An instance crashes and says nothing. The platform lists it as down, so that what it ran
-/// starts elsewhere within two seconds rather than after its lease.
+/// An instance crashes. The platform lists it as down, so that its tasks start elsewhere within
+/// about two seconds rather than after the lease.
 #[test]
 fn what_ran_on_an_instance_that_is_down_starts_elsewhere_soon() {
     let mut fleet = Fleet::new(2);
@@ -93,7 +93,8 @@
     fleet.assert_sound();
 }
 
-/// The same after the leader changed meanwhile: the new one never heard the endpoint.
+/// As above, but the leader changes after the crash: the new one never had an answer of the
+/// endpoint.
 #[test]
 fn a_new_leader_sees_from_the_list_what_is_down() {
     let mut fleet = Fleet::new(2);
@@ -107,8 +108,8 @@
     fleet.assert_sound();
 }
 
-/// The look that asks for an endpoint's first lease is lost. Only the short one of a start would
-/// hold there, and the run would lapse; work waits until a lease is known to hold.
+/// The poll that requests an endpoint's first lease is lost. Tasks have to wait until a lease is
+/// confirmed; with only the short lease of a start, their runs would lapse.
 #[test]
 fn work_waits_for_a_lease_that_holds() {
     let mut fleet = Fleet::new(1);
@@ -136,8 +137,8 @@
     fleet.assert_sound();
 }
 
-/// The endpoint carries out a start, but its answer is lost. The run is found by a look or
-/// stopped; in no case do two run at once.
+/// An endpoint executes a start, but its answer is lost. The run is found by a poll or stopped; two
+/// runs of the task never coexist.
 #[test]
 fn a_start_whose_answer_is_lost_runs_once() {
     let mut fleet = Fleet::new(3);
@@ -148,8 +149,8 @@
     fleet.assert_sound();
 }
 
-/// An endpoint answers every look and takes every start, but what runs there makes no progress. A
-/// caller sees jobs that never end; being the fullest, the endpoint would be given more and more.
+/// An endpoint answers polls and accepts starts, but its runs make no progress. Guards against jobs
+/// that never end, and against more and more tasks on that endpoint because it is the fullest.
 #[test]
 fn what_stands_still_starts_elsewhere() {
     let mut fleet = Fleet::new(4);
@@ -160,8 +161,8 @@
     fleet.assert_sound();
 }
 
-/// A task that makes no progress wherever it runs is at fault itself. Taken elsewhere over and over
-/// it would put every endpoint under suspicion.
+/// Guards against restarting a task again and again that makes no progress on any endpoint: each
+/// restart would make another endpoint suspect.
 #[test]
 fn what_stands_still_everywhere_is_left_alone() {
     let mut fleet = Fleet::new(4);
@@ -235,8 +236,8 @@
     assert_eq!(fleet.replies[&cancelled], Answer::Cancelled);
 }
 
-/// An endpoint starts a run, and its answer is lost. The run goes on; stopped for want of an answer
-/// it would have to begin again elsewhere, and its job would be late.
+/// An endpoint starts a run, but its answer is lost. Guards against stopping such a run, which
+/// would have to begin again elsewhere and make its job late.
 #[test]
 fn a_run_whose_start_was_only_not_answered_goes_on() {
     let mut fleet = Fleet::new(1);
@@ -248,9 +249,9 @@
     fleet.assert_sound();
 }
 
-/// One order in ten gets no answer and is carried out seconds later. Callers see jobs that take
-/// seconds longer if the endpoint gets no work for a while after each, since then most of a busy
-/// pool stands idle, and if a task waits for a stop and a look that may be lost as well.
+/// One order in ten gets no answer and is executed seconds later. Guards against jobs that take
+/// seconds longer because each unanswered order leaves its endpoint without work for a while, which
+/// idles most of a busy pool, or because a task waits for a stop and a poll that may be lost too.
 #[test]
 fn work_goes_on_where_some_orders_are_lost() {
     let mut fleet = Fleet::new(6);
@@ -269,7 +270,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against starts that are recorded again and again because each record takes long.
+/// Guards against recording a start again and again because appends to the log are slow.
 #[test]
 fn a_start_whose_record_took_long_is_sent_if_it_still_fits() {
     let mut fleet = Fleet::new(2);
@@ -281,7 +282,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against a late start at an endpoint that is to be emptied meanwhile.
+/// Guards against a start on an endpoint that began to drain while the record was appended.
 #[test]
 fn a_start_whose_record_took_long_is_dropped_if_its_endpoint_drains() {
     let mut fleet = Fleet::new(1);
--- a/crates/pomelohitch-sched/tests/cell/evacuation.rs
+++ b/crates/pomelohitch-sched/tests/cell/evacuation.rs
@@ -12,7 +12,7 @@
 
 use super::fleet::{self, Fleet, job, step};
 
-/// A fleet with endpoints of `pricing` in three zones, dealt out in turn.
+/// A fleet with endpoints of `pricing`, assigned round-robin to three zones.
 fn fleet(endpoints: u16) -> Fleet {
     let mut fleet = Fleet::new(endpoints);
     deal_out_zones(&mut fleet, endpoints);
@@ -28,7 +28,7 @@
     fleet.list();
 }
 
-/// Guards against starts by what operators had asked for before the leader stood still.
+/// Guards against starts by outdated evacuations while operator records can't be read.
 #[test]
 fn nothing_starts_until_what_operators_wrote_is_known_again() {
     let mut fleet = fleet(3);
@@ -43,7 +43,8 @@
     assert_eq!(state, Answer::State(JobState::Completed));
 }
 
-/// The same with instances of a pool that is off, whose operations take effect.
+/// Like [`fleet`], with additional instances in a pool that is switched off; operations take
+/// effect.
 fn with_spares(endpoints: u16, spares: u16) -> Fleet {
     let mut fleet = Fleet::new(endpoints);
     let mut cfg = fleet::config(2);
@@ -80,7 +81,7 @@
     }
 }
 
-/// Starts since `from` in a zone.
+/// Number of starts in a zone since the start with index `from`.
 fn starts_in(fleet: &Fleet, from: usize, zone: &str) -> usize {
     let starts = fleet.starts[from..].iter();
     let zones = starts.filter_map(|(.., at)| fleet.endpoints.get(at));
@@ -95,14 +96,14 @@
     }
 }
 
-/// Runs in a zone.
+/// Number of runs in a zone.
 fn running_in(fleet: &Fleet, zone: &str) -> usize {
     let endpoints = fleet.endpoints.values();
     let of_zone = endpoints.filter(|e| &*e.report.zone == zone);
     of_zone.map(|e| e.running().len()).sum()
 }
 
-/// Guards against starts in a zone whose evacuation was asked for.
+/// Guards against starts in a zone that is being evacuated.
 #[test]
 fn nothing_starts_in_an_evacuated_zone_until_it_is_withdrawn() {
     let mut fleet = fleet(6);
@@ -119,7 +120,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against starts that were decided before the evacuation and sent after it.
+/// Guards against starts that are decided before an evacuation and sent after it.
 #[test]
 fn a_start_that_waits_for_its_record_is_not_sent_to_an_evacuated_zone() {
     for wait in [1, 5, 20, 40, 55, 60] {
@@ -138,7 +139,7 @@
     }
 }
 
-/// Guards against a new leader that knows nothing of an evacuation, or of its end.
+/// Guards against a new leader that doesn't know that an evacuation is in force or has ended.
 #[test]
 fn an_evacuation_holds_through_changes_of_leader() {
     let mut fleet = fleet(6);
@@ -156,7 +157,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against a zone that stays empty because the removal of its record was dropped unread.
+/// Guards against an evacuation that never ends because the removal of its record was not read.
 #[test]
 fn evacuations_that_are_no_longer_asked_for_end() {
     let mut fleet = fleet(3);
@@ -167,7 +168,8 @@
     assert_eq!(zones, ["b".into(), "c".into()].into());
 }
 
-/// Guards against lasting tasks that stay in an evacuated zone, or leave it too many at a time.
+/// Guards against lasting tasks that stay in an evacuated zone, or leave it in too large numbers at
+/// the same time.
 #[test]
 fn lasting_tasks_leave_an_evacuated_zone_few_at_a_time() {
     let mut fleet = fleet(9);
@@ -184,7 +186,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against callers that wait while no zone may be given work.
+/// Guards against accepting jobs while no zone may run them.
 #[test]
 fn jobs_are_refused_at_once_while_every_zone_is_evacuated() {
     let mut fleet = fleet(6);
@@ -202,7 +204,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against an evacuation of a zone that holds nothing.
+/// Guards against side effects of evacuating a zone that has no endpoints.
 #[test]
 fn the_evacuation_of_an_unknown_zone_changes_nothing() {
     let mut fleet = fleet(3);
@@ -213,7 +215,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against a zone that is asked for and withdrawn again within a second.
+/// Guards against losing an evacuation after several requests and withdrawals within a second.
 #[test]
 fn an_evacuation_that_is_withdrawn_and_asked_for_again_is_in_force() {
     let mut fleet = fleet(6);
@@ -231,7 +233,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against pools that count instances of an evacuated zone, and are short of endpoints.
+/// Guards against pools that lack endpoints because they count instances of an evacuated zone.
 #[test]
 fn pools_are_filled_from_other_zones() {
     let mut fleet = with_spares(9, 9);
@@ -250,7 +252,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against idle instances that are paid for though nothing may start on them.
+/// Guards against paying for idle instances of a zone where nothing may start.
 #[test]
 fn idle_instances_of_an_evacuated_zone_are_switched_off() {
     let mut fleet = with_spares(9, 3);
@@ -264,7 +266,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against a wave that empties endpoints of other zones while one is evacuated.
+/// Guards against a wave that starts with other zones while one is already being emptied.
 #[test]
 fn a_wave_begins_with_the_evacuated_zone() {
     let mut fleet = fleet(9);
@@ -285,7 +287,8 @@
     fleet.assert_sound();
 }
 
-/// What happens next; `which` names an endpoint or a zone and how long it takes.
+/// Applies one fault and advances the time. `what` selects the fault; `which` selects the endpoint
+/// or zone, the fault's parameter and the duration.
 fn disturb(fleet: &mut Fleet, what: u8, which: u8) {
     let id = format!("e{}", which % 6);
     let zone = ["a", "b", "c"][usize::from(which % 3)];
--- a/crates/pomelohitch-sched/tests/cell/leaders.rs
+++ b/crates/pomelohitch-sched/tests/cell/leaders.rs
@@ -26,8 +26,8 @@
     fleet.assert_sound();
 }
 
-/// A leader ends between writing a start and ordering it. The next one knows the start from the
-/// record, looks, finds nothing and starts the task; without the look it would wait for ever.
+/// A leader ends between recording a start and sending it. The next one has to poll the endpoint
+/// to find that the run doesn't exist; otherwise the task would never start.
 #[test]
 fn a_recorded_start_that_was_never_ordered_is_made_good() {
     let mut fleet = Fleet::new(2);
@@ -43,8 +43,8 @@
     fleet.assert_sound();
 }
 
-/// The leader changes while an endpoint is silent that runs a task. The new leader never read the
-/// endpoint's clock, so that it has to wait out the longest lease that may be in force.
+/// The leader changes while an endpoint that runs a task doesn't answer. The new leader doesn't
+/// know the endpoint's clock, so it has to wait for the longest lease that may be in force.
 #[test]
 fn a_new_leader_waits_for_leases_that_it_does_not_know() {
     let mut fleet = Fleet::new(2);
@@ -60,7 +60,7 @@
     fleet.assert_sound();
 }
 
-/// Everything is accepted and durable, then all entry instances lose power before anything runs.
+/// All entry instances lose power after a job was accepted and before any of its tasks runs.
 #[test]
 fn an_accepted_job_outlives_every_leader() {
     let mut fleet = Fleet::new(2);
@@ -74,9 +74,8 @@
     fleet.assert_sound();
 }
 
-/// Everybody loses power in the middle of a turn. The pool needs instances that have been off for
-/// long; a new leader that leaves them alone for seconds, as if they had just been switched off,
-/// makes callers wait for the whole of the turn.
+/// All members lose power during a burst of demand. Guards against a new leader that waits seconds
+/// before it switches on instances that have long been off, as if they had just been switched off.
 #[test]
 fn a_new_leader_switches_on_what_has_been_off_for_long() {
     let mut fleet = spare_fleet();
@@ -90,8 +89,8 @@
     fleet.assert_sound();
 }
 
-/// The former leader has just ordered an instance off. An order of the new one for it could meet
-/// the former one's, which may still be on its way.
+/// Guards against an operation on an instance that the former leader has just operated on: the
+/// former leader's request may still be in flight.
 #[test]
 fn a_new_leader_leaves_alone_what_the_former_one_has_just_ordered() {
     let mut fleet = spare_fleet();
@@ -108,8 +107,8 @@
     assert_eq!(again.filter(|(id, _)| ordered.contains(id)).count(), 0);
 }
 
-/// How many operations a new leader decides for instances that the former one has just ordered, with
-/// its time of day this much ahead.
+/// Number of operations that a new leader decides for instances that the former one has just
+/// operated on. The new leader's wall clock is `ahead_ms` ahead.
 fn ordered_again(ahead_ms: i64, knows_fleet_time: bool, steps: u32) -> usize {
     let mut fleet = spare_fleet();
     fleet.loses_operations = true;
@@ -128,7 +127,8 @@
     again.filter(|(id, _)| ordered.contains(id)).count()
 }
 
-/// Guards against two holders of an instance within its lease because their clocks differ.
+/// Guards against two leaders that operate on an instance within the operation gap because their
+/// wall clocks differ.
 #[test]
 fn holders_stay_apart_whatever_the_time_of_day() {
     for ahead_ms in [-10_000, -3_000, 0, 3_000, 10_000] {
@@ -142,7 +142,7 @@
     assert!(ordered_again(0, true, 800) > 0, "later it does");
 }
 
-/// Guards against forgetting jobs, or taking new ones for late, when the time of day jumps.
+/// Guards against dropping jobs, or treating new ones as late, when the wall clock jumps.
 #[test]
 fn a_jump_of_the_time_of_day_changes_nothing() {
     let settings = Settings {
@@ -167,7 +167,7 @@
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
 }
 
-/// Guards against a time that runs ahead with each job that comes.
+/// Guards against a fleet time that advances with each submitted job.
 #[test]
 fn the_fleets_time_passes_as_the_steady_clock_does() {
     let mut fleet = Fleet::new(2);
@@ -186,7 +186,7 @@
     assert!(passed < 1_000, "no earlier than what is recorded: {passed}");
 }
 
-/// Guards against a repetition that begins by another time than that of day.
+/// Guards against repetitions that are scheduled by another clock than the wall clock.
 #[test]
 fn repetitions_are_due_by_the_time_of_day() {
     let mut fleet = Fleet::new(1);
@@ -208,7 +208,7 @@
     assert_eq!(fleet.starts.len(), 1);
 }
 
-/// One instance at work, and four in a pool that is off.
+/// A fleet of one running instance and four in a pool that is switched off.
 fn spare_fleet() -> Fleet {
     let mut fleet = Fleet::new(1);
     for index in 0..4 {
@@ -241,7 +241,8 @@
     }
 }
 
-/// Guards against a successor that reads what ended jobs were given, for seconds over a slow link.
+/// Guards against a new leader that spends seconds on a slow link reading the specifications of
+/// ended jobs.
 #[test]
 fn an_ended_job_leaves_one_short_record() {
     let mut fleet = Fleet::new(2);
@@ -265,7 +266,7 @@
     );
 }
 
-/// Guards against a job that a successor doesn't know any more, or runs again.
+/// Guards against ended jobs that a new leader doesn't know or runs again.
 #[test]
 fn a_successor_knows_jobs_that_have_ended() {
     let mut fleet = Fleet::new(2);
--- a/crates/pomelohitch-sched/tests/cell/links.rs
+++ b/crates/pomelohitch-sched/tests/cell/links.rs
@@ -1,4 +1,4 @@
-//! A link that carries less than is asked for.
+//! The leader's network link at and beyond its bandwidth.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 
 use super::fleet::{Fleet, Link, job, step};
 
-/// Bytes a second.
+/// Link bandwidth in bytes per second.
 const RATE: f64 = 100_000.0;
 const SECOND: u32 = 100;
 
-/// A fleet of `pricing` and `issuing` behind a link, with a job that lasts.
+/// A fleet of 20 endpoints each of `pricing` and `issuing` behind a link, with a lasting job.
 fn fleet(bytes_per_s: f64) -> Fleet {
     let settings = Settings {
         link_bytes_per_s: Some(bytes_per_s),
@@ -50,7 +50,7 @@
     Draft { text, ..job(steps) }
 }
 
-/// Jobs of both queues, more than the link carries starts for.
+/// Submits more jobs to both queues than the link has bandwidth to start; returns their paths.
 fn press(fleet: &mut Fleet, seconds: u32) -> Vec<String> {
     let mut paths = Vec::new();
     for round in 0..seconds * 4 {
@@ -70,7 +70,7 @@
     fleet.ends().filter(|how| *how == EndReason::Lapsed).count()
 }
 
-/// Jobs that were accepted, beside the one that lasts.
+/// Number of accepted jobs without the lasting one.
 fn accepted(fleet: &Fleet) -> usize {
     let answers = fleet.replies.values();
     answers.filter(|a| **a == Answer::Accepted).count() - 1
@@ -83,7 +83,7 @@
     calls.iter().filter(|c| state(c)).count()
 }
 
-/// Guards against polls that wait behind starts until leases lapse.
+/// Guards against leases that lapse because polls queue behind starts on the link.
 #[test]
 fn leases_hold_while_starts_fill_the_link() {
     let mut fleet = fleet(RATE);
@@ -96,7 +96,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against leases that lapse at all endpoints since the first lost poll ends their renewal.
+/// Guards against leases that lapse on all endpoints because renewal ends with the first lost poll.
 #[test]
 fn leases_outlive_a_link_that_is_nearly_cut_for_seconds() {
     let mut fleet = fleet(RATE);
@@ -113,7 +113,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against a service whose starts use up all that the link carries.
+/// Guards against one service whose starts use the whole bandwidth.
 #[test]
 fn every_service_starts_while_the_link_is_full() {
     let mut fleet = fleet(RATE);
@@ -129,7 +129,7 @@
     );
 }
 
-/// Guards against ending a lasting task that has begun because the answer to its start was late.
+/// Guards against stopping a lasting task that is running because the answer to its start was late.
 #[test]
 fn a_lasting_start_without_an_answer_is_not_stopped() {
     let mut fleet = Fleet::new(10);
@@ -143,7 +143,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against running a task again whose given up run turns out to have ended well.
+/// Guards against running a task again whose run was presumed lost but has completed.
 #[test]
 fn a_run_that_ended_well_unseen_does_not_run_again() {
     let mut fleet = Fleet::new(1);
@@ -163,7 +163,7 @@
     fleet.assert_sound();
 }
 
-/// Guards against an initial burst of starts that is longer than the timeout of its first one.
+/// Guards against an initial burst of starts that takes longer to send than the order timeout.
 #[test]
 fn a_first_burst_fits_the_link() {
     let mut fleet = fleet(RATE);
@@ -177,7 +177,7 @@
     assert_eq!(fleet.starts_lost, before);
 }
 
-/// Guards against accepting, for as long as callers send, jobs that are never of use to them.
+/// Guards against accepting jobs under sustained overload that end too late to be of use.
 #[test]
 fn what_a_full_link_cannot_start_in_time_is_refused() {
     let mut fleet = fleet(RATE);
--- a/crates/pomelohitch-sched/tests/cell/pools.rs
+++ b/crates/pomelohitch-sched/tests/cell/pools.rs
@@ -1,4 +1,4 @@
-//! Pools that follow demand.
+//! Autoscaling of pools.
 
 use std::time::Duration;
 
@@ -45,7 +45,7 @@
     assert!(fleet.operations.is_empty());
 }
 
-/// Guards against pools that count room that their endpoints don't have any more.
+/// Guards against pools that are sized by capacity that their endpoints no longer have.
 #[test]
 fn a_pool_whose_endpoints_have_shrunk_gets_more() {
     let mut fleet = fleet(4, 4);
@@ -63,8 +63,9 @@
     fleet.assert_sound();
 }
 
-/// Three lasting tasks have to be apart, and their pool has two instances. Processors are free, so
-/// that by demand alone no instance would come, and one task would never start.
+/// Three lasting tasks need an endpoint each, and their pool has two instances with idle
+/// processors. Demand for processors alone would not add an instance, and one task would never
+/// start.
 #[test]
 fn a_pool_with_too_few_instances_to_keep_tasks_apart_gets_one_more() {
     let mut fleet = fleet(2, 4);
@@ -78,8 +79,8 @@
     fleet.assert_sound();
 }
 
-/// A start is decided while a move of its instance is on its way. It would be met by the end of
-/// the endpoint, and counted as gone it would start elsewhere beside a run that goes on.
+/// Guards against a start that is decided while a move of its instance is in flight: the move ends
+/// the endpoint, and the task may then run twice.
 #[test]
 fn nothing_starts_on_an_instance_that_is_on_its_way() {
     for tick in 0..12 {
@@ -98,7 +99,7 @@
     }
 }
 
-/// An instance has to be maintained, and its lasting tasks have to stay apart from those on the
+/// The lasting tasks of an instance due for maintenance may not share an endpoint with those on the
 /// only other instance of the pool. Without one more instance the wave would never end.
 #[test]
 fn a_pool_with_no_room_for_what_has_to_leave_gets_one_more() {
@@ -119,8 +120,8 @@
     fleet.assert_sound();
 }
 
-/// Tasks need an instance of a kind that their pool has none of. Any instance that is moved there
-/// looks like help, and the tasks wait for good.
+/// Tasks require a label that no instance of their pool has. Guards against moving instances there
+/// without that label, which would leave the tasks waiting forever.
 #[test]
 fn a_pool_is_given_an_instance_of_the_kind_that_its_tasks_need() {
     let mut fleet = fleet(3, 6);
@@ -145,8 +146,8 @@
     fleet.assert_sound();
 }
 
-/// The log is away for some seconds, in which moves were decided. When their records become durable
-/// at last, work has been given to the instances since; moved then, they would end it.
+/// Moves are decided while the log is unavailable. By the time their records are durable, tasks
+/// have started on the instances, and the moves would end them.
 #[test]
 fn a_move_that_waited_long_for_its_record_is_not_made() {
     for away in [60, 120, 200, 320] {
--- a/crates/pomelohitch-sched/tests/cell/random.rs
+++ b/crates/pomelohitch-sched/tests/cell/random.rs
@@ -1,4 +1,4 @@
-//! Faults in any order: whatever comes, no promise is broken and every job ends.
+//! Random sequences of faults: every invariant holds and every job ends.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
 
 const ENDPOINTS: u8 = 4;
 
-/// What happens next; `which` names an endpoint and how long it takes.
+/// Applies one fault and advances the time. `what` selects the fault; `which` selects the endpoint,
+/// the fault's parameter and the duration.
 fn disturb(fleet: &mut Fleet, what: u8, which: u8) {
     let id = format!("e{}", which % ENDPOINTS);
     match what % 9 {
@@ -54,7 +55,7 @@
         let is_known = state != Answer::Gone;
         let is_done = state == Answer::State(JobState::Completed);
         let job = u64::from_str_radix(id, 16).expect("it is a number");
-        // The platform's own bound: a task may be given up under which two endpoints have crashed.
+        // The scheduler may give up a task during whose runs two endpoints have crashed.
         let may_fail = state == Answer::GivenUp && fleet.crashes_under(job) >= 2;
         assert!(
             !is_known || is_done || may_fail,
@@ -68,7 +69,7 @@
     pomelohitch_property::check(|faults: &Vec<(u8, u8)>| play(faults));
 }
 
-/// The same with tasks that crash their endpoints, and room that shrinks and grows.
+/// Like [`disturb`], with crashes of endpoints and changes of capacity.
 fn disturb_room(fleet: &mut Fleet, what: u8, which: u8) {
     let ids: Vec<_> = fleet.endpoints.keys().cloned().collect();
     let Some(id) = ids.get(usize::from(which) % ids.len().max(1)) else {
@@ -141,11 +142,12 @@
     pomelohitch_property::check(|faults: &Vec<(u8, u8)>| play_crashes(faults));
 }
 
-/// Orders of faults that once broke a promise.
+/// Regression test: sequences of faults that have violated an invariant.
 #[test]
 fn faults_that_broke_a_promise_before_do_so_no_more() {
-    // An endpoint restarts under its id between a look that lists ends and the one that acknowledges
-    // them. The numbers begin anew, and what a start that was on its way has done is forgotten unread.
+    // An endpoint restarts under its id between the poll that lists completions and the one that
+    // acknowledges them. Completion numbers begin anew, so the acknowledgement may drop the
+    // completion of a start that was in flight.
     let still = |count| vec![(0_u8, 0_u8); count];
     play(&[&[(103, 62), (15, 70), (7, 200), (43, 40)][..], &still(15)].concat());
     play(
@@ -175,7 +177,8 @@
         (0, 0),
         (0, 0),
     ]);
-    // A run ends unread before its endpoint restarts, and isn't lost with it.
+    // A run completes before its endpoint restarts, but its completion was not polled; it does not
+    // count as lost with the endpoint.
     play(&[
         (135, 22),
         (105, 120),
@@ -193,7 +196,7 @@
         (59, 27),
         (165, 92),
     ]);
-    // A silent endpoint restarts with orders on their way, and answers to a new leader.
+    // A silent endpoint restarts while orders are in flight, and answers a new leader.
     play(&[
         (165, 163),
         (126, 180),
--- a/crates/pomelohitch-sched/tests/cell/room.rs
+++ b/crates/pomelohitch-sched/tests/cell/room.rs
@@ -1,4 +1,4 @@
-//! Room of endpoints that shrinks and grows while they run.
+//! Endpoint capacity that shrinks and grows at run time.
 
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
 }
 
-/// Guards against a start that is sent by the room of when it was decided.
+/// Guards against a start that is sent although capacity shrank after it was decided.
 #[test]
 fn a_start_whose_record_took_long_is_dropped_if_the_room_has_shrunk() {
     let mut fleet = Fleet::new(1);
@@ -53,7 +53,8 @@
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
 }
 
-/// Guards against starts by the room of before an outage of the log, which entries don't show yet.
+/// Guards against starts by the capacity known before an outage of the log, until the endpoints'
+/// entries have been read again.
 #[test]
 fn nothing_starts_after_an_outage_until_entries_are_read() {
     let mut fleet = Fleet::new(1);
@@ -74,7 +75,7 @@
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
 }
 
-/// Guards against a part of a gang that starts without the members that are dropped.
+/// Guards against starting some members of a gang while others are dropped.
 #[test]
 fn a_gang_is_dropped_as_a_whole_if_the_room_of_one_endpoint_has_shrunk() {
     let mut fleet = Fleet::new(2);
@@ -96,7 +97,7 @@
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
 }
 
-/// Guards against filling memory where the processors are taken over their room.
+/// Guards against fillers on an endpoint whose allocated processors exceed its capacity.
 #[test]
 fn fillers_do_not_start_where_room_has_shrunk_below_what_runs() {
     let mut fleet = Fleet::new(1);
@@ -114,7 +115,7 @@
     assert_eq!(fleet.starts.len(), 3);
 }
 
-/// Guards against a successor that places by the room that its former leader knew.
+/// Guards against a new leader that places tasks by outdated capacity.
 #[test]
 fn a_new_leader_places_by_the_room_that_has_shrunk() {
     let mut fleet = Fleet::new(1);
--- a/crates/pomelohitch-sched/tests/cell/waves.rs
+++ b/crates/pomelohitch-sched/tests/cell/waves.rs
@@ -49,8 +49,8 @@
     assert_eq!(operated(&fleet), ["m0"]);
 }
 
-/// A wave comes before the list of instances was ever read, while a lasting task is at work. Taken
-/// for empty, its instance would be taken down under it, beyond what its step may miss.
+/// A wave is requested before the list of instances was first read. Guards against treating the
+/// instance as empty and taking it down under its lasting task.
 #[test]
 fn before_the_list_is_known_no_instance_counts_as_empty() {
     let mut fleet = Fleet::new(1);
@@ -64,8 +64,8 @@
     assert!(fleet.operations.is_empty());
 }
 
-/// An endpoint goes dark without a word. By what it said last its lasting task is at work, and
-/// stopping another beside it would take away two where one may be.
+/// Guards against counting the lasting task of a silent endpoint as running by its last answer:
+/// stopping another one would take two out of service where one is allowed.
 #[test]
 fn what_a_dark_endpoint_said_last_does_not_count_as_at_work() {
     let mut fleet = Fleet::new(3);
@@ -84,9 +84,8 @@
     assert_eq!(fleet.endpoint(&other).running().len(), 1);
 }
 
-/// The former leader has just maintained an instance, and a wave of the new one asks for it again.
-/// Two holders that give orders for one instance in turns within its lease would each undo what
-/// the other ordered.
+/// The former leader has just operated on an instance, and a wave of the new leader includes it.
+/// Within the operation gap, operations of two leaders on one instance would undo each other.
 #[test]
 fn a_new_leader_leaves_an_instance_alone_that_the_former_one_just_operated_on() {
     let mut fleet = Fleet::new(2);
@@ -105,9 +104,9 @@
     assert_eq!(operated(&fleet), ["m0", "m1", "m0"]);
 }
 
-/// Lasting tasks leave an instance one after another, which changes which instance has most of
-/// them. Chosen anew each time, the instances take turns at being emptied, and the tasks go to and
-/// fro between them for as long as the wave lasts.
+/// Each lasting task that leaves an instance changes which instance has most of them. Guards
+/// against selecting the instance to empty anew each time, which would move the tasks back and
+/// forth between instances during the whole wave.
 #[test]
 fn an_instance_that_is_being_emptied_stays_chosen() {
     let mut fleet = Fleet::new(4);
@@ -132,9 +131,8 @@
     fleet.assert_sound();
 }
 
-/// One task of a step has to leave an instance that is due, another one an endpoint that drains, at
-/// the same time. The second stop may arrive before the first, which then takes away two where one
-/// may be away.
+/// One task of a step leaves an instance that is due while another one leaves an endpoint that
+/// drains. Guards against stopping both at once where only one may be out of service.
 #[test]
 fn a_drain_beside_a_wave_takes_away_no_more_than_may_miss() {
     let mut fleet = Fleet::new(6);
@@ -157,9 +155,9 @@
     assert_eq!(operated(&fleet).len(), 1);
 }
 
-/// The leader stops a lasting task whose endpoint has to be empty, and ends. Until the task is gone
-/// its endpoint lists it as at work, and the next leader stops another one beside it: two are away
-/// where one may be.
+/// A leader stops a lasting task and ends. The endpoint lists the task as running until it has
+/// stopped. Guards against a new leader that stops another one meanwhile, where only one may be out
+/// of service.
 #[test]
 fn a_task_that_a_former_leader_is_stopping_does_not_count_as_at_work() {
     for steps_between in 1..30 {
@@ -173,7 +171,7 @@
         for endpoint in fleet.endpoints.values_mut() {
             endpoint.stop_grace = Duration::from_millis(900);
         }
-        // The next leader looks at the first endpoint first.
+        // The next leader polls the first endpoint first.
         let [first, second] = [0, 1].map(|at| fleet.starts[at].2.clone());
         fleet.endpoint(&second).report.is_draining = true;
         fleet.list();
@@ -188,8 +186,8 @@
     }
 }
 
-/// An order to take an instance down is lost, and its leader ends before it knows. Counted as
-/// done, the instance would be left out while the wave is told as completed.
+/// A maintenance operation is lost, and its leader ends before it knows. Guards against counting
+/// the instance as maintained and reporting the wave as completed.
 #[test]
 fn an_order_that_was_lost_with_its_leader_is_made_again() {
     let mut fleet = Fleet::new(1);
@@ -207,7 +205,8 @@
     assert!(fleet.statuses.contains(&(1, true)));
 }
 
-/// An instance that crashed is missing from the list for some seconds. It stays due.
+/// An instance that crashed is missing from the list for some seconds. Guards against dropping it
+/// from the wave.
 #[test]
 fn an_instance_that_is_missing_for_a_while_stays_due() {
     let mut fleet = Fleet::new(1);
@@ -221,8 +220,8 @@
     assert!(fleet.statuses.contains(&(1, true)));
 }
 
-/// All members lose power, and the next leader comes up a moment later. Waiting for orders that a
-/// process which is gone might still send, it moved nothing for two seconds, in which work piled up.
+/// All members lose power, and a new leader starts shortly after. Guards against two seconds
+/// without operations, spent waiting for requests that the ended process might still send.
 #[test]
 fn a_leader_whose_former_one_is_gone_operates_at_once() {
     let mut fleet = Fleet::new(2);
@@ -238,8 +237,8 @@
     assert_eq!(operated(&fleet), ["m0"]);
 }
 
-/// A wave over more instances than the platform takes operations for in a second. What is refused
-/// would be asked for again only after 1.5 s.
+/// A wave covers more instances than the platform accepts operations for in a second. Refused
+/// operations would be retried only after 1.5 s.
 #[test]
 fn no_more_operations_are_decided_than_the_platform_takes() {
     let mut fleet = Fleet::new(120);
@@ -252,9 +251,9 @@
     assert!((48..=64).contains(&decided), "{decided} in a second");
 }
 
-/// A step of many lasting tasks has to leave its instances in the time of a wave, one task after
-/// another. Begun only with the turn of their instance, the last of them weren't done in time. Here
-/// the first turn never ends, since a long run is on the instance that has most on it.
+/// The lasting tasks of a step leave their instances one after another within the time of a wave.
+/// Guards against moving them only once their instance is next, which is too late for the last
+/// ones. Here the first instance never becomes empty because of a long run.
 #[test]
 fn lasting_tasks_leave_due_instances_before_their_turn() {
     let mut fleet = Fleet::new(12);
@@ -276,9 +275,9 @@
     fleet.assert_sound();
 }
 
-/// An instance of a wave leaves for good: its endpoint drains, and the platform says that it is busy
-/// until it is gone. Waited for like one that crashed, it kept the wave from being told as completed
-/// for 16 s, long after its time.
+/// An instance of a wave is removed: its endpoint drains, and the platform reports it as busy until
+/// then. Guards against waiting for it as for one that crashed, which delayed the completion of the
+/// wave by 16 s.
 #[test]
 fn an_instance_that_leaves_for_good_is_not_waited_for() {
     let mut fleet = Fleet::new(2);
@@ -297,8 +296,8 @@
     assert!(fleet.statuses.contains(&(1, true)));
 }
 
-/// Every instance of a wave has been maintained, and pools that follow demand move some of them all
-/// the time. Operators would wait for the word that their wave is done until the load ends.
+/// Autoscaling keeps moving instances of a wave after their maintenance. Guards against a wave that
+/// is not reported as completed until the load ends.
 #[test]
 fn a_wave_is_done_while_its_instances_move_between_pools() {
     let mut instances = Instances::default();
@@ -325,7 +324,7 @@
     assert_eq!(told(&mut instances), [(1, true)]);
 }
 
-/// An instance of a wave moves to another pool before it was maintained. It still has to be.
+/// Guards against counting a move to another pool as the maintenance of an instance.
 #[test]
 fn a_wave_is_not_done_before_all_of_it_was_maintained() {
     let mut instances = Instances::default();
@@ -356,7 +355,7 @@
     }
 }
 
-/// What is said of waves now: number, and whether it is done.
+/// Status changes of waves: number, and whether the wave is completed.
 fn told(instances: &mut Instances) -> Vec<(u64, bool)> {
     let statuses = instances
         .take_status_changes()
