--- a/crates/pomelohitch-emulator/examples/emulate.rs
+++ b/crates/pomelohitch-emulator/examples/emulate.rs
@@ -1,6 +1,7 @@
 //! Plays loads in virtual time, and compares policies on the same seeds.
 //!
-//! `cargo run --release -p pomelohitch-emulator --example emulate -- compare LOAD --before deferral`
+//! `cargo run --release -p pomelohitch-emulator --example emulate -- compare LOAD --before
+//! deferral`
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -24,13 +25,13 @@
 struct Args {
     #[command(subcommand)]
     verb: Verb,
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, global = true, default_value_t = 20)]
     seeds: u64,
     /// The first seed.
     #[arg(long, global = true, default_value_t = 1)]
     from: u64,
-    /// How results are written.
+    /// Output format of results.
     #[arg(long, global = true, value_enum, default_value_t = Format::Text)]
     format: Format,
 }
@@ -39,31 +40,31 @@
 enum Verb {
     /// Plays loads with one policy.
     Run {
-        /// Files of loads.
+        /// Load files.
         #[arg(required = true)]
         loads: Vec<PathBuf>,
-        /// Mechanisms to switch off, separated by commas.
+        /// Mechanisms to switch off and parameters to set (NAME=NUMBER), separated by commas.
         #[arg(long, default_value = "shipped")]
         without: String,
     },
     /// Compares two policies.
     Compare {
-        /// Files of loads.
+        /// Load files.
         #[arg(required = true)]
         loads: Vec<PathBuf>,
-        /// Mechanisms that the first policy lacks.
+        /// Mechanisms switched off and parameters set in the first policy.
         #[arg(long)]
         before: String,
-        /// Mechanisms that the second policy lacks.
+        /// Mechanisms switched off and parameters set in the second policy.
         #[arg(long, default_value = "shipped")]
         after: String,
     },
-    /// Switches each mechanism off in turn.
+    /// Compares the default policy with one without each mechanism in turn.
     Ablate {
-        /// Files of loads.
+        /// Load files.
         #[arg(required = true)]
         loads: Vec<PathBuf>,
-        /// Draws what each mechanism is worth, with its interval.
+        /// Writes a chart of the worth of each mechanism with its confidence interval.
         #[arg(long)]
         svg: Option<PathBuf>,
     },
@@ -88,7 +89,7 @@
 
 type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// One line of a result.
+/// One row of the results.
 #[derive(Debug, Serialize)]
 struct Row<'a> {
     load: &'a str,
@@ -111,7 +112,7 @@
     }
 }
 
-/// Returns how many plays broke a promise.
+/// Returns the number of plays with violated invariants.
 fn run(args: &Args) -> Result<usize> {
     let seeds: Vec<u64> = (args.from..args.from + args.seeds).collect();
     let mut broken = 0;
@@ -230,7 +231,7 @@
     }
 }
 
-/// Draws differences with their intervals, one below the other.
+/// Writes an SVG chart of differences with their confidence intervals, one per row.
 fn draw(path: &Path, drawn: &[(String, Difference)]) -> Result<()> {
     const WIDTH: u32 = 900;
     const ROW: u32 = 18;
--- a/crates/pomelohitch-emulator/src/arrivals.rs
+++ b/crates/pomelohitch-emulator/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! The jobs of a load, drawn from a seed.
+//! Random generation of a load's jobs from a seed.
 
 use std::time::Duration;
 
@@ -11,29 +11,29 @@
 use crate::fleet::faults::normal;
 use crate::load::{Load, Queue};
 
-/// Arrivals are drawn for spans of this length.
+/// Arrivals are generated in slices of this length; all jobs of a slice arrive at its start.
 const SLICE: Duration = Duration::from_millis(10);
-/// Most tasks of a step, in multiples of the mean.
+/// Upper limit of generated numbers as a multiple of their mean.
 const MOST: f64 = 4.0;
-/// Memory that a task takes, MB.
+/// Memory of a task in MB.
 const TASK_MEM_MB: u64 = 500;
 
-/// A job that a caller hands in.
+/// A job that a caller submits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When, after the first caller.
+    /// Arrival time after the start of arrivals.
     pub at: Duration,
-    /// Its id.
+    /// Id of the job.
     pub id: JobId,
-    /// Which queue, by its place in the load.
+    /// Index of the queue in the load.
     pub queue: usize,
-    /// Which workspace, by its place in the load.
+    /// Index of the workspace in the load.
     pub workspace: usize,
-    /// The job.
+    /// Specification of the job.
     pub draft: Draft,
 }
 
-/// All jobs of a load, in order of time.
+/// Generates all jobs of a load in order of arrival.
 #[must_use]
 pub fn draw(load: &Load, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -57,7 +57,7 @@
     arrivals
 }
 
-/// What a queue sends now, in multiples of its mean.
+/// Arrival rate of a queue at a time, as a multiple of its mean.
 fn rise(load: &Load, queue: usize, at: Duration) -> f64 {
     let Some(turns) = load.turns else {
         return 1.0;
@@ -66,7 +66,7 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a number of turns"
+        reason = "a small number of bursts"
     )]
     let turn = passed as usize % load.queues.len();
     if turn == queue {
@@ -76,7 +76,7 @@
     }
 }
 
-/// The workspaces that send a job within a slice, each as often as it does.
+/// Workspaces that submit jobs within a slice, repeated for each of their jobs.
 fn senders(load: &Load, rate: f64, at: Duration, rng: &mut ChaCha8Rng) -> Vec<usize> {
     let expected = rate * SLICE.as_secs_f64();
     if load.workspaces.is_empty() {
@@ -93,7 +93,7 @@
     senders
 }
 
-/// How many of events come that come independently of each other.
+/// Draws a Poisson-distributed number with the given mean.
 fn poisson(expected: f64, rng: &mut ChaCha8Rng) -> usize {
     let limit = (-expected).exp();
     let mut product: f64 = rng.random_range(0.0..1.0);
@@ -131,7 +131,7 @@
     }
 }
 
-/// A number around a mean.
+/// Draws a log-normal number with the given mean, limited to [`MOST`] times the mean.
 fn vary(mean: f64, spread: f64, rng: &mut ChaCha8Rng) -> f64 {
     let factor = (normal(rng) * spread - spread * spread / 2.0).exp();
     mean * factor.min(MOST)
--- a/crates/pomelohitch-emulator/src/compare.rs
+++ b/crates/pomelohitch-emulator/src/compare.rs
@@ -1,7 +1,7 @@
-//! Two policies on the same seeds.
+//! Comparison of two policies on the same seeds.
 //!
-//! A seed decides arrivals, durations and faults, so that the difference on one seed is the
-//! policy's doing. The interval of the mean difference is taken over seeds.
+//! A seed determines arrivals, durations and faults, so that a difference on one seed is caused by
+//! the policy alone. The confidence interval of the mean difference is computed over the seeds.
 
 use pomelohitch_sched::Settings;
 use serde::Serialize;
@@ -9,10 +9,10 @@
 use crate::load::Load;
 use crate::play::{self, Outcome};
 
-/// A figure of an outcome by its name.
+/// Name of a figure, and the function that reads it from an outcome.
 pub type Figure = (&'static str, fn(&Outcome) -> f64);
 
-/// What is compared.
+/// The figures that are compared.
 pub const FIGURES: [Figure; 12] = [
     ("worth", |o| o.worth),
     ("worst windows", |o| o.worst_windows),
@@ -28,33 +28,33 @@
     ("given up", |o| as_f64(o.given_up)),
 ];
 
-/// How much of one figure two policies differ by.
+/// Difference of one figure between two policies.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Difference {
-    /// Which figure.
+    /// Name of the figure.
     pub figure: &'static str,
-    /// Its mean with the first policy.
+    /// Mean with the first policy.
     pub before: f64,
-    /// Its mean with the second.
+    /// Mean with the second policy.
     pub after: f64,
-    /// The mean of the differences, seed by seed.
+    /// Mean of the differences on each seed.
     pub difference: f64,
-    /// The true mean lies within this of it, 95 times of 100.
+    /// Half the width of the 95 % confidence interval of `difference`.
     pub interval: f64,
 }
 
 impl Difference {
-    /// Whether the policies surely differ.
+    /// Whether the difference is significant: its confidence interval excludes 0.
     #[must_use]
     pub fn is_sure(&self) -> bool {
         self.difference.abs() > self.interval
     }
 }
 
-/// Plays a load with each seed.
+/// Plays a load with each seed; the outcomes are in the order of the seeds.
 ///
 /// # Panics
-/// If a play does.
+/// If a play panics.
 #[must_use]
 pub fn play_all(load: &Load, settings: &Settings, seeds: &[u64]) -> Vec<Outcome> {
     let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get) / 2;
@@ -77,7 +77,7 @@
     })
 }
 
-/// Compares outcomes of the same seeds.
+/// Compares outcomes of two policies on the same seeds, in the same order.
 #[must_use]
 pub fn differences(before: &[Outcome], after: &[Outcome]) -> Vec<Difference> {
     let difference = |(name, figure): Figure| {
@@ -94,7 +94,7 @@
     FIGURES.into_iter().map(difference).collect()
 }
 
-/// Half the width of the interval of the mean, by Student's distribution.
+/// Half the width of the 95 % confidence interval of the mean, by Student's t-distribution.
 fn interval(values: &[f64]) -> f64 {
     let count = values.len();
     if count < 2 {
@@ -106,7 +106,8 @@
     student(count - 1) * (variance / as_f64(count)).sqrt()
 }
 
-/// The factor for 95 of 100 at so many degrees of freedom.
+/// Two-sided 95 % quantile of Student's t-distribution, rounded to a few ranges above 10 degrees of
+/// freedom.
 fn student(degrees: usize) -> f64 {
     const FACTORS: [f64; 10] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23];
     const TWENTY: f64 = 2.09;
--- a/crates/pomelohitch-emulator/src/fleet.rs
+++ b/crates/pomelohitch-emulator/src/fleet.rs
@@ -1,7 +1,9 @@
-//! Endpoints, instances, a log and callers in virtual time, with the faults that are asked for.
+//! Endpoints, instances, a log and callers around one scheduler in virtual time, with faults.
 //!
-//! Each start is checked against the promises: room, one run of a task at a time, steps in order,
-//! none after a noted end, none in an evacuated zone, and few of a task that crashes its endpoints.
+//! Each start is checked against the scheduler's invariants: it fits the endpoint's capacity, a
+//! task has one run at a time and none after its acknowledged completion, steps run in order,
+//! nothing starts in an evacuated zone, and a task that crashes its endpoints is started only a few
+//! times.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -31,101 +33,101 @@
 mod looks;
 mod orders;
 
-/// Time from one step to the next.
+/// Length of a time step.
 pub const STEP: Duration = Duration::from_millis(10);
-/// Unix time at which every test begins.
+/// Wall clock at the start of every play, in milliseconds since the Unix epoch.
 pub const BEGAN_MS: u64 = 1_000_000;
-/// Appends behind others begin at least so far apart.
+/// Shortest time between the starts of two appends while another one is in flight.
 const APPEND_GAP: Duration = Duration::from_millis(120);
-/// An order without an answer by then is taken for lost.
+/// Timeout of orders.
 const ORDER_WITHIN: Duration = Duration::from_millis(150);
-/// A start that was on its way when its zone was evacuated may take effect until then.
+/// A start in flight when its zone is evacuated may take effect for this long.
 const EVACUATED_WITHIN: Duration = Duration::from_secs(1);
-/// Room that has shrunk counts from then on.
+/// A start that fits only the capacity before a change is allowed for this long after the change.
 const SHRUNK_AFTER: Duration = Duration::from_millis(4_500);
-/// A look may take so much longer than it was told to wait.
+/// Timeout of a poll beyond its wait.
 const LOOK_MARGIN: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
 struct WaitingLook {
     sent_at: Duration,
     order: PollOrder,
-    /// Where it ends on the link.
+    /// Position of the last byte of the request on the link.
     end: link::Place,
     gives_up_at: Duration,
     arrived_at: Option<Duration>,
-    /// Its answer, and where that ends on the link.
+    /// The answer, and the position of its last byte on the link.
     answer: Option<(link::Place, Result<PollReply, PollFailure>)>,
-    /// It has no effect and no answer.
+    /// Whether the poll is lost: it has no effect and no answer.
     is_lost: bool,
 }
 
-/// A fleet with its scheduler.
+/// A fleet and its scheduler.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "independent faults")]
 pub struct Fleet {
-    /// The scheduler.
+    /// The current leader's scheduler.
     pub cell: Cell,
-    /// What it runs with, also after a change of leader.
+    /// Settings of this scheduler and of those after a change of leader.
     pub settings: Settings,
-    /// The time.
+    /// Virtual time.
     pub now: Now,
-    /// Every endpoint that lives.
+    /// All running endpoints.
     pub endpoints: BTreeMap<EndpointId, Endpoint>,
-    /// Every instance.
+    /// All instances.
     pub instances: BTreeMap<Arc<str>, Instance>,
-    /// The newest record of each key.
+    /// The latest durable record of each key.
     pub log: BTreeMap<Box<str>, Box<[u8]>>,
-    /// While false, nothing becomes durable.
+    /// Whether the log is available; while false, nothing becomes durable.
     pub is_log_up: bool,
-    /// How long the log takes for an append.
+    /// Duration of an append to the log.
     pub log_delay: Duration,
-    /// So many appends may be on their way.
+    /// Largest number of appends in flight.
     pub appends_at_once: usize,
-    /// Evacuated zones, and since when.
+    /// Evacuated zones with the start of the evacuation.
     pub evacuated: BTreeMap<ZoneName, Steady>,
-    /// Whether entries of endpoints are read while the log is up.
+    /// Whether the leader reads the endpoints' entries while the log is available.
     pub reads_entries: bool,
-    /// While true, the list of instances can't be read.
+    /// Whether the list of instances is unavailable.
     pub hides_instances: bool,
-    /// Whether operations take effect after their time.
+    /// Whether operations on instances take effect; otherwise they are only recorded.
     pub carries_out: bool,
     returning: Vec<(Duration, Arc<str>, Arc<str>)>,
     lives: u16,
-    /// While true, calls about instances have no effect and no answer.
+    /// Whether operations on instances are lost: they have no effect and no answer.
     pub loses_operations: bool,
-    /// Faults that strike at random.
+    /// Random faults.
     pub faults: Faults,
     /// Tasks that crash their endpoints.
     pub crashes: Crashes,
-    /// Answers by the call's number.
+    /// Answers to callers by call number.
     pub replies: BTreeMap<u64, Answer>,
-    /// What was told of waves: number, and whether it is completed.
+    /// Reported status of waves: number, and whether the wave is completed.
     pub statuses: Vec<(u64, bool)>,
-    /// Operations on instances, in order.
+    /// Requested operations on instances, in order.
     pub operations: Vec<(Arc<str>, Operation)>,
-    /// Promises that were broken.
+    /// Descriptions of violated invariants.
     pub broken: Vec<String>,
-    /// Runs that endpoints started: task, number, where.
+    /// Runs that endpoints have started: task, run number, endpoint.
     pub starts: Vec<(TaskId, u32, EndpointId)>,
-    /// The configuration in force.
+    /// The fleet configuration, also for later leaders.
     pub cfg: Arc<FleetConfig>,
-    /// Processor time that decisions took.
+    /// Elapsed real time of the scheduler's decisions.
     pub spent: Duration,
-    /// Looks that went out.
+    /// Number of polls sent.
     pub looks_sent: usize,
-    /// Starts that were left unanswered.
+    /// Number of starts without an answer.
     pub starts_lost: usize,
-    /// Room of endpoints that are added, or that come back from a move.
+    /// Capacity of endpoints that are added or that start after an operation on their instance.
     pub capacity: Resources,
-    /// Whether a new leader was told the fleet's time; it isn't if all members were killed.
+    /// Whether a new leader knows the fleet time. It doesn't if all members were killed.
     pub knows_fleet_time: bool,
-    /// What calls to endpoints go over; `None` carries everything at once.
+    /// Network link to the endpoints; with `None`, orders and polls arrive immediately.
     pub link: Option<Link>,
     looks: Vec<WaitingLook>,
     delayed: Vec<Delayed>,
     luck: Luck,
-    /// Batches on their way to the log, and when each is there.
+    /// Batches being appended to the log, with the time when each becomes durable.
     pending: VecDeque<(Steady, Batch)>,
     taken_at: Steady,
     done: BTreeSet<TaskId>,
@@ -145,7 +147,7 @@
     }
 }
 
-/// Two services with a queue each, and one workspace.
+/// A configuration with two services with one queue each, and one workspace.
 #[must_use]
 pub fn config(version: u64) -> FleetConfig {
     FleetConfig {
@@ -168,7 +170,7 @@
     }
 }
 
-/// A plain step of so many tasks, each with so many thousandths of a core for so long.
+/// A step of `count` tasks, each of `cpu` thousandths of a core for `millis` milliseconds.
 #[must_use]
 pub fn step(count: u32, cpu: u64, millis: u64) -> StepSpec {
     StepSpec {
@@ -183,7 +185,7 @@
     }
 }
 
-/// A job of these steps.
+/// A job that runs the given steps once.
 #[must_use]
 pub fn job(steps: Vec<StepSpec>) -> Draft {
     Draft {
@@ -211,13 +213,13 @@
 }
 
 impl Fleet {
-    /// A fleet of so many endpoints of `pricing`, named `e0` and so on.
+    /// A fleet of `endpoints` endpoints of `pricing`, named `e0`, `e1` and so on.
     #[must_use]
     pub fn new(endpoints: u16) -> Fleet {
         Fleet::with(endpoints, Settings::default())
     }
 
-    /// The same whose scheduler has these settings.
+    /// Like [`Fleet::new`], with settings of the scheduler.
     #[must_use]
     pub fn with(endpoints: u16, settings: Settings) -> Fleet {
         let now = Now {
@@ -277,12 +279,12 @@
         fleet
     }
 
-    /// Adds an endpoint of `pricing` on an instance of its own.
+    /// Adds an endpoint of `pricing` on a new instance.
     pub fn add(&mut self, id: &str, index: u16) {
         self.add_to("pricing", id, index);
     }
 
-    /// Adds an endpoint of a service on an instance of its own.
+    /// Adds an endpoint of a service on a new instance.
     pub fn add_to(&mut self, service: &str, id: &str, index: u16) {
         let report = Report {
             service: service.into(),
@@ -306,17 +308,17 @@
             .insert(report.id.clone(), Endpoint::new(report));
     }
 
-    /// The endpoint of that name.
+    /// Returns the endpoint with this id.
     ///
     /// # Panics
-    /// If there is none.
+    /// If there is no such endpoint.
     pub fn endpoint(&mut self, id: &str) -> &mut Endpoint {
         self.endpoints
             .get_mut(id)
             .expect("there is such an endpoint")
     }
 
-    /// The endpoint's process ends and starts again under its id. Calls that wait there break off.
+    /// Restarts an endpoint's process under the same id. Polls that wait there fail.
     pub fn restart(&mut self, id: &str) {
         self.note_crash(id);
         let endpoint = self.endpoint(id);
@@ -333,8 +335,8 @@
         }
     }
 
-    /// The instance of an endpoint loses power: nothing runs there, and the platform lists it as
-    /// down.
+    /// Cuts the power of an endpoint's instance: its runs are gone, and the platform lists the
+    /// instance as down.
     pub fn crash(&mut self, id: &str) {
         self.note_crash(id);
         let endpoint = self.endpoint(id);
@@ -348,7 +350,7 @@
         }
     }
 
-    /// An endpoint's room changes while it runs, and its entry says so.
+    /// Changes an endpoint's capacity and its entry while it runs.
     pub fn resize(&mut self, id: &str, capacity: Resources) {
         let now = self.now.steady;
         let endpoint = self.endpoint(id);
@@ -357,7 +359,8 @@
         self.read_entries();
     }
 
-    /// The leader reads what endpoints say of themselves, if it can.
+    /// Lets the leader read the endpoints' entries and the operators' records, if the log is
+    /// available.
     fn read_entries(&mut self) {
         if !self.reads_entries || !self.is_log_up {
             return;
@@ -373,7 +376,7 @@
         self.cell.operators_read(self.now.steady);
     }
 
-    /// Puts an endpoint and its instance into an availability zone.
+    /// Assigns an endpoint and its instance to an availability zone.
     pub fn put_in_zone(&mut self, id: &str, zone: &str) {
         self.endpoint(id).report.zone = zone.into();
         for instance in self.instances.values_mut() {
@@ -383,29 +386,29 @@
         }
     }
 
-    /// Operators ask for the evacuation of a zone.
+    /// Requests the evacuation of a zone, as operators do.
     pub fn evacuate(&mut self, zone: &str) {
         self.evacuated.entry(zone.into()).or_insert(self.now.steady);
         self.cell.evacuate(&zone.into());
     }
 
-    /// Operators withdraw it.
+    /// Withdraws the evacuation of a zone.
     pub fn withdraw_evacuation(&mut self, zone: &str) {
         self.evacuated.remove(zone);
         self.cell.evacuation_withdrawn(zone);
     }
 
-    /// Tells the cell every endpoint's entry.
+    /// Passes the entries of all endpoints to the scheduler.
     pub fn list(&mut self) {
         for endpoint in self.endpoints.values() {
             self.cell.endpoint_listed(endpoint.report.clone());
         }
     }
 
-    /// Another leader takes over from the records.
+    /// Replaces the leader by a new one that is restored from the durable records.
     ///
     /// # Panics
-    /// If a record can't be read.
+    /// If a record cannot be decoded.
     pub fn change_leader(&mut self) {
         let records: Vec<_> = self.log.clone().into_iter().collect();
         let epoch = self.cell.epoch() + 1;
@@ -425,12 +428,12 @@
         self.list();
     }
 
-    /// Calls with the key of the first workspace; returns the call's number.
+    /// Sends an API call with the key of the first workspace; returns the call number.
     pub fn call(&mut self, path: &str, verb: Verb) -> u64 {
         self.call_with(path, Some("key"), verb)
     }
 
-    /// Calls with this key; returns the call's number.
+    /// Sends an API call with the given key; returns the call number.
     pub fn call_with(&mut self, path: &str, key: Option<&str>, verb: Verb) -> u64 {
         self.calls += 1;
         let call = Call {
@@ -444,30 +447,30 @@
         self.calls
     }
 
-    /// Hands a job in to the first queue.
+    /// Submits a job to the first queue; returns the call number.
     pub fn submit(&mut self, id: &str, draft: Draft) -> u64 {
         self.call(&format!("/q/{id}"), Verb::Submit(Ok(draft)))
     }
 
-    /// The state that a caller is told.
+    /// Reads the state of a job as a caller does; takes one time step.
     ///
     /// # Panics
-    /// If there is no answer.
+    /// If the call isn't answered within the step.
     pub fn state(&mut self, id: &str) -> Answer {
         let call = self.call(&format!("/q/{id}"), Verb::Read);
         self.pass(1);
         self.replies[&call].clone()
     }
 
-    /// How the runs ended that the living endpoints have had.
+    /// End reasons of all ended runs of the running endpoints.
     pub fn ends(&self) -> impl Iterator<Item = EndReason> {
         self.endpoints.values().flat_map(|e| &e.history).copied()
     }
 
-    /// Lets time pass, and everybody act.
+    /// Advances the time by a number of steps, and with it the scheduler and its whole environment.
     ///
     /// # Panics
-    /// If a record can't be encoded.
+    /// If a record cannot be encoded.
     pub fn pass(&mut self, steps: u32) {
         for _ in 0..steps {
             self.now.steady += STEP;
@@ -494,10 +497,10 @@
         decided
     }
 
-    /// Fails if a promise was broken.
+    /// Checks that no invariant was violated.
     ///
     /// # Panics
-    /// If one was.
+    /// If one was violated.
     pub fn assert_sound(&self) {
         assert!(self.broken.is_empty(), "{:#?}", self.broken);
     }
--- a/crates/pomelohitch-emulator/src/fleet/crashes.rs
+++ b/crates/pomelohitch-emulator/src/fleet/crashes.rs
@@ -1,4 +1,4 @@
-//! Tasks that crash the endpoints that start them, and the check of how often they are started.
+//! Tasks that crash their endpoints, and the check that the scheduler limits their starts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,27 +8,28 @@
 
 use super::Fleet;
 
-/// So many endpoints may crash under a task before further starts of it count.
+/// Crashes of endpoints running a task after which its further starts are counted.
 const UNCOUNTED: u32 = 3;
-/// So many counted starts break the promise.
+/// Number of counted starts that violates the invariant.
 const TOO_MANY: u32 = 3;
 
-/// Which tasks crash their endpoints, and what has come of it.
+/// Tasks that crash their endpoints, and counts of the crashes.
 #[derive(Debug)]
 pub struct Crashes {
     /// Tasks that crash each endpoint that starts them.
     pub tasks: BTreeSet<TaskId>,
-    /// How long after its start.
+    /// Time from the start of such a task to the crash.
     pub after: Duration,
-    /// How long an instance is down after a crash.
+    /// Downtime of an instance after a crash.
     pub down: Duration,
-    /// Whether endpoints start again at once, under their ids.
+    /// Whether endpoints restart immediately under the same id.
     pub keeps_ids: bool,
-    /// Endpoints that crashed under each task that crashes them or ran beside.
+    /// Number of endpoints that crashed while running each task, whether or not it caused the
+    /// crash.
     pub under: BTreeMap<TaskId, u32>,
-    /// Endpoints that have crashed.
+    /// Endpoints that have crashed and did not come back under their ids.
     pub(super) ended: BTreeSet<EndpointId>,
-    /// Starts of each after that many crashes.
+    /// Counted starts of each task.
     more: BTreeMap<TaskId, u32>,
     due: Vec<(Steady, EndpointId)>,
 }
@@ -49,7 +50,7 @@
 }
 
 impl Crashes {
-    /// Makes the first task of a job one that crashes its endpoints.
+    /// Makes the first task of a job crash its endpoints.
     pub fn by_first_task_of(&mut self, job: JobId) {
         self.tasks.insert(TaskId {
             job,
@@ -59,13 +60,13 @@
         });
     }
 
-    /// Whether some task of the job crashes its endpoints.
+    /// Whether any task of the job crashes its endpoints.
     #[must_use]
     pub fn is_by(&self, job: JobId) -> bool {
         self.tasks.iter().any(|task| task.job == job)
     }
 
-    /// How many endpoints crashed under the tasks that crash them.
+    /// Number of crashes of endpoints, summed over the tasks in `tasks` that they ran.
     #[must_use]
     pub fn count(&self) -> u32 {
         let own = self
@@ -75,7 +76,7 @@
         own.map(|(_, count)| count).sum()
     }
 
-    /// Takes in a start; returns whether it is one too many.
+    /// Records a start; returns whether it violates the limit.
     fn started(&mut self, task: TaskId, at: &EndpointId, now: Steady) -> bool {
         if !self.tasks.contains(&task) {
             return false;
@@ -91,7 +92,7 @@
 }
 
 impl Fleet {
-    /// Takes in a start of a task that may crash its endpoint.
+    /// Records a start, and a violation if the task was started too often.
     pub(super) fn note_crashing(&mut self, task: TaskId, at: &EndpointId) {
         if self.crashes.started(task, at, self.now.steady) {
             self.broken.push(format!(
@@ -100,7 +101,7 @@
         }
     }
 
-    /// Endpoints crash whose time has come; another one lives on the instance after a while.
+    /// Crashes the endpoints that are due, or restarts them under their ids.
     pub(super) fn crash_due(&mut self) {
         let now = self.now.steady;
         let due = self.crashes.due.extract_if(.., |(at, _)| *at <= now);
@@ -113,7 +114,7 @@
         }
     }
 
-    /// How many endpoints crashed under the task of the job that most crashed under.
+    /// Largest number of endpoints that crashed while running any one task of the job.
     #[must_use]
     pub fn crashes_under(&self, job: JobId) -> u32 {
         let own = self
@@ -131,7 +132,7 @@
         }
     }
 
-    /// The endpoint crashes; another one lives on its instance after `down`.
+    /// Crashes an endpoint. A new one starts on its instance after `down`.
     pub fn crash_for(&mut self, id: &str, down: Duration) {
         if !self.endpoints.contains_key(id) {
             return;
--- a/crates/pomelohitch-emulator/src/fleet/endpoint.rs
+++ b/crates/pomelohitch-emulator/src/fleet/endpoint.rs
@@ -1,7 +1,7 @@
-//! An endpoint that does what the platform says of endpoints.
+//! An emulated endpoint that follows the platform's contract for endpoints.
 //!
-//! Runs hold a lease, a lower epoch is refused, ends stay listed until they are acknowledged, and
-//! a stopped run can't come later.
+//! Runs end when the lease expires, calls with a lower epoch are refused, completions stay listed
+//! until they are acknowledged, and a run that was stopped before it arrived can't start later.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Refusal};
 use pomelohitch_sched::{Resources, Steady, TaskId};
 
-/// One endpoint, with the faults that it has.
+/// One endpoint and its faults.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "independent faults")]
 pub struct Endpoint {
-    /// What the platform's list says of it.
+    /// The endpoint's entry in the platform's list.
     pub report: Report,
-    /// It answers nothing and takes nothing.
+    /// Neither receives nor answers calls.
     pub is_silent: bool,
-    /// Orders are carried out, but their answers are lost.
+    /// Executes orders, but their answers are lost.
     pub loses_answers: bool,
     /// Every run fails.
     pub fails: bool,
@@ -27,11 +27,11 @@
     pub refuses: bool,
     /// Runs make no progress.
     pub stands_still: bool,
-    /// Runs take so many times as long.
+    /// Factor by which runs take longer.
     pub slowness: f64,
-    /// How long a run that is stopped goes on.
+    /// Time from a stop order to the end of the run.
     pub stop_grace: Duration,
-    /// When its room changed, and what it was before each.
+    /// Times of capacity changes, each with the capacity before it.
     pub(super) resized: Vec<(Steady, Resources)>,
     pub(super) clock: Duration,
     pub(super) epoch: u64,
@@ -39,27 +39,27 @@
     pub(super) runs: BTreeMap<(TaskId, u32), Run>,
     pub(super) ended: Vec<Ended>,
     next_end: u64,
-    /// Ends up to this one were listed when the lease ran out. Noted after that they don't count
-    /// as noted, by the platform's rules.
+    /// Number of the last completion that was listed when the lease expired. By the platform's
+    /// contract, acknowledging completions up to this one after the expiry doesn't count.
     lapsed_end: u64,
     over: BTreeMap<TaskId, u32>,
-    /// How each run ended, in order.
+    /// End reasons of all runs, in order.
     pub(super) history: Vec<EndReason>,
 }
 
-/// One run of a task.
+/// A run of a task.
 #[derive(Debug)]
 pub(super) struct Run {
     whole: Duration,
     left: Duration,
     pub(super) room: Resources,
     is_lasting: bool,
-    /// When it ends by a stop, on the endpoint's clock.
+    /// When a stop ends the run, on the endpoint's clock.
     stops_at: Option<Duration>,
 }
 
 impl Endpoint {
-    /// An endpoint that runs nothing.
+    /// An idle endpoint without faults.
     pub(super) fn new(report: Report) -> Endpoint {
         Endpoint {
             report,
@@ -83,20 +83,20 @@
         }
     }
 
-    /// What runs there.
+    /// Tasks of the current runs.
     #[must_use]
     pub fn running(&self) -> Vec<TaskId> {
         self.runs.keys().map(|(task, _)| *task).collect()
     }
 
-    /// What runs there and wasn't told to stop.
+    /// Number of runs that have no stop order.
     #[must_use]
     pub fn staying(&self) -> usize {
         let runs = self.runs.values();
         runs.filter(|run| run.stops_at.is_none()).count()
     }
 
-    /// How many ends are listed.
+    /// Number of completions that are not acknowledged.
     #[must_use]
     pub fn unacknowledged(&self) -> usize {
         self.ended.len()
@@ -118,7 +118,7 @@
         self.next_end += 1;
     }
 
-    /// Lets time pass: leases run out, runs end.
+    /// Advances the endpoint's clock: the lease may expire, and runs complete.
     pub(super) fn pass(&mut self, time: Duration) {
         self.clock += time;
         if self.clock > self.lease {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Forgets ends up to `noted`, and returns the tasks that count as done by that.
+    /// Drops completions up to number `noted`; returns the tasks that count as done.
     pub(super) fn acknowledge(&mut self, noted: u64) -> Vec<TaskId> {
         let (old, listed) = std::mem::take(&mut self.ended)
             .into_iter()
@@ -167,7 +167,7 @@
         done.map(|e| e.task).collect()
     }
 
-    /// Carries out an order; a run that it starts takes `whole`.
+    /// Executes an order; a run that it starts takes `whole`.
     pub(super) fn take(&mut self, order: &Order, epoch: u64, whole: Duration) -> Outcome {
         if epoch < self.epoch {
             return Outcome::Refused(Refusal::Fenced);
@@ -232,7 +232,7 @@
         }
     }
 
-    /// Answers a look.
+    /// Answers a poll.
     pub(super) fn look(&mut self, look: &PollOrder) -> Result<PollReply, PollFailure> {
         if look.epoch < self.epoch {
             return Err(PollFailure::Fenced);
--- a/crates/pomelohitch-emulator/src/fleet/faults.rs
+++ b/crates/pomelohitch-emulator/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that strike at random, and how long tasks really take.
+//! Random faults, and the actual durations of tasks.
 
 use std::time::Duration;
 
@@ -9,25 +9,26 @@
 
 use super::ORDER_WITHIN;
 
-/// An order that is left unanswered is carried out so much later, if at all in time.
+/// Delay in seconds after which an unanswered order is executed.
 const LATE: std::ops::Range<f64> = 2.0..12.0;
 
-/// Faults that strike at random.
+/// Random faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Faults {
-    /// The part of orders and looks that get no answer; orders are carried out seconds later.
+    /// Fraction of orders and polls that get no answer; the orders are executed seconds later.
     pub orders_lost: f64,
-    /// How long orders take to arrive. Longer than their timeout, and they count as unanswered.
+    /// Network delay of orders. It has an effect only if it exceeds their timeout: then they count
+    /// as unanswered.
     pub orders_late: Duration,
-    /// How far the durations of tasks lie from their estimates: the standard deviation of the
-    /// logarithm. Each task takes the same time wherever and whenever it runs.
+    /// Deviation of actual durations of tasks from their estimates: the standard deviation of the
+    /// logarithm. A task takes the same time in every run.
     pub unevenness: f64,
-    /// Decides durations.
+    /// Seed of the durations.
     pub seed: u64,
 }
 
 impl Faults {
-    /// How long a task takes whose step was estimated so.
+    /// Actual duration of a task for the estimate of its step.
     #[must_use]
     pub fn duration(&self, task: TaskId, estimate: Duration) -> Duration {
         if self.unevenness <= 0.0 {
@@ -40,24 +41,24 @@
     }
 }
 
-/// A standard normal number: the sum of twelve uniform ones is near enough for durations.
+/// Draws an approximately standard normal number as the sum of twelve uniform ones.
 pub(crate) fn normal(rng: &mut ChaCha8Rng) -> f64 {
     let sum: f64 = (0..12).map(|_| rng.random_range(0.0..1.0)).sum();
     sum - 6.0
 }
 
-/// What is to happen to an order that got no answer.
+/// A scheduled event of an order without an answer.
 #[derive(Debug)]
 pub(super) struct Delayed {
     pub(super) at: Steady,
     pub(super) target: Target,
     pub(super) order: Order,
     pub(super) epoch: u64,
-    /// Else it is taken for lost then.
+    /// Whether the order is executed at `at`; otherwise the scheduler's call times out then.
     pub(super) is_carried_out: bool,
 }
 
-/// Decides which faults strike.
+/// Random number generator of the faults.
 #[derive(Debug)]
 pub(super) struct Luck {
     rng: ChaCha8Rng,
@@ -74,7 +75,7 @@
         part > 0.0 && self.rng.random_range(0.0..1.0) < part
     }
 
-    /// An order that is left unanswered: taken for lost soon, and carried out later.
+    /// Events of an unanswered order: the timeout, and the execution after a random delay.
     pub(super) fn late(
         &mut self,
         target: &Target,
@@ -86,7 +87,7 @@
         Luck::unanswered(target, order, epoch, now, late)
     }
 
-    /// An order that counts as lost soon, and is carried out after `late`.
+    /// Events of an unanswered order: the timeout, and the execution after `late`.
     pub(super) fn unanswered(
         target: &Target,
         order: &Order,
--- a/crates/pomelohitch-emulator/src/fleet/instances.rs
+++ b/crates/pomelohitch-emulator/src/fleet/instances.rs
@@ -1,4 +1,4 @@
-//! Operations on instances.
+//! Moves and maintenance of instances.
 
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/pomelohitch-emulator/src/fleet/link.rs
+++ b/crates/pomelohitch-emulator/src/fleet/link.rs
@@ -1,4 +1,4 @@
-//! The leader's link: calls wait for the bytes before them.
+//! The leader's network link: a first-in first-out queue of bytes in each direction.
 
 use std::time::Duration;
 
@@ -8,18 +8,18 @@
 
 use super::{Fleet, LOOK_MARGIN, ORDER_WITHIN, STEP};
 
-/// Bytes of an order with its headers, beside a text.
+/// Bytes of an order with its headers, without the text of a job.
 const ORDER_BYTES: f64 = 300.0;
-/// Bytes of a look with its headers.
+/// Bytes of a poll with its headers.
 const LOOK_BYTES: f64 = 300.0;
-/// Bytes of an answer with its headers, beside what it lists.
+/// Bytes of an answer with its headers, without the listed runs and completions.
 const ANSWER_BYTES: f64 = 200.0;
-/// Bytes of a run or an end that an answer lists.
+/// Bytes of each run or completion that an answer lists.
 const LISTED_BYTES: f64 = 50.0;
-/// An order is never waited for longer.
+/// Largest timeout of an order.
 const ORDER_LONGEST: Duration = Duration::from_millis(600);
 
-/// A place in the bytes that go in one direction, counted from the first.
+/// A byte position in one direction of the link, counted from the first byte.
 pub(super) type Place = f64;
 
 /// One direction of a link.
@@ -30,7 +30,7 @@
 }
 
 impl Direction {
-    /// Where bytes end that are sent now.
+    /// Queues bytes; returns the position of the last one.
     fn send(&mut self, bytes: f64) -> Place {
         self.sent += bytes;
         self.sent
@@ -40,13 +40,13 @@
         self.carried = (self.carried + bytes).min(self.sent);
     }
 
-    /// Whether all bytes up to a place have arrived.
+    /// Whether all bytes up to a position have arrived.
     fn has_carried(&self, place: Place) -> bool {
         place <= self.carried
     }
 }
 
-/// A link of a given rate in each direction.
+/// A link with the same bandwidth in each direction.
 #[derive(Debug, Clone)]
 pub struct Link {
     bytes_per_s: f64,
@@ -56,7 +56,7 @@
     orders: Vec<OnLink>,
 }
 
-/// An order that isn't over.
+/// An order that is in flight, executing or waiting for its answer.
 #[derive(Debug, Clone)]
 struct OnLink {
     target: Target,
@@ -71,7 +71,7 @@
 }
 
 impl Link {
-    /// A link of this rate, bytes a second in each direction.
+    /// An empty link with this bandwidth in each direction, in bytes per second.
     #[must_use]
     pub fn new(bytes_per_s: f64) -> Link {
         let limits = Limits {
@@ -87,35 +87,36 @@
         }
     }
 
-    /// Changes the rate.
+    /// Changes the bandwidth, in bytes per second.
     pub fn set_rate(&mut self, bytes_per_s: f64) {
         self.bytes_per_s = bytes_per_s;
     }
 
-    /// Carries what fits into a time.
+    /// Transmits the bytes that the bandwidth allows in this time.
     fn pass(&mut self, time: Duration) {
         let bytes = self.bytes_per_s * time.as_secs_f64();
         self.out.pass(bytes);
         self.back.pass(bytes);
     }
 
-    /// Whether what was sent up to a place has arrived.
+    /// Whether requests up to a position have arrived.
     pub(super) fn has_arrived(&self, place: Place) -> bool {
         self.out.has_carried(place)
     }
 
-    /// Whether what was answered up to a place has come back.
+    /// Whether answers up to a position have arrived at the leader.
     pub(super) fn has_come_back(&self, place: Place) -> bool {
         self.back.has_carried(place)
     }
 
-    /// Sends a look: where it ends, and how long its answer may take beside its wait.
+    /// Queues a poll; returns the position of its last byte and its timeout beyond its wait.
     pub(super) fn look(&mut self) -> (Place, Duration) {
         let margin = LOOK_MARGIN + self.rto.timeout().saturating_sub(ORDER_WITHIN);
         (self.out.send(LOOK_BYTES), margin)
     }
 
-    /// Sends an answer that lists this many runs and ends: where it ends.
+    /// Queues an answer that lists this many runs and completions; returns the position of its last
+    /// byte.
     pub(super) fn answer(&mut self, listed: usize) -> Place {
         let listed = f64::from(u32::try_from(listed).unwrap_or(u32::MAX));
         self.back.send(ANSWER_BYTES + LISTED_BYTES * listed)
@@ -142,7 +143,7 @@
 }
 
 impl Fleet {
-    /// Lets orders on the link arrive and their answers come back.
+    /// Advances the link by a time step and processes orders and answers that have arrived.
     pub(super) fn carry_link(&mut self) {
         let Some(link) = &mut self.link else {
             return;
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Whether an order is over.
+    /// Processes an order on the link; returns whether it is finished.
     fn carry_order(&mut self, on_link: &mut OnLink) -> bool {
         let Some(link) = &self.link else {
             return true;
--- a/crates/pomelohitch-emulator/src/fleet/log.rs
+++ b/crates/pomelohitch-emulator/src/fleet/log.rs
@@ -1,4 +1,4 @@
-//! Batches on their way to the log.
+//! Appends of batches to the log.
 
 use super::{APPEND_GAP, Fleet};
 
--- a/crates/pomelohitch-emulator/src/fleet/looks.rs
+++ b/crates/pomelohitch-emulator/src/fleet/looks.rs
@@ -1,4 +1,4 @@
-//! Looks on their way to endpoints.
+//! Polls of endpoints in flight.
 
 use pomelohitch_sched::order::{PollFailure, PollOrder};
 
@@ -33,7 +33,7 @@
         self.looks.extend(waiting);
     }
 
-    /// Whether a look is over.
+    /// Processes a poll; returns whether it is finished.
     fn serve_look(&mut self, look: &mut WaitingLook) -> bool {
         let now = self.now.steady;
         self.reach_endpoint(look);
@@ -56,7 +56,7 @@
         false
     }
 
-    /// Lets a look arrive at its endpoint, and be answered there.
+    /// Delivers a poll to its endpoint if it has arrived, and has it answered when it is due.
     fn reach_endpoint(&mut self, look: &mut WaitingLook) {
         let now = self.now.steady;
         let order = &look.order;
@@ -68,7 +68,8 @@
         let Some(endpoint) = reachable.filter(|_| has_arrived && look.answer.is_none()) else {
             return;
         };
-        // Lease and acknowledgement count from the arrival of the look.
+        // The lease and the acknowledgement take effect when the poll arrives, not when it is
+        // answered.
         if look.arrived_at.is_none() && order.epoch >= endpoint.epoch {
             endpoint.lease = endpoint.lease.max(order.lease.unwrap_or_default());
             self.done.extend(endpoint.acknowledge(order.noted));
--- a/crates/pomelohitch-emulator/src/fleet/orders.rs
+++ b/crates/pomelohitch-emulator/src/fleet/orders.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to endpoints, and the check of each start.
+//! Orders to endpoints, and the checks of each start.
 
 use std::time::Duration;
 
@@ -68,7 +68,7 @@
         self.decide(|cell, _| cell.ordered(target, order, &outcome));
     }
 
-    /// Orders that were left unanswered count as lost after a while, and are carried out later.
+    /// Processes the due events of unanswered orders: timeouts and late executions.
     pub(super) fn end_delayed(&mut self) {
         let now = self.now.steady;
         let due = self.delayed.extract_if(.., |d| d.at <= now);
--- a/crates/pomelohitch-emulator/src/lib.rs
+++ b/crates/pomelohitch-emulator/src/lib.rs
@@ -1,11 +1,11 @@
 //! Plays loads and faults against the scheduler in virtual time, and compares policies.
 //!
 //! * [`fleet`]: endpoints, instances, a log and callers around one scheduler.
-//! * [`load`]: what comes in, and which faults strike; read from a file.
-//! * [`arrivals`]: the jobs of a load, drawn from a seed.
-//! * [`play`]: plays a load and counts what callers get.
-//! * [`compare`]: two policies on the same seeds, with the interval of their difference.
-//! * [`policies`]: policies by name.
+//! * [`load`]: load files with arrivals and faults.
+//! * [`arrivals`]: random generation of a load's jobs from a seed.
+//! * [`play`]: plays a load and determines the results for its callers.
+//! * [`compare`]: comparison of two policies on the same seeds, with confidence intervals.
+//! * [`policies`]: policies by the names of their mechanisms and parameters.
 
 pub mod arrivals;
 pub mod compare;
--- a/crates/pomelohitch-emulator/src/load.rs
+++ b/crates/pomelohitch-emulator/src/load.rs
@@ -1,7 +1,7 @@
-//! What comes in, and which faults strike.
+//! Load files: arrivals of jobs, and faults.
 //!
-//! A load is a TOML file that describes a fleet and its callers in general terms. Unknown fields
-//! and numbers out of range are refused with the place and the fix.
+//! A load is a TOML file that describes a fleet, its callers and the faults during a play. Errors
+//! for unknown fields and numbers out of range name the field and the allowed values.
 
 use std::path::Path;
 use std::time::Duration;
@@ -9,203 +9,203 @@
 use serde::Deserialize;
 use snafu::{ResultExt, Snafu, ensure};
 
-/// A load that can't be played.
+/// A load that cannot be read or is invalid.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[snafu(display("read {path}: {source}"))]
     Read {
-        /// Which file.
+        /// Path of the file.
         path: Box<str>,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// It isn't a load.
+    /// The file is not valid TOML, or a field is unknown, missing or of the wrong type.
     #[snafu(display("{path}: {source}"))]
     Parse {
-        /// Which file.
+        /// Path of the file.
         path: Box<str>,
-        /// Where and why.
+        /// Cause, with the position in the file.
         source: toml::de::Error,
     },
-    /// A number is out of range, or a name refers to nothing.
+    /// A number is out of range, or a name is undefined.
     #[snafu(display("{path}: {field}: {fix}"))]
     Check {
-        /// Which file.
+        /// Path of the file.
         path: Box<str>,
-        /// Which field.
+        /// Name of the field.
         field: &'static str,
-        /// What it has to be.
+        /// Allowed values.
         fix: &'static str,
     },
 }
 
-/// The result of this module.
+/// Result of reading a load.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// A fleet, its callers and its faults.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// How long callers send, seconds.
+    /// Time during which jobs arrive, in seconds.
     pub seconds: f64,
-    /// How long the fleet stands idle before, seconds.
+    /// Idle time of the fleet before the first arrivals, in seconds.
     #[serde(default = "lead")]
     pub lead_s: f64,
-    /// So many appends to the log may be on their way.
+    /// Largest number of appends to the log in flight.
     #[serde(default = "appends_at_once")]
     pub appends_at_once: usize,
-    /// What each instance has.
+    /// Capacity of each instance.
     pub instance: Instance,
-    /// Pools with their instances.
+    /// Services with the instances of their pools.
     pub services: Vec<Service>,
-    /// Where jobs come in.
+    /// Queues that receive jobs.
     pub queues: Vec<Queue>,
-    /// Who sends them.
+    /// Workspaces that submit the jobs.
     #[serde(default)]
     pub workspaces: Vec<Workspace>,
-    /// Queues rise and fall in turn; without it each has its mean all the time.
+    /// Bursts of the queues, one queue after another; without them each queue has a constant rate.
     pub turns: Option<Turns>,
-    /// What goes wrong.
+    /// Faults during the play.
     #[serde(default)]
     pub faults: Faults,
 }
 
-/// What each instance has.
+/// Capacity of each instance.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Instance {
-    /// Thousandths of a core.
+    /// Processors in thousandths of a core.
     pub cpu: u64,
-    /// Memory, MB.
+    /// Memory in MB.
     pub mem_mb: u64,
 }
 
-/// A pool.
+/// A service and its pool of instances.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service and its pool.
     pub name: Box<str>,
-    /// Its instances at the beginning.
+    /// Number of instances in the pool at the beginning.
     pub instances: u16,
-    /// Whether they are off at first and cost nothing.
+    /// Whether instances in this pool are switched off and cost nothing.
     #[serde(default)]
     pub is_spare: bool,
-    /// Jobs with a few tasks that last.
+    /// Number of jobs with a few lasting tasks.
     #[serde(default)]
     pub lasting_jobs: u32,
 }
 
-/// Where jobs come in.
+/// A queue and the distribution of its jobs.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Queue {
-    /// Its name.
+    /// Name of the queue.
     pub name: Box<str>,
     /// The service that runs its tasks.
     pub service: Box<str>,
-    /// Jobs a second over all turns.
+    /// Mean arrival rate over all bursts, in jobs per second.
     pub per_s: f64,
-    /// Mean number of steps, one after another.
+    /// Mean number of steps of a job; they run one after another.
     pub steps: f64,
     /// Mean number of tasks of a step.
     pub tasks: f64,
-    /// Mean estimate of a task, milliseconds.
+    /// Mean estimated duration of a task in milliseconds.
     pub work_ms: f64,
-    /// Mean processors of a task, thousandths of a core.
+    /// Mean processors of a task in thousandths of a core.
     pub cpu: f64,
-    /// Spread of these means: the standard deviation of the logarithm.
+    /// Spread around these means: the standard deviation of the logarithm.
     #[serde(default = "spread")]
     pub spread: f64,
-    /// 0 goes first.
+    /// Priority of its jobs; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
-    /// The objective in multiples of the chain of work.
+    /// Objective as a multiple of the critical path, without `slack_ms`.
     #[serde(default = "stretch")]
     pub stretch: f64,
-    /// What the objective allows beside, milliseconds.
+    /// Constant addend of the objective in milliseconds.
     #[serde(default = "slack")]
     pub slack_ms: u64,
 }
 
-/// Who sends jobs.
+/// A workspace that submits jobs.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workspace {
-    /// Its name.
+    /// Name of the workspace, also its API key.
     pub name: Box<str>,
-    /// Its part of all jobs, beside the parts of the others.
+    /// Its share of all jobs, relative to the sum of the shares.
     pub part: f64,
-    /// Its weight when all is full.
+    /// Its scheduling weight under overload.
     #[serde(default = "weight")]
     pub weight: u64,
-    /// It sends so many times its usual for a while.
+    /// Period in which its arrival rate is multiplied by `strength`.
     pub presses: Option<Span>,
 }
 
-/// Queues rise and fall in turn.
+/// Bursts of the queues, one queue after another in the order of the file.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Turns {
-    /// Length of a queue's turn, seconds.
+    /// Length of a burst in seconds.
     pub each_s: f64,
-    /// What it sends then, in multiples of its mean.
+    /// Arrival rate of the queue during its burst, as a multiple of its mean.
     pub height: f64,
-    /// What it sends otherwise.
+    /// Arrival rate otherwise, as a multiple of its mean.
     pub rest: f64,
 }
 
-/// Something that holds for a while.
+/// A period and the strength of what happens in it.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Span {
-    /// From then on, seconds after the first caller.
+    /// Start in seconds after the start of arrivals.
     pub from_s: f64,
-    /// Until then.
+    /// End in seconds after the start of arrivals, exclusive.
     pub to_s: f64,
-    /// How strong it is.
+    /// Strength; its meaning depends on the field that holds the span.
     #[serde(default)]
     pub strength: f64,
 }
 
 impl Span {
-    /// Whether it holds `at` after the first caller.
+    /// Whether the span contains the time `at` after the start of arrivals.
     #[must_use]
     pub fn holds(&self, at: Duration) -> bool {
         (self.from_s..self.to_s).contains(&at.as_secs_f64())
     }
 }
 
-/// What goes wrong.
+/// Faults during a play.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Faults {
-    /// How far durations lie from their estimates: the standard deviation of the logarithm.
+    /// Deviation of actual durations from the estimates: the standard deviation of the logarithm.
     #[serde(default)]
     pub unevenness: f64,
-    /// The part of `strength` of all orders gets no answer and is carried out late.
+    /// A fraction `strength` of all orders gets no answer and is executed late.
     #[serde(default)]
     pub orders_lost: Vec<Span>,
-    /// The log takes no records.
+    /// The log is unavailable.
     #[serde(default)]
     pub log_away: Vec<Span>,
-    /// The log takes `strength` seconds for an append.
+    /// An append to the log takes `strength` seconds.
     #[serde(default)]
     pub log_slow: Vec<Span>,
-    /// Every tenth endpoint takes `strength` times as long.
+    /// Every tenth endpoint is slower by the factor `strength`.
     #[serde(default)]
     pub slow: Vec<Span>,
-    /// The part of `strength` of the jobs has a task that crashes each endpoint that starts it.
+    /// A fraction `strength` of the jobs has a task that crashes each endpoint that starts it.
     #[serde(default)]
     pub crashing: Vec<Span>,
-    /// So many endpoints a second crash for another reason.
+    /// `strength` endpoints per second crash independently of their tasks.
     #[serde(default)]
     pub crashes: Vec<Span>,
-    /// Every fifth endpoint has the part of `strength` of its room.
+    /// Every fifth endpoint has a fraction `strength` of its capacity.
     #[serde(default)]
     pub shrinks: Vec<Span>,
-    /// The leader changes at these times, seconds.
+    /// Times of leader changes, in seconds after the start of arrivals.
     #[serde(default)]
     pub leader_changes_s: Vec<f64>,
 }
@@ -237,17 +237,17 @@
 /// Reads a load from a file.
 ///
 /// # Errors
-/// If it can't be read, or isn't a load that can be played.
+/// If the file cannot be read, or its contents are invalid.
 pub fn read(path: &Path) -> Result<Load> {
     let name: Box<str> = path.display().to_string().into();
     let text = std::fs::read_to_string(path).context(ReadSnafu { path: name.clone() })?;
     parse(&text, &name)
 }
 
-/// Reads a load from text; `name` stands for its file in errors.
+/// Parses a load; errors give `name` as its path.
 ///
 /// # Errors
-/// If it isn't a load that can be played.
+/// If the text is not a valid load.
 pub fn parse(text: &str, name: &str) -> Result<Load> {
     let load: Load = toml::from_str(text).context(ParseSnafu { path: name })?;
     check(&load, name)?;
--- a/crates/pomelohitch-emulator/src/play.rs
+++ b/crates/pomelohitch-emulator/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a load and counts what callers get.
+//! Plays a load and determines the results for its callers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,61 +20,62 @@
 use crate::fleet::{self, Faults, Fleet, STEP};
 use crate::load::Load;
 
-/// A job is worth something until this many times its objective.
+/// Multiple of the objective after which a completed job has no worth.
 const LATE_TIMES: f64 = 3.0;
-/// What a late job is worth, beside one in time.
+/// Worth of a late job relative to one in time.
 const LATE_WORTH: f64 = 0.07;
-/// What a job is worth whatever its work, and what grows with it.
+/// Part of a job's worth that doesn't depend on its amount of work.
 const FIXED_WORTH: f64 = 0.3;
-/// Most work that counts, in multiples of its queue's mean.
+/// Largest amount of work that counts towards the worth, as a multiple of the queue's mean.
 const MOST_WORK: f64 = 4.0;
-/// Length of a window.
+/// Jobs are grouped into windows of this length by arrival.
 const WINDOW: Duration = Duration::from_secs(2);
-/// So many of the worst windows count.
+/// Number of windows averaged into `worst_windows`.
 const WORST_WINDOWS: usize = 2;
-/// How long jobs may take after the last caller.
+/// Time played after the last arrival, so that jobs can complete.
 const FINISH: Duration = Duration::from_secs(14);
-/// What a job that never ended counts as, milliseconds.
+/// Duration in milliseconds recorded for a job that didn't complete.
 const NEVER_MS: u128 = 600_000;
-/// An instance is down for so long after a crash.
+/// Downtime of an instance after a random crash.
 const CRASHED_FOR: Duration = Duration::from_secs(3);
-/// A call takes so long to come and go.
+/// Network round-trip time of a caller.
 const ON_THE_WAY: Duration = Duration::from_millis(10);
 
-/// What callers got.
+/// Results of one play.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Outcome {
-    /// Jobs handed in.
+    /// Number of submitted jobs without those that crash endpoints. These are left out of all
+    /// figures about jobs.
     pub jobs: usize,
-    /// Part of all worth that callers got.
+    /// Worth of the completed jobs as a fraction of the worth of all jobs.
     pub worth: f64,
-    /// The same in the two worst windows of 2 s.
+    /// Mean of that fraction in the two worst windows of 2 s.
     pub worst_windows: f64,
-    /// The same of the worst queue.
+    /// That fraction for the worst queue.
     pub worst_queue: f64,
-    /// The same of the worst workspace that doesn't press.
+    /// That fraction for the worst of the workspaces that don't overload the fleet.
     pub worst_workspace: f64,
-    /// Part of the jobs that ended in time.
+    /// Fraction of the jobs that completed within their objective.
     pub in_time: f64,
-    /// Part that ended late, but not too late to be of use.
+    /// Fraction that completed late, but early enough to have some worth.
     pub late: f64,
-    /// Half of the jobs took no longer, milliseconds.
+    /// Median duration of a job in milliseconds.
     pub p50_ms: u64,
-    /// 99 of 100 took no longer, milliseconds.
+    /// 99th percentile of the duration in milliseconds.
     pub p99_ms: u64,
-    /// Seconds that instances stood in pools that are not off.
+    /// Instance seconds in pools that are not switched off.
     pub pool_s: f64,
-    /// Moves of instances.
+    /// Number of moves of instances between pools.
     pub moves: usize,
-    /// Starts that were left unanswered.
+    /// Number of starts without an answer.
     pub starts_lost: usize,
-    /// Looks at endpoints.
+    /// Number of polls of endpoints.
     pub looks: usize,
-    /// Endpoints that crashed under tasks that crash them.
+    /// Number of endpoints that crashed while running a task that crashes endpoints.
     pub crashes: u32,
-    /// Jobs that were given up though their tasks crash nothing.
+    /// Number of jobs that were given up although their tasks don't crash endpoints.
     pub given_up: usize,
-    /// Promises that were broken.
+    /// Descriptions of violated invariants.
     pub broken: Vec<String>,
 }
 
@@ -88,7 +89,7 @@
     took: Option<Duration>,
 }
 
-/// Plays a load with one seed.
+/// Plays a load with one seed. The same arguments give the same result.
 #[must_use]
 pub fn play(load: &Load, settings: &Settings, seed: u64) -> Outcome {
     let mut stage = Stage::new(load, settings.clone(), seed);
@@ -104,7 +105,7 @@
 struct Stage<'a> {
     load: &'a Load,
     fleet: Fleet,
-    /// Since the first caller.
+    /// Time since the start of arrivals.
     passed: Duration,
     coming: std::iter::Peekable<std::vec::IntoIter<Arrival>>,
     means: Vec<f64>,
@@ -200,7 +201,7 @@
         self.answer();
     }
 
-    /// Lets faults begin and end.
+    /// Starts and ends the faults that are due now.
     fn strike(&mut self) {
         let now = self.passed;
         let faults = &self.load.faults;
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Endpoints crash that nothing is to blame for.
+    /// Crashes an endpoint at random, independently of its tasks.
     fn crash_some(&mut self) {
         let spans = &self.load.faults.crashes;
         let Some(span) = spans.iter().find(|span| span.holds(self.passed)) else {
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Room shrinks, and grows again.
+    /// Shrinks the capacity of every fifth endpoint, or restores it.
     fn shrink(&mut self) {
         let spans = &self.load.faults.shrinks;
         let span = spans.iter().find(|span| span.holds(self.passed));
@@ -304,7 +305,8 @@
         sent.again_at = Duration::MAX;
     }
 
-    /// Callers learn what was answered, come back when told to, and see what has ended.
+    /// Processes answers to callers, submits refused jobs again after their retry time, and records
+    /// completed jobs.
     fn answer(&mut self) {
         let mut open = std::mem::take(&mut self.open);
         for sent in &mut open {
@@ -435,7 +437,7 @@
     count as f64
 }
 
-/// The longest chain of a job's work by how long its tasks really take.
+/// Critical path of a job by the actual durations of its tasks. Its steps run one after another.
 fn chain(fleet: &Fleet, arrival: &Arrival) -> Duration {
     let steps = arrival.draft.steps.iter().enumerate();
     let longest = |(place, step): (usize, &StepSpec)| {
@@ -453,7 +455,7 @@
     steps.map(longest).sum()
 }
 
-/// Seconds of a core, by the estimates.
+/// Estimated work in core seconds.
 fn work(draft: &Draft) -> f64 {
     let steps = draft.steps.iter();
     let cores = |step: &StepSpec| as_f64(usize::try_from(step.need.cpu).unwrap_or(0)) / 1000.0;
@@ -472,10 +474,10 @@
     queues.map(mean).collect()
 }
 
-/// A job of tasks that last, a few to an instance.
+/// A job of a few lasting tasks, at most two on an endpoint.
 fn lasting(instance_cpu: u64) -> Draft {
     const TASKS: u32 = 5;
-    /// A task takes this part of an instance.
+    /// Each task needs the processors of an instance divided by this.
     const PART: u64 = 11;
     fleet::job(vec![StepSpec {
         is_lasting: true,
--- a/crates/pomelohitch-emulator/src/policies.rs
+++ b/crates/pomelohitch-emulator/src/policies.rs
@@ -1,13 +1,13 @@
-//! Policies by name.
+//! Scheduling policies by the names of their mechanisms and parameters.
 
 use std::time::Duration;
 
 use pomelohitch_sched::policy::Policy;
 
-/// Switches one mechanism off.
+/// Name of a mechanism, and the function that switches it off.
 pub type Switch = (&'static str, fn(&mut Policy));
 
-/// Every mechanism that can be switched off, by what is missing then.
+/// Every mechanism that can be switched off.
 pub const SWITCHES: [Switch; 13] = [
     ("late-last", |p| p.ranks_late_last = false),
     ("latest-start", |p| p.by_latest_start = false),
@@ -26,10 +26,10 @@
     ("isolation", |p| p.crashes.isolates = false),
 ];
 
-/// Sets one number.
+/// Name of a numeric parameter, and the function that sets it.
 pub type Number = (&'static str, fn(&mut Policy, f64));
 
-/// Every number that can be set.
+/// Every numeric parameter that can be set.
 pub const NUMBERS: [Number; 14] = [
     ("late-after", |p, n| p.late_factor = n),
     ("fill", |p, n| p.margins.target_utilization = n),
@@ -68,8 +68,9 @@
     Duration::from_secs_f64(number.max(0.0) / 1000.0)
 }
 
-/// The policy as shipped without the mechanisms that are named, separated by commas; `shipped` or
-/// nothing for all of them, and `NAME=NUMBER` sets a number. `None` if one isn't known.
+/// The default policy with changes from a comma-separated list: a name of [`SWITCHES`] switches
+/// that mechanism off, and `NAME=NUMBER` sets a parameter of [`NUMBERS`]. The name `shipped` and
+/// empty entries change nothing. Returns `None` if a name is unknown or a number is malformed.
 #[must_use]
 pub fn without(names: &str) -> Option<Policy> {
     let mut policy = Policy::default();
--- a/crates/pomelohitch-emulator/tests/loads.rs
+++ b/crates/pomelohitch-emulator/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Plays of the loads that lie beside the crate.
+//! Plays of the load files in `loads/`.
 
 use std::path::{Path, PathBuf};
 
@@ -33,8 +33,8 @@
     found.expect("there is such a figure").after
 }
 
-/// Moves that waited for their record while the log was away were made when it came back, and ended
-/// what had been started on their instances meanwhile.
+/// Guards, among others, against moves whose records are appended late after an outage of the log:
+/// they ended the runs that had started on their instances meanwhile.
 #[test]
 fn no_load_breaks_a_promise() {
     for name in [
@@ -52,7 +52,8 @@
     }
 }
 
-/// Queues in turn ask for more than their pools hold. Almost all callers are to be served in time.
+/// During its burst each queue needs more than the capacity of its pool. Almost all jobs have to
+/// complete in time.
 #[test]
 fn turns_are_served_in_time() {
     let outcomes = play_all(&load("turns.toml"), &Settings::default(), &SEEDS);
@@ -60,8 +61,8 @@
     assert!(mean(&outcomes, "of no use") < 0.005);
 }
 
-/// Some jobs crash the endpoints that start them, others crash by themselves, and room shrinks. No
-/// sound job is to be given up, and callers are to be surely better off than without isolation.
+/// Some jobs crash their endpoints, other endpoints crash at random, and capacity shrinks. Healthy
+/// jobs must not be given up, and the worth has to be significantly higher than without isolation.
 #[test]
 fn sound_jobs_are_served_beside_jobs_that_crash_endpoints() {
     let seeds: Vec<u64> = (1..=12).collect();
@@ -77,15 +78,16 @@
     );
 }
 
-/// One order in eighteen gets no answer. With eleven tasks a job, half of all jobs lose one.
+/// One order in eighteen gets no answer. With eleven tasks per job, half of all jobs lose one.
 #[test]
 fn callers_are_served_in_time_where_orders_are_lost() {
     let outcomes = play_all(&load("orders-lost.toml"), &Settings::default(), &SEEDS);
     assert!(mean(&outcomes, "in time") > 0.93);
 }
 
-/// One workspace sends six times its usual. The worst served of the others is to be surely better off
-/// than where nobody is put off, and nobody is to wait for ever.
+/// One workspace submits six times its usual number of jobs. The worth of the worst of the others
+/// has to be significantly higher than without deferral, and almost no job may end too late to be
+/// of use.
 #[test]
 fn a_workspace_that_presses_does_not_take_the_others_service() {
     let seeds: Vec<u64> = (1..=20).collect();
@@ -134,8 +136,8 @@
     assert!((policy.late_factor - 2.0).abs() < f64::EPSILON);
 }
 
-/// The log takes a quarter of a second for an append. With one at a time each record waits for up to
-/// two of them, and most jobs of a turn are late by that.
+/// An append to the log takes a quarter of a second. With one append in flight at a time each
+/// record waits for up to two appends, which makes most jobs of a burst late.
 #[test]
 fn more_callers_are_served_in_time_with_appends_side_by_side() {
     let together = load("log-slow.toml");
