--- a/crates/pomelohitch-emulator/examples/emulate.rs
+++ b/crates/pomelohitch-emulator/examples/emulate.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Parser)]
 struct Args {
     #[command(subcommand)]
-    verb: Verb,
+    command: Command,
     /// Number of seeds.
     #[arg(long, global = true, default_value_t = 20)]
     seeds: u64,
@@ -37,7 +37,7 @@
 }
 
 #[derive(Debug, Subcommand)]
-enum Verb {
+enum Command {
     /// Plays loads with one policy.
     Run {
         /// Load files.
@@ -101,8 +101,8 @@
 fn main() -> ExitCode {
     match run(&Args::parse()) {
         Ok(0) => ExitCode::SUCCESS,
-        Ok(broken) => {
-            eprintln!("{broken} plays broke a promise");
+        Ok(violating_plays) => {
+            eprintln!("{violating_plays} plays broke a promise");
             ExitCode::FAILURE
         }
         Err(error) => {
@@ -115,24 +115,27 @@
 /// Returns the number of plays with violated invariants.
 fn run(args: &Args) -> Result<usize> {
     let seeds: Vec<u64> = (args.from..args.from + args.seeds).collect();
-    let mut broken = 0;
+    let mut violating_plays = 0;
     let mut play = |load: &Load, names: &str| -> Result<Vec<Outcome>> {
         let outcomes = compare::play_all(load, &settings(names)?, &seeds);
-        for outcome in outcomes.iter().filter(|o| !o.broken.is_empty()) {
-            broken += 1;
-            eprintln!("{:?}", outcome.broken.iter().take(3).collect::<Vec<_>>());
+        for outcome in outcomes.iter().filter(|o| !o.violations.is_empty()) {
+            violating_plays += 1;
+            eprintln!(
+                "{:?}",
+                outcome.violations.iter().take(3).collect::<Vec<_>>()
+            );
         }
         Ok(outcomes)
     };
-    match &args.verb {
-        Verb::Run { loads, without } => {
+    match &args.command {
+        Command::Run { loads, without } => {
             for path in loads {
                 let outcomes = play(&read(path)?, without)?;
                 let differences = compare::differences(&outcomes, &outcomes);
                 write(args.format, &name(path), without, &differences);
             }
         }
-        Verb::Compare {
+        Command::Compare {
             loads,
             before,
             after,
@@ -149,8 +152,8 @@
                 );
             }
         }
-        Verb::Ablate { loads, svg } => {
-            let mut drawn = Vec::new();
+        Command::Ablate { loads, svg } => {
+            let mut entries = Vec::new();
             let bar = progress(loads.len() * (policies::SWITCHES.len() + 1));
             for path in loads {
                 let load = read(path)?;
@@ -161,16 +164,16 @@
                     bar.inc(1);
                     let differences = compare::differences(&without, &shipped);
                     write(args.format, &name(path), switch, &differences);
-                    drawn.push((format!("{} {switch}", name(path)), differences[0]));
+                    entries.push((format!("{} {switch}", name(path)), differences[0]));
                 }
             }
             bar.finish_and_clear();
             if let Some(path) = svg {
-                draw(path, &drawn)?;
+                draw(path, &entries)?;
             }
         }
     }
-    Ok(broken)
+    Ok(violating_plays)
 }
 
 fn settings(names: &str) -> Result<Settings> {
@@ -212,17 +215,21 @@
             figure,
             before,
             after,
-            difference: by,
+            difference: delta,
             interval,
         } = row.difference;
         match format {
             Format::Text => {
-                let mark = if row.difference.is_sure() { "*" } else { " " };
+                let mark = if row.difference.is_significant() {
+                    "*"
+                } else {
+                    " "
+                };
                 println!(
-                    "{load:14} {what:24} {figure:16} {before:9.3} {after:9.3}  {by:+.4} +- {interval:.4} {mark}"
+                    "{load:14} {what:24} {figure:16} {before:9.3} {after:9.3}  {delta:+.4} +- {interval:.4} {mark}"
                 );
             }
-            Format::Csv => println!("{load},{what},{figure},{before},{after},{by},{interval}"),
+            Format::Csv => println!("{load},{what},{figure},{before},{after},{delta},{interval}"),
             Format::Json => match serde_json::to_string(&row) {
                 Ok(line) => println!("{line}"),
                 Err(error) => eprintln!("a row can't be written: {error}"),
@@ -232,19 +239,19 @@
 }
 
 /// Writes an SVG chart of differences with their confidence intervals, one per row.
-fn draw(path: &Path, drawn: &[(String, Difference)]) -> Result<()> {
+fn draw(path: &Path, entries: &[(String, Difference)]) -> Result<()> {
     const WIDTH: u32 = 900;
     const ROW: u32 = 18;
     const MARGIN: u32 = 60;
-    let rows = u32::try_from(drawn.len()).unwrap_or(u32::MAX);
+    let rows = u32::try_from(entries.len()).unwrap_or(u32::MAX);
     let failed = |reason: String| Error::Draw {
         path: path.to_path_buf(),
         reason,
     };
-    let reach = |(_, d): &(String, Difference)| d.difference.abs() + d.interval;
-    let widest = drawn
+    let extent = |(_, d): &(String, Difference)| d.difference.abs() + d.interval;
+    let widest = entries
         .iter()
-        .map(reach)
+        .map(extent)
         .filter(|r| r.is_finite())
         .fold(0.01, f64::max);
     let area = SVGBackend::new(path, (WIDTH, rows * ROW + 2 * MARGIN)).into_drawing_area();
@@ -258,20 +265,20 @@
         .build_cartesian_2d(-widest..widest, lines)
         .map_err(|e| failed(e.to_string()))?;
     let label = |row: &f64| {
-        let at = drawn
+        let at = entries
             .iter()
             .enumerate()
-            .find(|(place, _)| (place_of(*place) - row).abs() < 0.5);
+            .find(|(index, _)| (row_position(*index) - row).abs() < 0.5);
         at.map_or_else(String::new, |(_, (name, _))| name.clone())
     };
     chart
         .configure_mesh()
-        .y_labels(drawn.len())
+        .y_labels(entries.len())
         .y_label_formatter(&label)
         .draw()
         .map_err(|e| failed(e.to_string()))?;
-    for (place, (_, d)) in drawn.iter().enumerate() {
-        let row = place_of(place);
+    for (index, (_, d)) in entries.iter().enumerate() {
+        let row = row_position(index);
         let interval = if d.interval.is_finite() {
             d.interval
         } else {
@@ -295,6 +302,6 @@
     area.present().map_err(|e| failed(e.to_string()))
 }
 
-fn place_of(place: usize) -> f64 {
-    f64::from(u32::try_from(place).unwrap_or(u32::MAX))
+fn row_position(index: usize) -> f64 {
+    f64::from(u32::try_from(index).unwrap_or(u32::MAX))
 }
--- a/crates/pomelohitch-emulator/src/arrivals.rs
+++ b/crates/pomelohitch-emulator/src/arrivals.rs
@@ -14,7 +14,7 @@
 /// Arrivals are generated in slices of this length; all jobs of a slice arrive at its start.
 const SLICE: Duration = Duration::from_millis(10);
 /// Upper limit of generated numbers as a multiple of their mean.
-const MOST: f64 = 4.0;
+const MAX_FACTOR: f64 = 4.0;
 /// Memory of a task in MB.
 const TASK_MEM_MB: u64 = 500;
 
@@ -35,19 +35,19 @@
 
 /// Generates all jobs of a load in order of arrival.
 #[must_use]
-pub fn draw(load: &Load, seed: u64) -> Vec<Arrival> {
+pub fn generate(load: &Load, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     let slices = Duration::from_secs_f64(load.seconds).as_millis() / SLICE.as_millis();
     for slice in 0..u32::try_from(slices).unwrap_or(u32::MAX) {
         let at = SLICE * slice;
-        for (place, queue) in load.queues.iter().enumerate() {
-            let rate = queue.per_s * rise(load, place, at);
+        for (index, queue) in load.queues.iter().enumerate() {
+            let rate = queue.per_s * rate_factor(load, index, at);
             for workspace in senders(load, rate, at, &mut rng) {
                 arrivals.push(Arrival {
                     at,
                     id: rng.random(),
-                    queue: place,
+                    queue: index,
                     workspace,
                     draft: job(queue, &mut rng),
                 });
@@ -58,7 +58,7 @@
 }
 
 /// Arrival rate of a queue at a time, as a multiple of its mean.
-fn rise(load: &Load, queue: usize, at: Duration) -> f64 {
+fn rate_factor(load: &Load, queue: usize, at: Duration) -> f64 {
     let Some(turns) = load.turns else {
         return 1.0;
     };
@@ -68,8 +68,8 @@
         clippy::cast_sign_loss,
         reason = "a small number of bursts"
     )]
-    let turn = passed as usize % load.queues.len();
-    if turn == queue {
+    let bursting_queue = passed as usize % load.queues.len();
+    if bursting_queue == queue {
         turns.height
     } else {
         turns.rest
@@ -84,11 +84,11 @@
     }
     let parts: f64 = load.workspaces.iter().map(|w| w.part).sum();
     let mut senders = Vec::new();
-    for (place, workspace) in load.workspaces.iter().enumerate() {
-        let pressing = workspace.presses.filter(|span| span.holds(at));
-        let times = pressing.map_or(1.0, |span| span.strength);
-        let count = poisson(expected * workspace.part / parts * times, rng);
-        senders.extend(std::iter::repeat_n(place, count));
+    for (index, workspace) in load.workspaces.iter().enumerate() {
+        let overload = workspace.presses.filter(|span| span.contains(at));
+        let factor = overload.map_or(1.0, |span| span.strength);
+        let count = poisson(expected * workspace.part / parts * factor, rng);
+        senders.extend(std::iter::repeat_n(index, count));
     }
     senders
 }
@@ -106,17 +106,22 @@
 }
 
 fn job(queue: &Queue, rng: &mut ChaCha8Rng) -> Draft {
-    let steps = whole(vary(queue.steps, queue.spread, rng)).max(1);
-    let steps = (0..steps).map(|place| {
-        let before = place.checked_sub(1);
+    let steps = round_to_u64(draw_around_mean(queue.steps, queue.spread, rng)).max(1);
+    let steps = (0..steps).map(|index| {
+        let before = index.checked_sub(1);
         StepSpec {
-            count: u32::try_from(whole(vary(queue.tasks, queue.spread, rng)).max(1)).unwrap_or(1),
+            count: u32::try_from(
+                round_to_u64(draw_around_mean(queue.tasks, queue.spread, rng)).max(1),
+            )
+            .unwrap_or(1),
             need: Resources {
-                cpu: whole(vary(queue.cpu, queue.spread, rng)).max(1),
+                cpu: round_to_u64(draw_around_mean(queue.cpu, queue.spread, rng)).max(1),
                 mem_mb: TASK_MEM_MB,
                 gpu: 0,
             },
-            estimate: Duration::from_secs_f64(vary(queue.work_ms, queue.spread, rng) / 1000.0),
+            estimate: Duration::from_secs_f64(
+                draw_around_mean(queue.work_ms, queue.spread, rng) / 1000.0,
+            ),
             after: before
                 .map(|b| u16::try_from(b).unwrap_or(u16::MAX))
                 .into_iter()
@@ -131,10 +136,10 @@
     }
 }
 
-/// Draws a log-normal number with the given mean, limited to [`MOST`] times the mean.
-fn vary(mean: f64, spread: f64, rng: &mut ChaCha8Rng) -> f64 {
+/// Draws a log-normal number with the given mean, limited to [`MAX_FACTOR`] times the mean.
+fn draw_around_mean(mean: f64, spread: f64, rng: &mut ChaCha8Rng) -> f64 {
     let factor = (normal(rng) * spread - spread * spread / 2.0).exp();
-    mean * factor.min(MOST)
+    mean * factor.min(MAX_FACTOR)
 }
 
 #[expect(
@@ -142,6 +147,6 @@
     clippy::cast_sign_loss,
     reason = "small numbers above 0"
 )]
-fn whole(number: f64) -> u64 {
+fn round_to_u64(number: f64) -> u64 {
     number.round() as u64
 }
--- a/crates/pomelohitch-emulator/src/compare.rs
+++ b/crates/pomelohitch-emulator/src/compare.rs
@@ -46,7 +46,7 @@
 impl Difference {
     /// Whether the difference is significant: its confidence interval excludes 0.
     #[must_use]
-    pub fn is_sure(&self) -> bool {
+    pub fn is_significant(&self) -> bool {
         self.difference.abs() > self.interval
     }
 }
@@ -103,20 +103,20 @@
     let mean = mean(values.iter().copied());
     let squares: f64 = values.iter().map(|v| (v - mean).powi(2)).sum();
     let variance = squares / as_f64(count - 1);
-    student(count - 1) * (variance / as_f64(count)).sqrt()
+    t_quantile(count - 1) * (variance / as_f64(count)).sqrt()
 }
 
 /// Two-sided 95 % quantile of Student's t-distribution, rounded to a few ranges above 10 degrees of
 /// freedom.
-fn student(degrees: usize) -> f64 {
+fn t_quantile(degrees: usize) -> f64 {
     const FACTORS: [f64; 10] = [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23];
-    const TWENTY: f64 = 2.09;
-    const MANY: f64 = 1.96;
+    const UP_TO_30: f64 = 2.09;
+    const ASYMPTOTIC: f64 = 1.96;
     match degrees {
         0 => f64::INFINITY,
         1..=10 => FACTORS[degrees - 1],
-        11..=30 => TWENTY,
-        _ => MANY,
+        11..=30 => UP_TO_30,
+        _ => ASYMPTOTIC,
     }
 }
 
--- a/crates/pomelohitch-emulator/src/fleet.rs
+++ b/crates/pomelohitch-emulator/src/fleet.rs
@@ -21,7 +21,7 @@
 pub use self::crashes::Crashes;
 pub use self::endpoint::Endpoint;
 pub use self::faults::Faults;
-use self::faults::{Delayed, Luck};
+use self::faults::{Delayed, FaultRng};
 pub use self::link::Link;
 
 mod crashes;
@@ -30,34 +30,34 @@
 mod instances;
 mod link;
 mod log;
-mod looks;
 mod orders;
+mod polls;
 
 /// Length of a time step.
 pub const STEP: Duration = Duration::from_millis(10);
 /// Wall clock at the start of every play, in milliseconds since the Unix epoch.
-pub const BEGAN_MS: u64 = 1_000_000;
+pub const START_UNIX_MS: u64 = 1_000_000;
 /// Shortest time between the starts of two appends while another one is in flight.
 const APPEND_GAP: Duration = Duration::from_millis(120);
 /// Timeout of orders.
-const ORDER_WITHIN: Duration = Duration::from_millis(150);
+const ORDER_TIMEOUT: Duration = Duration::from_millis(150);
 /// A start in flight when its zone is evacuated may take effect for this long.
-const EVACUATED_WITHIN: Duration = Duration::from_secs(1);
+const EVACUATION_GRACE: Duration = Duration::from_secs(1);
 /// A start that fits only the capacity before a change is allowed for this long after the change.
-const SHRUNK_AFTER: Duration = Duration::from_millis(4_500);
+const SHRINK_GRACE: Duration = Duration::from_millis(4_500);
 /// Timeout of a poll beyond its wait.
-const LOOK_MARGIN: Duration = Duration::from_millis(250);
+const POLL_MARGIN: Duration = Duration::from_millis(250);
 
 #[derive(Debug)]
-struct WaitingLook {
+struct PendingPoll {
     sent_at: Duration,
     order: PollOrder,
     /// Position of the last byte of the request on the link.
-    end: link::Place,
-    gives_up_at: Duration,
+    end: link::Position,
+    times_out_at: Duration,
     arrived_at: Option<Duration>,
     /// The answer, and the position of its last byte on the link.
-    answer: Option<(link::Place, Result<PollReply, PollFailure>)>,
+    answer: Option<(link::Position, Result<PollReply, PollFailure>)>,
     /// Whether the poll is lost: it has no effect and no answer.
     is_lost: bool,
 }
@@ -91,9 +91,11 @@
     /// Whether the list of instances is unavailable.
     pub hides_instances: bool,
     /// Whether operations on instances take effect; otherwise they are only recorded.
-    pub carries_out: bool,
+    pub applies_operations: bool,
+    /// Instances that come back up: time, instance, pool.
     returning: Vec<(Duration, Arc<str>, Arc<str>)>,
-    lives: u16,
+    /// Index of the last endpoint started on an instance that came back.
+    last_index: u16,
     /// Whether operations on instances are lost: they have no effect and no answer.
     pub loses_operations: bool,
     /// Random faults.
@@ -107,15 +109,15 @@
     /// Requested operations on instances, in order.
     pub operations: Vec<(Arc<str>, Operation)>,
     /// Descriptions of violated invariants.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Runs that endpoints have started: task, run number, endpoint.
     pub starts: Vec<(TaskId, u32, EndpointId)>,
     /// The fleet configuration, also for later leaders.
     pub cfg: Arc<FleetConfig>,
     /// Elapsed real time of the scheduler's decisions.
-    pub spent: Duration,
+    pub decision_time: Duration,
     /// Number of polls sent.
-    pub looks_sent: usize,
+    pub polls_sent: usize,
     /// Number of starts without an answer.
     pub starts_lost: usize,
     /// Capacity of endpoints that are added or that start after an operation on their instance.
@@ -124,14 +126,16 @@
     pub knows_fleet_time: bool,
     /// Network link to the endpoints; with `None`, orders and polls arrive immediately.
     pub link: Option<Link>,
-    looks: Vec<WaitingLook>,
+    polls: Vec<PendingPoll>,
     delayed: Vec<Delayed>,
-    luck: Luck,
+    fault_rng: FaultRng,
     /// Batches being appended to the log, with the time when each becomes durable.
     pending: VecDeque<(Steady, Batch)>,
-    taken_at: Steady,
-    done: BTreeSet<TaskId>,
-    calls: u64,
+    last_append_at: Steady,
+    /// Tasks whose successful completion was acknowledged to an endpoint.
+    acknowledged: BTreeSet<TaskId>,
+    /// Number of the last API call.
+    last_call: u64,
 }
 
 fn queue(name: &str, prefix: &str, service: &str) -> Queue {
@@ -224,7 +228,7 @@
     pub fn with(endpoints: u16, settings: Settings) -> Fleet {
         let now = Now {
             steady: Duration::from_secs(100),
-            unix_ms: BEGAN_MS,
+            unix_ms: START_UNIX_MS,
         };
         let (cell, _) = Cell::restore(settings.clone(), 1, now, &[]);
         let cfg = Arc::new(config(1));
@@ -241,20 +245,20 @@
             evacuated: BTreeMap::new(),
             reads_entries: true,
             hides_instances: false,
-            carries_out: false,
+            applies_operations: false,
             returning: Vec::new(),
-            lives: 100,
+            last_index: 100,
             loses_operations: false,
             faults: Faults::default(),
             crashes: Crashes::default(),
             replies: BTreeMap::new(),
             statuses: Vec::new(),
             operations: Vec::new(),
-            broken: Vec::new(),
+            violations: Vec::new(),
             starts: Vec::new(),
             cfg: cfg.clone(),
-            spent: Duration::ZERO,
-            looks_sent: 0,
+            decision_time: Duration::ZERO,
+            polls_sent: 0,
             starts_lost: 0,
             capacity: Resources {
                 cpu: 4000,
@@ -263,19 +267,19 @@
             },
             knows_fleet_time: true,
             link: None,
-            looks: Vec::new(),
+            polls: Vec::new(),
             delayed: Vec::new(),
-            luck: Luck::new(0),
+            fault_rng: FaultRng::new(0),
             pending: VecDeque::new(),
-            taken_at: Steady::ZERO,
-            done: BTreeSet::new(),
-            calls: 0,
+            last_append_at: Steady::ZERO,
+            acknowledged: BTreeSet::new(),
+            last_call: 0,
         };
         for index in 0..endpoints {
             fleet.add(&format!("e{index}"), index);
         }
         fleet.cell.configure(cfg);
-        fleet.list();
+        fleet.list_endpoints();
         fleet
     }
 
@@ -320,25 +324,25 @@
 
     /// Restarts an endpoint's process under the same id. Polls that wait there fail.
     pub fn restart(&mut self, id: &str) {
-        self.note_crash(id);
+        self.record_crash(id);
         let endpoint = self.endpoint(id);
         let mut report = endpoint.report.clone();
         report.born += 1;
         *endpoint = Endpoint::new(report);
         endpoint.clock = Duration::ZERO;
-        let broken = self
-            .looks
-            .extract_if(.., |look| &*look.order.target.id == id);
-        for look in broken.collect::<Vec<_>>() {
-            let target = &look.order.target;
+        let interrupted = self
+            .polls
+            .extract_if(.., |poll| &*poll.order.target.id == id);
+        for poll in interrupted.collect::<Vec<_>>() {
+            let target = &poll.order.target;
             self.cell.polled(target, Err(PollFailure::Failed));
         }
     }
 
     /// Cuts the power of an endpoint's instance: its runs are gone, and the platform lists the
     /// instance as down.
-    pub fn crash(&mut self, id: &str) {
-        self.note_crash(id);
+    pub fn cut_power(&mut self, id: &str) {
+        self.record_crash(id);
         let endpoint = self.endpoint(id);
         endpoint.is_silent = true;
         endpoint.runs.clear();
@@ -399,7 +403,7 @@
     }
 
     /// Passes the entries of all endpoints to the scheduler.
-    pub fn list(&mut self) {
+    pub fn list_endpoints(&mut self) {
         for endpoint in self.endpoints.values() {
             self.cell.endpoint_listed(endpoint.report.clone());
         }
@@ -421,11 +425,11 @@
         assert!(faults.is_empty(), "{faults:?}");
         self.cell = cell;
         self.pending.clear();
-        self.looks.clear();
+        self.polls.clear();
         self.cell.configure(self.cfg.clone());
         let zones = self.evacuated.keys().cloned().collect();
         self.cell.evacuations_read(zones);
-        self.list();
+        self.list_endpoints();
     }
 
     /// Sends an API call with the key of the first workspace; returns the call number.
@@ -435,16 +439,16 @@
 
     /// Sends an API call with the given key; returns the call number.
     pub fn call_with(&mut self, path: &str, key: Option<&str>, verb: Verb) -> u64 {
-        self.calls += 1;
+        self.last_call += 1;
         let call = Call {
-            id: self.calls,
+            id: self.last_call,
             host: "h".into(),
             path: path.into(),
             key: key.map(Into::into),
             verb,
         };
         self.decide(|cell, _| cell.call(&call));
-        self.calls
+        self.last_call
     }
 
     /// Submits a job to the first queue; returns the call number.
@@ -458,12 +462,12 @@
     /// If the call isn't answered within the step.
     pub fn state(&mut self, id: &str) -> Answer {
         let call = self.call(&format!("/q/{id}"), Verb::Read);
-        self.pass(1);
+        self.advance(1);
         self.replies[&call].clone()
     }
 
     /// End reasons of all ended runs of the running endpoints.
-    pub fn ends(&self) -> impl Iterator<Item = EndReason> {
+    pub fn end_reasons(&self) -> impl Iterator<Item = EndReason> {
         self.endpoints.values().flat_map(|e| &e.history).copied()
     }
 
@@ -471,29 +475,29 @@
     ///
     /// # Panics
     /// If a record cannot be encoded.
-    pub fn pass(&mut self, steps: u32) {
+    pub fn advance(&mut self, steps: u32) {
         for _ in 0..steps {
             self.now.steady += STEP;
             self.now.unix_ms += u64::try_from(STEP.as_millis()).expect("a step is short");
             for endpoint in self.endpoints.values_mut() {
-                endpoint.pass(STEP);
+                endpoint.advance(STEP);
             }
-            self.crash_due();
+            self.apply_due_crashes();
             self.return_instances();
-            self.end_delayed();
-            self.carry_link();
-            self.answer_looks();
+            self.process_delayed_orders();
+            self.advance_link();
+            self.process_polls();
             self.read_entries();
-            self.commit();
+            self.advance_log();
             let actions = self.decide(Cell::tick);
-            self.carry_out(actions);
+            self.execute_actions(actions);
         }
     }
 
     fn decide<T>(&mut self, decide: impl FnOnce(&mut Cell, Now) -> T) -> T {
         let began = std::time::Instant::now();
         let decided = decide(&mut self.cell, self.now);
-        self.spent += began.elapsed();
+        self.decision_time += began.elapsed();
         decided
     }
 
@@ -501,7 +505,7 @@
     ///
     /// # Panics
     /// If one was violated.
-    pub fn assert_sound(&self) {
-        assert!(self.broken.is_empty(), "{:#?}", self.broken);
+    pub fn assert_invariants(&self) {
+        assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
 }
--- a/crates/pomelohitch-emulator/src/fleet/endpoint.rs
+++ b/crates/pomelohitch-emulator/src/fleet/endpoint.rs
@@ -24,9 +24,9 @@
     /// Every run fails.
     pub fails: bool,
     /// Starts are refused as malformed.
-    pub refuses: bool,
+    pub refuses_starts: bool,
     /// Runs make no progress.
-    pub stands_still: bool,
+    pub is_stalled: bool,
     /// Factor by which runs take longer.
     pub slowness: f64,
     /// Time from a stop order to the end of the run.
@@ -38,11 +38,12 @@
     pub(super) lease: Duration,
     pub(super) runs: BTreeMap<(TaskId, u32), Run>,
     pub(super) ended: Vec<Ended>,
-    next_end: u64,
+    next_completion: u64,
     /// Number of the last completion that was listed when the lease expired. By the platform's
     /// contract, acknowledging completions up to this one after the expiry doesn't count.
-    lapsed_end: u64,
-    over: BTreeMap<TaskId, u32>,
+    last_lapsed: u64,
+    /// Highest ended or stopped run number of each task; a start needs a higher one.
+    last_ended_runs: BTreeMap<TaskId, u32>,
     /// End reasons of all runs, in order.
     pub(super) history: Vec<EndReason>,
 }
@@ -50,9 +51,9 @@
 /// A run of a task.
 #[derive(Debug)]
 pub(super) struct Run {
-    whole: Duration,
-    left: Duration,
-    pub(super) room: Resources,
+    duration: Duration,
+    remaining: Duration,
+    pub(super) resources: Resources,
     is_lasting: bool,
     /// When a stop ends the run, on the endpoint's clock.
     stops_at: Option<Duration>,
@@ -66,8 +67,8 @@
             is_silent: false,
             loses_answers: false,
             fails: false,
-            refuses: false,
-            stands_still: false,
+            refuses_starts: false,
+            is_stalled: false,
             slowness: 1.0,
             stop_grace: Duration::ZERO,
             resized: Vec::new(),
@@ -76,9 +77,9 @@
             lease: Duration::ZERO,
             runs: BTreeMap::new(),
             ended: Vec::new(),
-            next_end: 1,
-            lapsed_end: 0,
-            over: BTreeMap::new(),
+            next_completion: 1,
+            last_lapsed: 0,
+            last_ended_runs: BTreeMap::new(),
             history: Vec::new(),
         }
     }
@@ -91,7 +92,7 @@
 
     /// Number of runs that have no stop order.
     #[must_use]
-    pub fn staying(&self) -> usize {
+    pub fn runs_without_stop(&self) -> usize {
         let runs = self.runs.values();
         runs.filter(|run| run.stops_at.is_none()).count()
     }
@@ -102,27 +103,27 @@
         self.ended.len()
     }
 
-    fn end(&mut self, key: (TaskId, u32), how: EndReason) {
+    fn end(&mut self, key: (TaskId, u32), reason: EndReason) {
         self.runs.remove(&key);
         let (task, run) = key;
-        let over = self.over.entry(task).or_default();
-        *over = (*over).max(run);
-        self.history.push(how);
+        let last_run = self.last_ended_runs.entry(task).or_default();
+        *last_run = (*last_run).max(run);
+        self.history.push(reason);
         self.ended.push(Ended {
-            number: self.next_end,
+            number: self.next_completion,
             task,
             run,
-            how,
+            how: reason,
             checkpoint: Box::default(),
         });
-        self.next_end += 1;
+        self.next_completion += 1;
     }
 
     /// Advances the endpoint's clock: the lease may expire, and runs complete.
-    pub(super) fn pass(&mut self, time: Duration) {
+    pub(super) fn advance(&mut self, time: Duration) {
         self.clock += time;
         if self.clock > self.lease {
-            self.lapsed_end = self.next_end - 1;
+            self.last_lapsed = self.next_completion - 1;
             let lapsed: Vec<_> = self.runs.keys().copied().collect();
             for key in lapsed {
                 self.end(key, EndReason::Lapsed);
@@ -136,22 +137,22 @@
         for key in stopped {
             self.end(key, EndReason::Stopped);
         }
-        let how = if self.fails {
+        let reason = if self.fails {
             EndReason::Failed
         } else {
             EndReason::Done
         };
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (key, run) in &mut self.runs {
-            if !self.stands_still {
-                run.left = run.left.saturating_sub(time.div_f64(self.slowness));
+            if !self.is_stalled {
+                run.remaining = run.remaining.saturating_sub(time.div_f64(self.slowness));
             }
-            if run.left.is_zero() && (!run.is_lasting || self.fails) {
-                over.push(*key);
+            if run.remaining.is_zero() && (!run.is_lasting || self.fails) {
+                finished.push(*key);
             }
         }
-        for key in over {
-            self.end(key, how);
+        for key in finished {
+            self.end(key, reason);
         }
     }
 
@@ -162,13 +163,13 @@
             .partition(|e| e.number <= noted);
         self.ended = listed;
         let old: Vec<Ended> = old;
-        let counts = |e: &Ended| e.how == EndReason::Done && e.number > self.lapsed_end;
+        let counts = |e: &Ended| e.how == EndReason::Done && e.number > self.last_lapsed;
         let done = old.into_iter().filter(counts);
         done.map(|e| e.task).collect()
     }
 
-    /// Executes an order; a run that it starts takes `whole`.
-    pub(super) fn take(&mut self, order: &Order, epoch: u64, whole: Duration) -> Outcome {
+    /// Executes an order; a run that it starts takes `duration`.
+    pub(super) fn execute(&mut self, order: &Order, epoch: u64, duration: Duration) -> Outcome {
         if epoch < self.epoch {
             return Outcome::Refused(Refusal::Fenced);
         }
@@ -182,7 +183,7 @@
                 ..
             } => {
                 let step = &spec.steps[usize::from(task.step)];
-                self.start((*task, *run), *deadline, step, whole)
+                self.start((*task, *run), *deadline, step, duration)
             }
             Order::Stop { task, run } => {
                 self.stop((*task, *run));
@@ -197,22 +198,26 @@
         key: (TaskId, u32),
         deadline: Duration,
         step: &StepSpec,
-        whole: Duration,
+        duration: Duration,
     ) -> Outcome {
-        if self.refuses {
+        if self.refuses_starts {
             return Outcome::Refused(Refusal::Malformed);
         }
         if deadline < self.clock {
             return Outcome::Refused(Refusal::Late);
         }
-        if self.over.get(&key.0).is_some_and(|&over| over >= key.1) {
+        if self
+            .last_ended_runs
+            .get(&key.0)
+            .is_some_and(|&last_run| last_run >= key.1)
+        {
             return Outcome::Refused(Refusal::OldRun);
         }
         self.lease = self.lease.max(deadline);
         let run = Run {
-            whole,
-            left: whole,
-            room: step.task_resources(),
+            duration,
+            remaining: duration,
+            resources: step.task_resources(),
             is_lasting: step.is_lasting,
             stops_at: None,
         };
@@ -221,8 +226,8 @@
     }
 
     fn stop(&mut self, key: (TaskId, u32)) {
-        let over = self.over.entry(key.0).or_default();
-        *over = (*over).max(key.1);
+        let last_run = self.last_ended_runs.entry(key.0).or_default();
+        *last_run = (*last_run).max(key.1);
         let stops_at = self.clock + self.stop_grace;
         if let Some(running) = self.runs.get_mut(&key) {
             running.stops_at.get_or_insert(stops_at);
@@ -233,12 +238,12 @@
     }
 
     /// Answers a poll.
-    pub(super) fn look(&mut self, look: &PollOrder) -> Result<PollReply, PollFailure> {
-        if look.epoch < self.epoch {
+    pub(super) fn poll(&mut self, poll: &PollOrder) -> Result<PollReply, PollFailure> {
+        if poll.epoch < self.epoch {
             return Err(PollFailure::Fenced);
         }
-        self.epoch = look.epoch;
-        self.lease = self.lease.max(look.lease.unwrap_or_default());
+        self.epoch = poll.epoch;
+        self.lease = self.lease.max(poll.lease.unwrap_or_default());
         Ok(PollReply {
             born: self.report.born,
             clock: self.clock,
@@ -248,15 +253,15 @@
                 .map(|(key, run)| running(key, run))
                 .collect(),
             ended: self.ended.clone(),
-            lease_requested: look.lease.is_some(),
+            lease_requested: poll.lease.is_some(),
             ..PollReply::default()
         })
     }
 }
 
 fn running(key: &(TaskId, u32), run: &Run) -> Running {
-    let whole = run.whole.as_millis().max(1);
-    let done = 100 - run.left.as_millis() * 100 / whole;
+    let duration = run.duration.as_millis().max(1);
+    let done = 100 - run.remaining.as_millis() * 100 / duration;
     Running {
         task: key.0,
         number: key.1,
--- a/crates/pomelohitch-emulator/src/fleet/faults.rs
+++ b/crates/pomelohitch-emulator/src/fleet/faults.rs
@@ -7,10 +7,10 @@
 use rand::rngs::ChaCha8Rng;
 use rand::{RngExt, SeedableRng};
 
-use super::ORDER_WITHIN;
+use super::ORDER_TIMEOUT;
 
 /// Delay in seconds after which an unanswered order is executed.
-const LATE: std::ops::Range<f64> = 2.0..12.0;
+const LATE_DELAY_S: std::ops::Range<f64> = 2.0..12.0;
 
 /// Random faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -34,14 +34,16 @@
         if self.unevenness <= 0.0 {
             return estimate;
         }
-        let place = u64::from(task.step) << 32 | u64::from(task.index);
-        let seed = self.seed ^ task.job.rotate_left(17) ^ place.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let position = u64::from(task.step) << 32 | u64::from(task.index);
+        let seed =
+            self.seed ^ task.job.rotate_left(17) ^ position.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         estimate.mul_f64((normal(&mut rng) * self.unevenness).exp())
     }
 }
 
-/// Draws an approximately standard normal number as the sum of twelve uniform ones.
+/// Draws an approximately standard normal number as the sum of twelve uniform ones, which is precise
+/// enough for durations.
 pub(crate) fn normal(rng: &mut ChaCha8Rng) -> f64 {
     let sum: f64 = (0..12).map(|_| rng.random_range(0.0..1.0)).sum();
     sum - 6.0
@@ -55,52 +57,52 @@
     pub(super) order: Order,
     pub(super) epoch: u64,
     /// Whether the order is executed at `at`; otherwise the scheduler's call times out then.
-    pub(super) is_carried_out: bool,
+    pub(super) is_executed: bool,
 }
 
 /// Random number generator of the faults.
 #[derive(Debug)]
-pub(super) struct Luck {
+pub(super) struct FaultRng {
     rng: ChaCha8Rng,
 }
 
-impl Luck {
-    pub(super) fn new(seed: u64) -> Luck {
-        Luck {
+impl FaultRng {
+    pub(super) fn new(seed: u64) -> FaultRng {
+        FaultRng {
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    pub(super) fn strikes(&mut self, part: f64) -> bool {
-        part > 0.0 && self.rng.random_range(0.0..1.0) < part
+    pub(super) fn occurs(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.random_range(0.0..1.0) < probability
     }
 
     /// Events of an unanswered order: the timeout, and the execution after a random delay.
-    pub(super) fn late(
+    pub(super) fn unanswered_with_random_delay(
         &mut self,
         target: &Target,
         order: &Order,
         epoch: u64,
         now: Steady,
     ) -> [Delayed; 2] {
-        let late = Duration::from_secs_f64(self.rng.random_range(LATE));
-        Luck::unanswered(target, order, epoch, now, late)
+        let delay = Duration::from_secs_f64(self.rng.random_range(LATE_DELAY_S));
+        FaultRng::unanswered(target, order, epoch, now, delay)
     }
 
-    /// Events of an unanswered order: the timeout, and the execution after `late`.
+    /// Events of an unanswered order: the timeout, and the execution after `delay`.
     pub(super) fn unanswered(
         target: &Target,
         order: &Order,
         epoch: u64,
         now: Steady,
-        late: Duration,
+        delay: Duration,
     ) -> [Delayed; 2] {
-        [(ORDER_WITHIN, false), (late, true)].map(|(after, is_carried_out)| Delayed {
+        [(ORDER_TIMEOUT, false), (delay, true)].map(|(after, is_executed)| Delayed {
             at: now + after,
             target: target.clone(),
             order: order.clone(),
             epoch,
-            is_carried_out,
+            is_executed,
         })
     }
 }
--- a/crates/pomelohitch-emulator/src/fleet/instances.rs
+++ b/crates/pomelohitch-emulator/src/fleet/instances.rs
@@ -17,17 +17,20 @@
             .is_some_and(|i| i.state == InstanceState::Up);
         let outcome = match () {
             () if self.loses_operations => OperationOutcome::Unanswered,
-            () if self.carries_out && !is_up => OperationOutcome::Busy,
+            () if self.applies_operations && !is_up => OperationOutcome::Busy,
             () => OperationOutcome::Taken,
         };
-        if self.carries_out && outcome == OperationOutcome::Taken {
+        if self.applies_operations && outcome == OperationOutcome::Taken {
             self.take_down(id, operation);
         }
         self.cell.operated(id, operation, outcome);
     }
 
     pub(super) fn take_down(&mut self, id: &Arc<str>, operation: &Operation) {
-        let instance = self.instances.get_mut(id).expect("it is listed");
+        let instance = self
+            .instances
+            .get_mut(id)
+            .expect("an instance that is up is listed");
         if let Some(endpoint) = instance.endpoint.take() {
             self.endpoints.remove(&endpoint);
         }
@@ -48,8 +51,8 @@
             .extract_if(.., |(at, ..)| *at <= now)
             .collect();
         for (_, id, pool) in back {
-            self.lives += 1;
-            let mut report = report(&format!("e{}", self.lives), self.lives);
+            self.last_index += 1;
+            let mut report = report(&format!("e{}", self.last_index), self.last_index);
             report.service = pool;
             report.capacity = self.capacity;
             let instance = self.instances.get_mut(&id).expect("it is listed");
--- a/crates/pomelohitch-emulator/src/fleet/log.rs
+++ b/crates/pomelohitch-emulator/src/fleet/log.rs
@@ -3,7 +3,7 @@
 use super::{APPEND_GAP, Fleet};
 
 impl Fleet {
-    pub(super) fn commit(&mut self) {
+    pub(super) fn advance_log(&mut self) {
         if !self.is_log_up {
             return;
         }
@@ -16,16 +16,16 @@
                 };
             }
             let actions = self.decide(|cell, _| cell.committed(batch));
-            self.carry_out(actions);
+            self.execute_actions(actions);
         }
         let is_behind = !self.pending.is_empty();
-        let is_early = is_behind && now < self.taken_at + APPEND_GAP;
+        let is_early = is_behind && now < self.last_append_at + APPEND_GAP;
         if is_early || self.pending.len() >= self.appends_at_once {
             return;
         }
         let batch = self.decide(|cell, _| cell.take_batch());
         if let Some(batch) = batch.expect("records can be encoded") {
-            self.taken_at = now;
+            self.last_append_at = now;
             self.pending.push_back((now + self.log_delay, batch));
         }
     }
--- a/crates/pomelohitch-emulator/src/fleet/orders.rs
+++ b/crates/pomelohitch-emulator/src/fleet/orders.rs
@@ -6,21 +6,21 @@
 use pomelohitch_sched::order::{Action, Order, Outcome, Refusal, Target};
 use pomelohitch_sched::{EndpointId, Resources, TaskId};
 
-use super::faults::{Delayed, Luck};
-use super::{EVACUATED_WITHIN, Fleet, ORDER_WITHIN, SHRUNK_AFTER};
+use super::faults::{Delayed, FaultRng};
+use super::{EVACUATION_GRACE, Fleet, ORDER_TIMEOUT, SHRINK_GRACE};
 
 impl Fleet {
-    pub(super) fn carry_out(&mut self, actions: Vec<Action>) {
+    pub(super) fn execute_actions(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Poll(look) => self.send_look(look),
+                Action::Poll(poll) => self.send_poll(poll),
                 Action::Order {
                     target,
                     order,
                     epoch,
                     ..
                 } => {
-                    self.send(&target, &order, epoch);
+                    self.send_order(&target, &order, epoch);
                 }
                 Action::Reply { call, answer } => {
                     self.replies.insert(call, answer);
@@ -47,29 +47,34 @@
         }
     }
 
-    pub(super) fn send(&mut self, target: &Target, order: &Order, epoch: u64) {
-        if self.luck.strikes(self.faults.orders_lost) {
+    pub(super) fn send_order(&mut self, target: &Target, order: &Order, epoch: u64) {
+        if self.fault_rng.occurs(self.faults.orders_lost) {
             self.starts_lost += usize::from(matches!(order, Order::Start { .. }));
             self.delayed
-                .extend(self.luck.late(target, order, epoch, self.now.steady));
+                .extend(self.fault_rng.unanswered_with_random_delay(
+                    target,
+                    order,
+                    epoch,
+                    self.now.steady,
+                ));
             return;
         }
-        if self.faults.orders_late > ORDER_WITHIN {
+        if self.faults.orders_late > ORDER_TIMEOUT {
             let (now, late) = (self.now.steady, self.faults.orders_late);
-            let unanswered = Luck::unanswered(target, order, epoch, now, late);
+            let unanswered = FaultRng::unanswered(target, order, epoch, now, late);
             self.delayed.extend(unanswered);
             return;
         }
         if let Some(link) = &mut self.link {
-            link.order(self.now.steady, target, order, epoch);
+            link.send_order(self.now.steady, target, order, epoch);
             return;
         }
-        let outcome = self.order(target, order, epoch);
+        let outcome = self.execute_order(target, order, epoch);
         self.decide(|cell, _| cell.ordered(target, order, &outcome));
     }
 
     /// Processes the due events of unanswered orders: timeouts and late executions.
-    pub(super) fn end_delayed(&mut self) {
+    pub(super) fn process_delayed_orders(&mut self) {
         let now = self.now.steady;
         let due = self.delayed.extract_if(.., |d| d.at <= now);
         for delayed in due.collect::<Vec<_>>() {
@@ -77,22 +82,22 @@
                 target,
                 order,
                 epoch,
-                is_carried_out,
+                is_executed,
                 ..
             } = delayed;
-            if is_carried_out && self.endpoints.contains_key(&target.id) {
-                self.order(&target, &order, epoch);
-            } else if !is_carried_out {
+            if is_executed && self.endpoints.contains_key(&target.id) {
+                self.execute_order(&target, &order, epoch);
+            } else if !is_executed {
                 self.decide(|cell, _| cell.ordered(&target, &order, &Outcome::Unanswered));
             }
         }
     }
 
-    pub(super) fn order(&mut self, target: &Target, order: &Order, epoch: u64) -> Outcome {
+    pub(super) fn execute_order(&mut self, target: &Target, order: &Order, epoch: u64) -> Outcome {
         let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
             let is_start = matches!(order, Order::Start { .. });
-            let has_moved = !self.crashes.ended.contains(&target.id);
-            self.broken.extend(
+            let has_moved = !self.crashes.crashed.contains(&target.id);
+            self.violations.extend(
                 (is_start && has_moved)
                     .then(|| format!("a start for {}, which was moved", target.id)),
             );
@@ -101,14 +106,14 @@
         if endpoint.is_silent {
             return Outcome::Unanswered;
         }
-        let whole = match order {
+        let duration = match order {
             Order::Start { task, spec, .. } => {
                 let estimate = spec.steps[usize::from(task.step)].estimate;
                 self.faults.duration(*task, estimate)
             }
             _ => Duration::ZERO,
         };
-        let outcome = endpoint.take(order, epoch, whole);
+        let outcome = endpoint.execute(order, epoch, duration);
         let loses_answers = endpoint.loses_answers;
         if let Order::Start {
             task, run, spec, ..
@@ -117,7 +122,7 @@
         {
             self.starts.push((*task, *run, target.id.clone()));
             self.check_start(*task, &target.id, &spec.steps[usize::from(task.step)]);
-            self.note_crashing(*task, &target.id);
+            self.record_start(*task, &target.id);
         }
         if loses_answers {
             Outcome::Unanswered
@@ -128,33 +133,34 @@
 
     pub(super) fn check_start(&mut self, task: TaskId, at: &EndpointId, step: &StepSpec) {
         let now = self.now.steady;
-        let elsewhere = self
+        let runs = self
             .endpoints
             .values()
             .flat_map(|e| e.runs.keys())
             .filter(|(t, _)| *t == task)
             .count();
-        if elsewhere > 1 {
-            self.broken.push(format!("{task} runs {elsewhere} times"));
+        if runs > 1 {
+            self.violations.push(format!("{task} runs {runs} times"));
         }
-        if self.done.contains(&task) {
-            self.broken.push(format!("{task} starts after it was done"));
+        if self.acknowledged.contains(&task) {
+            self.violations
+                .push(format!("{task} starts after it was done"));
         }
         let endpoint = &self.endpoints[at];
         let evacuated = self.evacuated.get(&endpoint.report.zone);
-        if evacuated.is_some_and(|&since| self.now.steady > since + EVACUATED_WITHIN) {
-            self.broken
+        if evacuated.is_some_and(|&since| self.now.steady > since + EVACUATION_GRACE) {
+            self.violations
                 .push(format!("{task} starts in an evacuated zone"));
         }
         let mut used = Resources::default();
         for run in endpoint.runs.values() {
-            used += &run.room;
+            used += &run.resources;
         }
         let resized = endpoint.resized.iter().rev();
-        let mut late = resized.take_while(|(at, _)| now < *at + SHRUNK_AFTER);
-        let fitted_before = late.any(|(_, room)| room.holds(&used));
-        if !endpoint.report.capacity.holds(&used) && !fitted_before {
-            self.broken.push(format!("{at} is over its room"));
+        let mut recent_changes = resized.take_while(|(at, _)| now < *at + SHRINK_GRACE);
+        let fits_before = recent_changes.any(|(_, capacity)| capacity.holds(&used));
+        if !endpoint.report.capacity.holds(&used) && !fits_before {
+            self.violations.push(format!("{at} is over its room"));
         }
         for &after in &step.after {
             let is_done = self.cell.job(task.job).is_some_and(|j| {
@@ -162,7 +168,7 @@
                 open.is_some_and(|o| o.is_step_done(after))
             });
             if !is_done {
-                self.broken
+                self.violations
                     .push(format!("{task} starts before step {after}"));
             }
         }
--- a/crates/pomelohitch-emulator/src/load.rs
+++ b/crates/pomelohitch-emulator/src/load.rs
@@ -172,7 +172,7 @@
 impl Span {
     /// Whether the span contains the time `at` after the start of arrivals.
     #[must_use]
-    pub fn holds(&self, at: Duration) -> bool {
+    pub fn contains(&self, at: Duration) -> bool {
         (self.from_s..self.to_s).contains(&at.as_secs_f64())
     }
 }
@@ -255,47 +255,47 @@
 }
 
 fn check(load: &Load, path: &str) -> Result<()> {
-    let demand = |is_right: bool, field: &'static str, fix: &'static str| {
-        ensure!(is_right, CheckSnafu { path, field, fix });
+    let require = |is_valid: bool, field: &'static str, fix: &'static str| {
+        ensure!(is_valid, CheckSnafu { path, field, fix });
         Ok(())
     };
-    demand((1.0..=600.0).contains(&load.seconds), "seconds", "1 to 600")?;
-    demand((1.0..=60.0).contains(&load.lead_s), "lead_s", "1 to 60")?;
-    demand(
+    require((1.0..=600.0).contains(&load.seconds), "seconds", "1 to 600")?;
+    require((1.0..=60.0).contains(&load.lead_s), "lead_s", "1 to 60")?;
+    require(
         (1..=100).contains(&load.appends_at_once),
         "appends_at_once",
         "1 to 100",
     )?;
-    demand(load.instance.cpu > 0, "instance.cpu", "more than 0")?;
-    demand(!load.queues.is_empty(), "queues", "one or more")?;
+    require(load.instance.cpu > 0, "instance.cpu", "more than 0")?;
+    require(!load.queues.is_empty(), "queues", "one or more")?;
     let instances: u32 = load.services.iter().map(|s| u32::from(s.instances)).sum();
-    demand(
+    require(
         (1..=10_000).contains(&instances),
         "services",
         "1 to 10000 instances in all",
     )?;
     for queue in &load.queues {
         let is_known = load.services.iter().any(|s| s.name == queue.service);
-        demand(is_known, "queues.service", "the name of a service")?;
+        require(is_known, "queues.service", "the name of a service")?;
         let means = [queue.steps, queue.tasks, queue.work_ms, queue.cpu];
         let is_positive = means.iter().all(|mean| *mean >= 1.0);
-        demand(
+        require(
             is_positive,
             "queues",
             "steps, tasks, work_ms and cpu of 1 or more",
         )?;
-        demand(
+        require(
             (0.0..=10_000.0).contains(&queue.per_s),
             "queues.per_s",
             "0 to 10000",
         )?;
-        demand(
+        require(
             (0.0..=2.0).contains(&queue.spread),
             "queues.spread",
             "0 to 2",
         )?;
     }
     let parts: f64 = load.workspaces.iter().map(|w| w.part).sum();
-    let has_parts = load.workspaces.is_empty() || parts > 0.0;
-    demand(has_parts, "workspaces.part", "more than 0 in all")
+    let has_shares = load.workspaces.is_empty() || parts > 0.0;
+    require(has_shares, "workspaces.part", "more than 0 in all")
 }
--- a/crates/pomelohitch-emulator/src/play.rs
+++ b/crates/pomelohitch-emulator/src/play.rs
@@ -21,25 +21,25 @@
 use crate::load::Load;
 
 /// Multiple of the objective after which a completed job has no worth.
-const LATE_TIMES: f64 = 3.0;
+const LATE_FACTOR: f64 = 3.0;
 /// Worth of a late job relative to one in time.
 const LATE_WORTH: f64 = 0.07;
 /// Part of a job's worth that doesn't depend on its amount of work.
 const FIXED_WORTH: f64 = 0.3;
 /// Largest amount of work that counts towards the worth, as a multiple of the queue's mean.
-const MOST_WORK: f64 = 4.0;
+const MAX_WORK: f64 = 4.0;
 /// Jobs are grouped into windows of this length by arrival.
 const WINDOW: Duration = Duration::from_secs(2);
 /// Number of windows averaged into `worst_windows`.
 const WORST_WINDOWS: usize = 2;
 /// Time played after the last arrival, so that jobs can complete.
-const FINISH: Duration = Duration::from_secs(14);
+const DRAIN_TIME: Duration = Duration::from_secs(14);
 /// Duration in milliseconds recorded for a job that didn't complete.
-const NEVER_MS: u128 = 600_000;
+const INCOMPLETE_MS: u128 = 600_000;
 /// Downtime of an instance after a random crash.
-const CRASHED_FOR: Duration = Duration::from_secs(3);
+const CRASH_DOWNTIME: Duration = Duration::from_secs(3);
 /// Network round-trip time of a caller.
-const ON_THE_WAY: Duration = Duration::from_millis(10);
+const ROUND_TRIP_TIME: Duration = Duration::from_millis(10);
 
 /// Results of one play.
 #[derive(Debug, Clone, PartialEq, Serialize)]
@@ -70,62 +70,66 @@
     /// Number of starts without an answer.
     pub starts_lost: usize,
     /// Number of polls of endpoints.
-    pub looks: usize,
+    #[serde(rename = "looks")]
+    pub polls: usize,
     /// Number of endpoints that crashed while running a task that crashes endpoints.
     pub crashes: u32,
     /// Number of jobs that were given up although their tasks don't crash endpoints.
     pub given_up: usize,
     /// Descriptions of violated invariants.
-    pub broken: Vec<String>,
+    #[serde(rename = "broken")]
+    pub violations: Vec<String>,
 }
 
-struct Sent {
+struct SentJob {
     arrival: Arrival,
     objective: Duration,
     worth: f64,
     call: u64,
     is_accepted: bool,
-    again_at: Duration,
-    took: Option<Duration>,
+    retry_at: Duration,
+    duration: Option<Duration>,
 }
 
 /// Plays a load with one seed. The same arguments give the same result.
 #[must_use]
 pub fn play(load: &Load, settings: &Settings, seed: u64) -> Outcome {
-    let mut stage = Stage::new(load, settings.clone(), seed);
-    stage.stand_idle();
-    stage.begin_lasting();
-    let end = Duration::from_secs_f64(load.seconds) + FINISH;
-    while stage.passed < end {
-        stage.step();
+    let mut playback = Playback::new(load, settings.clone(), seed);
+    playback.run_idle();
+    playback.submit_lasting_jobs();
+    let end = Duration::from_secs_f64(load.seconds) + DRAIN_TIME;
+    while playback.elapsed < end {
+        playback.step();
     }
-    stage.outcome()
+    playback.outcome()
 }
 
-struct Stage<'a> {
+struct Playback<'a> {
     load: &'a Load,
     fleet: Fleet,
     /// Time since the start of arrivals.
-    passed: Duration,
-    coming: std::iter::Peekable<std::vec::IntoIter<Arrival>>,
-    means: Vec<f64>,
-    open: Vec<Sent>,
-    over: Vec<Sent>,
+    elapsed: Duration,
+    /// Jobs not yet submitted, in order of arrival.
+    upcoming: std::iter::Peekable<std::vec::IntoIter<Arrival>>,
+    /// Mean work of the jobs of each queue.
+    mean_work: Vec<f64>,
+    pending: Vec<SentJob>,
+    finished: Vec<SentJob>,
     leader_changes: usize,
     pool_time: Duration,
-    luck: ChaCha8Rng,
-    has_shrunk: bool,
+    rng: ChaCha8Rng,
+    is_shrunk: bool,
 }
 
-impl<'a> Stage<'a> {
-    fn new(load: &'a Load, settings: Settings, seed: u64) -> Stage<'a> {
+impl<'a> Playback<'a> {
+    fn new(load: &'a Load, settings: Settings, seed: u64) -> Playback<'a> {
         let mut fleet = Fleet::with(0, settings);
         fleet.capacity = Resources {
             cpu: load.instance.cpu,
             mem_mb: load.instance.mem_mb,
             gpu: 0,
         };
-        fleet.carries_out = true;
+        fleet.applies_operations = true;
         fleet.appends_at_once = load.appends_at_once;
         fleet.faults = Faults {
             unevenness: load.faults.unevenness,
@@ -141,33 +145,33 @@
         }
         fleet.cfg = Arc::new(config(load));
         fleet.cell.configure(fleet.cfg.clone());
-        fleet.list();
-        let arrivals = arrivals::draw(load, seed);
-        Stage {
+        fleet.list_endpoints();
+        let arrivals = arrivals::generate(load, seed);
+        Playback {
             load,
             fleet,
-            passed: Duration::ZERO,
-            means: mean_work(load, &arrivals),
-            coming: arrivals.into_iter().peekable(),
-            open: Vec::new(),
-            over: Vec::new(),
-            luck: ChaCha8Rng::seed_from_u64(!seed),
-            has_shrunk: false,
+            elapsed: Duration::ZERO,
+            mean_work: mean_work(load, &arrivals),
+            upcoming: arrivals.into_iter().peekable(),
+            pending: Vec::new(),
+            finished: Vec::new(),
+            rng: ChaCha8Rng::seed_from_u64(!seed),
+            is_shrunk: false,
             leader_changes: 0,
             pool_time: Duration::ZERO,
         }
     }
 
-    fn stand_idle(&mut self) {
+    fn run_idle(&mut self) {
         let steps = Duration::from_secs_f64(self.load.lead_s).as_millis() / STEP.as_millis();
-        self.fleet.pass(u32::try_from(steps).unwrap_or(u32::MAX));
+        self.fleet.advance(u32::try_from(steps).unwrap_or(u32::MAX));
     }
 
-    fn begin_lasting(&mut self) {
+    fn submit_lasting_jobs(&mut self) {
         let mut id = 1_u64;
         for service in &self.load.services {
             for _ in 0..service.lasting_jobs {
-                let draft = lasting(self.load.instance.cpu);
+                let draft = lasting_job(self.load.instance.cpu);
                 let path = format!("/lasting-{}/{}", service.name, job_text(id));
                 self.fleet.call(&path, Verb::Submit(Ok(draft)));
                 id += 1;
@@ -176,13 +180,13 @@
     }
 
     fn step(&mut self) {
-        self.strike();
-        while let Some(arrival) = self.coming.next_if(|a| a.at <= self.passed) {
-            let sent = self.send(arrival);
-            self.open.push(sent);
+        self.apply_faults();
+        while let Some(arrival) = self.upcoming.next_if(|a| a.at <= self.elapsed) {
+            let sent = self.submit_arrival(arrival);
+            self.pending.push(sent);
         }
-        self.fleet.pass(1);
-        self.passed += STEP;
+        self.fleet.advance(1);
+        self.elapsed += STEP;
         self.fleet.starts.clear();
         let is_off = |pool: &str| {
             self.fleet
@@ -191,37 +195,37 @@
                 .get(pool)
                 .is_some_and(|s| s.is_spare)
         };
-        let paid = self
+        let billed = self
             .fleet
             .instances
             .values()
             .filter(|i| !is_off(&i.pool))
             .count();
-        self.pool_time += STEP * u32::try_from(paid).unwrap_or(u32::MAX);
-        self.answer();
+        self.pool_time += STEP * u32::try_from(billed).unwrap_or(u32::MAX);
+        self.process_answers();
     }
 
     /// Starts and ends the faults that are due now.
-    fn strike(&mut self) {
-        let now = self.passed;
+    fn apply_faults(&mut self) {
+        let now = self.elapsed;
         let faults = &self.load.faults;
-        let lost = faults.orders_lost.iter().filter(|span| span.holds(now));
+        let lost = faults.orders_lost.iter().filter(|span| span.contains(now));
         self.fleet.faults.orders_lost = lost.map(|span| span.strength).fold(0.0, f64::max);
-        let is_away = faults.log_away.iter().any(|span| span.holds(now));
-        if is_away == self.fleet.is_log_up {
-            self.fleet.is_log_up = !is_away;
-            self.fleet.cell.set_log_down(is_away);
+        let is_down = faults.log_away.iter().any(|span| span.contains(now));
+        if is_down == self.fleet.is_log_up {
+            self.fleet.is_log_up = !is_down;
+            self.fleet.cell.set_log_down(is_down);
         }
-        let slow_log = faults.log_slow.iter().find(|span| span.holds(now));
+        let slow_log = faults.log_slow.iter().find(|span| span.contains(now));
         let delay = slow_log.map_or(0.0, |span| span.strength.max(0.0));
         self.fleet.log_delay = Duration::from_secs_f64(delay);
-        let slow = faults.slow.iter().find(|span| span.holds(now));
+        let slow = faults.slow.iter().find(|span| span.contains(now));
         let slowness = slow.map_or(1.0, |span| span.strength.max(1.0));
-        for (place, endpoint) in self.fleet.endpoints.values_mut().enumerate() {
-            endpoint.slowness = if place % 10 == 0 { slowness } else { 1.0 };
+        for (index, endpoint) in self.fleet.endpoints.values_mut().enumerate() {
+            endpoint.slowness = if index % 10 == 0 { slowness } else { 1.0 };
         }
-        self.crash_some();
-        self.shrink();
+        self.crash_at_random();
+        self.update_capacities();
         let due = faults
             .leader_changes_s
             .iter()
@@ -234,127 +238,135 @@
     }
 
     /// Crashes an endpoint at random, independently of its tasks.
-    fn crash_some(&mut self) {
+    fn crash_at_random(&mut self) {
         let spans = &self.load.faults.crashes;
-        let Some(span) = spans.iter().find(|span| span.holds(self.passed)) else {
+        let Some(span) = spans.iter().find(|span| span.contains(self.elapsed)) else {
             return;
         };
-        if self.luck.random_range(0.0..1.0) < span.strength * STEP.as_secs_f64() {
-            let place = self.luck.random_range(0..self.fleet.endpoints.len().max(1));
-            let id = self.fleet.endpoints.keys().nth(place).cloned();
+        if self.rng.random_range(0.0..1.0) < span.strength * STEP.as_secs_f64() {
+            let index = self.rng.random_range(0..self.fleet.endpoints.len().max(1));
+            let id = self.fleet.endpoints.keys().nth(index).cloned();
             if let Some(id) = id {
-                self.fleet.crash_for(&id, CRASHED_FOR);
+                self.fleet.crash_for(&id, CRASH_DOWNTIME);
             }
         }
     }
 
     /// Shrinks the capacity of every fifth endpoint, or restores it.
-    fn shrink(&mut self) {
+    fn update_capacities(&mut self) {
         let spans = &self.load.faults.shrinks;
-        let span = spans.iter().find(|span| span.holds(self.passed));
-        if span.is_some() == self.has_shrunk {
+        let span = spans.iter().find(|span| span.contains(self.elapsed));
+        if span.is_some() == self.is_shrunk {
             return;
         }
-        self.has_shrunk = span.is_some();
-        let part = span.map_or(1.0, |span| span.strength);
+        self.is_shrunk = span.is_some();
+        let fraction = span.map_or(1.0, |span| span.strength);
         let ids: Vec<_> = self.fleet.endpoints.keys().step_by(5).cloned().collect();
         for id in ids {
-            let whole = self.fleet.capacity;
+            let full_capacity = self.fleet.capacity;
             #[expect(
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
                 clippy::cast_precision_loss,
                 reason = "a part of an amount far below 2^52"
             )]
-            let cpu = (whole.cpu as f64 * part) as u64;
-            self.fleet.resize(&id, Resources { cpu, ..whole });
+            let cpu = (full_capacity.cpu as f64 * fraction) as u64;
+            self.fleet.resize(
+                &id,
+                Resources {
+                    cpu,
+                    ..full_capacity
+                },
+            );
         }
     }
 
-    fn send(&mut self, arrival: Arrival) -> Sent {
+    fn submit_arrival(&mut self, arrival: Arrival) -> SentJob {
         let crashing = &self.load.faults.crashing;
-        if let Some(span) = crashing.iter().find(|span| span.holds(self.passed))
-            && self.luck.random_range(0.0..1.0) < span.strength
+        if let Some(span) = crashing.iter().find(|span| span.contains(self.elapsed))
+            && self.rng.random_range(0.0..1.0) < span.strength
         {
-            self.fleet.crashes.by_first_task_of(arrival.id);
+            self.fleet.crashes.add_first_task_of(arrival.id);
         }
         let queue = &self.load.queues[arrival.queue];
-        let chain = chain(&self.fleet, &arrival);
-        let objective = chain.mul_f64(queue.stretch) + Duration::from_millis(queue.slack_ms);
-        let work = work(&arrival.draft) / self.means[arrival.queue].max(1.0);
-        let mut sent = Sent {
+        let critical_path = critical_path(&self.fleet, &arrival);
+        let objective =
+            critical_path.mul_f64(queue.stretch) + Duration::from_millis(queue.slack_ms);
+        let work = work(&arrival.draft) / self.mean_work[arrival.queue].max(1.0);
+        let mut sent = SentJob {
             objective,
-            worth: FIXED_WORTH + (1.0 - FIXED_WORTH) * work.min(MOST_WORK),
+            worth: FIXED_WORTH + (1.0 - FIXED_WORTH) * work.min(MAX_WORK),
             call: 0,
             is_accepted: false,
-            again_at: Duration::ZERO,
-            took: None,
+            retry_at: Duration::ZERO,
+            duration: None,
             arrival,
         };
-        self.hand_in(&mut sent);
+        self.submit(&mut sent);
         sent
     }
 
-    fn hand_in(&mut self, sent: &mut Sent) {
+    fn submit(&mut self, sent: &mut SentJob) {
         let queue = &self.load.queues[sent.arrival.queue];
         let path = format!("/{}/{}", queue.name, job_text(sent.arrival.id));
         let workspace = self.load.workspaces.get(sent.arrival.workspace);
         let key = workspace.map_or("key", |w| &w.name);
         let verb = Verb::Submit(Ok(sent.arrival.draft.clone()));
         sent.call = self.fleet.call_with(&path, Some(key), verb);
-        sent.again_at = Duration::MAX;
+        sent.retry_at = Duration::MAX;
     }
 
     /// Processes answers to callers, submits refused jobs again after their retry time, and records
     /// completed jobs.
-    fn answer(&mut self) {
-        let mut open = std::mem::take(&mut self.open);
-        for sent in &mut open {
+    fn process_answers(&mut self) {
+        let mut pending = std::mem::take(&mut self.pending);
+        for sent in &mut pending {
             match self.fleet.replies.remove(&sent.call) {
                 Some(Answer::Accepted) => sent.is_accepted = true,
                 Some(Answer::Refused { retry_after, .. }) => {
-                    sent.again_at = self.passed + retry_after;
+                    sent.retry_at = self.elapsed + retry_after;
                 }
                 _ => {}
             }
-            if !sent.is_accepted && self.passed >= sent.again_at {
-                self.hand_in(sent);
+            if !sent.is_accepted && self.elapsed >= sent.retry_at {
+                self.submit(sent);
             }
             let job = self.fleet.cell.job(sent.arrival.id);
             let is_done = job.is_some_and(|j| j.durable_state == JobState::Completed);
             if is_done {
-                sent.took = Some((self.passed + ON_THE_WAY).saturating_sub(sent.arrival.at));
+                sent.duration =
+                    Some((self.elapsed + ROUND_TRIP_TIME).saturating_sub(sent.arrival.at));
             }
         }
-        let (over, open) = open
+        let (finished, pending) = pending
             .into_iter()
-            .partition(|sent: &Sent| sent.took.is_some());
-        let over: Vec<Sent> = over;
-        self.over.extend(over);
-        self.open = open;
+            .partition(|sent: &SentJob| sent.duration.is_some());
+        let finished: Vec<SentJob> = finished;
+        self.finished.extend(finished);
+        self.pending = pending;
     }
 
     fn outcome(mut self) -> Outcome {
-        self.over.append(&mut self.open);
+        self.finished.append(&mut self.pending);
         let crashes = &self.fleet.crashes;
-        let is_sound = |sent: &&Sent| !crashes.is_by(sent.arrival.id);
-        let all: Vec<&Sent> = self.over.iter().filter(is_sound).collect();
-        let count = |is_meant: fn(&Sent) -> bool| {
-            let meant = all.iter().filter(|sent| is_meant(sent)).count();
-            part(as_f64(meant), as_f64(all.len()))
+        let is_healthy = |sent: &&SentJob| !crashes.has_task_of(sent.arrival.id);
+        let all: Vec<&SentJob> = self.finished.iter().filter(is_healthy).collect();
+        let count = |predicate: fn(&SentJob) -> bool| {
+            let matching = all.iter().filter(|sent| predicate(sent)).count();
+            ratio(as_f64(matching), as_f64(all.len()))
         };
-        let mut took = Histogram::<u64>::new(3).expect("three digits are allowed");
+        let mut durations = Histogram::<u64>::new(3).expect("three digits are allowed");
         for sent in &all {
-            let millis = sent.took.map_or(NEVER_MS, |t| t.as_millis());
-            let recorded = took.record(u64::try_from(millis).unwrap_or(u64::MAX));
+            let millis = sent.duration.map_or(INCOMPLETE_MS, |t| t.as_millis());
+            let recorded = durations.record(u64::try_from(millis).unwrap_or(u64::MAX));
             recorded.expect("the histogram grows as it has to");
         }
-        let pressing = |sent: &Sent| {
+        let is_overloading = |sent: &SentJob| {
             let workspace = self.load.workspaces.get(sent.arrival.workspace);
             workspace.is_some_and(|w| w.presses.is_some())
         };
-        let calm = all.iter().copied().filter(|sent| !pressing(sent));
-        let windows = grouped(&all, |sent| {
+        let others = all.iter().copied().filter(|sent| !is_overloading(sent));
+        let windows = worth_by_group(&all, |sent| {
             sent.arrival.at.as_millis() / WINDOW.as_millis()
         });
         let moves = self.fleet.operations.iter();
@@ -362,44 +374,45 @@
             jobs: all.len(),
             worth: worth(all.iter().copied()),
             worst_windows: mean_of_worst(windows, WORST_WINDOWS),
-            worst_queue: mean_of_worst(grouped(&all, |sent| sent.arrival.queue), 1),
+            worst_queue: mean_of_worst(worth_by_group(&all, |sent| sent.arrival.queue), 1),
             worst_workspace: mean_of_worst(
-                grouped(&calm.collect::<Vec<_>>(), |sent| sent.arrival.workspace),
+                worth_by_group(&others.collect::<Vec<_>>(), |sent| sent.arrival.workspace),
                 1,
             ),
-            in_time: count(Sent::is_in_time),
-            late: count(Sent::is_late),
-            p50_ms: took.value_at_quantile(0.5),
-            p99_ms: took.value_at_quantile(0.99),
+            in_time: count(SentJob::is_in_time),
+            late: count(SentJob::is_late),
+            p50_ms: durations.value_at_quantile(0.5),
+            p99_ms: durations.value_at_quantile(0.99),
             pool_s: self.pool_time.as_secs_f64(),
             moves: moves
                 .filter(|(_, o)| matches!(o, Operation::Move { .. }))
                 .count(),
             starts_lost: self.fleet.starts_lost,
-            looks: self.fleet.looks_sent,
+            polls: self.fleet.polls_sent,
             crashes: crashes.count(),
             given_up: all.iter().filter(|sent| self.is_given_up(sent)).count(),
-            broken: self.fleet.broken,
+            violations: self.fleet.violations,
         }
     }
 
-    fn is_given_up(&self, sent: &Sent) -> bool {
+    fn is_given_up(&self, sent: &SentJob) -> bool {
         let job = self.fleet.cell.job(sent.arrival.id);
         job.is_some_and(|j| j.progress.is_given_up)
     }
 }
 
-impl Sent {
+impl SentJob {
     fn is_in_time(&self) -> bool {
-        self.took.is_some_and(|took| took <= self.objective)
+        self.duration
+            .is_some_and(|duration| duration <= self.objective)
     }
 
     fn is_late(&self) -> bool {
-        let longest = self.objective.mul_f64(LATE_TIMES);
-        !self.is_in_time() && self.took.is_some_and(|took| took <= longest)
+        let longest = self.objective.mul_f64(LATE_FACTOR);
+        !self.is_in_time() && self.duration.is_some_and(|duration| duration <= longest)
     }
 
-    fn earned(&self) -> f64 {
+    fn earned_worth(&self) -> f64 {
         match (self.is_in_time(), self.is_late()) {
             (true, _) => self.worth,
             (_, true) => self.worth * LATE_WORTH,
@@ -408,13 +421,13 @@
     }
 }
 
-fn worth<'a>(sent: impl Iterator<Item = &'a Sent> + Clone) -> f64 {
-    let earned: f64 = sent.clone().map(Sent::earned).sum();
-    part(earned, sent.map(|s| s.worth).sum())
+fn worth<'a>(sent: impl Iterator<Item = &'a SentJob> + Clone) -> f64 {
+    let earned_worth: f64 = sent.clone().map(SentJob::earned_worth).sum();
+    ratio(earned_worth, sent.map(|s| s.worth).sum())
 }
 
-fn grouped<K: Ord>(all: &[&Sent], by: impl Fn(&Sent) -> K) -> Vec<f64> {
-    let mut groups: BTreeMap<K, Vec<&Sent>> = BTreeMap::new();
+fn worth_by_group<K: Ord>(all: &[&SentJob], by: impl Fn(&SentJob) -> K) -> Vec<f64> {
+    let mut groups: BTreeMap<K, Vec<&SentJob>> = BTreeMap::new();
     for sent in all {
         groups.entry(by(sent)).or_default().push(sent);
     }
@@ -422,13 +435,13 @@
     worths.collect()
 }
 
-fn mean_of_worst(mut parts: Vec<f64>, count: usize) -> f64 {
-    parts.sort_by(f64::total_cmp);
-    parts.truncate(count);
-    part(parts.iter().sum(), as_f64(parts.len()))
+fn mean_of_worst(mut values: Vec<f64>, count: usize) -> f64 {
+    values.sort_by(f64::total_cmp);
+    values.truncate(count);
+    ratio(values.iter().sum(), as_f64(values.len()))
 }
 
-fn part(some: f64, all: f64) -> f64 {
+fn ratio(some: f64, all: f64) -> f64 {
     if all > 0.0 { some / all } else { 1.0 }
 }
 
@@ -438,14 +451,14 @@
 }
 
 /// Critical path of a job by the actual durations of its tasks. Its steps run one after another.
-fn chain(fleet: &Fleet, arrival: &Arrival) -> Duration {
+fn critical_path(fleet: &Fleet, arrival: &Arrival) -> Duration {
     let steps = arrival.draft.steps.iter().enumerate();
-    let longest = |(place, step): (usize, &StepSpec)| {
+    let longest = |(step_index, step): (usize, &StepSpec)| {
         let durations = (0..step.count).map(|index| {
             let task = TaskId {
                 job: arrival.id,
                 occurrence: 0,
-                step: u16::try_from(place).unwrap_or(u16::MAX),
+                step: u16::try_from(step_index).unwrap_or(u16::MAX),
                 index,
             };
             fleet.faults.duration(task, step.estimate)
@@ -469,21 +482,21 @@
     let mean = |queue| {
         let own = arrivals.iter().filter(|a| a.queue == queue);
         let works: Vec<f64> = own.map(|a| work(&a.draft)).collect();
-        part(works.iter().sum(), as_f64(works.len()))
+        ratio(works.iter().sum(), as_f64(works.len()))
     };
     queues.map(mean).collect()
 }
 
 /// A job of a few lasting tasks, at most two on an endpoint.
-fn lasting(instance_cpu: u64) -> Draft {
+fn lasting_job(instance_cpu: u64) -> Draft {
     const TASKS: u32 = 5;
     /// Each task needs the processors of an instance divided by this.
-    const PART: u64 = 11;
+    const TASKS_PER_INSTANCE: u64 = 11;
     fleet::job(vec![StepSpec {
         is_lasting: true,
         per_endpoint: 2,
         may_miss: 1,
-        ..fleet::step(TASKS, instance_cpu / PART, 900)
+        ..fleet::step(TASKS, instance_cpu / TASKS_PER_INSTANCE, 900)
     }])
 }
 
--- a/crates/pomelohitch-emulator/src/policies.rs
+++ b/crates/pomelohitch-emulator/src/policies.rs
@@ -27,10 +27,10 @@
 ];
 
 /// Name of a numeric parameter, and the function that sets it.
-pub type Number = (&'static str, fn(&mut Policy, f64));
+pub type Parameter = (&'static str, fn(&mut Policy, f64));
 
 /// Every numeric parameter that can be set.
-pub const NUMBERS: [Number; 14] = [
+pub const PARAMETERS: [Parameter; 14] = [
     ("late-after", |p, n| p.late_factor = n),
     ("fill", |p, n| p.margins.target_utilization = n),
     ("most-backlog", |p, n| p.margins.max_backlog = n),
@@ -39,9 +39,9 @@
     ("soon-ms", |p, n| p.margins.keep_within = millis(n)),
     ("surplus-ms", |p, n| p.margins.surplus_delay = millis(n)),
     ("lost-alone", |p, n| {
-        p.crashes.max_lost_sole_cause = whole(n);
+        p.crashes.max_lost_sole_cause = count(n);
     }),
-    ("alone", |p, n| p.crashes.min_sole_cause = whole(n)),
+    ("alone", |p, n| p.crashes.min_sole_cause = count(n)),
     ("proven-ms", |p, n| p.crashes.proven_after = millis(n)),
     ("proven-again-ms", |p, n| {
         p.crashes.proven_again_after = millis(n);
@@ -60,7 +60,7 @@
     clippy::cast_sign_loss,
     reason = "a small count"
 )]
-fn whole(number: f64) -> u32 {
+fn count(number: f64) -> u32 {
     number.max(0.0) as u32
 }
 
@@ -69,7 +69,7 @@
 }
 
 /// The default policy with changes from a comma-separated list: a name of [`SWITCHES`] switches
-/// that mechanism off, and `NAME=NUMBER` sets a parameter of [`NUMBERS`]. The name `shipped` and
+/// that mechanism off, and `NAME=NUMBER` sets a parameter of [`PARAMETERS`]. The name `shipped` and
 /// empty entries change nothing. Returns `None` if a name is unknown or a number is malformed.
 #[must_use]
 pub fn without(names: &str) -> Option<Policy> {
@@ -79,7 +79,7 @@
         .filter(|n| !n.is_empty() && *n != "shipped")
     {
         if let Some((name, number)) = name.split_once('=') {
-            let (_, set) = NUMBERS.iter().find(|(known, _)| *known == name)?;
+            let (_, set) = PARAMETERS.iter().find(|(known, _)| *known == name)?;
             set(&mut policy, number.parse().ok()?);
         } else {
             let (_, switch) = SWITCHES.iter().find(|(known, _)| *known == name)?;
--- a/crates/pomelohitch-emulator/tests/loads.rs
+++ b/crates/pomelohitch-emulator/tests/loads.rs
@@ -36,7 +36,7 @@
 /// Guards, among others, against moves whose records are appended late after an outage of the log:
 /// they ended the runs that had started on their instances meanwhile.
 #[test]
-fn no_load_breaks_a_promise() {
+fn no_load_violates_an_invariant() {
     for name in [
         "turns.toml",
         "orders-lost.toml",
@@ -47,7 +47,11 @@
         "crashes.toml",
     ] {
         for outcome in play_all(&load(name), &Settings::default(), &SEEDS) {
-            assert!(outcome.broken.is_empty(), "{name}: {:?}", outcome.broken);
+            assert!(
+                outcome.violations.is_empty(),
+                "{name}: {:?}",
+                outcome.violations
+            );
         }
     }
 }
@@ -55,7 +59,7 @@
 /// During its burst each queue needs more than the capacity of its pool. Almost all jobs have to
 /// complete in time.
 #[test]
-fn turns_are_served_in_time() {
+fn bursts_are_served_in_time() {
     let outcomes = play_all(&load("turns.toml"), &Settings::default(), &SEEDS);
     assert!(mean(&outcomes, "in time") > 0.97);
     assert!(mean(&outcomes, "of no use") < 0.005);
@@ -64,23 +68,23 @@
 /// Some jobs crash their endpoints, other endpoints crash at random, and capacity shrinks. Healthy
 /// jobs must not be given up, and the worth has to be significantly higher than without isolation.
 #[test]
-fn sound_jobs_are_served_beside_jobs_that_crash_endpoints() {
+fn healthy_jobs_are_served_beside_jobs_that_crash_endpoints() {
     let seeds: Vec<u64> = (1..=12).collect();
     let crashes = load("crashes.toml");
-    let mixed = play_all(&crashes, &without("isolation"), &seeds);
-    let apart = play_all(&crashes, &Settings::default(), &seeds);
-    assert!(mean(&apart, "given up") < 0.5);
-    let gains = differences(&mixed, &apart);
+    let without_isolation = play_all(&crashes, &without("isolation"), &seeds);
+    let with_isolation = play_all(&crashes, &Settings::default(), &seeds);
+    assert!(mean(&with_isolation, "given up") < 0.5);
+    let gains = differences(&without_isolation, &with_isolation);
     let worth = gains.iter().find(|d| d.figure == "worth");
     assert!(
-        worth.is_some_and(|d| d.is_sure() && d.difference > 0.0),
+        worth.is_some_and(|d| d.is_significant() && d.difference > 0.0),
         "{worth:?}"
     );
 }
 
 /// One order in eighteen gets no answer. With eleven tasks per job, half of all jobs lose one.
 #[test]
-fn callers_are_served_in_time_where_orders_are_lost() {
+fn jobs_complete_in_time_while_orders_are_lost() {
     let outcomes = play_all(&load("orders-lost.toml"), &Settings::default(), &SEEDS);
     assert!(mean(&outcomes, "in time") > 0.93);
 }
@@ -89,47 +93,47 @@
 /// has to be significantly higher than without deferral, and almost no job may end too late to be
 /// of use.
 #[test]
-fn a_workspace_that_presses_does_not_take_the_others_service() {
+fn an_overloading_workspace_does_not_degrade_the_others() {
     let seeds: Vec<u64> = (1..=20).collect();
-    let pressed = load("one-presses.toml");
-    let equal = play_all(&pressed, &without("deferral"), &seeds);
-    let shared = play_all(&pressed, &Settings::default(), &seeds);
-    let gains = differences(&equal, &shared);
+    let overload = load("one-presses.toml");
+    let without_deferral = play_all(&overload, &without("deferral"), &seeds);
+    let with_deferral = play_all(&overload, &Settings::default(), &seeds);
+    let gains = differences(&without_deferral, &with_deferral);
     let worst = gains.iter().find(|d| d.figure == "worst workspace");
     assert!(
-        worst.is_some_and(|d| d.is_sure() && d.difference > 0.0),
+        worst.is_some_and(|d| d.is_significant() && d.difference > 0.0),
         "{worst:?}"
     );
-    assert!(mean(&shared, "of no use") < 0.005);
+    assert!(mean(&with_deferral, "of no use") < 0.005);
 }
 
 #[test]
-fn the_same_seed_is_the_same_play() {
+fn the_same_seed_gives_the_same_outcome() {
     let load = load("steady.toml");
     let settings = Settings::default();
     assert_eq!(play(&load, &settings, 7), play(&load, &settings, 7));
 }
 
 #[test]
-fn a_load_that_cannot_be_played_is_refused_with_the_fix() {
+fn an_invalid_load_is_refused_with_the_allowed_values() {
     let text = std::fs::read_to_string(path("steady.toml")).expect("it is there");
-    let told = |text: String| {
+    let error_text = |text: String| {
         let error = load::parse(&text, "a.toml").expect_err("it is refused");
         error.to_string()
     };
     insta::assert_snapshot!(
-        told(text.replace("seconds = 24.0", "seconds = 0.0")),
+        error_text(text.replace("seconds = 24.0", "seconds = 0.0")),
         @"a.toml: seconds: 1 to 600"
     );
     insta::assert_snapshot!(
-        told(text.replace("service = \"only\"", "service = \"other\"")),
+        error_text(text.replace("service = \"only\"", "service = \"other\"")),
         @"a.toml: queues.service: the name of a service"
     );
-    assert!(told(text.replace("seconds =", "secs =")).contains("unknown field `secs`"));
+    assert!(error_text(text.replace("seconds =", "secs =")).contains("unknown field `secs`"));
 }
 
 #[test]
-fn mechanisms_are_named() {
+fn mechanisms_and_parameters_are_found_by_name() {
     assert!(policies::without("nothing-like-it").is_none());
     let policy = policies::without("promotion,late-after=2").expect("both are known");
     assert!(!policy.promotes_expiring);
@@ -139,13 +143,13 @@
 /// An append to the log takes a quarter of a second. With one append in flight at a time each
 /// record waits for up to two appends, which makes most jobs of a burst late.
 #[test]
-fn more_callers_are_served_in_time_with_appends_side_by_side() {
-    let together = load("log-slow.toml");
-    let one_by_one = Load {
+fn concurrent_appends_let_more_jobs_complete_in_time() {
+    let concurrent = load("log-slow.toml");
+    let serial = Load {
         appends_at_once: 1,
-        ..together.clone()
+        ..concurrent.clone()
     };
-    let before = play_all(&one_by_one, &Settings::default(), &SEEDS);
-    let after = play_all(&together, &Settings::default(), &SEEDS);
+    let before = play_all(&serial, &Settings::default(), &SEEDS);
+    let after = play_all(&concurrent, &Settings::default(), &SEEDS);
     assert!(mean(&after, "in time") > mean(&before, "in time") + 0.04);
 }
--- a/crates/pomelohitch-sched/examples/cost.rs
+++ b/crates/pomelohitch-sched/examples/cost.rs
@@ -85,11 +85,11 @@
             index += 1;
         }
     }
-    fleet.carries_out = true;
+    fleet.applies_operations = true;
     fleet.cfg = Arc::new(config());
     fleet.cell.configure(fleet.cfg.clone());
-    fleet.list();
-    fleet.pass(6 * STEPS_PER_SECOND);
+    fleet.list_endpoints();
+    fleet.advance(6 * STEPS_PER_SECOND);
     fleet
 }
 
@@ -134,7 +134,7 @@
             fleet.call(&format!("/{name}/{next_id:016x}"), verb);
         }
     }
-    fleet.pass(2 * STEPS_PER_SECOND);
+    fleet.advance(2 * STEPS_PER_SECOND);
     let due = fleet.instances.keys().step_by(2).cloned();
     let wave = Wave {
         number: 1,
@@ -147,19 +147,19 @@
     for second in 0..SECONDS {
         let starts = fleet.starts.len();
         let moves = fleet.operations.len();
-        let (spent, polls) = (fleet.spent, fleet.looks_sent);
+        let (spent, polls) = (fleet.decision_time, fleet.polls_sent);
         for step in 0..STEPS_PER_SECOND {
             submit_jobs(&mut fleet, second, step, &mut next_id);
-            fleet.pass(1);
+            fleet.advance(1);
         }
         println!(
             "{second:6}  {:6}  {:9}  {:5}  {:5}  {:14.1}",
             fleet.starts.len() - starts,
             fleet.cell.job_count(),
             fleet.operations.len() - moves,
-            fleet.looks_sent - polls,
-            fleet.spent.saturating_sub(spent).as_secs_f64() * 1000.0,
+            fleet.polls_sent - polls,
+            fleet.decision_time.saturating_sub(spent).as_secs_f64() * 1000.0,
         );
     }
-    assert!(fleet.broken.is_empty(), "{:#?}", fleet.broken);
+    assert!(fleet.violations.is_empty(), "{:#?}", fleet.violations);
 }
--- a/crates/pomelohitch-sched/tests/cell.rs
+++ b/crates/pomelohitch-sched/tests/cell.rs
@@ -4,10 +4,10 @@
 
 #[path = "cell/calls.rs"]
 mod calls;
+#[path = "cell/capacity.rs"]
+mod capacity;
 #[path = "cell/crashes.rs"]
 mod crashes;
-#[path = "cell/ends.rs"]
-mod ends;
 #[path = "cell/evacuation.rs"]
 mod evacuation;
 #[path = "cell/leaders.rs"]
@@ -18,7 +18,7 @@
 mod pools;
 #[path = "cell/random.rs"]
 mod random;
-#[path = "cell/room.rs"]
-mod room;
+#[path = "cell/runs.rs"]
+mod runs;
 #[path = "cell/waves.rs"]
 mod waves;
--- a/crates/pomelohitch-sched/tests/cell/calls.rs
+++ b/crates/pomelohitch-sched/tests/cell/calls.rs
@@ -12,18 +12,18 @@
 const ID: &str = "00000000000000a1";
 
 #[test]
-fn a_job_of_two_steps_runs_in_order_and_is_told_as_completed() {
+fn a_job_of_two_steps_runs_in_order_and_completes() {
     let mut fleet = Fleet::new(3);
     let second = StepSpec {
         after: vec![0],
         ..step(3, 1000, 300)
     };
     let call = fleet.submit(ID, job(vec![step(5, 500, 200), second]));
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.replies[&call], Answer::Accepted);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     assert_eq!(fleet.starts.len(), 8);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 #[test]
@@ -31,7 +31,7 @@
     let mut fleet = Fleet::new(2);
     let first = fleet.submit(ID, job(vec![step(2, 500, 100)]));
     let second = fleet.submit(ID, job(vec![step(2, 500, 100)]));
-    fleet.pass(60);
+    fleet.advance(60);
     assert_eq!(fleet.replies[&first], Answer::Accepted);
     assert_eq!(fleet.replies[&second], Answer::Accepted);
     assert_eq!(fleet.starts.len(), 2);
@@ -44,25 +44,25 @@
     let mut fleet = Fleet::new(2);
     fleet.is_log_up = false;
     let call = fleet.submit(ID, job(vec![step(1, 500, 100)]));
-    fleet.pass(50);
+    fleet.advance(50);
     assert!(!fleet.replies.contains_key(&call));
     assert!(fleet.starts.is_empty());
     fleet.is_log_up = true;
-    fleet.pass(5);
+    fleet.advance(5);
     assert_eq!(fleet.replies[&call], Answer::Accepted);
 }
 
 #[test]
-fn while_the_log_is_known_to_be_down_callers_are_told_to_come_back() {
+fn jobs_are_refused_while_the_log_is_known_to_be_down() {
     let mut fleet = Fleet::new(2);
     fleet.cell.set_log_down(true);
     let submitted = fleet.submit(ID, job(vec![step(1, 500, 100)]));
-    fleet.pass(2);
+    fleet.advance(2);
     assert!(matches!(fleet.replies[&submitted], Answer::Refused { .. }));
 }
 
 #[test]
-fn calls_that_no_job_or_queue_answers_are_told_so() {
+fn calls_to_unknown_jobs_queues_and_keys_are_answered() {
     let mut fleet = Fleet::new(1);
     let cases = [
         ("/q/00000000000000ff", Some("key"), Verb::Read),
@@ -82,7 +82,7 @@
         .into_iter()
         .map(|(path, key, verb)| fleet.call_with(path, key, verb))
         .collect();
-    fleet.pass(2);
+    fleet.advance(2);
     let answers: Vec<_> = calls.iter().map(|c| fleet.replies[c].clone()).collect();
     insta::assert_debug_snapshot!(answers);
 }
@@ -90,20 +90,20 @@
 /// Malformed jobs: no steps, a step that depends on itself or a later one, a step without tasks,
 /// more tasks than memory allows.
 #[test]
-fn what_is_not_a_job_is_refused() {
+fn malformed_jobs_are_refused() {
     let mut fleet = Fleet::new(1);
-    let circle = StepSpec {
+    let cyclic = StepSpec {
         after: vec![0],
         ..step(1, 1, 1)
     };
     let drafts = [
         job(vec![]),
-        job(vec![circle]),
+        job(vec![cyclic]),
         job(vec![step(0, 1, 1)]),
         job(vec![step(u32::MAX, 1, 1)]),
     ];
     let calls: Vec<_> = drafts.into_iter().map(|d| fleet.submit(ID, d)).collect();
-    fleet.pass(10);
+    fleet.advance(10);
     for call in calls {
         assert!(matches!(fleet.replies[&call], Answer::Malformed(_)));
     }
@@ -114,12 +114,12 @@
 fn a_cancelled_job_stops_and_starts_nothing_more() {
     let mut fleet = Fleet::new(1);
     fleet.submit(ID, job(vec![step(20, 1000, 10_000)]));
-    fleet.pass(20);
+    fleet.advance(20);
     assert_eq!(fleet.endpoint("e0").running().len(), 4);
     let call = fleet.call(&format!("/q/{ID}"), Verb::Cancel);
-    fleet.pass(5);
+    fleet.advance(5);
     assert_eq!(fleet.replies[&call], Answer::Cancelled);
-    fleet.pass(50);
+    fleet.advance(50);
     assert!(fleet.endpoint("e0").running().is_empty());
     assert_eq!(fleet.starts.len(), 4);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Cancelled));
@@ -131,9 +131,9 @@
     for id in 1..=3 {
         fleet.submit(&format!("{id:016x}"), job(vec![step(1, 4000, 5_000)]));
     }
-    fleet.pass(20);
+    fleet.advance(20);
     let call = fleet.call("/q/", Verb::Read);
-    fleet.pass(1);
+    fleet.advance(1);
     assert_eq!(fleet.replies[&call], Answer::Waiting(2));
 }
 
@@ -141,16 +141,16 @@
 #[test]
 fn an_accepted_job_is_confirmed_once_its_record_is_durable() {
     let mut fleet = Fleet::new(1);
-    fleet.pass(40);
+    fleet.advance(40);
     fleet.log_delay = Duration::from_millis(300);
     let submitted = fleet.submit("00000000000000a1", job(vec![step(1, 500, 5_000)]));
-    fleet.pass(3);
+    fleet.advance(3);
     let confirmed = fleet.call("/q/00000000000000a1", Verb::Confirm);
     let unknown = fleet.call("/q/00000000000000a2", Verb::Confirm);
-    fleet.pass(3);
+    fleet.advance(3);
     assert_eq!(fleet.replies.get(&unknown), Some(&Answer::Gone));
     assert_eq!(fleet.replies.get(&confirmed), None);
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.replies.get(&submitted), Some(&Answer::Accepted));
     assert_eq!(fleet.replies.get(&confirmed), Some(&Answer::Accepted));
     assert!(fleet.cell.job(0xa2).is_none());
--- a/crates/pomelohitch-sched/tests/cell/crashes.rs
+++ b/crates/pomelohitch-sched/tests/cell/crashes.rs
@@ -9,9 +9,9 @@
 
 use super::fleet::{Fleet, job, step};
 
-const GUILTY: u64 = 0xa1;
+const CRASHING_JOB: u64 = 0xa1;
 
-fn id(job: u64) -> String {
+fn id_text(job: u64) -> String {
     format!("{job:016x}")
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-fn lost(fleet: &Fleet, job: u64) -> u32 {
+fn count_lost_runs(fleet: &Fleet, job: u64) -> u32 {
     let job = fleet.cell.job(job).expect("it is held");
     let task = job.progress.task(first_task(job.spec.id));
     task.expect("its occurrence is open").suspicion.lost
@@ -34,12 +34,12 @@
 #[test]
 fn a_task_that_crashes_its_endpoints_is_given_up() {
     let mut fleet = Fleet::new(6);
-    fleet.crashes.by_first_task_of(GUILTY);
-    fleet.pass(20);
-    fleet.submit(&id(GUILTY), job(vec![step(3, 500, 600)]));
-    fleet.pass(3_000);
-    fleet.assert_sound();
-    assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
+    fleet.crashes.add_first_task_of(CRASHING_JOB);
+    fleet.advance(20);
+    fleet.submit(&id_text(CRASHING_JOB), job(vec![step(3, 500, 600)]));
+    fleet.advance(3_000);
+    fleet.assert_invariants();
+    assert_eq!(fleet.state(&id_text(CRASHING_JOB)), Answer::GivenUp);
 }
 
 /// Guards against a count of crashes that a new leader doesn't know.
@@ -47,30 +47,34 @@
 fn crashes_are_counted_across_changes_of_leader() {
     for every in [7, 23, 61, 110, 190] {
         let mut fleet = Fleet::new(8);
-        fleet.crashes.by_first_task_of(GUILTY);
-        fleet.pass(20);
-        fleet.submit(&id(GUILTY), job(vec![step(3, 500, 600)]));
+        fleet.crashes.add_first_task_of(CRASHING_JOB);
+        fleet.advance(20);
+        fleet.submit(&id_text(CRASHING_JOB), job(vec![step(3, 500, 600)]));
         for _ in 0..6_000 / every {
-            fleet.pass(every);
+            fleet.advance(every);
             fleet.change_leader();
         }
-        fleet.pass(3_000);
-        fleet.assert_sound();
-        assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp, "{every}");
+        fleet.advance(3_000);
+        fleet.assert_invariants();
+        assert_eq!(
+            fleet.state(&id_text(CRASHING_JOB)),
+            Answer::GivenUp,
+            "{every}"
+        );
     }
 }
 
 /// Guards against crashes that go unnoticed while the list of instances is unavailable.
 #[test]
-fn a_task_whose_endpoints_fall_silent_is_given_up() {
+fn a_task_whose_endpoints_become_silent_is_given_up() {
     let mut fleet = Fleet::new(8);
-    fleet.crashes.by_first_task_of(GUILTY);
+    fleet.crashes.add_first_task_of(CRASHING_JOB);
     fleet.hides_instances = true;
-    fleet.pass(20);
-    fleet.submit(&id(GUILTY), job(vec![step(2, 500, 600)]));
-    fleet.pass(8_000);
-    fleet.assert_sound();
-    assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
+    fleet.advance(20);
+    fleet.submit(&id_text(CRASHING_JOB), job(vec![step(2, 500, 600)]));
+    fleet.advance(8_000);
+    fleet.assert_invariants();
+    assert_eq!(fleet.state(&id_text(CRASHING_JOB)), Answer::GivenUp);
 }
 
 /// Guards against crashes that aren't counted because the endpoint restarts under the same id, with
@@ -79,19 +83,19 @@
 fn a_task_whose_endpoints_restart_under_their_ids_is_given_up() {
     for loses_answers in [false, true] {
         let mut fleet = Fleet::new(6);
-        fleet.crashes.by_first_task_of(GUILTY);
-        fleet.crashes.keeps_ids = true;
-        fleet.pass(20);
-        fleet.submit(&id(GUILTY), job(vec![step(2, 500, 600)]));
+        fleet.crashes.add_first_task_of(CRASHING_JOB);
+        fleet.crashes.restarts_in_place = true;
+        fleet.advance(20);
+        fleet.submit(&id_text(CRASHING_JOB), job(vec![step(2, 500, 600)]));
         for _ in 0..400 {
             for endpoint in fleet.endpoints.values_mut() {
                 endpoint.loses_answers = loses_answers;
             }
-            fleet.pass(10);
-            fleet.list();
+            fleet.advance(10);
+            fleet.list_endpoints();
         }
-        fleet.assert_sound();
-        let state = fleet.state(&id(GUILTY));
+        fleet.assert_invariants();
+        let state = fleet.state(&id_text(CRASHING_JOB));
         assert_eq!(state, Answer::GivenUp, "{loses_answers}");
     }
 }
@@ -100,17 +104,17 @@
 #[test]
 fn a_lasting_task_that_crashes_its_endpoints_is_given_up() {
     let mut fleet = Fleet::new(6);
-    fleet.crashes.by_first_task_of(GUILTY);
-    fleet.pass(20);
+    fleet.crashes.add_first_task_of(CRASHING_JOB);
+    fleet.advance(20);
     let lasting = StepSpec {
         is_lasting: true,
         may_miss: 1,
         ..step(2, 500, 300)
     };
-    fleet.submit(&id(GUILTY), job(vec![lasting]));
-    fleet.pass(4_000);
-    fleet.assert_sound();
-    assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
+    fleet.submit(&id_text(CRASHING_JOB), job(vec![lasting]));
+    fleet.advance(4_000);
+    fleet.assert_invariants();
+    assert_eq!(fleet.state(&id_text(CRASHING_JOB)), Answer::GivenUp);
 }
 
 /// Guards against missing crashes that happen some time after the start of their task.
@@ -118,70 +122,74 @@
 fn a_task_that_crashes_its_endpoints_later_is_given_up() {
     for after_ms in [150, 500, 1_200] {
         let mut fleet = Fleet::new(6);
-        fleet.crashes.by_first_task_of(GUILTY);
-        fleet.crashes.after = Duration::from_millis(after_ms);
-        fleet.pass(20);
-        fleet.submit(&id(GUILTY), job(vec![step(3, 500, 3_000)]));
-        fleet.pass(4_000);
-        fleet.assert_sound();
-        assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp, "{after_ms}");
+        fleet.crashes.add_first_task_of(CRASHING_JOB);
+        fleet.crashes.delay = Duration::from_millis(after_ms);
+        fleet.advance(20);
+        fleet.submit(&id_text(CRASHING_JOB), job(vec![step(3, 500, 3_000)]));
+        fleet.advance(4_000);
+        fleet.assert_invariants();
+        assert_eq!(
+            fleet.state(&id_text(CRASHING_JOB)),
+            Answer::GivenUp,
+            "{after_ms}"
+        );
     }
 }
 
 /// Guards against a healthy job that fails because it shared endpoints with one that crashes them.
 #[test]
-fn jobs_beside_a_task_that_crashes_endpoints_complete() {
+fn jobs_sharing_endpoints_with_a_crashing_task_complete() {
     let mut fleet = Fleet::new(6);
-    fleet.crashes.by_first_task_of(GUILTY);
-    fleet.crashes.by_first_task_of(GUILTY + 7);
-    fleet.pass(20);
-    let jobs = GUILTY..GUILTY + 12;
+    fleet.crashes.add_first_task_of(CRASHING_JOB);
+    fleet.crashes.add_first_task_of(CRASHING_JOB + 7);
+    fleet.advance(20);
+    let jobs = CRASHING_JOB..CRASHING_JOB + 12;
     for job_id in jobs.clone() {
-        fleet.submit(&id(job_id), job(vec![step(2, 500, 600)]));
+        fleet.submit(&id_text(job_id), job(vec![step(2, 500, 600)]));
     }
-    fleet.pass(4_000);
-    fleet.assert_sound();
+    fleet.advance(4_000);
+    fleet.assert_invariants();
     let failed: Vec<u64> = jobs
-        .filter(|&job| fleet.state(&id(job)) != Answer::State(JobState::Completed))
+        .filter(|&job| fleet.state(&id_text(job)) != Answer::State(JobState::Completed))
         .collect();
-    assert_eq!(failed, [GUILTY, GUILTY + 7]);
+    assert_eq!(failed, [CRASHING_JOB, CRASHING_JOB + 7]);
 }
 
 /// Guards against counting a crash for an endpoint that was only unreachable.
 #[test]
-fn a_cut_endpoint_is_not_held_against_its_tasks() {
+fn an_unreachable_endpoint_is_not_counted_as_a_crash() {
     let mut fleet = Fleet::new(2);
-    fleet.submit(&id(GUILTY), job(vec![step(1, 500, 30_000)]));
-    fleet.pass(60);
+    fleet.submit(&id_text(CRASHING_JOB), job(vec![step(1, 500, 30_000)]));
+    fleet.advance(60);
     let (_, _, at) = fleet.starts[0].clone();
     fleet.endpoint(&at).is_silent = true;
-    fleet.pass(900);
-    assert_eq!(lost(&fleet, GUILTY), 1);
+    fleet.advance(900);
+    assert_eq!(count_lost_runs(&fleet, CRASHING_JOB), 1);
     fleet.endpoint(&at).is_silent = false;
-    fleet.pass(100);
-    assert_eq!(lost(&fleet, GUILTY), 0);
-    fleet.assert_sound();
+    fleet.advance(100);
+    assert_eq!(count_lost_runs(&fleet, CRASHING_JOB), 0);
+    fleet.assert_invariants();
 }
 
 /// Guards against counting a crash for an endpoint that drained before it ended.
 #[test]
-fn an_endpoint_that_leaves_is_not_held_against_its_tasks() {
+fn an_endpoint_that_drained_is_not_counted_as_a_crash() {
     let mut fleet = Fleet::new(2);
-    fleet.submit(&id(GUILTY), job(vec![step(1, 500, 30_000)]));
-    fleet.pass(60);
+    fleet.submit(&id_text(CRASHING_JOB), job(vec![step(1, 500, 30_000)]));
+    fleet.advance(60);
     let (_, _, at) = fleet.starts[0].clone();
     fleet.endpoint(&at).report.is_draining = true;
-    fleet.list();
-    fleet.pass(10);
+    fleet.list_endpoints();
+    fleet.advance(10);
     fleet.crash_for(&at, Duration::from_secs(2));
-    fleet.pass(200);
+    fleet.advance(200);
     assert_eq!(fleet.starts.len(), 2);
-    assert_eq!(lost(&fleet, GUILTY), 0);
+    assert_eq!(count_lost_runs(&fleet, CRASHING_JOB), 0);
 }
 
 /// Guards against giving up a lasting task for crashes that are far apart in time.
 #[test]
-fn crashes_long_before_are_forgotten_of_a_task_at_work() {
+fn old_crashes_of_a_running_task_are_cleared() {
     let settings = Settings::default();
     let cleared_after = settings.policy.crashes.cleared_after;
     let mut fleet = Fleet::with(4, settings);
@@ -189,23 +197,26 @@
         is_lasting: true,
         ..step(1, 500, 300)
     };
-    fleet.submit(&id(GUILTY), job(vec![lasting]));
+    fleet.submit(&id_text(CRASHING_JOB), job(vec![lasting]));
     for crash in 0..6 {
-        fleet.pass(300);
-        assert_eq!(lost(&fleet, GUILTY), u32::from(crash > 0));
+        fleet.advance(300);
+        assert_eq!(count_lost_runs(&fleet, CRASHING_JOB), u32::from(crash > 0));
         let steps = cleared_after.as_millis() / 10;
-        fleet.pass(u32::try_from(steps).expect("it is short"));
-        assert_eq!(lost(&fleet, GUILTY), 0);
+        fleet.advance(u32::try_from(steps).expect("it is short"));
+        assert_eq!(count_lost_runs(&fleet, CRASHING_JOB), 0);
         let (_, _, at) = fleet.starts.last().expect("it runs").clone();
         fleet.crash_for(&at, Duration::from_secs(2));
     }
-    fleet.assert_sound();
-    assert_eq!(fleet.state(&id(GUILTY)), Answer::State(JobState::Running));
+    fleet.assert_invariants();
+    assert_eq!(
+        fleet.state(&id_text(CRASHING_JOB)),
+        Answer::State(JobState::Running)
+    );
 }
 
 /// Guards against kinds of steps whose crashes aren't counted or that aren't isolated.
 #[test]
-fn whatever_a_step_asks_for_its_crashes_are_counted() {
+fn crashes_are_counted_for_every_kind_of_step() {
     let plain = || step(3, 500, 600);
     let shapes = [
         (
@@ -247,18 +258,26 @@
     ];
     for (name, shape) in shapes {
         let mut fleet = Fleet::new(8);
-        fleet.crashes.by_first_task_of(GUILTY);
-        fleet.pass(20);
-        for sound in 1..=3 {
+        fleet.crashes.add_first_task_of(CRASHING_JOB);
+        fleet.advance(20);
+        for healthy in 1..=3 {
             let draft = job(vec![shape.clone(), plain()]);
-            fleet.submit(&id(GUILTY + sound), draft);
+            fleet.submit(&id_text(CRASHING_JOB + healthy), draft);
         }
-        fleet.submit(&id(GUILTY), job(vec![shape]));
-        fleet.pass(3_000);
-        assert!(fleet.broken.is_empty(), "{name}: {:?}", fleet.broken);
-        assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp, "{name}");
-        for sound in 1..=3 {
-            let state = fleet.state(&id(GUILTY + sound));
+        fleet.submit(&id_text(CRASHING_JOB), job(vec![shape]));
+        fleet.advance(3_000);
+        assert!(
+            fleet.violations.is_empty(),
+            "{name}: {:?}",
+            fleet.violations
+        );
+        assert_eq!(
+            fleet.state(&id_text(CRASHING_JOB)),
+            Answer::GivenUp,
+            "{name}"
+        );
+        for healthy in 1..=3 {
+            let state = fleet.state(&id_text(CRASHING_JOB + healthy));
             assert_eq!(state, Answer::State(JobState::Completed), "{name}");
         }
     }
@@ -271,37 +290,37 @@
     fleet.crashes.tasks.insert(TaskId {
         step: 1,
         index: 1,
-        ..first_task(GUILTY)
+        ..first_task(CRASHING_JOB)
     });
-    fleet.pass(20);
+    fleet.advance(20);
     let second = StepSpec {
         after: vec![0],
         ..step(2, 500, 600)
     };
-    fleet.submit(&id(GUILTY), job(vec![step(3, 500, 100), second]));
-    fleet.pass(3_000);
-    fleet.assert_sound();
-    assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
+    fleet.submit(&id_text(CRASHING_JOB), job(vec![step(3, 500, 100), second]));
+    fleet.advance(3_000);
+    fleet.assert_invariants();
+    assert_eq!(fleet.state(&id_text(CRASHING_JOB)), Answer::GivenUp);
 }
 
 /// Guards against suspected jobs that wait forever for an isolated endpoint in a pool of one.
 #[test]
 fn suspected_jobs_run_in_a_pool_of_one_endpoint() {
     let mut fleet = Fleet::new(1);
-    fleet.crashes.by_first_task_of(GUILTY);
-    fleet.pass(20);
+    fleet.crashes.add_first_task_of(CRASHING_JOB);
+    fleet.advance(20);
     let lasting = StepSpec {
         is_lasting: true,
         ..step(1, 500, 300)
     };
-    fleet.submit(&id(GUILTY + 1), job(vec![lasting]));
-    fleet.submit(&id(GUILTY), job(vec![step(2, 500, 600)]));
-    fleet.submit(&id(GUILTY + 2), job(vec![step(2, 500, 600)]));
-    fleet.pass(6_000);
-    fleet.assert_sound();
-    assert_eq!(fleet.state(&id(GUILTY)), Answer::GivenUp);
+    fleet.submit(&id_text(CRASHING_JOB + 1), job(vec![lasting]));
+    fleet.submit(&id_text(CRASHING_JOB), job(vec![step(2, 500, 600)]));
+    fleet.submit(&id_text(CRASHING_JOB + 2), job(vec![step(2, 500, 600)]));
+    fleet.advance(6_000);
+    fleet.assert_invariants();
+    assert_eq!(fleet.state(&id_text(CRASHING_JOB)), Answer::GivenUp);
     let running = Answer::State(JobState::Running);
-    assert_eq!(fleet.state(&id(GUILTY + 1)), running);
+    assert_eq!(fleet.state(&id_text(CRASHING_JOB + 1)), running);
     let completed = Answer::State(JobState::Completed);
-    assert_eq!(fleet.state(&id(GUILTY + 2)), completed);
+    assert_eq!(fleet.state(&id_text(CRASHING_JOB + 2)), completed);
 }
--- a/crates/pomelohitch-sched/tests/cell/evacuation.rs
+++ b/crates/pomelohitch-sched/tests/cell/evacuation.rs
@@ -15,30 +15,30 @@
 /// A fleet with endpoints of `pricing`, assigned round-robin to three zones.
 fn fleet(endpoints: u16) -> Fleet {
     let mut fleet = Fleet::new(endpoints);
-    deal_out_zones(&mut fleet, endpoints);
-    fleet.pass(40);
+    assign_zones(&mut fleet, endpoints);
+    fleet.advance(40);
     fleet
 }
 
-fn deal_out_zones(fleet: &mut Fleet, endpoints: u16) {
+fn assign_zones(fleet: &mut Fleet, endpoints: u16) {
     for index in 0..endpoints {
         let zone = ["a", "b", "c"][usize::from(index % 3)];
         fleet.put_in_zone(&format!("e{index}"), zone);
     }
-    fleet.list();
+    fleet.list_endpoints();
 }
 
 /// Guards against starts by outdated evacuations while operator records can't be read.
 #[test]
-fn nothing_starts_until_what_operators_wrote_is_known_again() {
+fn nothing_starts_until_operator_records_are_read_again() {
     let mut fleet = fleet(3);
     fleet.reads_entries = false;
-    fleet.pass(400);
+    fleet.advance(400);
     fleet.submit("00000000000000a1", job(vec![step(2, 500, 50)]));
-    fleet.pass(50);
+    fleet.advance(50);
     assert!(fleet.starts.is_empty());
     fleet.reads_entries = true;
-    fleet.pass(50);
+    fleet.advance(50);
     let state = fleet.state("00000000000000a1");
     assert_eq!(state, Answer::State(JobState::Completed));
 }
@@ -64,9 +64,9 @@
         instance.endpoint = None;
     }
     fleet.endpoints.retain(|id, _| !id.starts_with('s'));
-    deal_out_zones(&mut fleet, endpoints);
-    fleet.carries_out = true;
-    fleet.pass(450);
+    assign_zones(&mut fleet, endpoints);
+    fleet.applies_operations = true;
+    fleet.advance(450);
     fleet
 }
 
@@ -110,14 +110,14 @@
     fleet.evacuate("b");
     let from = fleet.starts.len();
     submit(&mut fleet, 1..=6, &step(2, 900, 300));
-    fleet.pass(200);
+    fleet.advance(200);
     assert_eq!(starts_in(&fleet, from, "b"), 0);
     assert_eq!(fleet.starts.len() - from, 12);
     fleet.withdraw_evacuation("b");
     submit(&mut fleet, 7..=14, &step(3, 1000, 300));
-    fleet.pass(20);
+    fleet.advance(20);
     assert!(starts_in(&fleet, from, "b") > 0);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against starts that are decided before an evacuation and sent after it.
@@ -129,13 +129,13 @@
         submit(&mut fleet, 1..=3, &step(3, 1000, 200));
         fleet.is_log_up = true;
         fleet.log_delay = Duration::from_millis(500);
-        fleet.pass(wait);
+        fleet.advance(wait);
         let from = fleet.starts.len();
         fleet.evacuate("a");
-        fleet.pass(400);
+        fleet.advance(400);
         assert_eq!(starts_in(&fleet, from, "a"), 0, "{wait}");
         assert!(fleet.starts.len() >= 9, "{wait}");
-        fleet.assert_sound();
+        fleet.assert_invariants();
     }
 }
 
@@ -148,18 +148,18 @@
         fleet.change_leader();
         let from = fleet.starts.len();
         submit(&mut fleet, 1..=6, &step(2, 900, 300));
-        fleet.pass(300);
+        fleet.advance(300);
         assert_eq!(starts_in(&fleet, from, "c"), 0);
     }
     fleet.evacuated.clear();
     fleet.change_leader();
     assert!(fleet.cell.evacuations().is_empty());
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against an evacuation that never ends because the removal of its record was not read.
 #[test]
-fn evacuations_that_are_no_longer_asked_for_end() {
+fn evacuations_without_a_record_end() {
     let mut fleet = fleet(3);
     fleet.evacuate("a");
     fleet.evacuate("b");
@@ -174,16 +174,16 @@
 fn lasting_tasks_leave_an_evacuated_zone_few_at_a_time() {
     let mut fleet = fleet(9);
     fleet.submit("00000000000000a1", job(vec![lasting(12, 2)]));
-    fleet.pass(200);
+    fleet.advance(200);
     assert!(running_in(&fleet, "a") > 0);
     fleet.evacuate("a");
     for _ in 0..800 {
-        fleet.pass(1);
+        fleet.advance(1);
         let running: usize = fleet.endpoints.values().map(|e| e.running().len()).sum();
         assert!(running >= 10, "{running} of 12 are running");
     }
     assert_eq!(running_in(&fleet, "a"), 0);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against accepting jobs while no zone may run them.
@@ -194,14 +194,14 @@
         fleet.evacuate(zone);
     }
     let call = fleet.submit("00000000000000a1", job(vec![step(1, 500, 100)]));
-    fleet.pass(1);
+    fleet.advance(1);
     insta::assert_debug_snapshot!(fleet.replies[&call]);
     fleet.withdraw_evacuation("b");
     fleet.submit("00000000000000a1", job(vec![step(1, 500, 100)]));
-    fleet.pass(60);
+    fleet.advance(60);
     let done = Answer::State(JobState::Completed);
     assert_eq!(fleet.state("00000000000000a1"), done);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against side effects of evacuating a zone that has no endpoints.
@@ -210,27 +210,27 @@
     let mut fleet = fleet(3);
     fleet.evacuate("z");
     submit(&mut fleet, 1..=3, &step(2, 900, 200));
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.starts.len(), 6);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against losing an evacuation after several requests and withdrawals within a second.
 #[test]
-fn an_evacuation_that_is_withdrawn_and_asked_for_again_is_in_force() {
+fn an_evacuation_that_is_withdrawn_and_requested_again_is_in_force() {
     let mut fleet = fleet(6);
     for _ in 0..4 {
         fleet.evacuate("a");
-        fleet.pass(15);
+        fleet.advance(15);
         fleet.withdraw_evacuation("a");
-        fleet.pass(15);
+        fleet.advance(15);
     }
     fleet.evacuate("a");
     let from = fleet.starts.len();
     submit(&mut fleet, 1..=6, &step(2, 900, 300));
-    fleet.pass(200);
+    fleet.advance(200);
     assert_eq!(starts_in(&fleet, from, "a"), 0);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against pools that lack endpoints because they count instances of an evacuated zone.
@@ -239,7 +239,7 @@
     let mut fleet = with_spares(9, 9);
     fleet.evacuate("a");
     submit(&mut fleet, 1..=10, &step(4, 1000, 4_000));
-    fleet.pass(300);
+    fleet.advance(300);
     let to_pricing = fleet.operations.iter().filter(
         |(_, operation)| matches!(operation, Operation::Move { pool } if &**pool == "pricing"),
     );
@@ -249,7 +249,7 @@
     assert_eq!(zones.len(), 6, "{zones:?}");
     assert!(zones.iter().all(|zone| &**zone != "a"), "{zones:?}");
     assert_eq!(fleet.starts.len(), 40);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against paying for idle instances of a zone where nothing may start.
@@ -258,21 +258,21 @@
     let mut fleet = with_spares(9, 3);
     submit(&mut fleet, 1..=3, &step(3, 1000, 500));
     fleet.evacuate("a");
-    fleet.pass(500);
+    fleet.advance(500);
     let of_zone = fleet.instances.values().filter(|i| &*i.zone == "a");
     assert!(of_zone.clone().count() >= 3);
     let pools: BTreeSet<_> = of_zone.map(|i| &*i.pool).collect();
     assert_eq!(pools, ["spare"].into());
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against a wave that starts with other zones while one is already being emptied.
 #[test]
 fn a_wave_begins_with_the_evacuated_zone() {
     let mut fleet = fleet(9);
-    fleet.carries_out = true;
+    fleet.applies_operations = true;
     submit(&mut fleet, 1..=9, &step(2, 1500, 1_500));
-    fleet.pass(10);
+    fleet.advance(10);
     fleet.evacuate("c");
     fleet.cell.wave(Wave {
         number: 1,
@@ -280,11 +280,11 @@
         within: Duration::from_secs(30),
         max_down: 3,
     });
-    fleet.pass(400);
+    fleet.advance(400);
     let first: Vec<_> = fleet.operations.iter().take(3).collect();
     let zones = first.iter().map(|(id, _)| &*fleet.instances[id].zone);
     assert_eq!(zones.collect::<Vec<_>>(), ["c", "c", "c"]);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Applies one fault and advances the time. `what` selects the fault; `which` selects the endpoint
@@ -302,7 +302,7 @@
         6 => fleet.endpoint(&id).is_silent = which < 100,
         _ => {}
     }
-    fleet.pass(u32::from(which % 64) + 1);
+    fleet.advance(u32::from(which % 64) + 1);
 }
 
 #[test]
@@ -319,6 +319,10 @@
         for &(what, which) in faults.iter().take(40) {
             disturb(&mut fleet, what, which);
         }
-        assert!(fleet.broken.is_empty(), "{faults:?}: {:?}", fleet.broken);
+        assert!(
+            fleet.violations.is_empty(),
+            "{faults:?}: {:?}",
+            fleet.violations
+        );
     });
 }
--- a/crates/pomelohitch-sched/tests/cell/leaders.rs
+++ b/crates/pomelohitch-sched/tests/cell/leaders.rs
@@ -15,32 +15,32 @@
 const ID: &str = "00000000000000a1";
 
 #[test]
-fn a_new_leader_goes_on_with_what_runs() {
+fn a_new_leader_keeps_tasks_running() {
     let mut fleet = Fleet::new(2);
     fleet.submit(ID, job(vec![step(4, 1000, 1_000)]));
-    fleet.pass(30);
+    fleet.advance(30);
     fleet.change_leader();
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     assert_eq!(fleet.starts.len(), 4);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// A leader ends between recording a start and sending it. The next one has to poll the endpoint
 /// to find that the run doesn't exist; otherwise the task would never start.
 #[test]
-fn a_recorded_start_that_was_never_ordered_is_made_good() {
+fn a_recorded_start_that_was_never_sent_is_repeated() {
     let mut fleet = Fleet::new(2);
     fleet.endpoint("e0").is_silent = true;
     fleet.endpoint("e1").is_silent = true;
     fleet.submit(ID, job(vec![step(2, 1000, 200)]));
-    fleet.pass(30);
+    fleet.advance(30);
     fleet.change_leader();
     fleet.endpoint("e0").is_silent = false;
     fleet.endpoint("e1").is_silent = false;
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// The leader changes while an endpoint that runs a task doesn't answer. The new leader doesn't
@@ -49,15 +49,15 @@
 fn a_new_leader_waits_for_leases_that_it_does_not_know() {
     let mut fleet = Fleet::new(2);
     fleet.submit(ID, job(vec![step(1, 500, 30_000)]));
-    fleet.pass(20);
+    fleet.advance(20);
     let (_, _, at) = fleet.starts[0].clone();
     fleet.endpoint(&at).is_silent = true;
     fleet.change_leader();
-    fleet.pass(900);
+    fleet.advance(900);
     assert_eq!(fleet.starts.len(), 1);
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.starts.len(), 2);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// All entry instances lose power after a job was accepted and before any of its tasks runs.
@@ -65,56 +65,56 @@
 fn an_accepted_job_outlives_every_leader() {
     let mut fleet = Fleet::new(2);
     let call = fleet.submit(ID, job(vec![step(3, 1000, 100)]));
-    fleet.pass(2);
+    fleet.advance(2);
     assert_eq!(fleet.replies.get(&call), Some(&Answer::Accepted));
     fleet.change_leader();
     fleet.change_leader();
-    fleet.pass(200);
+    fleet.advance(200);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// All members lose power during a burst of demand. Guards against a new leader that waits seconds
 /// before it switches on instances that have long been off, as if they had just been switched off.
 #[test]
-fn a_new_leader_switches_on_what_has_been_off_for_long() {
+fn a_new_leader_switches_on_instances_that_have_long_been_off() {
     let mut fleet = spare_fleet();
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.change_leader();
-    fleet.pass(1);
+    fleet.advance(1);
     fleet.cell.former_leader_ended();
-    ask_for_much(&mut fleet);
-    fleet.pass(120);
+    submit_burst(&mut fleet);
+    fleet.advance(120);
     assert!(!fleet.operations.is_empty());
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against an operation on an instance that the former leader has just operated on: the
 /// former leader's request may still be in flight.
 #[test]
-fn a_new_leader_leaves_alone_what_the_former_one_has_just_ordered() {
+fn a_new_leader_does_not_repeat_recent_operations_of_the_former_one() {
     let mut fleet = spare_fleet();
-    ask_for_much(&mut fleet);
+    submit_burst(&mut fleet);
     while fleet.operations.is_empty() {
-        fleet.pass(1);
+        fleet.advance(1);
     }
     let ordered: Vec<_> = fleet.operations.iter().map(|(id, _)| id.clone()).collect();
     fleet.change_leader();
     fleet.cell.former_leader_ended();
     let before = fleet.operations.len();
-    fleet.pass(300);
+    fleet.advance(300);
     let again = fleet.operations[before..].iter();
     assert_eq!(again.filter(|(id, _)| ordered.contains(id)).count(), 0);
 }
 
 /// Number of operations that a new leader decides for instances that the former one has just
 /// operated on. The new leader's wall clock is `ahead_ms` ahead.
-fn ordered_again(ahead_ms: i64, knows_fleet_time: bool, steps: u32) -> usize {
+fn count_repeated_operations(ahead_ms: i64, knows_fleet_time: bool, steps: u32) -> usize {
     let mut fleet = spare_fleet();
     fleet.loses_operations = true;
-    ask_for_much(&mut fleet);
+    submit_burst(&mut fleet);
     while fleet.operations.is_empty() {
-        fleet.pass(1);
+        fleet.advance(1);
     }
     let ordered: Vec<_> = fleet.operations.iter().map(|(id, _)| id.clone()).collect();
     fleet.knows_fleet_time = knows_fleet_time;
@@ -122,7 +122,7 @@
     fleet.change_leader();
     fleet.cell.former_leader_ended();
     let before = fleet.operations.len();
-    fleet.pass(steps);
+    fleet.advance(steps);
     let again = fleet.operations[before..].iter();
     again.filter(|(id, _)| ordered.contains(id)).count()
 }
@@ -130,16 +130,20 @@
 /// Guards against two leaders that operate on an instance within the operation gap because their
 /// wall clocks differ.
 #[test]
-fn holders_stay_apart_whatever_the_time_of_day() {
+fn the_operation_gap_holds_whatever_the_time_of_day() {
     for ahead_ms in [-10_000, -3_000, 0, 3_000, 10_000] {
-        assert_eq!(ordered_again(ahead_ms, true, 300), 0, "{ahead_ms}");
         assert_eq!(
-            ordered_again(ahead_ms, false, 300),
+            count_repeated_operations(ahead_ms, true, 300),
+            0,
+            "{ahead_ms}"
+        );
+        assert_eq!(
+            count_repeated_operations(ahead_ms, false, 300),
             0,
             "all killed, {ahead_ms}"
         );
     }
-    assert!(ordered_again(0, true, 800) > 0, "later it does");
+    assert!(count_repeated_operations(0, true, 800) > 0, "later it does");
 }
 
 /// Guards against dropping jobs, or treating new ones as late, when the wall clock jumps.
@@ -151,37 +155,37 @@
     };
     let mut fleet = Fleet::with(2, settings);
     fleet.submit(ID, job(vec![step(4, 500, 50)]));
-    fleet.pass(100);
+    fleet.advance(100);
     for jump_ms in [10_000, -20_000, 10_000] {
         let before = fleet.cell.fleet_ms();
         fleet.now.unix_ms = fleet.now.unix_ms.saturating_add_signed(jump_ms);
-        fleet.pass(20);
+        fleet.advance(20);
         assert_eq!(fleet.cell.fleet_ms() - before, 200);
         assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     }
     fleet.now.unix_ms += 9_000;
     let before = fleet.cell.fleet_ms();
     fleet.change_leader();
-    fleet.pass(10);
+    fleet.advance(10);
     assert_eq!(fleet.cell.fleet_ms() - before, 100);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
 }
 
 /// Guards against a fleet time that advances with each submitted job.
 #[test]
-fn the_fleets_time_passes_as_the_steady_clock_does() {
+fn fleet_time_advances_with_the_monotonic_clock() {
     let mut fleet = Fleet::new(2);
     let before = fleet.cell.fleet_ms();
     for id in 1..=20_u64 {
         fleet.submit(&format!("{id:016x}"), job(vec![step(1, 500, 50)]));
-        fleet.pass(10);
+        fleet.advance(10);
     }
     assert_eq!(fleet.cell.fleet_ms() - before, 2_000);
     fleet.knows_fleet_time = false;
     fleet.now.unix_ms -= 60_000;
     let before = fleet.cell.fleet_ms();
     fleet.change_leader();
-    fleet.pass(1);
+    fleet.advance(1);
     let passed = fleet.cell.fleet_ms().abs_diff(before);
     assert!(passed < 1_000, "no earlier than what is recorded: {passed}");
 }
@@ -190,7 +194,7 @@
 #[test]
 fn repetitions_are_due_by_the_time_of_day() {
     let mut fleet = Fleet::new(1);
-    fleet.pass(100);
+    fleet.advance(100);
     let repeat = Repeat {
         first_due_ms: fleet.now.unix_ms + 10_000,
         interval: Duration::from_secs(5),
@@ -201,10 +205,10 @@
         ..job(vec![step(1, 500, 50)])
     };
     fleet.submit(ID, draft);
-    fleet.pass(500);
+    fleet.advance(500);
     assert!(fleet.starts.is_empty());
     fleet.now.unix_ms += 5_000;
-    fleet.pass(20);
+    fleet.advance(20);
     assert_eq!(fleet.starts.len(), 1);
 }
 
@@ -229,13 +233,13 @@
     fleet.cfg = Arc::new(cfg);
     fleet.cell.configure(fleet.cfg.clone());
     fleet.cell.endpoint_unlisted(&"i0".into());
-    fleet.carries_out = true;
-    fleet.list();
-    fleet.pass(250);
+    fleet.applies_operations = true;
+    fleet.list_endpoints();
+    fleet.advance(250);
     fleet
 }
 
-fn ask_for_much(fleet: &mut Fleet) {
+fn submit_burst(fleet: &mut Fleet) {
     for id in 1..=8_u64 {
         fleet.submit(&format!("{id:016x}"), job(vec![step(6, 1000, 3_000)]));
     }
@@ -254,7 +258,7 @@
             ..job(vec![step(4, 500, 50)])
         },
     );
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     let of_job = fleet.log.iter().filter(|(key, _)| key.ends_with(ID));
     let sizes: Vec<_> = of_job
@@ -271,17 +275,17 @@
 fn a_successor_knows_jobs_that_have_ended() {
     let mut fleet = Fleet::new(2);
     fleet.submit(ID, job(vec![step(4, 500, 50)]));
-    fleet.pass(100);
+    fleet.advance(100);
     fleet.change_leader();
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     let again = fleet.submit(ID, job(vec![step(4, 500, 50)]));
     let other = fleet.call_with(&format!("/q/{ID}"), Some("other"), Verb::Read);
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.replies[&again], Answer::Accepted);
     assert_eq!(fleet.replies[&other], Answer::NoKey);
     assert_eq!(fleet.starts.len(), 4);
-    fleet.pass(20_000);
+    fleet.advance(20_000);
     assert_eq!(fleet.state(ID), Answer::Gone);
     assert!(!fleet.log.keys().any(|key| key.ends_with(ID)));
 }
--- a/crates/pomelohitch-sched/tests/cell/links.rs
+++ b/crates/pomelohitch-sched/tests/cell/links.rs
@@ -14,7 +14,7 @@
 
 /// Link bandwidth in bytes per second.
 const RATE: f64 = 100_000.0;
-const SECOND: u32 = 100;
+const STEPS_PER_SECOND: u32 = 100;
 
 /// A fleet of 20 endpoints each of `pricing` and `issuing` behind a link, with a lasting job.
 fn fleet(bytes_per_s: f64) -> Fleet {
@@ -27,15 +27,15 @@
         fleet.add_to("pricing", &format!("p{index}"), index);
         fleet.add_to("issuing", &format!("i{index}"), 20 + index);
     }
-    fleet.list();
+    fleet.list_endpoints();
     fleet.link = Some(Link::new(bytes_per_s));
-    fleet.pass(5 * SECOND);
-    fleet.submit("00000000000000aa", lasting());
-    fleet.pass(2 * SECOND);
+    fleet.advance(5 * STEPS_PER_SECOND);
+    fleet.submit("00000000000000aa", lasting_job());
+    fleet.advance(2 * STEPS_PER_SECOND);
     fleet
 }
 
-fn lasting() -> Draft {
+fn lasting_job() -> Draft {
     job(vec![StepSpec {
         is_lasting: true,
         per_endpoint: 1,
@@ -44,41 +44,44 @@
     }])
 }
 
-fn wide() -> Draft {
+fn wide_job() -> Draft {
     let text = "t".repeat(300).into();
     let steps = vec![step(16, 400, 600)];
     Draft { text, ..job(steps) }
 }
 
 /// Submits more jobs to both queues than the link has bandwidth to start; returns their paths.
-fn press(fleet: &mut Fleet, seconds: u32) -> Vec<String> {
+fn submit_overload(fleet: &mut Fleet, seconds: u32) -> Vec<String> {
     let mut paths = Vec::new();
     for round in 0..seconds * 4 {
         for (queue, ids) in [("q", 0x1000), ("i", 0x2000)] {
-            for place in 0..2 {
-                let path = format!("/{queue}/{:016x}", ids + round * 2 + place);
-                fleet.call(&path, Verb::Submit(Ok(wide())));
+            for index in 0..2 {
+                let path = format!("/{queue}/{:016x}", ids + round * 2 + index);
+                fleet.call(&path, Verb::Submit(Ok(wide_job())));
                 paths.push(path);
             }
         }
-        fleet.pass(SECOND / 4);
+        fleet.advance(STEPS_PER_SECOND / 4);
     }
     paths
 }
 
-fn lapsed(fleet: &Fleet) -> usize {
-    fleet.ends().filter(|how| *how == EndReason::Lapsed).count()
+fn lapsed_runs(fleet: &Fleet) -> usize {
+    fleet
+        .end_reasons()
+        .filter(|reason| *reason == EndReason::Lapsed)
+        .count()
 }
 
 /// Number of accepted jobs without the lasting one.
-fn accepted(fleet: &Fleet) -> usize {
+fn accepted_jobs(fleet: &Fleet) -> usize {
     let answers = fleet.replies.values();
     answers.filter(|a| **a == Answer::Accepted).count() - 1
 }
 
-fn completed(fleet: &mut Fleet, paths: &[String]) -> usize {
+fn completed_jobs(fleet: &mut Fleet, paths: &[String]) -> usize {
     let calls: Vec<_> = paths.iter().map(|p| fleet.call(p, Verb::Read)).collect();
-    fleet.pass(1);
+    fleet.advance(1);
     let state = |call| fleet.replies[call] == Answer::State(JobState::Completed);
     calls.iter().filter(|c| state(c)).count()
 }
@@ -87,37 +90,37 @@
 #[test]
 fn leases_hold_while_starts_fill_the_link() {
     let mut fleet = fleet(RATE);
-    let paths = press(&mut fleet, 20);
-    assert_eq!(lapsed(&fleet), 0);
-    let accepted = accepted(&fleet);
-    fleet.pass(60 * SECOND);
-    assert_eq!(completed(&mut fleet, &paths), accepted);
-    assert_eq!(lapsed(&fleet), 0);
-    fleet.assert_sound();
+    let paths = submit_overload(&mut fleet, 20);
+    assert_eq!(lapsed_runs(&fleet), 0);
+    let accepted = accepted_jobs(&fleet);
+    fleet.advance(60 * STEPS_PER_SECOND);
+    assert_eq!(completed_jobs(&mut fleet, &paths), accepted);
+    assert_eq!(lapsed_runs(&fleet), 0);
+    fleet.assert_invariants();
 }
 
 /// Guards against leases that lapse on all endpoints because renewal ends with the first lost poll.
 #[test]
-fn leases_outlive_a_link_that_is_nearly_cut_for_seconds() {
+fn leases_survive_seconds_of_very_low_bandwidth() {
     let mut fleet = fleet(RATE);
-    let paths = press(&mut fleet, 4);
+    let paths = submit_overload(&mut fleet, 4);
     let set_rate = |fleet: &mut Fleet, rate| {
         fleet.link.as_mut().expect("there is one").set_rate(rate);
     };
     set_rate(&mut fleet, RATE / 10.0);
-    fleet.pass(4 * SECOND);
+    fleet.advance(4 * STEPS_PER_SECOND);
     set_rate(&mut fleet, RATE);
-    fleet.pass(40 * SECOND);
-    assert_eq!(lapsed(&fleet), 0);
-    assert_eq!(completed(&mut fleet, &paths), paths.len());
-    fleet.assert_sound();
+    fleet.advance(40 * STEPS_PER_SECOND);
+    assert_eq!(lapsed_runs(&fleet), 0);
+    assert_eq!(completed_jobs(&mut fleet, &paths), paths.len());
+    fleet.assert_invariants();
 }
 
 /// Guards against one service whose starts use the whole bandwidth.
 #[test]
 fn every_service_starts_while_the_link_is_full() {
     let mut fleet = fleet(RATE);
-    press(&mut fleet, 10);
+    submit_overload(&mut fleet, 10);
     let at = |first: char| {
         move |(_, _, id): &&(_, _, pomelohitch_sched::EndpointId)| id.starts_with(first)
     };
@@ -133,55 +136,59 @@
 #[test]
 fn a_lasting_start_without_an_answer_is_not_stopped() {
     let mut fleet = Fleet::new(10);
-    fleet.pass(SECOND);
+    fleet.advance(STEPS_PER_SECOND);
     fleet.faults.orders_late = Duration::from_millis(600);
-    fleet.submit("00000000000000a1", lasting());
-    fleet.pass(3 * SECOND);
+    fleet.submit("00000000000000a1", lasting_job());
+    fleet.advance(3 * STEPS_PER_SECOND);
     let tasks: BTreeSet<_> = fleet.starts.iter().map(|(task, ..)| *task).collect();
     assert_eq!(fleet.starts.len(), tasks.len(), "each begins once");
-    assert!(!fleet.ends().any(|how| how == EndReason::Stopped));
-    fleet.assert_sound();
+    assert!(
+        !fleet
+            .end_reasons()
+            .any(|reason| reason == EndReason::Stopped)
+    );
+    fleet.assert_invariants();
 }
 
 /// Guards against running a task again whose run was presumed lost but has completed.
 #[test]
-fn a_run_that_ended_well_unseen_does_not_run_again() {
+fn a_run_that_completed_while_unreachable_is_not_repeated() {
     let mut fleet = Fleet::new(1);
-    fleet.pass(SECOND);
+    fleet.advance(STEPS_PER_SECOND);
     fleet.submit("00000000000000a1", job(vec![step(1, 500, 500)]));
-    fleet.pass(10);
+    fleet.advance(10);
     assert_eq!(fleet.starts.len(), 1);
     fleet.endpoint("e0").is_silent = true;
-    fleet.pass(9 * SECOND);
+    fleet.advance(9 * STEPS_PER_SECOND);
     fleet.endpoint("e0").is_silent = false;
-    fleet.pass(3 * SECOND);
+    fleet.advance(3 * STEPS_PER_SECOND);
     assert_eq!(
         fleet.state("00000000000000a1"),
         Answer::State(JobState::Completed)
     );
     assert_eq!(fleet.starts.len(), 1);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
 /// Guards against an initial burst of starts that takes longer to send than the order timeout.
 #[test]
-fn a_first_burst_fits_the_link() {
+fn an_initial_burst_of_starts_fits_the_link() {
     let mut fleet = fleet(RATE);
     fleet.starts.clear();
     let drafts = (0..40).map(|n| format!("{:016x}", 0x3000 + n));
     for id in drafts {
-        fleet.submit(&id, wide());
+        fleet.submit(&id, wide_job());
     }
     let before = fleet.starts_lost;
-    fleet.pass(2 * SECOND);
+    fleet.advance(2 * STEPS_PER_SECOND);
     assert_eq!(fleet.starts_lost, before);
 }
 
 /// Guards against accepting jobs under sustained overload that end too late to be of use.
 #[test]
-fn what_a_full_link_cannot_start_in_time_is_refused() {
+fn jobs_that_a_full_link_cannot_start_in_time_are_refused() {
     let mut fleet = fleet(RATE);
-    let paths = press(&mut fleet, 40);
+    let paths = submit_overload(&mut fleet, 40);
     let refused = |answer: &&Answer| matches!(answer, Answer::Refused { .. });
     let refusals: Vec<_> = fleet.replies.values().filter(refused).collect();
     assert!(!refusals.is_empty() && refusals.len() < paths.len() / 2);
@@ -191,11 +198,11 @@
         };
         assert!((1..=10).contains(&retry_after.as_secs()), "{retry_after:?}");
     }
-    let accepted = accepted(&fleet);
-    fleet.pass(15 * SECOND);
-    assert_eq!(completed(&mut fleet, &paths), accepted);
-    let later = fleet.submit("00000000000000bb", wide());
-    fleet.pass(SECOND);
+    let accepted = accepted_jobs(&fleet);
+    fleet.advance(15 * STEPS_PER_SECOND);
+    assert_eq!(completed_jobs(&mut fleet, &paths), accepted);
+    let later = fleet.submit("00000000000000bb", wide_job());
+    fleet.advance(STEPS_PER_SECOND);
     assert_eq!(fleet.replies[&later], Answer::Accepted);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
--- a/crates/pomelohitch-sched/tests/cell/random.rs
+++ b/crates/pomelohitch-sched/tests/cell/random.rs
@@ -22,14 +22,14 @@
         3 => fleet.restart(&id),
         4 => fleet.change_leader(),
         5 => fleet.is_log_up = which < 128,
-        6 => fleet.list(),
+        6 => fleet.list_endpoints(),
         7 => fleet.log_delay = Duration::from_millis(u64::from(which % 4) * 130),
         _ => {}
     }
-    fleet.pass(u32::from(which % 64) + 1);
+    fleet.advance(u32::from(which % 64) + 1);
 }
 
-fn play(faults: &[(u8, u8)]) {
+fn check_faults(faults: &[(u8, u8)]) {
     let mut fleet = Fleet::new(u16::from(ENDPOINTS));
     let second = StepSpec {
         after: vec![0],
@@ -47,16 +47,20 @@
         endpoint.is_silent = false;
         endpoint.loses_answers = false;
     }
-    fleet.list();
-    fleet.pass(2_500);
-    assert!(fleet.broken.is_empty(), "{faults:?}: {:?}", fleet.broken);
+    fleet.list_endpoints();
+    fleet.advance(2_500);
+    assert!(
+        fleet.violations.is_empty(),
+        "{faults:?}: {:?}",
+        fleet.violations
+    );
     for id in ["00000000000000a1", "00000000000000a2"] {
         let state = fleet.state(id);
         let is_known = state != Answer::Gone;
         let is_done = state == Answer::State(JobState::Completed);
         let job = u64::from_str_radix(id, 16).expect("it is a number");
         // The scheduler may give up a task during whose runs two endpoints have crashed.
-        let may_fail = state == Answer::GivenUp && fleet.crashes_under(job) >= 2;
+        let may_fail = state == Answer::GivenUp && fleet.max_crashes_per_task(job) >= 2;
         assert!(
             !is_known || is_done || may_fail,
             "{faults:?}: {id}: {state:?}"
@@ -66,14 +70,14 @@
 
 #[test]
 fn faults_in_any_order_break_no_promise() {
-    pomelohitch_property::check(|faults: &Vec<(u8, u8)>| play(faults));
+    pomelohitch_property::check(|faults: &Vec<(u8, u8)>| check_faults(faults));
 }
 
 /// Like [`disturb`], with crashes of endpoints and changes of capacity.
-fn disturb_room(fleet: &mut Fleet, what: u8, which: u8) {
+fn disturb_capacity(fleet: &mut Fleet, what: u8, which: u8) {
     let ids: Vec<_> = fleet.endpoints.keys().cloned().collect();
     let Some(id) = ids.get(usize::from(which) % ids.len().max(1)) else {
-        return fleet.pass(100);
+        return fleet.advance(100);
     };
     match what % 8 {
         0 => {
@@ -90,16 +94,16 @@
         4 => fleet.crash_for(id, Duration::from_millis(500)),
         5 => fleet.endpoint(id).is_silent = true,
         6 => fleet.endpoint(id).is_silent = false,
-        _ => fleet.crashes.after = Duration::from_millis(u64::from(which)),
+        _ => fleet.crashes.delay = Duration::from_millis(u64::from(which)),
     }
-    fleet.pass(u32::from(which % 64) + 1);
+    fleet.advance(u32::from(which % 64) + 1);
 }
 
-fn play_crashes(faults: &[(u8, u8)]) {
+fn check_crashes(faults: &[(u8, u8)]) {
     let jobs = 0xa1..0xa7_u64;
-    let guilty = [0xa2, 0xa5];
+    let crashing = [0xa2, 0xa5];
     let mut fleet = Fleet::new(u16::from(ENDPOINTS) + 2);
-    fleet.pass(20);
+    fleet.advance(20);
     for id in jobs.clone() {
         let second = StepSpec {
             after: vec![0],
@@ -108,11 +112,11 @@
         let draft = job(vec![step(2, 500, 400), second]);
         fleet.submit(&format!("{id:016x}"), draft);
     }
-    for id in guilty {
-        fleet.crashes.by_first_task_of(id);
+    for id in crashing {
+        fleet.crashes.add_first_task_of(id);
     }
     for &(what, which) in faults.iter().take(40) {
-        disturb_room(&mut fleet, what, which);
+        disturb_capacity(&mut fleet, what, which);
     }
     fleet.is_log_up = true;
     fleet.log_delay = Duration::ZERO;
@@ -121,13 +125,17 @@
         fleet.endpoint(&id).is_silent = false;
         fleet.resize(&id, fleet.capacity);
     }
-    fleet.list();
-    fleet.pass(6_000);
-    assert!(fleet.broken.is_empty(), "{faults:?}: {:?}", fleet.broken);
+    fleet.list_endpoints();
+    fleet.advance(6_000);
+    assert!(
+        fleet.violations.is_empty(),
+        "{faults:?}: {:?}",
+        fleet.violations
+    );
     for id in jobs {
         let state = fleet.state(&format!("{id:016x}"));
-        let may_fail = state == Answer::GivenUp && fleet.crashes_under(id) >= 2;
-        let has_ended = if guilty.contains(&id) {
+        let may_fail = state == Answer::GivenUp && fleet.max_crashes_per_task(id) >= 2;
+        let has_ended = if crashing.contains(&id) {
             may_fail
         } else {
             may_fail || state == Answer::State(JobState::Completed)
@@ -138,19 +146,19 @@
 }
 
 #[test]
-fn crashes_and_changes_of_room_in_any_order_break_no_promise() {
-    pomelohitch_property::check(|faults: &Vec<(u8, u8)>| play_crashes(faults));
+fn crashes_and_capacity_changes_in_any_order_break_no_promise() {
+    pomelohitch_property::check(|faults: &Vec<(u8, u8)>| check_crashes(faults));
 }
 
 /// Regression test: sequences of faults that have violated an invariant.
 #[test]
-fn faults_that_broke_a_promise_before_do_so_no_more() {
+fn recorded_fault_sequences_break_no_promise() {
     // An endpoint restarts under its id between the poll that lists completions and the one that
     // acknowledges them. Completion numbers begin anew, so the acknowledgement may drop the
     // completion of a start that was in flight.
-    let still = |count| vec![(0_u8, 0_u8); count];
-    play(&[&[(103, 62), (15, 70), (7, 200), (43, 40)][..], &still(15)].concat());
-    play(
+    let quiet = |count| vec![(0_u8, 0_u8); count];
+    check_faults(&[&[(103, 62), (15, 70), (7, 200), (43, 40)][..], &quiet(15)].concat());
+    check_faults(
         &[
             &[
                 (122, 149),
@@ -160,11 +168,11 @@
                 (15, 50),
                 (123, 95),
             ][..],
-            &still(8),
+            &quiet(8),
         ]
         .concat(),
     );
-    play(&[
+    check_faults(&[
         (243, 94),
         (121, 70),
         (211, 81),
@@ -179,7 +187,7 @@
     ]);
     // A run completes before its endpoint restarts, but its completion was not polled; it does not
     // count as lost with the endpoint.
-    play(&[
+    check_faults(&[
         (135, 22),
         (105, 120),
         (54, 160),
@@ -197,7 +205,7 @@
         (165, 92),
     ]);
     // A silent endpoint restarts while orders are in flight, and answers a new leader.
-    play(&[
+    check_faults(&[
         (165, 163),
         (126, 180),
         (104, 209),
--- a/crates/pomelohitch-sched/tests/cell/waves.rs
+++ b/crates/pomelohitch-sched/tests/cell/waves.rs
@@ -9,31 +9,31 @@
 
 use super::fleet::{Endpoint, Fleet, job, step};
 
-fn wave(instances: &[&str], at_once: usize) -> Wave {
+fn wave(instances: &[&str], max_down: usize) -> Wave {
     Wave {
         number: 1,
         instances: instances.iter().map(|i| Arc::from(*i)).collect(),
         within: Duration::from_secs(20),
-        max_down: at_once,
+        max_down,
     }
 }
 
-fn operated(fleet: &Fleet) -> Vec<&str> {
+fn operated_instances(fleet: &Fleet) -> Vec<&str> {
     fleet.operations.iter().map(|(id, _)| &**id).collect()
 }
 
 #[test]
-fn a_wave_takes_down_no_more_at_once_than_it_may() {
+fn a_wave_keeps_its_limit_of_instances_down() {
     let mut fleet = Fleet::new(4);
-    fleet.carries_out = true;
+    fleet.applies_operations = true;
     fleet.cell.wave(wave(&["m0", "m1", "m2", "m3"], 2));
     for _ in 0..1_000 {
-        fleet.pass(1);
+        fleet.advance(1);
         let is_down = |i: &&Instance| i.state == InstanceState::Maintenance;
         let down = fleet.instances.values().filter(is_down).count();
         assert!(down <= 2);
     }
-    assert_eq!(operated(&fleet).len(), 4);
+    assert_eq!(operated_instances(&fleet).len(), 4);
     assert!(fleet.statuses.contains(&(1, true)));
 }
 
@@ -41,12 +41,12 @@
 fn a_wave_waits_until_nothing_runs_on_an_instance() {
     let mut fleet = Fleet::new(1);
     fleet.submit("00000000000000a1", job(vec![step(1, 500, 6_000)]));
-    fleet.pass(20);
+    fleet.advance(20);
     fleet.cell.wave(wave(&["m0"], 1));
-    fleet.pass(500);
+    fleet.advance(500);
     assert!(fleet.operations.is_empty());
-    fleet.pass(200);
-    assert_eq!(operated(&fleet), ["m0"]);
+    fleet.advance(200);
+    assert_eq!(operated_instances(&fleet), ["m0"]);
 }
 
 /// A wave is requested before the list of instances was first read. Guards against treating the
@@ -58,59 +58,59 @@
     let mut lasting = step(1, 500, 100);
     lasting.is_lasting = true;
     fleet.submit("00000000000000a1", job(vec![lasting]));
-    fleet.pass(400);
+    fleet.advance(400);
     fleet.cell.wave(wave(&["m0"], 1));
-    fleet.pass(100);
+    fleet.advance(100);
     assert!(fleet.operations.is_empty());
 }
 
 /// Guards against counting the lasting task of a silent endpoint as running by its last answer:
 /// stopping another one would take two out of service where one is allowed.
 #[test]
-fn what_a_dark_endpoint_said_last_does_not_count_as_at_work() {
+fn a_task_of_a_silent_endpoint_does_not_count_as_running() {
     let mut fleet = Fleet::new(3);
     let mut lasting = step(2, 500, 100);
     lasting.is_lasting = true;
     lasting.may_miss = 1;
     lasting.per_endpoint = 1;
     fleet.submit("00000000000000a1", job(vec![lasting]));
-    fleet.pass(400);
-    let (dark, other) = (fleet.starts[0].2.clone(), fleet.starts[1].2.clone());
-    fleet.endpoint(&dark).is_silent = true;
-    fleet.pass(150);
+    fleet.advance(400);
+    let (silent, other) = (fleet.starts[0].2.clone(), fleet.starts[1].2.clone());
+    fleet.endpoint(&silent).is_silent = true;
+    fleet.advance(150);
     let due = format!("m{}", &other[1..]);
     fleet.cell.wave(wave(&[&due], 1));
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.endpoint(&other).running().len(), 1);
 }
 
 /// The former leader has just operated on an instance, and a wave of the new leader includes it.
 /// Within the operation gap, operations of two leaders on one instance would undo each other.
 #[test]
-fn a_new_leader_leaves_an_instance_alone_that_the_former_one_just_operated_on() {
+fn a_new_leader_waits_before_it_operates_on_an_instance_of_the_former_one() {
     let mut fleet = Fleet::new(2);
-    fleet.carries_out = true;
+    fleet.applies_operations = true;
     fleet.cell.wave(wave(&["m0"], 1));
-    fleet.pass(450);
-    assert_eq!(operated(&fleet), ["m0"]);
+    fleet.advance(450);
+    assert_eq!(operated_instances(&fleet), ["m0"]);
     fleet.change_leader();
     fleet.cell.wave(Wave {
         number: 2,
         ..wave(&["m0", "m1"], 2)
     });
-    fleet.pass(250);
-    assert_eq!(operated(&fleet), ["m0", "m1"]);
-    fleet.pass(300);
-    assert_eq!(operated(&fleet), ["m0", "m1", "m0"]);
+    fleet.advance(250);
+    assert_eq!(operated_instances(&fleet), ["m0", "m1"]);
+    fleet.advance(300);
+    assert_eq!(operated_instances(&fleet), ["m0", "m1", "m0"]);
 }
 
 /// Each lasting task that leaves an instance changes which instance has most of them. Guards
 /// against selecting the instance to empty anew each time, which would move the tasks back and
 /// forth between instances during the whole wave.
 #[test]
-fn an_instance_that_is_being_emptied_stays_chosen() {
+fn an_instance_that_is_being_emptied_stays_selected() {
     let mut fleet = Fleet::new(4);
-    fleet.carries_out = true;
+    fleet.applies_operations = true;
     for id in 1..=3_u64 {
         let mut lasting = step(8, 300, 100);
         lasting.is_lasting = true;
@@ -118,48 +118,48 @@
         lasting.per_endpoint = 3;
         fleet.submit(&format!("{id:016x}"), job(vec![lasting]));
     }
-    fleet.pass(400);
-    let began = fleet.starts.len();
+    fleet.advance(400);
+    let starts_before = fleet.starts.len();
     fleet.cell.wave(Wave {
         within: Duration::from_mins(1),
         ..wave(&["m0", "m1", "m2"], 1)
     });
-    fleet.pass(4_000);
-    let moved = fleet.starts.len() - began;
-    assert!(moved <= 48, "24 tasks were started {moved} times more");
-    assert_eq!(operated(&fleet).len(), 3);
-    fleet.assert_sound();
+    fleet.advance(4_000);
+    let moved = fleet.starts.len() - starts_before;
+    assert!(moved <= 48, "24 tasks were started another {moved} times");
+    assert_eq!(operated_instances(&fleet).len(), 3);
+    fleet.assert_invariants();
 }
 
 /// One task of a step leaves an instance that is due while another one leaves an endpoint that
 /// drains. Guards against stopping both at once where only one may be out of service.
 #[test]
-fn a_drain_beside_a_wave_takes_away_no_more_than_may_miss() {
+fn a_drain_during_a_wave_keeps_the_limit_of_missing_tasks() {
     let mut fleet = Fleet::new(6);
     let mut lasting = step(3, 500, 100);
     lasting.is_lasting = true;
     lasting.may_miss = 1;
     lasting.per_endpoint = 1;
     fleet.submit("00000000000000a1", job(vec![lasting]));
-    fleet.pass(400);
+    fleet.advance(400);
     let (due, draining) = (fleet.starts[0].2.clone(), fleet.starts[1].2.clone());
     fleet.cell.wave(wave(&[&format!("m{}", &due[1..])], 1));
     fleet.endpoint(&draining).report.is_draining = true;
-    fleet.list();
+    fleet.list_endpoints();
     for _ in 0..300 {
-        fleet.pass(1);
+        fleet.advance(1);
         let running = fleet.endpoints.values().map(|e| e.running().len());
         assert!(running.sum::<usize>() >= 2);
     }
     assert!(fleet.endpoint(&draining).running().is_empty());
-    assert_eq!(operated(&fleet).len(), 1);
+    assert_eq!(operated_instances(&fleet).len(), 1);
 }
 
 /// A leader stops a lasting task and ends. The endpoint lists the task as running until it has
 /// stopped. Guards against a new leader that stops another one meanwhile, where only one may be out
 /// of service.
 #[test]
-fn a_task_that_a_former_leader_is_stopping_does_not_count_as_at_work() {
+fn a_task_that_a_former_leader_is_stopping_does_not_count_as_running() {
     for steps_between in 1..30 {
         let mut fleet = Fleet::new(6);
         let mut lasting = step(3, 500, 100);
@@ -167,21 +167,25 @@
         lasting.may_miss = 1;
         lasting.per_endpoint = 1;
         fleet.submit("00000000000000a1", job(vec![lasting]));
-        fleet.pass(400);
+        fleet.advance(400);
         for endpoint in fleet.endpoints.values_mut() {
             endpoint.stop_grace = Duration::from_millis(900);
         }
         // The next leader polls the first endpoint first.
         let [first, second] = [0, 1].map(|at| fleet.starts[at].2.clone());
         fleet.endpoint(&second).report.is_draining = true;
-        fleet.list();
-        fleet.pass(steps_between);
+        fleet.list_endpoints();
+        fleet.advance(steps_between);
         fleet.endpoint(&first).report.is_draining = true;
         fleet.change_leader();
         for _ in 0..400 {
-            fleet.pass(1);
-            let staying: usize = fleet.endpoints.values().map(Endpoint::staying).sum();
-            assert!(staying >= 2, "after {steps_between} steps");
+            fleet.advance(1);
+            let runs_without_stop: usize = fleet
+                .endpoints
+                .values()
+                .map(Endpoint::runs_without_stop)
+                .sum();
+            assert!(runs_without_stop >= 2, "after {steps_between} steps");
         }
     }
 }
@@ -189,19 +193,19 @@
 /// A maintenance operation is lost, and its leader ends before it knows. Guards against counting
 /// the instance as maintained and reporting the wave as completed.
 #[test]
-fn an_order_that_was_lost_with_its_leader_is_made_again() {
+fn an_operation_that_was_lost_with_its_leader_is_repeated() {
     let mut fleet = Fleet::new(1);
     fleet.cell.wave(wave(&["m0"], 1));
     fleet.loses_operations = true;
-    fleet.pass(220);
-    assert_eq!(operated(&fleet), ["m0"]);
+    fleet.advance(220);
+    assert_eq!(operated_instances(&fleet), ["m0"]);
     fleet.change_leader();
     fleet.loses_operations = false;
     fleet.cell.wave(wave(&["m0"], 1));
-    fleet.pass(100);
+    fleet.advance(100);
     assert!(!fleet.statuses.contains(&(1, true)));
-    fleet.pass(500);
-    assert_eq!(operated(&fleet), ["m0", "m0"]);
+    fleet.advance(500);
+    assert_eq!(operated_instances(&fleet), ["m0", "m0"]);
     assert!(fleet.statuses.contains(&(1, true)));
 }
 
@@ -212,41 +216,41 @@
     let mut fleet = Fleet::new(1);
     let instance = fleet.instances.remove("m0").expect("it is there");
     fleet.cell.wave(wave(&["m0"], 1));
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     assert!(!fleet.statuses.contains(&(1, true)));
     fleet.instances.insert("m0".into(), instance);
-    fleet.pass(500);
-    assert_eq!(operated(&fleet), ["m0"]);
+    fleet.advance(500);
+    assert_eq!(operated_instances(&fleet), ["m0"]);
     assert!(fleet.statuses.contains(&(1, true)));
 }
 
 /// All members lose power, and a new leader starts shortly after. Guards against two seconds
 /// without operations, spent waiting for requests that the ended process might still send.
 #[test]
-fn a_leader_whose_former_one_is_gone_operates_at_once() {
+fn a_leader_operates_at_once_after_the_former_one_has_ended() {
     let mut fleet = Fleet::new(2);
-    fleet.pass(400);
+    fleet.advance(400);
     fleet.change_leader();
     fleet.cell.wave(wave(&["m0"], 1));
-    fleet.pass(100);
+    fleet.advance(100);
     assert!(fleet.operations.is_empty());
     fleet.change_leader();
     fleet.cell.former_leader_ended();
     fleet.cell.wave(wave(&["m0"], 1));
-    fleet.pass(100);
-    assert_eq!(operated(&fleet), ["m0"]);
+    fleet.advance(100);
+    assert_eq!(operated_instances(&fleet), ["m0"]);
 }
 
 /// A wave covers more instances than the platform accepts operations for in a second. Refused
 /// operations would be retried only after 1.5 s.
 #[test]
-fn no_more_operations_are_decided_than_the_platform_takes() {
+fn no_more_operations_are_decided_than_the_platform_accepts() {
     let mut fleet = Fleet::new(120);
     let names: Vec<String> = (0..120).map(|n| format!("m{n}")).collect();
     let names: Vec<&str> = names.iter().map(|n| &**n).collect();
-    fleet.pass(400);
+    fleet.advance(400);
     fleet.cell.wave(wave(&names, 120));
-    fleet.pass(100);
+    fleet.advance(100);
     let decided = fleet.operations.len();
     assert!((48..=64).contains(&decided), "{decided} in a second");
 }
@@ -255,51 +259,51 @@
 /// Guards against moving them only once their instance is next, which is too late for the last
 /// ones. Here the first instance never becomes empty because of a long run.
 #[test]
-fn lasting_tasks_leave_due_instances_before_their_turn() {
+fn lasting_tasks_leave_due_instances_before_these_are_next() {
     let mut fleet = Fleet::new(12);
     let mut lasting = step(6, 500, 100);
     lasting.is_lasting = true;
     lasting.may_miss = 1;
     lasting.per_endpoint = 1;
     fleet.submit("00000000000000a1", job(vec![step(1, 500, 120_000)]));
-    fleet.pass(20);
+    fleet.advance(20);
     fleet.submit("00000000000000a2", job(vec![lasting]));
-    fleet.pass(400);
+    fleet.advance(400);
     fleet.cell.wave(Wave {
         within: Duration::from_mins(5),
         ..wave(&["m0", "m1", "m2", "m3", "m4", "m5"], 1)
     });
-    fleet.pass(800);
-    let laden = (1..6).filter(|n| !fleet.endpoints[&*format!("e{n}")].running().is_empty());
-    assert_eq!(laden.count(), 0);
-    fleet.assert_sound();
+    fleet.advance(800);
+    let occupied = (1..6).filter(|n| !fleet.endpoints[&*format!("e{n}")].running().is_empty());
+    assert_eq!(occupied.count(), 0);
+    fleet.assert_invariants();
 }
 
 /// An instance of a wave is removed: its endpoint drains, and the platform reports it as busy until
 /// then. Guards against waiting for it as for one that crashed, which delayed the completion of the
 /// wave by 16 s.
 #[test]
-fn an_instance_that_leaves_for_good_is_not_waited_for() {
+fn a_wave_does_not_wait_for_a_removed_instance() {
     let mut fleet = Fleet::new(2);
-    fleet.pass(400);
+    fleet.advance(400);
     fleet.endpoint("e0").report.is_draining = true;
-    fleet.list();
+    fleet.list_endpoints();
     fleet.loses_operations = true;
     fleet.cell.wave(wave(&["m0"], 1));
-    fleet.pass(300);
+    fleet.advance(300);
     assert!(!fleet.statuses.contains(&(1, true)));
     fleet.instances.remove("m0");
     fleet.endpoints.remove("e0");
-    fleet.pass(300);
+    fleet.advance(300);
     assert!(!fleet.statuses.contains(&(1, true)));
-    fleet.pass(400);
+    fleet.advance(400);
     assert!(fleet.statuses.contains(&(1, true)));
 }
 
 /// Autoscaling keeps moving instances of a wave after their maintenance. Guards against a wave that
 /// is not reported as completed until the load ends.
 #[test]
-fn a_wave_is_done_while_its_instances_move_between_pools() {
+fn a_wave_completes_while_its_instances_move_between_pools() {
     let mut instances = Instances::default();
     let list: Vec<Instance> = (0..3).map(|n| instance(n, InstanceState::Up)).collect();
     let second = Duration::from_secs(1);
@@ -318,15 +322,19 @@
         let recorded = instances.operation_ended(&i.id, Some(1), OperationOutcome::Taken, second);
         assert!(recorded.is_ok_and(|record| record.is_some()));
     }
-    assert_eq!(told(&mut instances), [(1, false)], "they are down");
+    assert_eq!(
+        status_changes(&mut instances),
+        [(1, false)],
+        "they are down"
+    );
     instances.update_list(list.clone(), 5 * second);
     instances.operation_started(&list[0].id, 5 * second, Some("issuing".into()));
-    assert_eq!(told(&mut instances), [(1, true)]);
+    assert_eq!(status_changes(&mut instances), [(1, true)]);
 }
 
 /// Guards against counting a move to another pool as the maintenance of an instance.
 #[test]
-fn a_wave_is_not_done_before_all_of_it_was_maintained() {
+fn a_wave_completes_only_after_all_its_instances_were_maintained() {
     let mut instances = Instances::default();
     let second = Duration::from_secs(1);
     instances.update_list(vec![instance(0, InstanceState::Up)], second);
@@ -340,7 +348,7 @@
         second,
     );
     instances.operation_started(&"m0".into(), second, Some("issuing".into()));
-    assert_eq!(told(&mut instances), [(1, false)]);
+    assert_eq!(status_changes(&mut instances), [(1, false)]);
 }
 
 fn instance(number: u16, state: InstanceState) -> Instance {
@@ -356,7 +364,7 @@
 }
 
 /// Status changes of waves: number, and whether the wave is completed.
-fn told(instances: &mut Instances) -> Vec<(u64, bool)> {
+fn status_changes(instances: &mut Instances) -> Vec<(u64, bool)> {
     let statuses = instances
         .take_status_changes()
         .expect("records can be encoded");
