--- a/crates/pomelohitch-emulator/examples/emulate.rs
+++ b/crates/pomelohitch-emulator/examples/emulate.rs
@@ -81,7 +81,7 @@
 enum Error {
     #[snafu(display("{source}"))]
     Load { source: load::Error },
-    #[snafu(display("{names:?} names no mechanism; known are {known}"))]
+    #[snafu(display("unknown mechanism in {names:?}; known mechanisms: {known}"))]
     Policy { names: String, known: String },
     #[snafu(display("draw {}: {reason}", path.display()))]
     Draw { path: PathBuf, reason: String },
@@ -102,7 +102,7 @@
     match run(&Args::parse()) {
         Ok(0) => ExitCode::SUCCESS,
         Ok(violating_plays) => {
-            eprintln!("{violating_plays} plays broke a promise");
+            eprintln!("{violating_plays} plays violated an invariant");
             ExitCode::FAILURE
         }
         Err(error) => {
@@ -232,7 +232,7 @@
             Format::Csv => println!("{load},{what},{figure},{before},{after},{delta},{interval}"),
             Format::Json => match serde_json::to_string(&row) {
                 Ok(line) => println!("{line}"),
-                Err(error) => eprintln!("a row can't be written: {error}"),
+                Err(error) => eprintln!("serialize row: {error}"),
             },
         }
     }
--- a/crates/pomelohitch-emulator/src/arrivals.rs
+++ b/crates/pomelohitch-emulator/src/arrivals.rs
@@ -145,7 +145,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "small numbers above 0"
+    reason = "numbers are positive and small"
 )]
 fn round_to_u64(number: f64) -> u64 {
     number.round() as u64
--- a/crates/pomelohitch-emulator/src/compare.rs
+++ b/crates/pomelohitch-emulator/src/compare.rs
@@ -72,7 +72,7 @@
             .collect();
         let outcomes = parts
             .into_iter()
-            .flat_map(|p| p.join().expect("a play doesn't panic"));
+            .flat_map(|p| p.join().expect("play panicked"));
         outcomes.collect()
     })
 }
--- a/crates/pomelohitch-emulator/src/fleet.rs
+++ b/crates/pomelohitch-emulator/src/fleet.rs
@@ -319,7 +319,7 @@
     pub fn endpoint(&mut self, id: &str) -> &mut Endpoint {
         self.endpoints
             .get_mut(id)
-            .expect("there is such an endpoint")
+            .expect("no endpoint with this id")
     }
 
     /// Restarts an endpoint's process under the same id. Polls that wait there fail.
@@ -478,7 +478,8 @@
     pub fn advance(&mut self, steps: u32) {
         for _ in 0..steps {
             self.now.steady += STEP;
-            self.now.unix_ms += u64::try_from(STEP.as_millis()).expect("a step is short");
+            self.now.unix_ms +=
+                u64::try_from(STEP.as_millis()).expect("a time step fits u64 milliseconds");
             for endpoint in self.endpoints.values_mut() {
                 endpoint.advance(STEP);
             }
--- a/crates/pomelohitch-emulator/src/fleet/crashes.rs
+++ b/crates/pomelohitch-emulator/src/fleet/crashes.rs
@@ -101,7 +101,7 @@
     pub(super) fn record_start(&mut self, task: TaskId, at: &EndpointId) {
         if self.crashes.add_start(task, at, self.now.steady) {
             self.violations.push(format!(
-                "{task} starts {START_LIMIT} times more after {UNCOUNTED_CRASHES} crashes"
+                "{task} starts another {START_LIMIT} times after {UNCOUNTED_CRASHES} crashes"
             ));
         }
     }
--- a/crates/pomelohitch-emulator/src/fleet/endpoint.rs
+++ b/crates/pomelohitch-emulator/src/fleet/endpoint.rs
@@ -269,7 +269,7 @@
         percent: if run.is_lasting {
             100
         } else {
-            u32::try_from(done).expect("it is a percentage")
+            u32::try_from(done).expect("a percentage fits u32")
         },
         load: 0,
     }
--- a/crates/pomelohitch-emulator/src/fleet/instances.rs
+++ b/crates/pomelohitch-emulator/src/fleet/instances.rs
@@ -55,7 +55,10 @@
             let mut report = report(&format!("e{}", self.last_index), self.last_index);
             report.service = pool;
             report.capacity = self.capacity;
-            let instance = self.instances.get_mut(&id).expect("it is listed");
+            let instance = self
+                .instances
+                .get_mut(&id)
+                .expect("instances are never removed while an operation runs");
             instance.state = InstanceState::Up;
             report.labels = instance.labels.clone();
             report.zone = instance.zone.clone();
--- a/crates/pomelohitch-emulator/src/fleet/log.rs
+++ b/crates/pomelohitch-emulator/src/fleet/log.rs
@@ -24,7 +24,7 @@
             return;
         }
         let batch = self.decide(|cell, _| cell.take_batch());
-        if let Some(batch) = batch.expect("records can be encoded") {
+        if let Some(batch) = batch.expect("records are encodable") {
             self.last_append_at = now;
             self.pending.push_back((now + self.log_delay, batch));
         }
--- a/crates/pomelohitch-emulator/src/fleet/orders.rs
+++ b/crates/pomelohitch-emulator/src/fleet/orders.rs
@@ -97,10 +97,10 @@
         let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
             let is_start = matches!(order, Order::Start { .. });
             let has_moved = !self.crashes.crashed.contains(&target.id);
-            self.violations.extend(
-                (is_start && has_moved)
-                    .then(|| format!("a start for {}, which was moved", target.id)),
-            );
+            self.violations
+                .extend((is_start && has_moved).then(|| {
+                    format!("start sent to {}, whose instance has been moved", target.id)
+                }));
             return Outcome::Refused(Refusal::Elsewhere);
         };
         if endpoint.is_silent {
@@ -144,7 +144,7 @@
         }
         if self.acknowledged.contains(&task) {
             self.violations
-                .push(format!("{task} starts after it was done"));
+                .push(format!("{task} starts after its acknowledged completion"));
         }
         let endpoint = &self.endpoints[at];
         let evacuated = self.evacuated.get(&endpoint.report.zone);
@@ -160,7 +160,7 @@
         let mut recent_changes = resized.take_while(|(at, _)| now < *at + SHRINK_GRACE);
         let fits_before = recent_changes.any(|(_, capacity)| capacity.holds(&used));
         if !endpoint.report.capacity.holds(&used) && !fits_before {
-            self.violations.push(format!("{at} is over its room"));
+            self.violations.push(format!("{at} is over its capacity"));
         }
         for &after in &step.after {
             let is_done = self.cell.job(task.job).is_some_and(|j| {
--- a/crates/pomelohitch-emulator/src/play.rs
+++ b/crates/pomelohitch-emulator/src/play.rs
@@ -268,7 +268,7 @@
                 clippy::cast_possible_truncation,
                 clippy::cast_sign_loss,
                 clippy::cast_precision_loss,
-                reason = "a part of an amount far below 2^52"
+                reason = "a fraction of an amount far below 2^52"
             )]
             let cpu = (full_capacity.cpu as f64 * fraction) as u64;
             self.fleet.resize(
@@ -355,11 +355,12 @@
             let matching = all.iter().filter(|sent| predicate(sent)).count();
             ratio(as_f64(matching), as_f64(all.len()))
         };
-        let mut durations = Histogram::<u64>::new(3).expect("three digits are allowed");
+        let mut durations =
+            Histogram::<u64>::new(3).expect("3 significant digits are within 0 to 5");
         for sent in &all {
             let millis = sent.duration.map_or(INCOMPLETE_MS, |t| t.as_millis());
             let recorded = durations.record(u64::try_from(millis).unwrap_or(u64::MAX));
-            recorded.expect("the histogram grows as it has to");
+            recorded.expect("a histogram made by `new` resizes itself");
         }
         let is_overloading = |sent: &SentJob| {
             let workspace = self.load.workspaces.get(sent.arrival.workspace);
--- a/crates/pomelohitch-emulator/src/policies.rs
+++ b/crates/pomelohitch-emulator/src/policies.rs
@@ -58,7 +58,7 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a small count"
+    reason = "counts are small, and negative ones become 0"
 )]
 fn count(number: f64) -> u32 {
     number.max(0.0) as u32
--- a/crates/pomelohitch-emulator/tests/loads.rs
+++ b/crates/pomelohitch-emulator/tests/loads.rs
@@ -17,12 +17,12 @@
 }
 
 fn load(name: &str) -> Load {
-    load::read(&path(name)).expect("the load is sound")
+    load::read(&path(name)).expect("load file is valid")
 }
 
 fn without(names: &str) -> Settings {
     Settings {
-        policy: policies::without(names).expect("they are mechanisms"),
+        policy: policies::without(names).expect("names are known mechanisms"),
         ..Settings::default()
     }
 }
@@ -30,7 +30,7 @@
 fn mean(outcomes: &[Outcome], figure: &str) -> f64 {
     let all = differences(outcomes, outcomes);
     let found = all.iter().find(|d: &&Difference| d.figure == figure);
-    found.expect("there is such a figure").after
+    found.expect("figure name is listed in FIGURES").after
 }
 
 /// Guards, among others, against moves whose records are appended late after an outage of the log:
@@ -116,9 +116,9 @@
 
 #[test]
 fn an_invalid_load_is_refused_with_the_allowed_values() {
-    let text = std::fs::read_to_string(path("steady.toml")).expect("it is there");
+    let text = std::fs::read_to_string(path("steady.toml")).expect("load file exists");
     let error_text = |text: String| {
-        let error = load::parse(&text, "a.toml").expect_err("it is refused");
+        let error = load::parse(&text, "a.toml").expect_err("invalid load is refused");
         error.to_string()
     };
     insta::assert_snapshot!(
@@ -135,7 +135,7 @@
 #[test]
 fn mechanisms_and_parameters_are_found_by_name() {
     assert!(policies::without("nothing-like-it").is_none());
-    let policy = policies::without("promotion,late-after=2").expect("both are known");
+    let policy = policies::without("promotion,late-after=2").expect("both names are known");
     assert!(!policy.promotes_expiring);
     assert!((policy.late_factor - 2.0).abs() < f64::EPSILON);
 }
--- a/crates/pomelohitch-sched/tests/cell/crashes.rs
+++ b/crates/pomelohitch-sched/tests/cell/crashes.rs
@@ -25,7 +25,7 @@
 }
 
 fn count_lost_runs(fleet: &Fleet, job: u64) -> u32 {
-    let job = fleet.cell.job(job).expect("it is held");
+    let job = fleet.cell.job(job).expect("the job is known");
     let task = job.progress.task(first_task(job.spec.id));
     task.expect("its occurrence is open").suspicion.lost
 }
@@ -202,9 +202,9 @@
         fleet.advance(300);
         assert_eq!(count_lost_runs(&fleet, CRASHING_JOB), u32::from(crash > 0));
         let steps = cleared_after.as_millis() / 10;
-        fleet.advance(u32::try_from(steps).expect("it is short"));
+        fleet.advance(u32::try_from(steps).expect("the number of steps fits u32"));
         assert_eq!(count_lost_runs(&fleet, CRASHING_JOB), 0);
-        let (_, _, at) = fleet.starts.last().expect("it runs").clone();
+        let (_, _, at) = fleet.starts.last().expect("the task has started").clone();
         fleet.crash_for(&at, Duration::from_secs(2));
     }
     fleet.assert_invariants();
--- a/crates/pomelohitch-sched/tests/cell/leaders.rs
+++ b/crates/pomelohitch-sched/tests/cell/leaders.rs
@@ -140,10 +140,13 @@
         assert_eq!(
             count_repeated_operations(ahead_ms, false, 300),
             0,
-            "all killed, {ahead_ms}"
+            "all members killed, {ahead_ms}"
         );
     }
-    assert!(count_repeated_operations(0, true, 800) > 0, "later it does");
+    assert!(
+        count_repeated_operations(0, true, 800) > 0,
+        "operations are repeated after the gap"
+    );
 }
 
 /// Guards against dropping jobs, or treating new ones as late, when the wall clock jumps.
@@ -187,7 +190,10 @@
     fleet.change_leader();
     fleet.advance(1);
     let passed = fleet.cell.fleet_ms().abs_diff(before);
-    assert!(passed < 1_000, "no earlier than what is recorded: {passed}");
+    assert!(
+        passed < 1_000,
+        "fleet time is {passed} ms off the recorded time"
+    );
 }
 
 /// Guards against repetitions that are scheduled by another clock than the wall clock.
@@ -227,7 +233,9 @@
     for instance in fleet.instances.values_mut() {
         if &*instance.pool == "issuing" {
             let endpoint = instance.endpoint.take();
-            fleet.endpoints.remove(&endpoint.expect("one lives there"));
+            fleet
+                .endpoints
+                .remove(&endpoint.expect("each instance has an endpoint"));
         }
     }
     fleet.cfg = Arc::new(cfg);
--- a/crates/pomelohitch-sched/tests/cell/links.rs
+++ b/crates/pomelohitch-sched/tests/cell/links.rs
@@ -105,7 +105,11 @@
     let mut fleet = fleet(RATE);
     let paths = submit_overload(&mut fleet, 4);
     let set_rate = |fleet: &mut Fleet, rate| {
-        fleet.link.as_mut().expect("there is one").set_rate(rate);
+        fleet
+            .link
+            .as_mut()
+            .expect("the fleet has a link")
+            .set_rate(rate);
     };
     set_rate(&mut fleet, RATE / 10.0);
     fleet.advance(4 * STEPS_PER_SECOND);
@@ -141,7 +145,7 @@
     fleet.submit("00000000000000a1", lasting_job());
     fleet.advance(3 * STEPS_PER_SECOND);
     let tasks: BTreeSet<_> = fleet.starts.iter().map(|(task, ..)| *task).collect();
-    assert_eq!(fleet.starts.len(), tasks.len(), "each begins once");
+    assert_eq!(fleet.starts.len(), tasks.len(), "each task starts once");
     assert!(
         !fleet
             .end_reasons()
--- a/crates/pomelohitch-sched/tests/cell/random.rs
+++ b/crates/pomelohitch-sched/tests/cell/random.rs
@@ -58,7 +58,7 @@
         let state = fleet.state(id);
         let is_known = state != Answer::Gone;
         let is_done = state == Answer::State(JobState::Completed);
-        let job = u64::from_str_radix(id, 16).expect("it is a number");
+        let job = u64::from_str_radix(id, 16).expect("the id is hexadecimal");
         // The scheduler may give up a task during whose runs two endpoints have crashed.
         let may_fail = state == Answer::GivenUp && fleet.max_crashes_per_task(job) >= 2;
         assert!(
--- a/crates/pomelohitch-sched/tests/cell/runs.rs
+++ b/crates/pomelohitch-sched/tests/cell/runs.rs
@@ -29,7 +29,13 @@
     }
     fleet.submit(ID, job(vec![step(1, 500, 50)]));
     fleet.advance(1_000);
-    let task = &fleet.cell.job(0xa1).expect("it is held").progress.open[&0].steps[0][0];
+    let task = &fleet
+        .cell
+        .job(0xa1)
+        .expect("the job is known")
+        .progress
+        .open[&0]
+        .steps[0][0];
     assert!(task.last_run < 12, "{}", task.last_run);
     for endpoint in fleet.endpoints.values_mut() {
         endpoint.refuses_starts = false;
--- a/crates/pomelohitch-sched/tests/cell/waves.rs
+++ b/crates/pomelohitch-sched/tests/cell/waves.rs
@@ -214,7 +214,7 @@
 #[test]
 fn an_instance_that_is_missing_for_a_while_stays_due() {
     let mut fleet = Fleet::new(1);
-    let instance = fleet.instances.remove("m0").expect("it is there");
+    let instance = fleet.instances.remove("m0").expect("the instance exists");
     fleet.cell.wave(wave(&["m0"], 1));
     fleet.advance(1_000);
     assert!(!fleet.statuses.contains(&(1, true)));
@@ -325,7 +325,7 @@
     assert_eq!(
         status_changes(&mut instances),
         [(1, false)],
-        "they are down"
+        "its instances are down"
     );
     instances.update_list(list.clone(), 5 * second);
     instances.operation_started(&list[0].id, 5 * second, Some("issuing".into()));
@@ -367,7 +367,7 @@
 fn status_changes(instances: &mut Instances) -> Vec<(u64, bool)> {
     let statuses = instances
         .take_status_changes()
-        .expect("records can be encoded");
+        .expect("records are encodable");
     statuses
         .into_iter()
         .map(|(number, is_done, _)| (number, is_done))
