--- a/crates/pomelohitch-maintain/src/effects.rs
+++ b/crates/pomelohitch-maintain/src/effects.rs
@@ -1,4 +1,4 @@
-//! What the platform is asked for, and what its answer means.
+//! Platform calls that accepted records require, and the records that follow on completion.
 
 use pomelohitch_core::State;
 use pomelohitch_core::id::InstanceId;
@@ -8,19 +8,19 @@
 
 use crate::observe::Observation;
 use crate::planner::Options;
-use crate::reconcile::Known;
+use crate::reconcile::Findings;
 
-/// An effect, and what to record once the platform says that it is complete.
+/// An effect to request, and the step to propose once the platform reports completion.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Wanted {
-    /// The effect, keyed by the offset of the accepted record that asks for it.
+pub struct PendingEffect {
+    /// The effect, identified by the offset of the accepted record that requires it.
     pub effect: Effect,
-    /// What to propose once it is complete.
-    pub then: Option<FleetStep>,
+    /// Step to propose on completion.
+    pub on_complete: Option<FleetStep>,
 }
 
-impl Wanted {
-    /// Whether `state` still has the instance in the phase that asks for the effect.
+impl PendingEffect {
+    /// Whether the instance is still in the phase that requires the effect.
     #[must_use]
     pub fn is_current(&self, state: &State) -> bool {
         let instance = state.fleet.instances.get(&self.effect.instance);
@@ -28,29 +28,33 @@
     }
 }
 
-/// Every effect that the state asks for and that isn't known to be complete.
-pub(crate) fn wanted(
+/// Returns every effect that the state requires and that is not known to be complete.
+pub(crate) fn pending(
     options: &Options,
     state: &State,
-    seen: &Observation,
-    known: &Known,
-) -> Vec<Wanted> {
+    observation: &Observation,
+    findings: &Findings,
+) -> Vec<PendingEffect> {
     let instances = state.fleet.instances.iter();
     instances
-        .filter_map(|(id, instance)| want(options, seen, known, id, instance))
+        .filter_map(|(id, instance)| pending_effect(options, observation, findings, id, instance))
         .collect()
 }
 
-fn want(
+fn pending_effect(
     options: &Options,
-    seen: &Observation,
-    known: &Known,
+    observation: &Observation,
+    findings: &Findings,
     id: &InstanceId,
     instance: &Instance,
-) -> Option<Wanted> {
+) -> Option<PendingEffect> {
     let since = instance.since;
-    let (action, then) = match &instance.phase {
-        Phase::Draining(_) if !entries_know(options, seen, known, id, instance) => return None,
+    let (action, on_complete) = match &instance.phase {
+        Phase::Draining(_)
+            if !is_known_to_entries(options, observation, findings, id, instance) =>
+        {
+            return None;
+        }
         Phase::Draining(_) => (
             Action::Drain,
             Some(FleetStep::Drained {
@@ -58,11 +62,11 @@
                 since,
             }),
         ),
-        Phase::Drained(DrainPurpose::Maintain) => (Action::Reboot, Some(back(id, instance))),
+        Phase::Drained(DrainPurpose::Maintain) => (Action::Reboot, Some(return_step(id, instance))),
         Phase::Drained(DrainPurpose::MoveTo(to)) => {
-            (Action::Move(to.clone()), Some(back(id, instance)))
+            (Action::Move(to.clone()), Some(return_step(id, instance)))
         }
-        Phase::Active if known.still_drained.contains(id) => (Action::Undrain, None),
+        Phase::Active if findings.drained_at_platform.contains(id) => (Action::Undrain, None),
         _ => return None,
     };
     let effect = Effect {
@@ -70,25 +74,29 @@
         op: since,
         action,
     };
-    Some(Wanted { effect, then })
+    Some(PendingEffect {
+        effect,
+        on_complete,
+    })
 }
 
-/// Whether every entry instance has stopped sending to the instance.
+/// Whether every entry instance knows of the drain and sends no new requests to the instance, or is
+/// assumed to after `propagation_timeout`.
 ///
-/// An instance that is idle for a moment counts as drained for the platform. If some entry instance
-/// didn't know yet, it would go on sending, and the reboot would cut its requests.
-fn entries_know(
+/// The platform reports an instance as drained once it is idle for a moment. An entry instance that
+/// had not read the drain yet would keep sending requests, which the reboot would cut off.
+fn is_known_to_entries(
     options: &Options,
-    seen: &Observation,
-    known: &Known,
+    observation: &Observation,
+    findings: &Findings,
     id: &InstanceId,
     instance: &Instance,
 ) -> bool {
-    let age = known.in_phase.get(id).copied().unwrap_or_default();
-    age >= options.known_after || seen.known_by_all > instance.since
+    let age = findings.phase_ages.get(id).copied().unwrap_or_default();
+    age >= options.propagation_timeout || observation.applied_by_all > instance.since
 }
 
-fn back(id: &InstanceId, instance: &Instance) -> FleetStep {
+fn return_step(id: &InstanceId, instance: &Instance) -> FleetStep {
     FleetStep::Return {
         instance: id.clone(),
         since: instance.since,
--- a/crates/pomelohitch-maintain/src/waves.rs
+++ b/crates/pomelohitch-maintain/src/waves.rs
@@ -1,8 +1,8 @@
-//! Which instances to maintain next.
+//! Selects the instances to maintain next.
 //!
-//! A wave goes as fast as the budgets allow: whenever an instance comes back, the next one is
-//! drained. It fills one rack after the other and one availability zone after the other, so that a
-//! rack or zone that fails takes along instances that are out of work anyway.
+//! A wave drains the next instance whenever one returns, as fast as the availability budgets allow.
+//! It works rack by rack and zone by zone, so that the instances in maintenance are concentrated in
+//! few failure domains and the failure of one of these affects fewer active instances.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use crate::observe::Observation;
 use crate::planner::{Decision, Options};
 use crate::pools::{Member, PoolView, Pools};
-use crate::reconcile::Known;
+use crate::reconcile::Findings;
 
-/// Takes drains back where a pool has fewer instances at work than its budget: another instance
-/// failed, or an operator raised the budget. What is drained already can't be taken back.
-pub(crate) fn take_back(pools: &Pools<'_>, decisions: &mut Vec<Decision>) {
+/// Cancels drains in pools with fewer active instances than their availability budget, because an
+/// instance failed or an operator raised the budget. Completed drains cannot be cancelled.
+pub(crate) fn cancel_drains(pools: &Pools<'_>, decisions: &mut Vec<Decision>) {
     for view in pools.values() {
         let mut deficit = view.deficit();
         if deficit == 0 {
             continue;
         }
         let mut draining: Vec<_> = view.members.iter().filter(|m| can_return(m)).collect();
-        // The youngest first: the others are the nearest to being done.
+        // Latest drain first: earlier ones are closer to completion.
         draining.sort_by_key(|member| Reverse(member.instance.since));
         for member in draining {
             if deficit == 0 {
@@ -49,12 +49,12 @@
     )
 }
 
-/// Decides about waves.
+/// Ends, pauses, advances and starts waves.
 pub(crate) fn decide(
     options: &Options,
     state: &State,
-    seen: &Observation,
-    known: &Known,
+    observation: &Observation,
+    findings: &Findings,
     pools: &mut Pools<'_>,
     decisions: &mut Vec<Decision>,
 ) {
@@ -62,8 +62,9 @@
         let Some(view) = pools.get_mut(pool) else {
             continue;
         };
-        // What this look has decided about is counted at the next one.
-        if !view.is_touched && !view.members.iter().any(|m| wave.covers(m.instance)) {
+        // Instances already decided about in this pass are missing from `members`, so the wave ends
+        // in a later pass at the earliest.
+        if !view.has_decision && !view.members.iter().any(|m| wave.covers(m.instance)) {
             decisions.push(Decision::Fleet(FleetStep::EndWave {
                 pool: pool.clone(),
                 since: wave.since,
@@ -74,25 +75,27 @@
             continue;
         }
         if wave.lost >= options.lost_limit {
-            // The maintenance itself seems to break instances; a person has to look.
+            // Maintenance itself may break the instances; an operator must investigate and resume.
             let pool = Some(pool.clone());
             decisions.push(Decision::Maintain(MaintainOrder::Pause { pool }));
             continue;
         }
-        if !view.is_hit && !had_failure(options, known, view) {
+        if !view.lost_instance && !has_recent_failure(options, findings, view) {
             drain_next(wave, view, decisions);
         }
     }
-    start_due(options, state, seen, pools, decisions);
+    start_due(options, state, observation, pools, decisions);
 }
 
-/// A failure may be the first of several, or the maintenance's own doing.
-fn had_failure(options: &Options, known: &Known, view: &PoolView<'_>) -> bool {
+/// Whether an instance failed within `hold_after_failure`.
+///
+/// Further failures may follow, or the maintenance may have caused it, so no new drain starts.
+fn has_recent_failure(options: &Options, findings: &Findings, view: &PoolView<'_>) -> bool {
     let failed = view
         .members
         .iter()
         .filter(|m| m.instance.phase == Phase::Failed);
-    let mut ages = failed.filter_map(|m| known.in_phase.get(m.id));
+    let mut ages = failed.filter_map(|m| findings.phase_ages.get(m.id));
     ages.any(|age| *age < options.hold_after_failure)
 }
 
@@ -109,7 +112,7 @@
             zone: member.instance.zone.clone(),
             rack: member.instance.rack.clone(),
         };
-        // What is begun is finished first; ids only make the order the same for everyone.
+        // Zones and racks already in maintenance come first; ids make the order deterministic.
         let zone_is_new = !spread.zones.contains(&rack.zone);
         let rack_is_new = !spread.racks.contains(&rack);
         (zone_is_new, rack.zone.clone(), rack_is_new, rack, member.id)
@@ -124,7 +127,7 @@
         }
         view.spread.add(zone, rack);
         view.active -= 1;
-        view.maintained += 1;
+        view.in_maintenance += 1;
         headroom -= 1;
         decisions.push(Decision::Fleet(FleetStep::Drain {
             instance: member.id.clone(),
@@ -137,29 +140,27 @@
 fn start_due(
     options: &Options,
     state: &State,
-    seen: &Observation,
+    observation: &Observation,
     pools: &Pools<'_>,
     decisions: &mut Vec<Decision>,
 ) {
     if state.waves.all_paused {
         return;
     }
-    let mut free = options
-        .waves_at_once
-        .saturating_sub(state.waves.by_pool.len());
+    let mut remaining = options.max_waves.saturating_sub(state.waves.by_pool.len());
     let mut due: Vec<(Reverse<Duration>, &PoolId)> = pools
         .iter()
         .filter(|(pool, _)| !state.waves.by_pool.contains_key(**pool))
         .filter(|(pool, _)| !state.waves.is_paused(pool))
-        .filter_map(|(pool, view)| Some((Reverse(longest_wait(seen, view)?), *pool)))
+        .filter_map(|(pool, view)| Some((Reverse(longest_wait(observation, view)?), *pool)))
         .filter(|(Reverse(wait), _)| *wait >= options.maintain_after)
         .collect();
     due.sort();
     for (_, pool) in due {
-        if free == 0 {
+        if remaining == 0 {
             return;
         }
-        free -= 1;
+        remaining -= 1;
         decisions.push(Decision::Maintain(MaintainOrder::Start {
             pool: pool.clone(),
             limits: WaveLimits::default(),
@@ -167,12 +168,12 @@
     }
 }
 
-/// For how long the pool's least recently maintained instance has waited.
-fn longest_wait(seen: &Observation, view: &PoolView<'_>) -> Option<Duration> {
-    let working = view
+/// Time since the maintenance of the pool's least recently maintained instance.
+fn longest_wait(observation: &Observation, view: &PoolView<'_>) -> Option<Duration> {
+    let unfailed = view
         .members
         .iter()
         .filter(|m| m.instance.phase != Phase::Failed);
-    let oldest = working.map(|m| m.instance.maintained_at).min()?;
-    Some(seen.wall.saturating_sub(oldest))
+    let oldest = unfailed.map(|m| m.instance.maintained_at).min()?;
+    Some(observation.wall.saturating_sub(oldest))
 }
--- a/crates/pomelohitch-model/src/world.rs
+++ b/crates/pomelohitch-model/src/world.rs
@@ -1,4 +1,4 @@
-//! One state of the whole system.
+//! State of the whole system.
 
 use std::collections::BTreeSet;
 use std::hash::{Hash, Hasher};
@@ -13,61 +13,61 @@
 use crate::scenario::Scenario;
 use crate::step::Step;
 
-/// How many entry instances there are.
+/// Number of entry instances.
 pub const NODES: usize = 2;
-/// How many chunks a snapshot has.
+/// Number of chunks of a complete snapshot.
 pub const CHUNKS: usize = 2;
 
-/// One state of the whole system.
+/// State of the whole system.
 #[derive(Debug, Clone)]
 pub struct World {
-    /// The state below the first record that the model appends.
+    /// The folded state before the first record that the model appends.
     pub base: Arc<State>,
-    /// The records that the model appended, with what the fold made of them.
+    /// Records appended by the model, with verdicts and resulting states.
     pub log: Arc<Vec<Entry>>,
-    /// How many of them are no longer kept.
+    /// Number of records trimmed from the start of `log`.
     pub trimmed: usize,
-    /// Whether the log answers.
+    /// Whether the log is available.
     pub log_is_up: bool,
-    /// What was sent and may still land.
+    /// Proposals sent whose append may still succeed.
     pub in_flight: BTreeSet<Proposal>,
-    /// Snapshots, by how many records they hold, and how many of their chunks were written.
+    /// Snapshots written, complete or not.
     pub snapshots: BTreeSet<Snapshot>,
     /// The entry instances.
     pub nodes: [Node; NODES],
-    /// The instances, as the platform has them.
-    pub platform: Vec<Platform>,
-    /// The publishes of operators.
+    /// Instances at the platform.
+    pub platform: Vec<PlatformInstance>,
+    /// Publishes by operators.
     pub operators: Vec<Operator>,
-    /// So many records have been in the log for longer than the bound.
+    /// Number of records that have been in the log for longer than the propagation bound.
     pub settled: usize,
-    /// The key's withdrawal has been known for longer than the bound.
+    /// The key's withdrawal has been known for longer than the propagation bound.
     pub is_withdrawal_settled: bool,
-    /// What has happened so far of what the scenario bounds.
-    pub spent: Spent,
-    /// The promise that the last step broke.
+    /// Counts of the events that the scenario bounds.
+    pub event_counts: EventCounts,
+    /// The promise that the last step broke, if any.
     pub broken: Option<Promise>,
-    /// The last step; no part of the state.
+    /// The step that led to this state; ignored in comparisons and hashes.
     pub last: Option<Step>,
 }
 
 /// A record in the log.
 #[derive(Debug, Clone)]
 pub struct Entry {
-    /// What was proposed.
+    /// The proposal that was appended.
     pub proposal: Proposal,
-    /// What the fold made of it.
+    /// The fold's verdict.
     pub verdict: Verdict,
-    /// The state after it.
+    /// The state after the record.
     pub state: Arc<State>,
 }
 
-/// A snapshot in its stream.
+/// A snapshot in the snapshot stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Snapshot {
-    /// How many of the model's records it holds.
-    pub holds: usize,
-    /// How many of its chunks were written.
+    /// Number of the model's records that it covers.
+    pub records_included: usize,
+    /// Number of chunks written.
     pub chunks: usize,
 }
 
@@ -78,98 +78,98 @@
 )]
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Node {
-    /// How many of the model's records it has applied; `None` before it has read anything.
+    /// Number of the model's records it has applied; `None` before it has any state.
     pub applied: Option<usize>,
-    /// It has reached the head, or, the log being down, what its peer has.
-    pub caught_up: bool,
-    /// It has heard its peer since it started or woke.
-    pub heard: bool,
-    /// It doesn't run for a while.
-    pub paused: bool,
-    /// It knows by bad news that the key is withdrawn.
-    pub news: bool,
-    /// The effect that it decided on and hasn't asked for yet.
+    /// It has read to the head, or, with the log down, as far as its peer.
+    pub is_caught_up: bool,
+    /// It has received a heartbeat of its peer since it started or resumed.
+    pub has_heard_peer: bool,
+    /// It is paused.
+    pub is_paused: bool,
+    /// It knows from an operator or from heartbeats that the key is withdrawn.
+    pub knows_withdrawal: bool,
+    /// The effect that it has decided on and not yet requested.
     pub intent: Option<Intent>,
 }
 
-/// An effect that a planner is about to ask for.
+/// An effect that a planner is about to request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Intent {
-    /// The instance.
+    /// Index of the instance.
     pub instance: usize,
     /// The offset of the decision.
     pub op: Offset,
-    /// What the platform is to do.
+    /// The requested action.
     pub action: Action,
 }
 
-/// What the platform does.
+/// An action of the platform on an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Lets it finish its work.
+    /// Stops new work and lets running work finish.
     Drain,
-    /// Takes the drain back.
+    /// Cancels a drain.
     Undrain,
-    /// Puts it into the pool with the spares.
+    /// Moves it to the spare pool.
     Move,
 }
 
-/// An instance as the platform has it.
+/// An instance at the platform.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Platform {
-    /// It is in the pool with the spares.
+pub struct PlatformInstance {
+    /// It is in the spare pool.
     pub is_moved: bool,
-    /// It gets no work.
+    /// It is drained.
     pub is_drained: bool,
-    /// It failed.
+    /// It has failed.
     pub is_down: bool,
-    /// The effects that it has seen.
+    /// Offsets of the effects already performed.
     pub ops: BTreeSet<Offset>,
 }
 
-/// A publish as its operator sees it.
+/// A publish, and the answer that its operator received.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Operator {
-    /// What was sent.
+    /// The proposal that the operator's node sent.
     pub proposal: Proposal,
-    /// What the operator was told.
-    pub told: Option<Answer>,
+    /// The answer received, if any.
+    pub received: Option<Answer>,
 }
 
-/// What an operator is told.
+/// The answer to a publish.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Answer {
     /// The publish is in force.
     InForce,
-    /// It is not, and won't be.
+    /// The publish is not in force and never will be.
     NotInForce,
 }
 
-/// What has happened so far of what the scenario bounds.
+/// Counts of the events that the scenario bounds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Spent {
-    /// Answers lost.
+pub struct EventCounts {
+    /// Lost acknowledgements of appends.
     pub lost_answers: usize,
-    /// Instances failed.
+    /// Instance failures.
     pub failures: usize,
-    /// Entry instances replaced.
+    /// Entry instance replacements.
     pub restarts: usize,
-    /// Entry instances paused.
+    /// Entry instance pauses.
     pub pauses: usize,
-    /// Outages of the log.
+    /// Log outages.
     pub outages: usize,
-    /// The withdrawal, 1 once it was asked for.
+    /// Key withdrawals, at most 1.
     pub withdrawals: usize,
 }
 
 impl World {
-    /// The system as the scenario begins: both entry instances serve, node 0 plans.
+    /// Creates the initial state: both entry instances accept requests, and node 0 plans.
     #[must_use]
     pub fn new(scenario: &Scenario) -> World {
         let node = Node {
             applied: Some(0),
-            caught_up: true,
-            heard: true,
+            is_caught_up: true,
+            has_heard_peer: true,
             ..Node::default()
         };
         World {
@@ -180,17 +180,17 @@
             in_flight: BTreeSet::new(),
             snapshots: BTreeSet::new(),
             nodes: [node.clone(), node],
-            platform: vec![Platform::default(); scenario.instances],
+            platform: vec![PlatformInstance::default(); scenario.instances],
             operators: Vec::new(),
             settled: 0,
             is_withdrawal_settled: false,
-            spent: Spent::default(),
+            event_counts: EventCounts::default(),
             broken: None,
             last: None,
         }
     }
 
-    /// The state after so many of the model's records.
+    /// Returns the state after this number of the model's records.
     #[must_use]
     pub fn state_after(&self, records: usize) -> &Arc<State> {
         match records {
@@ -199,37 +199,37 @@
         }
     }
 
-    /// The state that the whole log gives.
+    /// Returns the state after all records.
     #[must_use]
     pub fn head(&self) -> &Arc<State> {
         self.state_after(self.log.len())
     }
 
-    /// The state in force at a node that runs and has read something.
+    /// Returns the state at a node; `None` if it is paused or has none.
     #[must_use]
     pub fn view(&self, node: usize) -> Option<&Arc<State>> {
         let node = &self.nodes[node];
-        let applied = node.applied.filter(|_| !node.paused)?;
+        let applied = node.applied.filter(|_| !node.is_paused)?;
         Some(self.state_after(applied))
     }
 
-    /// Whether a node takes requests.
+    /// Whether a node accepts requests.
     #[must_use]
     pub fn is_accepting(&self, node: usize) -> bool {
         let node = &self.nodes[node];
-        node.applied.is_some() && !node.paused && node.caught_up && node.heard
+        node.applied.is_some() && !node.is_paused && node.is_caught_up && node.has_heard_peer
     }
 
-    /// The record of this proposal that was accepted, by its place in the model's log.
+    /// Returns the index in `log` of the accepted record of this proposal.
     #[must_use]
     pub fn accepted(&self, proposal: &Proposal) -> Option<usize> {
-        let is_it =
+        let is_accepted_copy =
             |entry: &Entry| entry.proposal == *proposal && entry.verdict == Verdict::Accepted;
-        self.log.iter().position(is_it)
+        self.log.iter().position(is_accepted_copy)
     }
 }
 
-/// Hashing only what differs often keeps it cheap; equality compares the rest.
+/// Hashes only fields that often differ, for speed; equality compares the remaining ones too.
 impl Hash for World {
     fn hash<H: Hasher>(&self, state: &mut H) {
         for entry in self.log.iter() {
@@ -238,7 +238,7 @@
         self.in_flight.hash(state);
         self.nodes.hash(state);
         self.platform.hash(state);
-        self.spent.hash(state);
+        self.event_counts.hash(state);
         self.settled.hash(state);
         self.trimmed.hash(state);
         self.snapshots.hash(state);
@@ -246,7 +246,8 @@
     }
 }
 
-/// The verdicts and states follow from the proposals, because the fold is deterministic.
+/// Compares only the proposals of log entries, because the deterministic fold derives verdicts and
+/// states from them.
 impl PartialEq for World {
     fn eq(&self, other: &World) -> bool {
         let logs_agree = self.log.len() == other.log.len()
@@ -262,7 +263,7 @@
             && self.operators == other.operators
             && self.settled == other.settled
             && self.is_withdrawal_settled == other.is_withdrawal_settled
-            && self.spent == other.spent
+            && self.event_counts == other.event_counts
             && self.broken == other.broken
     }
 }
@@ -296,8 +297,11 @@
         term: 1,
     }));
     let changes = [
-        (FILE.into(), first(file(1))),
-        ("pools".into(), first(pools(scenario.min_available))),
+        (FILE.into(), initial_change(file(1))),
+        (
+            "pools".into(),
+            initial_change(pools(scenario.min_available)),
+        ),
     ];
     append(Body::Publish(pomelohitch_core::record::Publish {
         changes: changes.into(),
@@ -317,7 +321,7 @@
     state
 }
 
-fn first(file: pomelohitch_core::FleetFile) -> pomelohitch_core::record::FileChange {
+fn initial_change(file: pomelohitch_core::FleetFile) -> pomelohitch_core::record::FileChange {
     pomelohitch_core::record::FileChange {
         base: None,
         file: Some(file),
--- a/crates/pomelohitch-permits/src/home.rs
+++ b/crates/pomelohitch-permits/src/home.rs
@@ -1,4 +1,4 @@
-//! The home's side of all its resources.
+//! The records of a home on the permits of its resources, and its grants.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,73 +9,74 @@
 use crate::resource::Resource;
 use crate::split;
 
-/// A set of members as the log says it.
+/// A set of members, according to the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Epoch {
-    /// The offset at which the set became what it is.
+    /// Offset of the record that last changed the set.
     pub offset: Offset,
-    /// Every member with its incarnation.
+    /// All members with their incarnations.
     pub members: BTreeMap<MemberId, Incarnation>,
-    /// Whether any incarnation ever ended before.
+    /// Whether any incarnation has ended so far.
     pub has_ended: bool,
 }
 
-/// What a home knows of one member's permits.
+/// Record of one member's permits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Note {
+struct MemberRecord {
     sequence: Sequence,
-    /// What the member holds at the most.
+    /// Upper bound of the permits that the member holds.
     held: u32,
     want: u32,
     leaving: bool,
 }
 
-/// The notes on one resource.
+/// Records on one resource.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-struct Book {
-    notes: BTreeMap<MemberId, Note>,
-    /// What the members held together when the last of them had told it.
-    gathered: Option<u32>,
-    /// Which member is the first to get what can't be split; another one for each resource, or
-    /// one member would get a little of everything.
-    first: usize,
+struct Account {
+    by_member: BTreeMap<MemberId, MemberRecord>,
+    /// Total held by the members when the last of them had reported; `None` until then.
+    initially_held: Option<u32>,
+    /// Index of the member that gets the remainder of a division first. It differs between
+    /// resources, since otherwise one member would get the remainders of all of them.
+    first_index: usize,
 }
 
-/// All resources of which this process is the home, in one epoch.
+/// All resources for which this process is the home, in one epoch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Homes {
     epoch: Epoch,
-    heard: BTreeSet<MemberId>,
-    /// When the last member was heard to know the epoch.
-    all_heard: Option<Monotonic>,
-    books: BTreeMap<Resource, Book>,
+    reported: BTreeSet<MemberId>,
+    /// Time at which every member had sent an ask in this epoch.
+    all_reported_at: Option<Monotonic>,
+    accounts: BTreeMap<Resource, Account>,
     recalls: BTreeSet<(MemberId, Resource)>,
 }
 
-/// What all members together hold and want of a resource.
+/// Permits of a resource held and wanted by all members together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Demand {
-    /// They hold no more than this.
+    /// Upper bound of the permits held.
     pub held: u32,
-    /// They want so many.
+    /// Number of permits wanted.
     pub wanted: u32,
 }
 
-/// What an ask is judged by.
+/// Bounds that apply to the grants of a resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// The limit of the resource in force here.
+    /// The limit of the resource, according to this process's configuration.
     pub limit: u32,
-    /// After so long, a member that every other member knows to have ended has nothing running
-    /// any more: its lease, a margin for clocks, and the longest run.
+    /// Time after which a member that every other member knows to have ended has certainly nothing
+    /// running: its lease, a margin for clock differences and the longest run.
     pub wait: Monotonic,
 }
 
 impl Homes {
-    /// Begins anew for `epoch`. What was noted before is no longer exact: another member may have
-    /// been the home in between.
+    /// Enters `epoch` with empty records. Earlier records may be wrong, since another member may
+    /// have been the home in between.
     pub fn enter(&mut self, epoch: Epoch) {
-        // Both parts: the first set of members may begin at the same offset as no set at all.
+        // Compares the members as well as the offset: the first set of members may have the same
+        // offset as the empty set.
         if epoch == self.epoch {
             return;
         }
@@ -85,43 +86,44 @@
         };
     }
 
-    /// The epoch.
+    /// The current epoch.
     #[must_use]
     pub fn epoch(&self) -> &Epoch {
         &self.epoch
     }
 
-    /// Notes what the member holds and grants it more if that is certainly free.
+    /// Records what the member holds, and grants it more if that is certainly free.
     ///
-    /// `None` if the ask isn't from a member of the epoch, or is older than one already noted.
+    /// `None` if the sender isn't a member in this epoch, or the ask is older than the last one
+    /// recorded.
     pub fn on_ask(&mut self, ask: &Ask, bounds: &Bounds, now: Monotonic) -> Option<Reply> {
         let is_member = self.epoch.members.get(&ask.member) == Some(&ask.incarnation);
         if ask.epoch != self.epoch.offset || !is_member {
             return None;
         }
-        self.hear(&ask.member, now);
-        let may_open = self.may_open(bounds, now);
+        self.record_report(&ask.member, now);
+        let ended_have_stopped = self.ended_have_stopped(bounds, now);
         let members = self.epoch.members.len();
-        let book = self.books.entry(ask.resource.clone());
-        let book = book.or_insert_with(|| Book {
-            first: ask.resource.number(),
-            ..Book::default()
+        let account = self.accounts.entry(ask.resource.clone());
+        let account = account.or_insert_with(|| Account {
+            first_index: ask.resource.byte_sum(),
+            ..Account::default()
         });
-        // A network may deliver an ask late or twice; what it says then isn't true any more.
-        let is_old = book
-            .notes
+        // An ask may arrive late or twice; what it states is then no longer true.
+        let is_old = account
+            .by_member
             .get(&ask.member)
-            .is_some_and(|note| note.sequence >= ask.sequence);
+            .is_some_and(|record| record.sequence >= ask.sequence);
         if is_old {
             return None;
         }
-        book.note(ask);
-        book.gather(members);
-        let (granted, keep) = book.grant(&ask.member, bounds.limit, may_open);
-        let total = book.total(bounds.limit, may_open);
-        let to_ask = book.members_to_ask(total).into_iter();
+        account.record_ask(ask);
+        account.record_initially_held(members);
+        let (granted, keep) = account.grant(&ask.member, bounds.limit, ended_have_stopped);
+        let total = account.total(bounds.limit, ended_have_stopped);
+        let to_recall = account.members_to_recall(total).into_iter();
         self.recalls
-            .extend(to_ask.map(|member| (member, ask.resource.clone())));
+            .extend(to_recall.map(|member| (member, ask.resource.clone())));
         Some(Reply {
             resource: ask.resource.clone(),
             epoch: ask.epoch,
@@ -131,163 +133,172 @@
         })
     }
 
-    /// Members that should ask, since this was last looked at: they hold more than their part
-    /// while another lacks, or less than theirs while some are free.
+    /// Returns, and clears, the members that should send an ask: those that hold more than their
+    /// part while another has less than its part, and those that hold less than their part while
+    /// permits are free.
     ///
-    /// To be told to them as a hint: nothing depends on its arrival but how soon permits move.
+    /// They are notified with a hint. A lost hint only delays the move of permits.
     pub fn take_recalls(&mut self) -> BTreeSet<(MemberId, Resource)> {
         std::mem::take(&mut self.recalls)
     }
 
-    /// Looks for members that hold more than their part of what a resource has left.
+    /// Recalls permits of members that hold more than their part, for resources of which more is
+    /// held than the limit allows.
     ///
-    /// A limit that was lowered is noticed here: a member with nothing to do asks nothing, and
-    /// would go on by the part that it was once granted.
-    pub fn review(&mut self, bounds_of: impl Fn(&Resource) -> Bounds, now: Monotonic) {
-        for (resource, book) in &self.books {
+    /// This detects lowered limits: an idle member sends no asks and would otherwise keep what it
+    /// was granted.
+    pub fn recall_excess(&mut self, bounds_of: impl Fn(&Resource) -> Bounds, now: Monotonic) {
+        for (resource, account) in &self.accounts {
             let bounds = bounds_of(resource);
-            let total = book.total(bounds.limit, self.may_open(&bounds, now));
-            if book.held() > total {
-                let above = book.above_part(total).into_iter();
+            let total = account.total(bounds.limit, self.ended_have_stopped(&bounds, now));
+            if account.held() > total {
+                let above = account.above_part(total).into_iter();
                 self.recalls
                     .extend(above.map(|member| (member, resource.clone())));
             }
         }
     }
 
-    /// What is asked for and held of a resource, once that is certain: every member has told it,
-    /// and those that ended have certainly stopped. `None` before.
+    /// Returns the permits of a resource that are held and wanted; `None` until every member has
+    /// reported and members that ended have certainly stopped.
     #[must_use]
-    pub fn settled(&self, resource: &Resource, bounds: &Bounds, now: Monotonic) -> Option<Demand> {
-        let book = self.books.get(resource)?;
-        let is_settled = book.gathered.is_some() && self.may_open(bounds, now);
-        is_settled.then(|| Demand {
-            held: book.held(),
-            wanted: book.notes.values().map(|note| note.want).sum(),
+    pub fn settled_demand(
+        &self,
+        resource: &Resource,
+        bounds: &Bounds,
+        now: Monotonic,
+    ) -> Option<Demand> {
+        let account = self.accounts.get(resource)?;
+        let is_certain = account.initially_held.is_some() && self.ended_have_stopped(bounds, now);
+        is_certain.then(|| Demand {
+            held: account.held(),
+            wanted: account.by_member.values().map(|record| record.want).sum(),
         })
     }
 
-    fn hear(&mut self, member: &MemberId, now: Monotonic) {
-        if self.all_heard.is_some() {
+    fn record_report(&mut self, member: &MemberId, now: Monotonic) {
+        if self.all_reported_at.is_some() {
             return;
         }
-        self.heard.insert(member.clone());
-        if self.heard.len() == self.epoch.members.len() {
-            self.all_heard = Some(now);
+        self.reported.insert(member.clone());
+        if self.reported.len() == self.epoch.members.len() {
+            self.all_reported_at = Some(now);
         }
     }
 
-    /// Whether those that ended have certainly stopped.
+    /// Whether incarnations that ended have certainly stopped.
     ///
-    /// An incarnation that ended without knowing it goes on while its lease is renewed by members
-    /// that don't know it either. Once every member knows, the lease runs out; then its last
-    /// requests do.
-    fn may_open(&self, bounds: &Bounds, now: Monotonic) -> bool {
+    /// An incarnation that does not know that it was ended goes on while members that do not know
+    /// it either renew its lease. Once every member knows, its lease runs out, and after that its
+    /// last requests end.
+    fn ended_have_stopped(&self, bounds: &Bounds, now: Monotonic) -> bool {
         if !self.epoch.has_ended {
             return true;
         }
-        self.all_heard.is_some_and(|at| now >= at + bounds.wait)
+        self.all_reported_at
+            .is_some_and(|at| now >= at + bounds.wait)
     }
 }
 
-impl Book {
-    fn note(&mut self, ask: &Ask) {
-        let note = Note {
+impl Account {
+    fn record_ask(&mut self, ask: &Ask) {
+        let record = MemberRecord {
             sequence: ask.sequence,
             held: ask.held,
             want: ask.want,
             leaving: ask.leaving,
         };
-        self.notes.insert(ask.member.clone(), note);
+        self.by_member.insert(ask.member.clone(), record);
     }
 
-    fn gather(&mut self, members: usize) {
-        if self.gathered.is_none() && self.notes.len() == members {
-            self.gathered = Some(self.held());
+    fn record_initially_held(&mut self, members: usize) {
+        if self.initially_held.is_none() && self.by_member.len() == members {
+            self.initially_held = Some(self.held());
         }
     }
 
     fn held(&self) -> u32 {
-        self.notes.values().map(|note| note.held).sum()
+        self.by_member.values().map(|record| record.held).sum()
     }
 
-    /// Grants what `member` lacks of its part; the grant is noted before it is told.
-    fn grant(&mut self, member: &MemberId, limit: u32, may_open: bool) -> (u32, u32) {
-        if self.gathered.is_none() {
-            // Nothing is known of the others yet: nobody has to give anything up.
-            return (0, self.notes[member].held);
+    /// Grants what `member` lacks of its part, and records the grant before the reply is sent.
+    /// Returns the number granted and the part.
+    fn grant(&mut self, member: &MemberId, limit: u32, ended_have_stopped: bool) -> (u32, u32) {
+        if self.initially_held.is_none() {
+            // The other members have not all reported, so no member has to return permits.
+            return (0, self.by_member[member].held);
         }
-        let total = self.total(limit, may_open);
+        let total = self.total(limit, ended_have_stopped);
         let free = total.saturating_sub(self.held());
         let keep = self.part_of(member, total);
-        let Some(note) = self.notes.get_mut(member) else {
+        let Some(record) = self.by_member.get_mut(member) else {
             return (0, 0);
         };
-        let granted = keep.saturating_sub(note.held).min(free);
-        note.held += granted;
+        let granted = keep.saturating_sub(record.held).min(free);
+        record.held += granted;
         (granted, keep)
     }
 
-    /// What the members may hold together. Until those that ended have certainly stopped, they may
-    /// have in use whatever the members didn't hold when they were asked.
-    fn total(&self, limit: u32, may_open: bool) -> u32 {
-        match self.gathered {
+    /// Permits that the members may hold together. Until members that ended have certainly stopped,
+    /// those may use everything that the current members did not hold when they first reported.
+    fn total(&self, limit: u32, ended_have_stopped: bool) -> u32 {
+        match self.initially_held {
             None => 0,
-            Some(_) if may_open => limit,
-            Some(gathered) => limit.min(gathered),
+            Some(_) if ended_have_stopped => limit,
+            Some(initially_held) => limit.min(initially_held),
         }
     }
 
-    /// Those that hold more than their part, if another lacks or all together hold too much, and
-    /// those that lack, if some are free.
-    fn members_to_ask(&self, total: u32) -> Vec<MemberId> {
-        let mut to_ask = self.below_part(total);
+    /// Members that hold more than their part, if another holds less or the total is too high, and
+    /// members that hold less than their part, if permits are free.
+    fn members_to_recall(&self, total: u32) -> Vec<MemberId> {
+        let mut to_recall = self.below_part(total);
         let lacking = self.members_where(total, |held, part| held < part);
         if !lacking.is_empty() || self.held() > total {
-            to_ask.extend(self.above_part(total));
+            to_recall.extend(self.above_part(total));
         }
-        to_ask
+        to_recall
     }
 
     fn above_part(&self, total: u32) -> Vec<MemberId> {
         self.members_where(total, |held, part| held > part)
     }
 
-    /// Those that could be granted more.
+    /// Members that could be granted more.
     fn below_part(&self, total: u32) -> Vec<MemberId> {
-        if self.gathered.is_none() || self.held() >= total {
+        if self.initially_held.is_none() || self.held() >= total {
             return Vec::new();
         }
         self.members_where(total, |held, part| held < part)
     }
 
-    fn members_where(&self, total: u32, is_wanted: impl Fn(u32, u32) -> bool) -> Vec<MemberId> {
-        let notes = self.notes.iter().zip(self.parts(total));
-        let wanted = notes.filter(|((_, note), part)| is_wanted(note.held, *part));
+    fn members_where(&self, total: u32, is_selected: impl Fn(u32, u32) -> bool) -> Vec<MemberId> {
+        let by_member = self.by_member.iter().zip(self.parts(total));
+        let wanted = by_member.filter(|((_, record), part)| is_selected(record.held, *part));
         wanted.map(|((member, _), _)| member.clone()).collect()
     }
 
     fn part_of(&self, member: &MemberId, total: u32) -> u32 {
         let parts = self.parts(total);
-        let place = self.notes.keys().position(|known| known == member);
-        place.map_or(0, |place| parts[place])
+        let index = self.by_member.keys().position(|known| known == member);
+        index.map_or(0, |index| parts[index])
     }
 
-    /// The part of each member: by what each wants, and what nobody wants evenly.
+    /// The part of each member: divided by what each wants, and the rest evenly.
     ///
-    /// Everything is handed out, so that little is lost to sight when a home ends.
+    /// All permits are handed out, so that few are unaccounted for when a home ends.
     fn parts(&self, total: u32) -> Vec<u32> {
         let mut claims: Vec<_> = self
-            .notes
+            .by_member
             .values()
-            .map(|note| split::Claim {
-                want: note.want,
-                takes_more: !note.leaving,
+            .map(|record| split::Claim {
+                want: record.want,
+                takes_rest: !record.leaving,
             })
             .collect();
-        let first = self.first % claims.len().max(1);
+        let first = self.first_index % claims.len().max(1);
         claims.rotate_left(first);
-        let mut parts = split::all(total, &claims);
+        let mut parts = split::divide(total, &claims);
         parts.rotate_right(first);
         parts
     }
--- a/crates/pomelohitch-place/src/planner/queue.rs
+++ b/crates/pomelohitch-place/src/planner/queue.rs
@@ -1,21 +1,20 @@
-//! The waiting jobs of a team, in order, by class.
+//! Queue of a team's waiting jobs, in order of submission, by class.
 //!
-//! Jobs of one class need about the same. When the first of a class finds no room, its followers
-//! won't either, and must not hide what waits behind them: what is tried next is the first job
-//! of another class.
+//! Jobs of one class have similar needs: if the first one fits no worker, the others of its class
+//! are unlikely to. To avoid head-of-line blocking, the first job of the next class is then tried.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use pomelohitch_core::id::{JobClass, JobId};
 
-use super::Seq;
+use super::QueueKey;
 
-/// Waiting jobs.
+/// Queue of waiting jobs.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(super) struct Queue {
-    by_class: BTreeMap<JobClass, BTreeSet<Seq>>,
+    by_class: BTreeMap<JobClass, BTreeSet<QueueKey>>,
     /// The first job of each class.
-    heads: BTreeSet<(Seq, JobClass)>,
+    heads: BTreeSet<(QueueKey, JobClass)>,
     len: usize,
 }
 
@@ -28,40 +27,44 @@
         self.len == 0
     }
 
-    pub(super) fn insert(&mut self, class: &JobClass, seq: Seq) {
-        self.change(class, |jobs| jobs.insert(seq));
+    pub(super) fn insert(&mut self, class: &JobClass, key: QueueKey) {
+        self.update_class(class, |jobs| jobs.insert(key));
     }
 
-    pub(super) fn remove(&mut self, class: &JobClass, seq: &Seq) {
-        self.change(class, |jobs| jobs.remove(seq));
+    pub(super) fn remove(&mut self, class: &JobClass, key: &QueueKey) {
+        self.update_class(class, |jobs| jobs.remove(key));
     }
 
-    /// The jobs to try, one of each class, in their order.
-    pub(super) fn next<'a>(
+    /// The first job of each class that isn't skipped, ordered by the first jobs of the classes.
+    pub(super) fn first_of_each_class<'a>(
         &'a self,
-        is_passed_over: impl Fn(&JobId) -> bool + 'a,
+        is_skipped: impl Fn(&JobId) -> bool + 'a,
     ) -> impl Iterator<Item = &'a JobId> {
         let classes = self.classes();
-        classes.filter_map(move |class| self.first_of(class, &is_passed_over))
+        classes.filter_map(move |class| self.first_of_class(class, &is_skipped))
     }
 
-    /// The classes, in the order of their first jobs.
+    /// The classes, ordered by their first jobs.
     pub(super) fn classes(&self) -> impl Iterator<Item = &JobClass> {
         self.heads.iter().map(|(_, class)| class)
     }
 
-    /// The first job of a class that isn't passed over.
-    pub(super) fn first_of(
+    /// The first job of a class that isn't skipped.
+    pub(super) fn first_of_class(
         &self,
         class: &JobClass,
-        is_passed_over: impl Fn(&JobId) -> bool,
+        is_skipped: impl Fn(&JobId) -> bool,
     ) -> Option<&JobId> {
         let mut jobs = self.by_class.get(class)?.iter().map(|(_, id)| id);
-        jobs.find(|id| !is_passed_over(id))
+        jobs.find(|id| !is_skipped(id))
     }
 
-    /// Changes the jobs of a class, and keeps its head in step.
-    fn change(&mut self, class: &JobClass, change: impl FnOnce(&mut BTreeSet<Seq>) -> bool) {
+    /// Changes the jobs of a class, and updates `len` and `heads` to match.
+    fn update_class(
+        &mut self,
+        class: &JobClass,
+        change: impl FnOnce(&mut BTreeSet<QueueKey>) -> bool,
+    ) {
         let jobs = self.by_class.entry(class.clone()).or_default();
         let (head, len) = (jobs.first().cloned(), jobs.len());
         change(jobs);
--- a/pomelohitchd/examples/overhead.rs
+++ b/pomelohitchd/examples/overhead.rs
@@ -30,13 +30,13 @@
 
 fn main() {
     let runner = runner();
-    let through = pass_through(runner);
+    let pass_through_addr = pass_through(runner);
     let entry = entry(runner);
     println!("| path | p50 us | p99 us | requests a second |\n|---|---|---|---|");
     // Each path is warmed up by a round that isn't counted.
     for (name, addr) in [
         ("direct", runner),
-        ("rouille and ureq", through),
+        ("rouille and ureq", pass_through_addr),
         ("entry", entry),
     ] {
         measure(addr);
@@ -55,16 +55,17 @@
         .collect();
     let mut all = Histogram::new(3).expect("three digits are supported");
     for caller in callers {
-        let latencies = caller.join().expect("a caller that fails ends the run");
-        all.add(latencies).expect("both grow by themselves");
+        let latencies = caller.join().expect("callers do not panic");
+        all.add(latencies)
+            .expect("both histograms resize automatically");
     }
     (all, begun.elapsed())
 }
 
 /// One call after another over one connection.
 fn call(addr: SocketAddr) -> Histogram<u64> {
-    let stream = TcpStream::connect(addr).expect("the path listens");
-    stream.set_nodelay(true).expect("a socket of this process");
+    let stream = TcpStream::connect(addr).expect("the address accepts connections");
+    stream.set_nodelay(true).expect("the socket is open");
     let mut reader = BufReader::new(&stream);
     let request =
         format!("GET /s/passes/x HTTP/1.1\r\nHost: e\r\nAuthorization: Bearer {KEY}\r\n\r\n");
@@ -73,12 +74,12 @@
         let begun = Instant::now();
         (&stream)
             .write_all(request.as_bytes())
-            .expect("the path reads");
+            .expect("the peer reads the request");
         assert_eq!(read_answer(&mut reader), Some(200), "an answer was refused");
         let nanos = u64::try_from(begun.elapsed().as_nanos()).unwrap_or(u64::MAX);
         latencies
             .record(nanos)
-            .expect("the histogram grows by itself");
+            .expect("the histogram resizes automatically");
     }
     latencies
 }
@@ -154,14 +155,14 @@
 }
 
 fn entry(runner: SocketAddr) -> SocketAddr {
-    let nowhere = "http://127.0.0.1:9";
+    let unreachable = "http://127.0.0.1:9";
     let node = Arc::new(Node::new(Settings::parse_from([
         "pomelohitchd",
         "--member=entry-1",
         "--zone=zone-a",
-        &format!("--log-url={nowhere}"),
-        &format!("--instances-url={nowhere}"),
-        &format!("--workers-url={nowhere}"),
+        &format!("--log-url={unreachable}"),
+        &format!("--instances-url={unreachable}"),
+        &format!("--workers-url={unreachable}"),
         &format!("--admin-key-hash={}", key::hash("operator")),
     ])));
     let mut state = State::default();
@@ -185,7 +186,7 @@
     let (permits_node, front_node) = (node.clone(), node);
     std::thread::spawn(move || permits::run(&permits_node));
     std::thread::spawn(move || front::run(&front_node, &listener));
-    // Permits are there after a few ticks.
+    // The first permits arrive after a few ticks.
     std::thread::sleep(Duration::from_millis(500));
     addr
 }
--- a/pomelohitchd/src/fleet/lifecycle.rs
+++ b/pomelohitchd/src/fleet/lifecycle.rs
@@ -19,17 +19,18 @@
 use super::{callers, clock, election, internal, logs, members, relay};
 use crate::front::{self, Service};
 
-/// Shown at the start.
+/// Version that is logged at the start.
 const VERSION: &str = env!("CARGO_PKG_VERSION");
-/// The start failed.
+/// Exit code if the daemon couldn't start.
 const EXIT_START: u8 = 1;
-/// The settings are wrong.
+/// Exit code if the settings are invalid.
 const EXIT_SETTINGS: u8 = 2;
-/// How often signals and the settings file are looked at.
+/// Interval at which signals are checked.
 const TICK: Duration = Duration::from_millis(100);
-/// The settings file is looked at once in so many ticks, as it may change without a signal.
-const TICKS_PER_LOOK: u32 = 10;
-/// Before the end of the grace that the platform gives, answers in flight are left.
+/// Number of ticks between checks of the settings file, which may change without a signal.
+const TICKS_PER_SETTINGS_CHECK: u32 = 10;
+/// Time before the end of the platform's grace period at which the shutdown stops waiting for
+/// requests in flight.
 const GRACE_MARGIN: Duration = Duration::from_millis(700);
 
 /// The daemon couldn't start.
@@ -42,9 +43,9 @@
         addr: SocketAddr,
         source: std::io::Error,
     },
-    #[snafu(display("install the handlers of signals: {source}"))]
+    #[snafu(display("install signal handlers: {source}"))]
     Signals { source: std::io::Error },
-    #[snafu(display("start counting: {source}"))]
+    #[snafu(display("install the metrics recorder: {source}"))]
     Metrics {
         source: metrics_exporter_prometheus::BuildError,
     },
@@ -54,7 +55,7 @@
 
 type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Runs the daemon by the settings file at `path` until a signal ends it.
+/// Runs the daemon with the settings file at `path` until a signal ends it.
 #[must_use]
 pub fn run(path: &Path) -> ExitCode {
     let logs = logs::start();
@@ -64,7 +65,7 @@
             ExitCode::SUCCESS
         }
         Err(error) => {
-            tracing::error!(%error, "not started");
+            tracing::error!(%error, "failed to start");
             let code = match error {
                 Error::Settings { .. } => EXIT_SETTINGS,
                 _ => EXIT_START,
@@ -106,7 +107,7 @@
         front::serve_with(service, &callers, callers::limits());
     })
     .context(ThreadSnafu)?;
-    watch(path, &shared, &signals);
+    watch_settings(path, &shared, &signals);
     shut_down(&shared, &serving);
     Ok(())
 }
@@ -115,19 +116,21 @@
     TcpListener::bind(addr).context(ListenSnafu { addr })
 }
 
-/// The leader makes calls by itself where a member doesn't carry them.
+/// Starts the server that relays calls to endpoints for the leader. If it fails, the leader makes
+/// these calls itself.
 fn relay_calls(shared: &Arc<Shared>, addr: SocketAddr) -> Result<()> {
     let relaying = spawn_with("relay", shared, move |shared| {
         let shared = shared.clone();
         let answer = Box::new(move |datagram: &[u8]| internal::handle_datagram(&shared, datagram));
         if let Err(error) = relay::server::run(addr, answer) {
-            warn!(%addr, %error, "calls aren't carried");
+            warn!(%addr, %error, "relay server failed");
         }
     });
     relaying.map(drop).context(ThreadSnafu)
 }
 
-/// Operators look at metrics now and then; a daemon that can't show them still serves callers.
+/// Serves metrics to operators. If the address can't be listened on, the daemon still serves
+/// callers.
 fn serve_metrics(shared: &Arc<Shared>, addr: SocketAddr, metrics: PrometheusHandle) {
     let leaving = shared.clone();
     let service = Service {
@@ -136,7 +139,7 @@
     };
     match listen(addr) {
         Ok(listener) => front::serve_in_background(service, listener, internal::limits()),
-        Err(error) => warn!(%addr, %error, "metrics aren't shown"),
+        Err(error) => warn!(%addr, %error, "failed to serve metrics"),
     }
 }
 
@@ -152,21 +155,21 @@
     Ok(signals)
 }
 
-/// Follows the settings file until a signal ends the process.
-fn watch(path: &Path, shared: &Shared, signals: &Signals) {
-    let mut seen = modified(path);
+/// Reloads the settings file when it changes or on a signal, until a signal ends the process.
+fn watch_settings(path: &Path, shared: &Shared, signals: &Signals) {
+    let mut last_modified = modified(path);
     let mut ticks = 0_u32;
     while !signals.stop.load(Ordering::Acquire) {
         std::thread::sleep(TICK);
         ticks += 1;
-        let is_told = signals.reload.swap(false, Ordering::AcqRel);
-        if !is_told && !ticks.is_multiple_of(TICKS_PER_LOOK) {
+        let is_signalled = signals.reload.swap(false, Ordering::AcqRel);
+        if !is_signalled && !ticks.is_multiple_of(TICKS_PER_SETTINGS_CHECK) {
             continue;
         }
         let now = modified(path);
-        if is_told || now != seen {
-            seen = now;
-            reload(path, shared, is_told);
+        if is_signalled || now != last_modified {
+            last_modified = now;
+            reload(path, shared, is_signalled);
         }
     }
 }
@@ -175,11 +178,11 @@
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
-/// Puts changed settings in force. Addresses that are listened on stay as they are.
-fn reload(path: &Path, shared: &Shared, is_told: bool) {
+/// Applies changed settings. The addresses that are already listened on stay as they are.
+fn reload(path: &Path, shared: &Shared, is_signalled: bool) {
     match settings::read(path) {
         Ok(site) => {
-            info!(is_told, store = %site.store, "settings read again");
+            info!(is_told = is_signalled, store = %site.store, "settings reloaded");
             shared.site.store(Arc::new(Site {
                 callers: shared.site.load().callers,
                 internal: shared.site.load().internal,
@@ -187,20 +190,20 @@
                 ..site
             }));
         }
-        Err(error) => warn!(%error, "changed settings can't be used; the former ones stay"),
+        Err(error) => warn!(%error, "failed to reload settings; keeping the previous ones"),
     }
 }
 
-/// Hands the leadership over, if it is here, and finishes what was read.
+/// Hands the leadership over, if this process holds it, and finishes the requests that were read.
 fn shut_down(shared: &Shared, serving: &std::thread::JoinHandle<()>) {
     info!("shutting down");
-    let began = clock::steady();
+    let started_at = clock::steady();
     shared.begin_shutdown();
     if let Some(leading) = shared.leadership() {
-        let _ = leading.events.send(Event::Leave);
+        let _ = leading.events.send(Event::Shutdown);
     }
     let grace = shared.site.load().bounds.grace.saturating_sub(GRACE_MARGIN);
-    while !serving.is_finished() && clock::steady().saturating_sub(began) < grace {
+    while !serving.is_finished() && clock::steady().saturating_sub(started_at) < grace {
         std::thread::sleep(TICK);
     }
 }
--- a/pomelohitchd/tests/front/retries.rs
+++ b/pomelohitchd/tests/front/retries.rs
@@ -1,4 +1,4 @@
-//! What is tried again, what never is, and what is said afterwards.
+//! Which requests are retried, which are not, and the answer after the last attempt.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -7,10 +7,12 @@
 use pomelohitchd::front::Limits;
 
 use crate::entry::{Entry, problem, status};
-use crate::runner::{Runner, Seen, ok};
+use crate::runner::{ReceivedRequest, Runner, ok};
 
-/// Two runners that share the count of what reached them.
-fn pair(answer: impl Fn(usize, &Seen) -> Option<Vec<u8>> + Send + Sync + 'static) -> Vec<Runner> {
+/// Two runners that share one request counter; `answer` gets the number of the request.
+fn pair(
+    answer: impl Fn(usize, &ReceivedRequest) -> Option<Vec<u8>> + Send + Sync + 'static,
+) -> Vec<Runner> {
     let answer = Arc::new(answer);
     let count = Arc::new(AtomicUsize::new(0));
     let start = || {
@@ -24,53 +26,53 @@
     runners.iter().map(|runner| runner.addr).collect()
 }
 
-fn seen(runners: &[Runner]) -> usize {
+fn request_count(runners: &[Runner]) -> usize {
     runners.iter().map(Runner::count).sum()
 }
 
-/// A runner dies with a request in hand. One that may run twice is answered by another runner,
-/// and the caller notices nothing.
+/// A runner dies while it handles a request. An idempotent request is retried at the other runner,
+/// and the caller gets its answer.
 #[test]
-fn an_idempotent_request_is_tried_again_elsewhere() {
+fn an_idempotent_request_is_retried_at_another_runner() {
     let runners = pair(|nth, _| (nth > 0).then(|| ok("whole")));
     let entry = Entry::start(&addrs(&runners), Limits::default());
     let answer = entry.call("GET", "/s/passes/", &[]);
     assert!(answer.ends_with("whole"), "{answer}");
-    assert_eq!(seen(&runners), 2);
+    assert_eq!(request_count(&runners), 2);
 }
 
-/// The same with a purchase: the runner may have charged the card before it died. Trying again
-/// would charge it twice.
+/// A runner may have executed a non-idempotent request before it died; a retry could charge a card
+/// twice.
 #[test]
 fn a_non_idempotent_request_is_never_sent_twice() {
     let runners = pair(|_, _| None);
     let entry = Entry::start(&addrs(&runners), Limits::default());
     for headers in [&[][..], &["Idempotency-Key: booking-1"]] {
-        let before = seen(&runners);
+        let before = request_count(&runners);
         let answer = entry.call("POST", "/s/passes/", headers);
         assert_eq!(status(&answer), 502, "{answer}");
         assert_eq!(problem(&answer)["ran"], "unknown");
-        assert_eq!(seen(&runners), before + 1);
+        assert_eq!(request_count(&runners), before + 1);
     }
 }
 
-/// The first try of a request is lost and may have run; the second runner refuses to start it. The
-/// last word alone is "not run", and a caller who got it would believe that nothing had happened.
+/// The first attempt is lost and may have run; the second runner refuses the request. Reporting
+/// only the second result, `ran: no`, would be wrong.
 #[test]
 fn a_refusal_after_a_lost_try_is_still_unknown() {
     let refusal = b"HTTP/1.1 503 Busy\r\nRequest-Ran: no\r\nContent-Length: 0\r\n\r\n";
     let runners = pair(|nth, _| (nth > 0).then(|| refusal.to_vec()));
     let entry = Entry::start(&addrs(&runners), Limits::default());
     let answer = entry.call("PUT", "/s/passes/", &[]);
-    assert!(seen(&runners) >= 2);
+    assert!(request_count(&runners) >= 2);
     assert_eq!(problem(&answer)["ran"], "unknown", "{answer}");
     assert!(!answer.contains("Retry-After"), "{answer}");
 }
 
-/// One of two runners is gone. No byte of the request can have left, so even a purchase goes to
-/// the other one, and the caller notices nothing.
+/// One of two runners accepts no connections. No byte of the request was sent to it, so that even a
+/// non-idempotent request may be sent to the other one.
 #[test]
-fn what_was_never_sent_may_go_elsewhere() {
+fn a_request_that_was_never_sent_is_sent_to_another_runner() {
     let gone = TcpListener::bind("127.0.0.1:0").unwrap();
     let gone_addr = gone.local_addr().unwrap();
     drop(gone);
@@ -83,14 +85,14 @@
     assert_eq!(runner.count(), 4);
 }
 
-/// A connection that was kept goes silent while new ones work. A request that may run twice gets
-/// its answer over a new one, long before its own timeout.
+/// A reused connection goes silent while new ones work. An idempotent request is retried over a new
+/// connection well before its own timeout.
 #[test]
-fn a_kept_connection_that_went_silent_is_given_up() {
+fn a_reused_connection_that_goes_silent_is_abandoned() {
     let runner = Runner::start(|seen| {
         let is_silent = seen.header("X-Then").is_none() && seen.header("X-First").is_none();
         if is_silent && seen.lines[0].contains("/silent") {
-            std::thread::sleep(crate::entry::PATIENCE);
+            std::thread::sleep(crate::entry::WAIT_TIMEOUT);
         }
         Some(ok("whole"))
     });
@@ -102,10 +104,13 @@
         let answer = entry.call("GET", "/s/passes/silent", timeout);
         assert!(answer.ends_with("whole"), "{answer}");
     }
-    assert!(begun.elapsed() < crate::entry::PATIENCE, "waited it out");
+    assert!(
+        begun.elapsed() < crate::entry::WAIT_TIMEOUT,
+        "waited for the request's timeout"
+    );
 }
 
-/// A hotel desk sends the same booking twice, since the first answer was lost on the way.
+/// A caller repeats a request with the same idempotency key because the first answer was lost.
 #[test]
 fn the_same_idempotency_key_runs_once() {
     let runner = Runner::answering("booked");
@@ -121,9 +126,10 @@
     assert!(other.ends_with("booked"), "{other}");
 }
 
-/// A booking was refused before it ran. Its key must be free again, or the guest can't book.
+/// A request was refused before it ran. Its idempotency key must be released, or the caller could
+/// not repeat the request.
 #[test]
-fn a_key_of_a_request_that_did_not_run_is_free_again() {
+fn the_key_of_a_request_that_did_not_run_can_be_reused() {
     let runner = Runner::start(|seen| {
         let is_full = seen.header("X-Full").is_some();
         let refusal = b"HTTP/1.1 503 Busy\r\nRequest-Ran: no\r\nContent-Length: 0\r\n\r\n";
--- a/pomelohitchd/tests/processes/support.rs
+++ b/pomelohitchd/tests/processes/support.rs
@@ -1,4 +1,4 @@
-//! A small fleet of real entry instances, and waiting for what they should come to.
+//! A small fleet of real entry instances, and helpers that wait for conditions.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -17,11 +17,11 @@
 use pomelohitch_standin::{Instances, Log, Runner, Tally, Workers};
 use pomelohitch_standin::{instances, log, runner, workers};
 
-/// Nothing that is waited for takes longer, also on a busy machine.
-pub const CAP: Duration = Duration::from_mins(1);
-/// How often waiting loops look.
-const TICK: Duration = Duration::from_millis(20);
-/// Flags that make members notice one another's end soon, and snapshots frequent.
+/// Upper limit of every wait; generous, so that a busy machine causes no failures.
+pub const WAIT_TIMEOUT: Duration = Duration::from_mins(1);
+/// Interval at which waits check their condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Flags for fast detection of dead members and frequent snapshots.
 const FLAGS: [&str; 6] = [
     "--heartbeat-ms",
     "100",
@@ -31,7 +31,7 @@
     "500",
 ];
 
-/// Workers for batch work.
+/// Number of workers for batch jobs.
 const WORKERS: usize = 4;
 
 /// A small fleet; dropping it ends its processes.
@@ -50,15 +50,18 @@
     wait_for(what, || check().then_some(()));
 }
 
-/// Waits until `look` finds something.
-pub fn wait_for<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
+/// Waits until `poll` returns a value.
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let start = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(start.elapsed() < CAP, "never: {what}");
-        std::thread::sleep(TICK);
+        assert!(
+            start.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -88,7 +91,7 @@
             instances: listed,
             ..instances::Options::default()
         });
-        let client = pomelohitch_platform::Log::http(&log.url(), CAP);
+        let client = pomelohitch_platform::Log::http(&log.url(), WAIT_TIMEOUT);
         Fleet {
             entries: Vec::new(),
             log,
@@ -109,7 +112,8 @@
         self.started += 1;
         let dir = Path::new(env!("CARGO_TARGET_TMPDIR"));
         let name = format!("{}-{member}.log", self.log.url().replace([':', '/'], "-"));
-        let log = std::fs::File::create(dir.join(name)).expect("the test's directory is there");
+        let log =
+            std::fs::File::create(dir.join(name)).expect("the directory for test output exists");
         let options = daemon::Options {
             member: &member,
             log_url: &self.log.url(),
@@ -141,45 +145,45 @@
 
     /// The state at the first entry instance that answers.
     pub fn state(&self) -> State {
-        wait_for("an entry instance tells its state", || {
+        wait_for("an entry instance returns its state", || {
             self.entries.iter().find_map(Daemon::state)
         })
     }
 
-    /// The place of the planner in `entries`, once all agree who it is.
+    /// Index of the planner in `entries`, once all entry instances agree on it.
     pub fn planner(&self) -> usize {
         wait_for("all agree on a planner", || {
             let planners: Vec<_> = self.entries.iter().map(planner_seen_by).collect();
             let first = planners.first()?.clone()?;
             let is_agreed = planners.iter().all(|seen| seen.as_ref() == Some(&first));
-            let place = || self.entries.iter().position(|e| e.member == first);
-            if is_agreed { place() } else { None }
+            let index = || self.entries.iter().position(|e| e.member == first);
+            if is_agreed { index() } else { None }
         })
     }
 
-    /// Where callers reach the entry instances.
+    /// Addresses of the entry instances' callers' ports.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.entries.iter().map(|entry| entry.callers).collect()
     }
 
-    /// What every runner counted.
+    /// Ledgers of all runners: the requests that each has started and finished.
     pub fn ledgers(&self) -> Vec<Ledger> {
         self.runners.iter().map(Runner::ledger).collect()
     }
 
-    /// What becomes of a request through the entry instance at `entry`.
-    pub fn ask(&self, entry: usize) -> Outcome {
+    /// Sends a request of the first team through the entry instance at this index.
+    pub fn probe(&self, entry: usize) -> Outcome {
         let call = call(&next_id());
         let entry = self.entries[entry].callers;
         caller::send(&caller::agent(), entry, &call)
     }
 
-    /// Counts `calls` against the runners' ledgers.
+    /// Compares the outcomes of `calls` with the runners' ledgers.
     pub fn count(&self, calls: &[Done]) -> Tally {
         Tally::count(calls, &self.ledgers())
     }
 
-    /// How many requests the runners finished.
+    /// Number of requests that the runners have finished.
     pub fn finished(&self) -> u64 {
         let ledgers = self.ledgers();
         let runs = ledgers.iter().flat_map(|ledger| ledger.runs.values());
@@ -189,16 +193,16 @@
     /// Waits until the runners finished `more` further requests.
     pub fn wait_finished(&self, more: u64) {
         let target = self.finished() + more;
-        wait_until("the runners work", || self.finished() >= target);
+        wait_until("runners finish requests", || self.finished() >= target);
     }
 }
 
-/// Sends load through `entries` while `during` runs, and returns what became of it.
+/// Sends load through `entries` while `during` runs; returns the calls with their outcomes.
 pub fn under_load(entries: &Mutex<Vec<SocketAddr>>, during: impl FnOnce()) -> Vec<Done> {
     let stop = AtomicBool::new(false);
     let load = Load {
         rate: 60.0,
-        time: CAP,
+        time: WAIT_TIMEOUT,
         callers: 48,
         keys: TEAMS.iter().map(|(_, key)| (*key).into()).collect(),
         ..Load::default()
@@ -208,11 +212,11 @@
         let guard = SetOnDrop(&stop);
         during();
         drop(guard);
-        sending.join().expect("the load doesn't panic")
+        sending.join().expect("the load thread does not panic")
     })
 }
 
-/// Ends the load also when the test fails meanwhile.
+/// Stops the load, also when the test panics.
 struct SetOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for SetOnDrop<'_> {
@@ -236,7 +240,7 @@
     format!("probe-{}", NEXT.fetch_add(1, Ordering::Relaxed)).into()
 }
 
-/// Faults that are only a mode.
+/// Faults with this mode and no other fault.
 pub fn mode(mode: Mode) -> Faults {
     Faults {
         mode,
