--- a/crates/pomelohitch-sched/tests/cell.rs
+++ b/crates/pomelohitch-sched/tests/cell.rs
@@ -1,13 +1,13 @@
-//! Tests of the scheduler against endpoints, a log and callers in virtual time.
+//! Scenario tests of the scheduler with emulated endpoints, log and callers in virtual time.
 
 use pomelohitch_emulator::fleet;
 
 #[path = "cell/calls.rs"]
 mod calls;
+#[path = "cell/capacity.rs"]
+mod capacity;
 #[path = "cell/crashes.rs"]
 mod crashes;
-#[path = "cell/ends.rs"]
-mod ends;
 #[path = "cell/evacuation.rs"]
 mod evacuation;
 #[path = "cell/leaders.rs"]
@@ -18,7 +18,7 @@
 mod pools;
 #[path = "cell/random.rs"]
 mod random;
-#[path = "cell/room.rs"]
-mod room;
+#[path = "cell/runs.rs"]
+mod runs;
 #[path = "cell/waves.rs"]
 mod waves;
