--- a/crates/pomelohitch-emulator/src/policies.rs
+++ b/crates/pomelohitch-emulator/src/policies.rs
@@ -1,13 +1,13 @@
-//! Policies by name.
+//! Scheduling policies by the names of their mechanisms and parameters.
 
 use std::time::Duration;
 
 use pomelohitch_sched::policy::Policy;
 
-/// Switches one mechanism off.
+/// Name of a mechanism, and the function that switches it off.
 pub type Switch = (&'static str, fn(&mut Policy));
 
-/// Every mechanism that can be switched off, by what is missing then.
+/// Every mechanism that can be switched off.
 pub const SWITCHES: [Switch; 13] = [
     ("late-last", |p| p.ranks_late_last = false),
     ("latest-start", |p| p.by_latest_start = false),
@@ -26,11 +26,11 @@
     ("isolation", |p| p.crashes.isolates = false),
 ];
 
-/// Sets one number.
-pub type Number = (&'static str, fn(&mut Policy, f64));
+/// Name of a numeric parameter, and the function that sets it.
+pub type Parameter = (&'static str, fn(&mut Policy, f64));
 
-/// Every number that can be set.
-pub const NUMBERS: [Number; 14] = [
+/// Every numeric parameter that can be set.
+pub const PARAMETERS: [Parameter; 14] = [
     ("late-after", |p, n| p.late_factor = n),
     ("fill", |p, n| p.margins.target_utilization = n),
     ("most-backlog", |p, n| p.margins.max_backlog = n),
@@ -39,9 +39,9 @@
     ("soon-ms", |p, n| p.margins.keep_within = millis(n)),
     ("surplus-ms", |p, n| p.margins.surplus_delay = millis(n)),
     ("lost-alone", |p, n| {
-        p.crashes.max_lost_sole_cause = whole(n);
+        p.crashes.max_lost_sole_cause = count(n);
     }),
-    ("alone", |p, n| p.crashes.min_sole_cause = whole(n)),
+    ("alone", |p, n| p.crashes.min_sole_cause = count(n)),
     ("proven-ms", |p, n| p.crashes.proven_after = millis(n)),
     ("proven-again-ms", |p, n| {
         p.crashes.proven_again_after = millis(n);
@@ -58,9 +58,9 @@
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "a small count"
+    reason = "counts are small, and negative ones become 0"
 )]
-fn whole(number: f64) -> u32 {
+fn count(number: f64) -> u32 {
     number.max(0.0) as u32
 }
 
@@ -68,8 +68,9 @@
     Duration::from_secs_f64(number.max(0.0) / 1000.0)
 }
 
-/// The policy as shipped without the mechanisms that are named, separated by commas; `shipped` or
-/// nothing for all of them, and `NAME=NUMBER` sets a number. `None` if one isn't known.
+/// The default policy with changes from a comma-separated list: a name of [`SWITCHES`] switches
+/// that mechanism off, and `NAME=NUMBER` sets a parameter of [`PARAMETERS`]. The name `shipped` and
+/// empty entries change nothing. Returns `None` if a name is unknown or a number is malformed.
 #[must_use]
 pub fn without(names: &str) -> Option<Policy> {
     let mut policy = Policy::default();
@@ -78,7 +79,7 @@
         .filter(|n| !n.is_empty() && *n != "shipped")
     {
         if let Some((name, number)) = name.split_once('=') {
-            let (_, set) = NUMBERS.iter().find(|(known, _)| *known == name)?;
+            let (_, set) = PARAMETERS.iter().find(|(known, _)| *known == name)?;
             set(&mut policy, number.parse().ok()?);
         } else {
             let (_, switch) = SWITCHES.iter().find(|(known, _)| *known == name)?;
--- a/crates/pomelohitch-platform/src/http.rs
+++ b/crates/pomelohitch-platform/src/http.rs
@@ -1,4 +1,5 @@
-//! One JSON call over HTTP, with a time limit and a truthful error.
+//! A client for JSON over HTTP whose calls have a timeout, and whose errors say whether the call
+//! may have had an effect.
 
 use std::time::Duration;
 
@@ -8,14 +9,14 @@
 
 use crate::error::{DecodeSnafu, Effect, Error, Result, StatusSnafu, TransportSnafu};
 
-/// How much of an error's body is kept.
-const ERROR_BODY_BYTES: usize = 512;
+/// How much of the answer's body an error keeps.
+const MAX_ERROR_BODY_BYTES: usize = 512;
 
-/// Largest answer that is read. The client's own default of 10 MiB is below a thousand large
-/// records; a reader would then fail at the same place for ever.
-const ANSWER_BYTES: u64 = 64 * 1024 * 1024;
+/// Largest answer that is read. The library's default of 10 MiB is less than a thousand large
+/// records take; a reader would then fail at the same offset on every attempt.
+const MAX_ANSWER_BYTES: u64 = 64 * 1024 * 1024;
 
-/// A base address and an agent that keeps connections to it.
+/// A client of one base address that reuses connections.
 #[derive(Debug, Clone)]
 pub struct Client {
     agent: ureq::Agent,
@@ -23,7 +24,8 @@
 }
 
 impl Client {
-    /// A client of `base`, such as `http://127.0.0.1:80`, whose calls end within `timeout`.
+    /// A client of `base`, such as `http://127.0.0.1:80`; `timeout` applies to each call as a
+    /// whole.
     #[must_use]
     pub fn new(base: &str, timeout: Duration) -> Client {
         let agent = ureq::Agent::config_builder()
@@ -37,26 +39,26 @@
         }
     }
 
-    /// The address that is asked.
+    /// The base address.
     #[must_use]
     pub fn peer(&self) -> &str {
         &self.base
     }
 
-    /// Asks for `path` and decodes the answer.
+    /// Sends a GET request for `path` and decodes the answer.
     ///
     /// # Errors
-    /// If the platform can't be reached, refuses or answers unreadably.
+    /// If the platform can't be reached, refuses, or its answer can't be decoded.
     pub fn get<T: DeserializeOwned>(&self, step: &'static str, path: &str) -> Result<T> {
         let url = format!("{}{path}", self.base);
         let answer = self.agent.get(&url).call();
         self.read(step, answer, Effect::None)
     }
 
-    /// Sends `body` to `path` and decodes the answer.
+    /// Sends `body` to `path` in a POST request and decodes the answer.
     ///
     /// # Errors
-    /// If the platform can't be reached, refuses or answers unreadably.
+    /// If the platform can't be reached, refuses, or its answer can't be decoded.
     pub fn post<T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -79,7 +81,7 @@
         &self,
         step: &'static str,
         answer: Result<ureq::http::Response<ureq::Body>, ureq::Error>,
-        on_loss: Effect,
+        effect_if_lost: Effect,
     ) -> Result<T> {
         let peer = self.peer();
         let mut answer = match answer {
@@ -88,23 +90,23 @@
                 let effect = if is_unsent(&source) {
                     Effect::None
                 } else {
-                    on_loss
+                    effect_if_lost
                 };
                 return Err(source).context(TransportSnafu { step, peer, effect });
             }
         };
-        let body = answer.body_mut().with_config().limit(ANSWER_BYTES);
+        let body = answer.body_mut().with_config().limit(MAX_ANSWER_BYTES);
         let body = body.read_to_vec().context(TransportSnafu {
             step,
             peer,
-            effect: on_loss,
+            effect: effect_if_lost,
         })?;
         let status = answer.status().as_u16();
         if status == 200 {
             return serde_json::from_slice(&body).context(DecodeSnafu { step, peer });
         }
-        let effect = effect_of(status, on_loss);
-        let body = String::from_utf8_lossy(&body[..body.len().min(ERROR_BODY_BYTES)]);
+        let effect = effect_of(status, effect_if_lost);
+        let body = String::from_utf8_lossy(&body[..body.len().min(MAX_ERROR_BODY_BYTES)]);
         StatusSnafu {
             step,
             peer,
@@ -116,7 +118,7 @@
     }
 }
 
-/// Whether no byte of the request can have left: the connection was never made.
+/// Whether the connection was never established, so that no byte of the request was sent.
 fn is_unsent(error: &ureq::Error) -> bool {
     match error {
         ureq::Error::Io(io) => io.kind() == std::io::ErrorKind::ConnectionRefused,
@@ -125,11 +127,12 @@
     }
 }
 
-/// The platform says with a 4xx or 503 that it did nothing; other failures leave it open.
-fn effect_of(status: u16, on_loss: Effect) -> Effect {
+/// The effect of a call that failed with this status: with 4xx and 503 the platform did nothing,
+/// with any other status it may have acted.
+fn effect_of(status: u16, effect_if_lost: Effect) -> Effect {
     match status {
         400..=499 | 503 => Effect::None,
-        _ => on_loss,
+        _ => effect_if_lost,
     }
 }
 
--- a/pomelohitchd/src/planner.rs
+++ b/pomelohitchd/src/planner.rs
@@ -19,7 +19,7 @@
 use pomelohitch_core::record::FLEET_STREAM;
 use pomelohitch_core::{State, Verdict};
 use pomelohitch_maintain::demand::{self, Load, Weighting};
-use pomelohitch_maintain::effects::Wanted;
+use pomelohitch_maintain::effects::PendingEffect;
 use pomelohitch_maintain::{Decision, Observation, Options, Plan, Planner, moves, observe};
 use pomelohitch_platform::instances::Progress;
 use pomelohitch_platform::log::Read;
@@ -140,7 +140,7 @@
     }
 
     /// Requests effects round-robin, so that effects that never complete don't block others.
-    fn apply_effects(&mut self, node: &Node, effects: &[Wanted]) {
+    fn apply_effects(&mut self, node: &Node, effects: &[PendingEffect]) {
         if effects.is_empty() {
             return;
         }
@@ -168,7 +168,7 @@
         now,
         wall,
         listed,
-        known_by_all: known_by_all(node, state),
+        applied_by_all: applied_by_all(node, state),
         ..Observation::default()
     }
 }
@@ -176,7 +176,7 @@
 /// Every entry instance has applied the records below this offset. 0 if a member wasn't heard
 /// within [`BOUND`]: it may have applied nothing, but it stops sending work by itself within
 /// [`BOUND`].
-fn known_by_all(node: &Node, state: &State) -> Offset {
+fn applied_by_all(node: &Node, state: &State) -> Offset {
     let peers = node.peers();
     let others = state.members.by_id.iter();
     let others = others.filter(|(id, _)| **id != node.settings.member);
@@ -205,7 +205,7 @@
 }
 
 /// Requests an effect and records its completion; returns whether the pass should continue.
-fn apply_effect(node: &Node, pending: &Wanted) -> bool {
+fn apply_effect(node: &Node, pending: &PendingEffect) -> bool {
     let Some(state) = state_at_head(node) else {
         return false;
     };
@@ -216,7 +216,7 @@
         return true;
     }
     match (node.instances.apply)(&pending.effect) {
-        Ok(Progress::Done) => match pending.then.clone() {
+        Ok(Progress::Done) => match pending.on_complete.clone() {
             Some(step) => propose(node, &state, Decision::Fleet(step)),
             None => true,
         },
--- a/pomelohitchd/tests/batch/leases.rs
+++ b/pomelohitchd/tests/batch/leases.rs
@@ -1,4 +1,4 @@
-//! Leases that are renewed, and leases that lapse.
+//! Renewal and expiry of leases.
 
 use std::time::Duration;
 
@@ -6,11 +6,12 @@
 use pomelohitch_standin::CallFaults;
 use pomelohitch_standin::workers::Faults;
 
-use crate::site::{Entry, Platform, job, wait_until};
+use crate::support::{Entry, Platform, job, wait_until};
 
 const LEASE: Duration = Duration::from_millis(900);
 
-/// A job runs for several leases. Each is renewed in time, and the job isn't cut off.
+/// A job runs for longer than several leases. Each lease is renewed in time, and the job is not
+/// stopped.
 #[test]
 fn a_job_longer_than_its_lease_runs_to_its_end() {
     let platform = Platform::start(4);
@@ -20,18 +21,18 @@
     assert_eq!(platform.ledger().jobs[&id].started, 1);
 }
 
-/// The holder of leases can't reach the workers for longer than a lease, as if it had been
-/// paused. The workers stop its tasks. What may run twice is run again; what may not is over,
-/// and its end says that it ran in part.
+/// The holder of the leases can't reach the workers for longer than a lease, as if it had been
+/// paused, and the workers stop its tasks. An idempotent job runs again; any other ends, and its
+/// end says that it ran in part.
 #[test]
-fn a_lapsed_lease_reruns_only_what_may_run_twice() {
+fn only_idempotent_jobs_rerun_after_an_expired_lease() {
     let platform = Platform::start(4);
     let entry = platform.planner_with_leases(LEASE);
     let again = entry.submit(&job("print", true, "run=2500"));
     let once = entry.submit(&job("settle", false, "run=2500"));
     entry.wait_for(&again, "running");
     entry.wait_for(&once, "running");
-    cut_off_until_stopped(&platform, &entry);
+    disconnect_until_leases_expire(&platform, &entry);
     let end = entry.end_of(&once);
     let expected = (Outcome::Unknown, Reason::LeaseExpired, Ran::InPart);
     assert_eq!((end.outcome, end.reason, end.ran), expected);
@@ -41,8 +42,8 @@
     assert_eq!((runs.started, runs.most_at_once), (2, 1));
 }
 
-/// Keeps the workers out of reach until nothing there can hold a lease any more.
-fn cut_off_until_stopped(platform: &Platform, entry: &Entry) {
+/// Makes the workers unreachable until every lease has expired.
+fn disconnect_until_leases_expire(platform: &Platform, entry: &Entry) {
     platform.workers.set_faults(Faults {
         calls: CallFaults {
             down: true,
@@ -51,7 +52,7 @@
         ..Faults::default()
     });
     let began = std::time::Instant::now();
-    wait_until("every lease is over", || began.elapsed() > 2 * LEASE);
+    wait_until("every lease has expired", || began.elapsed() > 2 * LEASE);
     assert_eq!(entry.node.state.load().jobs.active_of("choir"), 2);
     platform.workers.set_faults(Faults::default());
 }
--- a/pomelohitchd/tests/batch/main.rs
+++ b/pomelohitchd/tests/batch/main.rs
@@ -1,4 +1,4 @@
-//! Batch work through log, planner and workers, against the stand-ins.
+//! Batch jobs from the log through the planner to the workers, against stand-ins.
 
 mod cancels;
 mod drains;
@@ -6,4 +6,4 @@
 mod leases;
 mod path;
 mod planners;
-mod site;
+mod support;
--- a/pomelohitchd/tests/processes/log.rs
+++ b/pomelohitchd/tests/processes/log.rs
@@ -11,18 +11,17 @@
 
 use crate::support::{Fleet, wait_until};
 
-fn calls(calls: CallFaults) -> log::Faults {
+fn call_faults(calls: CallFaults) -> log::Faults {
     log::Faults { calls, keep: None }
 }
 
-/// The platform's log goes away for a while. Callers notice nothing: keys, services and runners
-/// in force stay in force at every entry instance, also past the age at which an entry instance
-/// that hears nobody would refuse.
+/// During an outage of the log, keys, services and runners in force stay in force at every entry
+/// instance, also past the age at which an entry instance that hears no peer would refuse requests.
 #[test]
 fn while_the_log_is_down_what_is_in_force_stays_and_requests_are_served() {
     let fleet = Fleet::start(3, 2);
     let before = fleet.state();
-    fleet.log.set_faults(calls(CallFaults {
+    fleet.log.set_faults(call_faults(CallFaults {
         down: true,
         ..CallFaults::default()
     }));
@@ -30,8 +29,11 @@
     wait_until("every entry instance failed to read for seconds", errors);
     for (index, entry) in fleet.entries.iter().enumerate() {
         assert!(entry.is_ready());
-        assert_eq!(fleet.ask(index), Outcome::Whole);
-        assert_eq!(entry.state().expect("it answers").config, before.config);
+        assert_eq!(fleet.probe(index), Outcome::Whole);
+        assert_eq!(
+            entry.state().expect("the entry instance is ready").config,
+            before.config
+        );
     }
     fleet.log.set_faults(log::Faults::default());
     let base = before.config.files[config::PATH].version;
@@ -57,38 +59,39 @@
     });
 }
 
-/// The log answers later than every time limit, so that each append that takes effect looks
-/// failed. Callers notice nothing, and a publish comes into force once it is read.
+/// The log answers later than every timeout, so that appends that take effect look failed. Requests
+/// are still served, and a publish takes effect once it is read.
 #[test]
 fn while_the_log_is_slow_requests_are_served_and_a_publish_comes_into_force() {
     let fleet = Fleet::start(3, 2);
     let base = fleet.state().config.files[config::PATH].version;
-    fleet.log.set_faults(calls(CallFaults {
+    fleet.log.set_faults(call_faults(CallFaults {
         delay: Duration::from_secs(3),
         ..CallFaults::default()
     }));
     let errors = || fleet.entries.iter().all(|entry| read_errors(entry) >= 3);
     wait_until("every entry instance failed to read", errors);
     for index in 0..fleet.entries.len() {
-        assert_eq!(fleet.ask(index), Outcome::Whole);
+        assert_eq!(fleet.probe(index), Outcome::Whole);
     }
     let mut file = config::small();
     file.services[0].queue = 78;
-    config::publish(&fleet.client, file, Some(base)).expect("it waits for long");
+    config::publish(&fleet.client, file, Some(base))
+        .expect("the client's timeout is longer than the delay");
     for index in 0..fleet.entries.len() {
-        assert_eq!(fleet.ask(index), Outcome::Whole);
+        assert_eq!(fleet.probe(index), Outcome::Whole);
     }
     fleet.log.set_faults(log::Faults::default());
     wait_in_force(&fleet, 78);
 }
 
-/// The log takes a join and its answer is lost, so that the entry instance sends the same record
-/// again. It is a member once, as the incarnation of the first of the two.
+/// The answer to the append of a join is lost, so that the entry instance appends the same record
+/// again. It is one member, with the incarnation of the first record.
 #[test]
 fn a_join_whose_answer_is_lost_counts_once() {
     let mut fleet = Fleet::start_empty(1);
     config::publish(&fleet.client, config::small(), None).expect("the log is up");
-    fleet.log.set_faults(calls(CallFaults {
+    fleet.log.set_faults(call_faults(CallFaults {
         lose_answers: 2,
         ..CallFaults::default()
     }));
@@ -104,12 +107,12 @@
     assert_eq!(state.members.by_id.len(), 1);
     assert_eq!(state.members.by_id["entry-0"].incarnation, joins[0].0);
     assert!(joins.iter().all(|(_, id)| *id == joins[0].1), "{joins:?}");
-    assert_eq!(fleet.ask(0), Outcome::Whole);
+    assert_eq!(fleet.probe(0), Outcome::Whole);
 }
 
-/// The log keeps only the newest records, and then all entry instances are replaced at once. The
-/// record that holds the configuration is long gone; the new ones start from a snapshot, with the
-/// same configuration and instances in force.
+/// The log has trimmed the record that holds the configuration, and all entry instances are
+/// replaced at once. The new ones start from a snapshot, with the same configuration and instances
+/// in force.
 #[test]
 fn all_entry_instances_are_replaced_at_once_after_the_log_was_trimmed() {
     let mut fleet = Fleet::start(2, 2);
@@ -133,11 +136,11 @@
     fleet.start_entry();
     fleet.start_entry();
     wait_until("both serve", || {
-        let is_whole = |entry| fleet.ask(entry) == Outcome::Whole;
+        let is_whole = |entry| fleet.probe(entry) == Outcome::Whole;
         fleet.entries.iter().all(Daemon::is_ready) && is_whole(0) && is_whole(1)
     });
     for entry in &fleet.entries {
-        let state = entry.state().expect("it answers");
+        let state = entry.state().expect("the entry instance is ready");
         assert_eq!(state.config, before.config);
         assert_eq!(state.fleet.instances, before.fleet.instances);
         assert!(state.next >= before.next);
--- a/pomelohitchd/tests/withdraw.rs
+++ b/pomelohitchd/tests/withdraw.rs
@@ -39,21 +39,21 @@
     });
 }
 
-/// Longest wait for anything that a test expects.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Upper limit of every wait in these tests.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 fn wait_until(what: &str, mut check: impl FnMut() -> bool) {
-    let deadline = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !check() {
-        assert!(Instant::now() < deadline, "waited too long until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
 fn a_key_withdrawn_while_the_log_is_down_is_refused_at_once_and_recorded_later() {
-    // A key leaks at night, and the log has an outage. Without bad news of its own, the system would
-    // accept the key until the log is back.
+    // If entry instances did not pass withdrawals to each other, a key that leaks during an outage
+    // of the log would be accepted until the log is back.
     let log = Log::start(&log::Options::default());
     let node = node(&log);
     wait_until("the log was read", || node.last_log_read().is_some());
@@ -63,7 +63,7 @@
     let withdrawal = withdraw::withdraw_key(&node, &leaked);
     assert_eq!(
         withdrawal.offset, None,
-        "the operator is told that the log lacks it"
+        "the withdrawal is not recorded, and the operator learns that"
     );
     assert!(node.bad_news.load().withdrawn_keys.contains(&leaked));
     withdraw::log_news(&node);
@@ -80,18 +80,19 @@
     withdraw::log_news(&node);
     assert!(
         node.bad_news.load().withdrawn_keys.is_empty(),
-        "the log tells it from now on"
+        "dropped once the log contains it"
     );
 }
 
 #[test]
-fn news_that_a_peer_told_is_recorded_by_whoever_heard_it() {
-    // The entry instance at which the operator asked is replaced before the log is back.
+fn a_withdrawal_reported_by_a_peer_is_recorded_by_its_receiver() {
+    // The entry instance that got the request of the operator may be replaced before the log is
+    // back, so that every peer it has notified records the withdrawal.
     let log = Log::start(&log::Options::default());
     let node = node(&log);
     wait_until("the log was read", || node.last_log_read().is_some());
     let leaked = key::hash("leaked");
     node.add_withdrawn(std::slice::from_ref(&leaked));
-    withdraw::flush(&node, PATIENCE);
+    withdraw::flush(&node, WAIT_TIMEOUT);
     assert!(node.state.load().withdrawn.contains(&leaked));
 }
