--- a/pomelohitchd/examples/overhead.rs
+++ b/pomelohitchd/examples/overhead.rs
@@ -176,9 +176,9 @@
         };
         state.apply(state.next, &record);
     }
-    node.put_in_force(state, Vec::new());
+    node.publish_state(state, Vec::new());
     node.incarnation.store(0, Ordering::Release);
-    node.life.ready.store(true, Ordering::Release);
+    node.lifecycle.ready.store(true, Ordering::Release);
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let addr = listener
         .local_addr()
--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -137,7 +137,7 @@
                 self.planner.set_team(id, TeamQuota { share: 1, limit: 0 });
             }
         }
-        let withdrawals = self.node.bad_news.load_full();
+        let withdrawals = self.node.known_withdrawals.load_full();
         if !Arc::ptr_eq(&known.fleet, &state.fleet)
             || !Arc::ptr_eq(&withdrawals, &self.known_withdrawals)
         {
@@ -450,7 +450,7 @@
 
     fn set_workers(&mut self, now: Duration) {
         let state = self.node.state.load_full();
-        let withdrawals = self.node.bad_news.load();
+        let withdrawals = self.node.known_withdrawals.load();
         let mut gone: BTreeSet<InstanceId> = self.planner.workers().cloned().collect();
         for listed in &self.listed {
             gone.remove(&listed.id);
--- a/pomelohitchd/src/fleet/callers.rs
+++ b/pomelohitchd/src/fleet/callers.rs
@@ -34,9 +34,9 @@
 #[must_use]
 pub fn limits() -> Limits {
     Limits {
-        idle_tick: Duration::from_secs(1),
-        leaving_tick: Duration::from_millis(100),
-        leaving_grace: Duration::from_millis(1500),
+        idle_check_interval: Duration::from_secs(1),
+        shutdown_check_interval: Duration::from_millis(100),
+        shutdown_grace: Duration::from_millis(1500),
         request: pomelohitch_route::head::Limits {
             body_bytes: 256 * 1024,
             ..pomelohitch_route::head::Limits::default()
--- a/pomelohitchd/src/fleet/internal.rs
+++ b/pomelohitchd/src/fleet/internal.rs
@@ -26,10 +26,10 @@
 pub fn limits() -> Limits {
     Limits {
         connections: MAX_CONNECTIONS,
-        idle: Duration::from_mins(1),
-        idle_tick: Duration::from_secs(1),
-        leaving_tick: Duration::from_millis(100),
-        leaving_grace: Duration::ZERO,
+        idle_timeout: Duration::from_mins(1),
+        idle_check_interval: Duration::from_secs(1),
+        shutdown_check_interval: Duration::from_millis(100),
+        shutdown_grace: Duration::ZERO,
         ..Limits::default()
     }
 }
--- a/pomelohitchd/src/front.rs
+++ b/pomelohitchd/src/front.rs
@@ -96,7 +96,7 @@
         Err(error) => warn!(%error, "could not start accepting callers"),
     }
     while !front.is_leaving() {
-        std::thread::sleep(front.limits.leaving_tick);
+        std::thread::sleep(front.limits.shutdown_check_interval);
     }
     shut_down(&front, listener);
 }
@@ -110,16 +110,16 @@
     Arc::new(Front {
         service,
         connections: Budget::new(limits.connections),
-        body_bytes: Budget::new(limits.body_bytes_together),
+        body_bytes: Budget::new(limits.total_body_bytes),
         limits,
     })
 }
 
 /// The balancer takes a while to notice that this entry instance shuts down. During
-/// `leaving_grace` new connections are still served; afterwards they are refused until the last
+/// `shutdown_grace` new connections are still served; afterwards they are refused until the last
 /// request in flight has its answer.
 fn shut_down(front: &Front, listener: &TcpListener) {
-    std::thread::sleep(front.limits.leaving_grace);
+    std::thread::sleep(front.limits.shutdown_grace);
     while front.connections.used() > 0 {
         std::thread::sleep(POLL_INTERVAL);
     }
@@ -147,7 +147,7 @@
         if leaving_since.is_none() && front.is_leaving() {
             leaving_since = Some(Instant::now());
         }
-        let is_over = leaving_since.is_some_and(|at| at.elapsed() >= front.limits.leaving_grace);
+        let is_over = leaving_since.is_some_and(|at| at.elapsed() >= front.limits.shutdown_grace);
         if is_over && front.connections.used() == 0 {
             return;
         }
--- a/pomelohitchd/src/front/connection.rs
+++ b/pomelohitchd/src/front/connection.rs
@@ -50,7 +50,7 @@
 pub fn serve(front: &Front, stream: &TcpStream, peer: SocketAddr) {
     // Each answer is one write, so Nagle's algorithm would only delay it.
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_write_timeout(Some(front.limits.write_within));
+    let _ = stream.set_write_timeout(Some(front.limits.write_timeout));
     let mut connection = Connection {
         front,
         stream,
@@ -88,7 +88,7 @@
     fn read_head(&mut self) -> Result<Head> {
         let limits = &self.front.limits;
         self.wait_for_request()?;
-        let deadline = Instant::now() + limits.head_within;
+        let deadline = Instant::now() + limits.head_timeout;
         loop {
             let parsed = head::parse(&self.buf, &limits.request);
             if let Some(head) = parsed.map_err(|source| Error::Unreadable { source })? {
@@ -99,22 +99,22 @@
         }
     }
 
-    /// Waits for the first byte of a request. A shutdown ends the wait after `leaving_grace`, so
+    /// Waits for the first byte of a request. A shutdown ends the wait after `shutdown_grace`, so
     /// that callers have time to notice it.
     fn wait_for_request(&mut self) -> Result<()> {
         let limits = &self.front.limits;
-        let mut deadline = Instant::now() + limits.idle;
+        let mut deadline = Instant::now() + limits.idle_timeout;
         let mut is_leaving = false;
         while self.buf.is_empty() {
             if !is_leaving && self.front.is_leaving() {
                 is_leaving = true;
-                deadline = deadline.min(Instant::now() + limits.leaving_grace);
+                deadline = deadline.min(Instant::now() + limits.shutdown_grace);
             }
             let now = Instant::now();
             if now >= deadline {
                 return EndedSnafu.fail();
             }
-            match self.read_until(deadline.min(now + limits.idle_tick)) {
+            match self.read_until(deadline.min(now + limits.idle_check_interval)) {
                 Ok(()) | Err(Error::Slow) => {}
                 Err(error) => return Err(error),
             }
@@ -127,7 +127,7 @@
             let sent = (&mut &*self.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
             sent.map_err(|_| Error::Ended)?;
         }
-        let deadline = Instant::now() + self.front.limits.body_within;
+        let deadline = Instant::now() + self.front.limits.body_timeout;
         while self.buf.len() < head.body_length {
             self.read_until(deadline)?;
         }
--- a/pomelohitchd/src/front/exchange.rs
+++ b/pomelohitchd/src/front/exchange.rs
@@ -120,7 +120,12 @@
             return Err(problem.retry_after(STALE_RETRY_AFTER));
         }
         let state = self.node.state.load_full();
-        let is_withdrawn = self.node.bad_news.load().withdrawn_keys.contains(key);
+        let is_withdrawn = self
+            .node
+            .known_withdrawals
+            .load()
+            .withdrawn_keys
+            .contains(key);
         let team = state.team_of_key(key).filter(|_| !is_withdrawn).cloned();
         match team {
             Some(team) => Ok((state, team)),
--- a/pomelohitchd/src/front/limits.rs
+++ b/pomelohitchd/src/front/limits.rs
@@ -17,21 +17,21 @@
     /// Maximum number of open connections.
     pub connections: usize,
     /// Maximum number of body bytes in memory, over all connections.
-    pub body_bytes_together: usize,
+    pub total_body_bytes: usize,
     /// Timeout for reading a head, from its first byte.
-    pub head_within: Duration,
+    pub head_timeout: Duration,
     /// Timeout for reading a body.
-    pub body_within: Duration,
+    pub body_timeout: Duration,
     /// Timeout for a blocking write of an answer.
-    pub write_within: Duration,
+    pub write_timeout: Duration,
     /// A connection is closed after this time without a request.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Interval at which an idle connection checks for a shutdown.
-    pub idle_tick: Duration,
+    pub idle_check_interval: Duration,
     /// Interval at which the serving thread checks for a shutdown.
-    pub leaving_tick: Duration,
+    pub shutdown_check_interval: Duration,
     /// New connections are still served for this long after a graceful shutdown begins.
-    pub leaving_grace: Duration,
+    pub shutdown_grace: Duration,
 }
 
 impl Default for Limits {
@@ -39,14 +39,14 @@
         Limits {
             request: head::Limits::default(),
             connections: 512,
-            body_bytes_together: 64 * 1024 * 1024,
-            head_within: Duration::from_secs(5),
-            body_within: Duration::from_secs(20),
-            write_within: Duration::from_secs(20),
-            idle: Duration::from_secs(30),
-            idle_tick: Duration::from_millis(250),
-            leaving_tick: Duration::from_millis(10),
-            leaving_grace: Duration::from_secs(1),
+            total_body_bytes: 64 * 1024 * 1024,
+            head_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(20),
+            write_timeout: Duration::from_secs(20),
+            idle_timeout: Duration::from_secs(30),
+            idle_check_interval: Duration::from_millis(250),
+            shutdown_check_interval: Duration::from_millis(10),
+            shutdown_grace: Duration::from_secs(1),
         }
     }
 }
--- a/pomelohitchd/src/jobs_api.rs
+++ b/pomelohitchd/src/jobs_api.rs
@@ -27,7 +27,7 @@
 const MAX_NAME_BYTES: usize = 200;
 /// No more jobs are accepted while the table holds this many, including ended ones. Every entry
 /// instance keeps all of them and would otherwise run out of memory without any error to callers.
-pub const MOST_JOBS: usize = 40_000;
+pub const MAX_KEPT_JOBS: usize = 40_000;
 /// Maximum number of jobs in a list.
 const MAX_LISTED: usize = 1000;
 /// `Retry-After` of a refusal for a temporary reason, in seconds.
@@ -122,7 +122,7 @@
     if let Some(answer) = known_job(node, &job) {
         return answer;
     }
-    if node.state.load().jobs.table.len() >= MOST_JOBS {
+    if node.state.load().jobs.table.len() >= MAX_KEPT_JOBS {
         metrics::counter!("jobs_turned_away").increment(1);
         return problem(503, "no", "too many jobs are kept; nothing was taken in")
             .with_additional_header("Retry-After", RETRY_AFTER);
--- a/pomelohitchd/src/leaving.rs
+++ b/pomelohitchd/src/leaving.rs
@@ -22,7 +22,7 @@
 /// The log counts as down if it wasn't read for this long.
 const LOG_DOWN_AFTER: Duration = Duration::from_secs(2);
 /// A member's report counts for this long, unless the member replaces it.
-pub const KEPT: Duration = Duration::from_secs(10);
+pub const SIGHTING_TTL: Duration = Duration::from_secs(10);
 
 /// The instances that each member sees leaving.
 #[derive(Debug, Default)]
@@ -32,24 +32,24 @@
 
 impl Sightings {
     /// Replaces the report of `member`.
-    pub fn see(&mut self, member: &MemberId, instances: BTreeSet<InstanceId>, now: Instant) {
+    pub fn record(&mut self, member: &MemberId, instances: BTreeSet<InstanceId>, now: Instant) {
         self.by_member.insert(member.clone(), (now, instances));
     }
 
     /// The last report of `member`; empty if there is none.
     #[must_use]
-    pub fn of(&self, member: &str) -> BTreeSet<InstanceId> {
+    pub fn by(&self, member: &str) -> BTreeSet<InstanceId> {
         let report = self.by_member.get(member);
         report
             .map(|(_, instances)| instances.clone())
             .unwrap_or_default()
     }
 
-    /// All instances that any member reported within [`KEPT`].
+    /// All instances that any member reported within [`SIGHTING_TTL`].
     #[must_use]
-    pub fn all(&self, now: Instant) -> BTreeSet<InstanceId> {
+    pub fn current(&self, now: Instant) -> BTreeSet<InstanceId> {
         let recent = self.by_member.values();
-        let recent = recent.filter(|(at, _)| now.saturating_duration_since(*at) < KEPT);
+        let recent = recent.filter(|(at, _)| now.saturating_duration_since(*at) < SIGHTING_TTL);
         recent
             .flat_map(|(_, instances)| instances.iter().cloned())
             .collect()
@@ -69,7 +69,7 @@
             Some(BTreeSet::new())
         };
         if let Some(seen) = seen {
-            node.saw_leaving(&node.settings.member, seen);
+            node.record_leaving(&node.settings.member, seen);
         }
     }
 }
--- a/pomelohitchd/src/lifecycle.rs
+++ b/pomelohitchd/src/lifecycle.rs
@@ -110,7 +110,7 @@
     let admin = admin::bind(&node, metrics).context(AdminSnafu)?;
     announce(&callers, admin.server_addr(), peer_addr);
     let links = peers::start(&node, peer_listener).context(PeersSnafu)?;
-    node.permits.use_links(links.commands.clone());
+    node.permits.set_links(links.commands.clone());
     spawn("admin", move || admin.run())?;
     spawn_with("reader", &node, reader::run)?;
     spawn_with("leaving", &node, leaving::run)?;
@@ -118,7 +118,7 @@
     spawn_with("planner", &node, planner::run)?;
     spawn_with("withdraw", &node, withdraw::run)?;
     spawn_with("permits", &node, permits::run)?;
-    spawn_with("borders", &node, permits::borders::run)?;
+    spawn_with("borders", &node, permits::limit_split::run)?;
     spawn_with("batch", &node, batch::run)?;
     spawn_with("burn", &node, burn::run)?;
     let serving = spawn_with("front", &node, move |node| front::run(node, &callers))?;
@@ -198,17 +198,17 @@
 }
 
 fn serve_when_caught_up(node: &Node, joined: Joined) {
-    if node.life.ready.load(Ordering::Acquire) {
+    if node.lifecycle.ready.load(Ordering::Acquire) {
         return;
     }
     if readiness::evidence(node, joined.at.elapsed()).may_serve() {
-        node.life.ready.store(true, Ordering::Release);
+        node.lifecycle.ready.store(true, Ordering::Release);
         info!(incarnation = joined.incarnation, "ready to serve");
     }
 }
 
 fn join(node: &Node, peer_addr: SocketAddr) -> Option<Joined> {
-    if node.life.ready.swap(false, Ordering::AcqRel) {
+    if node.lifecycle.ready.swap(false, Ordering::AcqRel) {
         warn!("this incarnation was ended by a record in the log; joining again");
     }
     // Until the reader has read the log, no verdict can arrive.
@@ -242,7 +242,7 @@
 /// expire.
 fn shut_down(node: &Node, serving: &std::thread::JoinHandle<()>) {
     info!("shutting down");
-    node.life.leaving.store(true, Ordering::Release);
+    node.lifecycle.leaving.store(true, Ordering::Release);
     let deadline = Instant::now() + Duration::from_millis(node.settings.shutdown_ms);
     while !serving.is_finished() && Instant::now() < deadline {
         std::thread::sleep(POLL_INTERVAL);
--- a/pomelohitchd/src/node.rs
+++ b/pomelohitchd/src/node.rs
@@ -54,7 +54,7 @@
 
 /// Lifecycle of the process.
 #[derive(Debug, Default)]
-pub struct Life {
+pub struct Lifecycle {
     /// This member's join has taken effect, and the log's head was reached since.
     pub ready: AtomicBool,
     /// A graceful shutdown is in progress.
@@ -106,11 +106,11 @@
     /// Whether the last read of the log failed.
     pub log_is_down: AtomicBool,
     /// Lifecycle of the process.
-    pub life: Life,
+    pub lifecycle: Lifecycle,
     /// Incarnation of this member; 0 before its join takes effect.
     pub incarnation: AtomicU64,
     /// Withdrawals known here, whether or not the log has them.
-    pub bad_news: ArcSwap<KnownWithdrawals>,
+    pub known_withdrawals: ArcSwap<KnownWithdrawals>,
     /// Counts of answers for the burn rate of service-level objectives.
     pub burn: Burn,
     /// Permits, queues and runners for requests.
@@ -138,9 +138,9 @@
             head: AtomicU64::new(0),
             first_kept: AtomicU64::new(0),
             log_is_down: AtomicBool::new(false),
-            life: Life::default(),
+            lifecycle: Lifecycle::default(),
             incarnation: AtomicU64::new(0),
-            bad_news: ArcSwap::default(),
+            known_withdrawals: ArcSwap::default(),
             burn: Burn::default(),
             permits: Permits::default(),
             sightings: Mutex::default(),
@@ -216,7 +216,7 @@
     }
 
     /// Publishes a new state and notifies the threads that wait for its records.
-    pub fn put_in_force(&self, state: State, applied: Vec<Applied>) {
+    pub fn publish_state(&self, state: State, applied: Vec<Applied>) {
         self.state.store(Arc::new(state));
         let mut waiters = lock(&self.waiters);
         for Applied {
@@ -241,7 +241,7 @@
     }
 
     /// Records the start time of the last successful read of the log.
-    pub fn read_log(&self, started: Instant) {
+    pub fn record_log_read(&self, started: Instant) {
         *lock(&self.log_read) = Some(started);
     }
 
@@ -264,11 +264,11 @@
 
     /// Adds keys that were withdrawn.
     pub fn add_withdrawn(&self, keys: &[KeyHash]) {
-        let known = self.bad_news.load();
+        let known = self.known_withdrawals.load();
         if keys.iter().all(|key| known.withdrawn_keys.contains(key)) {
             return;
         }
-        self.bad_news.rcu(|known| {
+        self.known_withdrawals.rcu(|known| {
             let mut withdrawals = KnownWithdrawals::clone(known);
             withdrawals.withdrawn_keys.extend(keys.iter().cloned());
             withdrawals
@@ -276,15 +276,15 @@
     }
 
     /// Replaces the set of instances that `member` sees leaving.
-    pub fn saw_leaving(&self, member: &MemberId, instances: BTreeSet<InstanceId>) {
+    pub fn record_leaving(&self, member: &MemberId, instances: BTreeSet<InstanceId>) {
         let now = Instant::now();
         let mut sightings = lock(&self.sightings);
-        sightings.see(member, instances, now);
-        let leaving = sightings.all(now);
-        if self.bad_news.load().leaving_instances == leaving {
+        sightings.record(member, instances, now);
+        let leaving = sightings.current(now);
+        if self.known_withdrawals.load().leaving_instances == leaving {
             return;
         }
-        self.bad_news.rcu(|known| KnownWithdrawals {
+        self.known_withdrawals.rcu(|known| KnownWithdrawals {
             leaving_instances: leaving.clone(),
             ..KnownWithdrawals::clone(known)
         });
@@ -293,19 +293,19 @@
     /// The instances that this member itself sees leaving.
     #[must_use]
     pub fn own_sightings(&self) -> BTreeSet<InstanceId> {
-        lock(&self.sightings).of(&self.settings.member)
+        lock(&self.sightings).by(&self.settings.member)
     }
 
     /// Whether callers are served: this member has joined and caught up, and isn't shutting down.
     #[must_use]
     pub fn is_ready(&self) -> bool {
-        self.life.ready.load(Ordering::Acquire) && !self.is_leaving()
+        self.lifecycle.ready.load(Ordering::Acquire) && !self.is_leaving()
     }
 
     /// Whether a graceful shutdown is in progress.
     #[must_use]
     pub fn is_leaving(&self) -> bool {
-        self.life.leaving.load(Ordering::Acquire)
+        self.lifecycle.leaving.load(Ordering::Acquire)
     }
 }
 
--- a/pomelohitchd/src/peers.rs
+++ b/pomelohitchd/src/peers.rs
@@ -74,7 +74,7 @@
 }
 
 fn own_beat(node: &Node) -> Heartbeat {
-    let withdrawals = node.bad_news.load();
+    let withdrawals = node.known_withdrawals.load();
     Heartbeat {
         member: node.settings.member.clone(),
         incarnation: node.incarnation.load(Ordering::Acquire),
@@ -98,7 +98,7 @@
 fn on_beat(node: &Node, heard: Heard) {
     let Heard { beat, said_after } = heard;
     node.add_withdrawn(&beat.withdrawn_keys);
-    node.saw_leaving(&beat.member, beat.leaving_instances.into_iter().collect());
+    node.record_leaving(&beat.member, beat.leaving_instances.into_iter().collect());
     let seen = PeerSeen {
         incarnation: beat.incarnation,
         next: beat.next,
--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -4,7 +4,7 @@
 //! every step under it is short and does no I/O. [`run`] sends batches to the homes several times
 //! a second.
 //!
-//! * [`borders`]: splits each team's limit between requests and jobs.
+//! * [`limit_split`]: splits each team's limit between requests and jobs.
 //! * `exchange`: permit messages between entry instances.
 //! * [`keys`]: idempotency keys.
 //! * [`view`]: derives the dispatcher's view from the fleet state.
@@ -25,14 +25,14 @@
 use crate::freshness;
 use crate::node::{KnownWithdrawals, Node};
 
-pub mod borders;
 mod exchange;
 pub mod keys;
+pub mod limit_split;
 pub mod view;
 
-use borders::Borders;
 pub use exchange::{on_batch, run, step};
 use keys::KeyHome;
+use limit_split::LimitSplits;
 
 /// Permits are exchanged at every tick for this long after the last request, ask or change.
 const ACTIVE_FOR: Duration = Duration::from_secs(2);
@@ -56,7 +56,7 @@
     dispatcher: Dispatcher<GrantSender>,
     homes: Homes,
     keys: KeyHome,
-    borders: Borders,
+    limit_splits: LimitSplits,
     limits: view::Limits,
     view_inputs: ViewInputs,
     /// Until this time permits are exchanged at every tick, afterwards only at idle ticks.
@@ -95,7 +95,7 @@
                 dispatcher: Dispatcher::new(rand::random()),
                 homes: Homes::default(),
                 keys: KeyHome::default(),
-                borders: Borders::default(),
+                limit_splits: LimitSplits::default(),
                 limits: view::Limits::default(),
                 view_inputs: ViewInputs::default(),
                 active_until: Monotonic::ZERO,
@@ -109,7 +109,7 @@
 
 impl Permits {
     /// Sets the links over which peers are called.
-    pub fn use_links(&self, links: Commands) {
+    pub fn set_links(&self, links: Commands) {
         *self.lock_links() = Some(links);
     }
 
@@ -254,7 +254,7 @@
 
 /// The number of permits of `resource` held here, and how many of them are in use.
 #[must_use]
-pub fn held(node: &Node, resource: &Resource) -> (u32, u32) {
+pub fn permit_counts(node: &Node, resource: &Resource) -> (u32, u32) {
     node.permits.lock().dispatcher.permits(resource)
 }
 
@@ -267,7 +267,7 @@
     /// Rebuilds the view if the fleet state, the incarnation or the leaving instances changed.
     fn refresh(&mut self, node: &Node, now: Monotonic) {
         let state = node.state.load();
-        let withdrawals = node.bad_news.load();
+        let withdrawals = node.known_withdrawals.load();
         let incarnation = node.incarnation.load(Ordering::Acquire);
         let is_current = self.view_inputs.next == state.next
             && self.view_inputs.incarnation == incarnation
--- a/pomelohitchd/src/permits/exchange.rs
+++ b/pomelohitchd/src/permits/exchange.rs
@@ -118,7 +118,7 @@
     pub(super) fn bounds(&self, state: &State, resource: &Resource) -> Bounds {
         let mut bounds = view::bounds(state, resource);
         if let Resource::Team(team) = resource {
-            bounds.limit = self.borders.requests_of(state, team);
+            bounds.limit = self.limit_splits.requests_of(state, team);
         }
         bounds
     }
--- a/pomelohitchd/src/permits/borders.rs
+++ b/pomelohitchd/src/permits/limit_split.rs
@@ -44,11 +44,11 @@
 
 /// Changes of splits that this member has in progress.
 #[derive(Debug, Default)]
-pub struct Borders {
+pub struct LimitSplits {
     reserved: BTreeMap<TeamId, Reservation>,
 }
 
-impl Borders {
+impl LimitSplits {
     /// Number of requests of the team that may run: its part of the limit in the log, less what is
     /// reserved for jobs.
     #[must_use]
@@ -63,7 +63,7 @@
 
     /// Drops reservations that no longer apply: the split or the epoch changed, or the permits
     /// weren't freed in time.
-    pub fn settle(&mut self, state: &State) {
+    pub fn drop_settled(&mut self, state: &State) {
         self.reserved.retain(|team, reserved| {
             let is_current = state.limits.version_of(team) == reserved.base
                 && state.members.epoch == reserved.epoch;
@@ -75,7 +75,7 @@
 
 /// Demand of a team's jobs and requests for its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wants {
+pub struct SplitDemand {
     /// Jobs that run or are being started or stopped.
     pub active: u32,
     /// Jobs that run or wait.
@@ -90,7 +90,7 @@
 /// gets at least the lesser of its demand and half of the limit. Jobs never get less than what is
 /// active.
 #[must_use]
-pub fn part_of_jobs(limit: u32, wants: &Wants) -> u32 {
+pub fn jobs_part(limit: u32, wants: &SplitDemand) -> u32 {
     let half = limit / 2;
     let left = limit.saturating_sub(wants.jobs.saturating_add(wants.requests));
     let jobs = if left > 0 {
@@ -105,7 +105,7 @@
 
 /// Whether the part for jobs should change from `now` to `target`.
 #[must_use]
-pub fn is_worth_moving(limit: u32, now: u32, target: u32, wants: &Wants) -> bool {
+pub fn is_change_needed(limit: u32, now: u32, target: u32, wants: &SplitDemand) -> bool {
     let lacks_jobs = now < wants.jobs && target > now;
     let lacks_requests = limit.saturating_sub(now) < wants.requests && target < now;
     lacks_jobs || lacks_requests || now.abs_diff(target) > limit / MIN_CHANGE_DIVISOR
@@ -130,7 +130,7 @@
     let state = node.state.load_full();
     let waiting = waiting_jobs(&state);
     let mut inner = node.permits.lock();
-    inner.borders.settle(&state);
+    inner.limit_splits.drop_settled(&state);
     // A newer epoch's home doesn't know the reservations made here, so none are made while the
     // epochs differ.
     if inner.homes.epoch().offset != state.members.epoch {
@@ -174,14 +174,14 @@
         let bounds = self.bounds(state, &resource);
         let demand = self.homes.settled_demand(&resource, &bounds, now)?;
         let active = state.jobs.active_of(&team.id);
-        let wants = Wants {
+        let wants = SplitDemand {
             active,
             jobs: active.saturating_add(waiting),
             requests: demand.wanted,
         };
-        let target = self.borders.target(state, team, &wants)?;
+        let target = self.limit_splits.target(state, team, &wants)?;
         let current = state.limits.jobs_of(team);
-        let reserved = self.borders.reserved.get_mut(&team.id)?;
+        let reserved = self.limit_splits.reserved.get_mut(&team.id)?;
         let is_free = demand.held <= team.limit.saturating_sub(target);
         if target > current && !is_free {
             return None;
@@ -197,9 +197,9 @@
     }
 }
 
-impl Borders {
+impl LimitSplits {
     /// The part for jobs to propose, if it should change; reserves it for jobs.
-    pub fn target(&mut self, state: &State, team: &Team, wants: &Wants) -> Option<u32> {
+    pub fn target(&mut self, state: &State, team: &Team, wants: &SplitDemand) -> Option<u32> {
         let current = state.limits.jobs_of(team);
         if let Some(reserved) = self.reserved.get_mut(&team.id) {
             let is_pending = reserved.is_proposed && reserved.since.elapsed() < RECLAIM_TIMEOUT;
@@ -207,8 +207,8 @@
             // If the limit was lowered meanwhile, a larger value would be rejected every time.
             return (!is_pending).then_some(reserved.jobs.min(team.limit));
         }
-        let target = part_of_jobs(team.limit, wants);
-        if !is_worth_moving(team.limit, current, target, wants) {
+        let target = jobs_part(team.limit, wants);
+        if !is_change_needed(team.limit, current, target, wants) {
             return None;
         }
         let reserved = Reservation {
@@ -262,5 +262,5 @@
         Outcome::Unknown => "unknown",
     };
     metrics::counter!("limit_borders_moved", "verdict" => label).increment(1);
-    node.permits.lock().borders.on_outcome(&team, outcome);
+    node.permits.lock().limit_splits.on_outcome(&team, outcome);
 }
--- a/pomelohitchd/src/reader.rs
+++ b/pomelohitchd/src/reader.rs
@@ -34,7 +34,7 @@
                 publish(node, &follower, progress);
                 // A reader that is behind, for example after a pause, has an outdated state.
                 if is_at_head {
-                    node.read_log(started);
+                    node.record_log_read(started);
                 }
             }
             Err(error) => {
@@ -56,7 +56,7 @@
     match follower.load_snapshot() {
         Ok(true) => {
             info!(next = follower.state().next, "started from a snapshot");
-            node.put_in_force(follower.state().clone(), Vec::new());
+            node.publish_state(follower.state().clone(), Vec::new());
         }
         Ok(false) => {}
         Err(error) => warn!(%error, "could not load a snapshot; reading the log instead"),
@@ -77,5 +77,5 @@
         return;
     }
     metrics::counter!("log_records_read").increment(progress.applied.len() as u64);
-    node.put_in_force(follower.state().clone(), progress.applied);
+    node.publish_state(follower.state().clone(), progress.applied);
 }
--- a/pomelohitchd/src/withdraw.rs
+++ b/pomelohitchd/src/withdraw.rs
@@ -69,7 +69,7 @@
 /// The withdrawals known here that aren't in the log as far as `state` shows.
 #[must_use]
 pub fn unlogged(node: &Node, state: &State) -> Vec<KeyHash> {
-    let known = node.bad_news.load();
+    let known = node.known_withdrawals.load();
     let keys = known.withdrawn_keys.iter();
     keys.filter(|key| !state.withdrawn.contains(*key))
         .cloned()
@@ -80,14 +80,14 @@
 pub fn run(node: &Arc<Node>) {
     loop {
         std::thread::sleep(RETRY_INTERVAL);
-        log_news(node);
+        log_withdrawals(node);
     }
 }
 
 /// Appends known withdrawals that aren't in the log, and drops those that are. Every entry
 /// instance does so, because any of them may be the last one that knows; duplicate records are
 /// harmless.
-pub fn log_news(node: &Node) {
+pub fn log_withdrawals(node: &Node) {
     for key in unlogged(node, &node.state.load()) {
         if append(node, &key).is_none() {
             return;
@@ -100,7 +100,7 @@
 /// Withdrawals in the log needn't be sent in heartbeats any more.
 fn drop_logged(node: &Node) {
     let state = node.state.load();
-    let known = node.bad_news.load();
+    let known = node.known_withdrawals.load();
     if known
         .withdrawn_keys
         .iter()
@@ -108,7 +108,7 @@
     {
         return;
     }
-    node.bad_news.rcu(|known| {
+    node.known_withdrawals.rcu(|known| {
         let mut known = crate::node::KnownWithdrawals::clone(known);
         known
             .withdrawn_keys
@@ -122,7 +122,7 @@
 pub fn flush(node: &Node, limit: Duration) {
     let deadline = Instant::now() + limit;
     while !unlogged(node, &node.state.load()).is_empty() && Instant::now() < deadline {
-        log_news(node);
+        log_withdrawals(node);
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/pomelohitchd/tests/batch/drains.rs
+++ b/pomelohitchd/tests/batch/drains.rs
@@ -39,7 +39,7 @@
     let entry = platform.planner(100);
     entry.end_of(&entry.submit(&job("print", true, "run=10")));
     let seen = ["worker-0".into()].into();
-    entry.node.saw_leaving(&"entry-2".into(), seen);
+    entry.node.record_leaving(&"entry-2".into(), seen);
     let id = entry.submit(&job("print", true, "run=60000"));
     entry.wait_for(&id, "running");
     assert_eq!(entry.show(&id).worker.as_deref(), Some("worker-1"));
--- a/pomelohitchd/tests/batch/path.rs
+++ b/pomelohitchd/tests/batch/path.rs
@@ -130,7 +130,7 @@
     let platform = Platform::start(1);
     let entry = platform.entry("entry-1");
     entry.publish(10);
-    entry.fill(jobs_api::MOST_JOBS - 1);
+    entry.fill(jobs_api::MAX_KEPT_JOBS - 1);
     entry.submit(&job("settle", true, ""));
     let answer = entry.call("POST", "/v1/jobs", None, &job("settle", true, ""));
     assert_eq!(answer.status, 503);
--- a/pomelohitchd/tests/batch/support.rs
+++ b/pomelohitchd/tests/batch/support.rs
@@ -140,7 +140,7 @@
         };
         let offset = self.propose(Body::Join(join));
         self.node.incarnation.store(offset, Ordering::Release);
-        self.node.life.ready.store(true, Ordering::Release);
+        self.node.lifecycle.ready.store(true, Ordering::Release);
     }
 
     pub fn take_term(&self) {
--- a/pomelohitchd/tests/borders.rs
+++ b/pomelohitchd/tests/borders.rs
@@ -7,15 +7,17 @@
 use pomelohitch_core::id::RecordId;
 use pomelohitch_core::record::{FileChange, Publish};
 use pomelohitch_core::{Body, Record, State, Verdict};
-use pomelohitchd::permits::borders::{Borders, Outcome, Wants, is_worth_moving, part_of_jobs};
+use pomelohitchd::permits::limit_split::{
+    LimitSplits, Outcome, SplitDemand, is_change_needed, jobs_part,
+};
 
 fn part(limit: u32, active: u32, jobs: u32, requests: u32) -> u32 {
-    let wants = Wants {
+    let wants = SplitDemand {
         active,
         jobs,
         requests,
     };
-    part_of_jobs(limit, &wants)
+    jobs_part(limit, &wants)
 }
 
 #[test]
@@ -67,14 +69,14 @@
 
 #[test]
 fn the_split_is_not_moved_while_both_sides_have_enough() {
-    let wants = Wants {
+    let wants = SplitDemand {
         active: 5,
         jobs: 5,
         requests: 5,
     };
-    assert!(!is_worth_moving(100, 50, 52, &wants));
-    assert!(is_worth_moving(100, 4, 50, &wants));
-    assert!(is_worth_moving(100, 97, 50, &wants));
+    assert!(!is_change_needed(100, 50, 52, &wants));
+    assert!(is_change_needed(100, 4, 50, &wants));
+    assert!(is_change_needed(100, 97, 50, &wants));
 }
 
 fn publish(state: &mut State, limit: u32) -> Team {
@@ -107,8 +109,8 @@
 #[test]
 fn an_unknown_proposal_above_a_lowered_limit_is_proposed_within_it() {
     let mut state = State::default();
-    let mut borders = Borders::default();
-    let wants = Wants {
+    let mut borders = LimitSplits::default();
+    let wants = SplitDemand {
         active: 0,
         jobs: 100,
         requests: 0,
--- a/pomelohitchd/tests/front/bad_input.rs
+++ b/pomelohitchd/tests/front/bad_input.rs
@@ -15,8 +15,8 @@
             head_bytes: 2048,
             body_bytes: 4096,
         },
-        head_within: Duration::from_millis(200),
-        body_within: Duration::from_millis(200),
+        head_timeout: Duration::from_millis(200),
+        body_timeout: Duration::from_millis(200),
         ..Limits::default()
     }
 }
@@ -195,8 +195,8 @@
 #[test]
 fn the_total_size_of_request_bodies_is_limited() {
     let limits = Limits {
-        body_bytes_together: 4096,
-        body_within: Duration::from_secs(20),
+        total_body_bytes: 4096,
+        body_timeout: Duration::from_secs(20),
         ..limits()
     };
     let runner = Runner::answering("pass");
--- a/pomelohitchd/tests/front/entry.rs
+++ b/pomelohitchd/tests/front/entry.rs
@@ -66,7 +66,7 @@
             let node = node(&joins, index, bodies(runners, passes()));
             index += 1;
             let links = peers::start(&node, listener).unwrap();
-            node.permits.use_links(links.commands.clone());
+            node.permits.set_links(links.commands.clone());
             let _ = peers::follow_members(&node, &links, None);
             (Entry::serve(node, Limits::default()), links)
         })
@@ -92,7 +92,7 @@
     pub fn apply(&self, body: Body) {
         let mut state = State::clone(&self.node.state.load());
         apply(&mut state, body);
-        self.node.put_in_force(state, Vec::new());
+        self.node.publish_state(state, Vec::new());
     }
 
     pub fn withdraw_key(&self) {
@@ -188,9 +188,9 @@
     for body in records {
         apply(&mut state, body);
     }
-    node.put_in_force(state, Vec::new());
+    node.publish_state(state, Vec::new());
     node.incarnation.store(index as u64, Ordering::Release);
-    node.life.ready.store(true, Ordering::Release);
+    node.lifecycle.ready.store(true, Ordering::Release);
     node
 }
 
--- a/pomelohitchd/tests/front/fleet.rs
+++ b/pomelohitchd/tests/front/fleet.rs
@@ -11,7 +11,7 @@
 /// Whether all of them have heard from their peers and hold permits.
 fn are_ready<'a>(entries: impl IntoIterator<Item = &'a Entry>) -> bool {
     entries.into_iter().all(|entry| {
-        let (held, _) = permits::held(&entry.node, &Resource::Team("valley".into()));
+        let (held, _) = permits::permit_counts(&entry.node, &Resource::Team("valley".into()));
         held > 0 && freshness::is_fresh(&entry.node)
     })
 }
@@ -113,7 +113,7 @@
         member: "entry-1".into(),
         incarnation: 0,
     }));
-    entry.node.read_log(std::time::Instant::now());
+    entry.node.record_log_read(std::time::Instant::now());
     let answer = entry.call("GET", "/s/passes/", &["Request-Timeout-Ms: 300"]);
     assert_eq!(problem(&answer)["ran"], "no", "{answer}");
     assert_eq!(runner.count(), 1);
--- a/pomelohitchd/tests/front/shutdown.rs
+++ b/pomelohitchd/tests/front/shutdown.rs
@@ -24,7 +24,7 @@
         Some(ok("whole"))
     });
     let limits = Limits {
-        leaving_grace: Duration::from_millis(300),
+        shutdown_grace: Duration::from_millis(300),
         ..Limits::default()
     };
     let entry = Entry::start(&[runner.addr], limits);
@@ -40,7 +40,7 @@
         .unwrap();
     wait_until("the slow request runs", || runner.count() == 2);
 
-    entry.node.life.leaving.store(true, Ordering::Release);
+    entry.node.lifecycle.leaving.store(true, Ordering::Release);
     kept.write_all(request("/s/passes/").as_bytes()).unwrap();
     let mut rest = String::new();
     kept.read_to_string(&mut rest).unwrap();
--- a/pomelohitchd/tests/planner.rs
+++ b/pomelohitchd/tests/planner.rs
@@ -46,7 +46,7 @@
         }),
     );
     node.incarnation.store(incarnation, Ordering::Release);
-    node.life.ready.store(true, Ordering::Release);
+    node.lifecycle.ready.store(true, Ordering::Release);
     propose(&node, publish());
     propose(
         &node,
--- a/pomelohitchd/tests/withdraw.rs
+++ b/pomelohitchd/tests/withdraw.rs
@@ -65,21 +65,29 @@
         withdrawal.offset, None,
         "the withdrawal is not recorded, and the operator learns that"
     );
-    assert!(node.bad_news.load().withdrawn_keys.contains(&leaked));
-    withdraw::log_news(&node);
     assert!(
-        node.bad_news.load().withdrawn_keys.contains(&leaked),
+        node.known_withdrawals
+            .load()
+            .withdrawn_keys
+            .contains(&leaked)
+    );
+    withdraw::log_withdrawals(&node);
+    assert!(
+        node.known_withdrawals
+            .load()
+            .withdrawn_keys
+            .contains(&leaked),
         "kept until it is recorded"
     );
 
     set_down(&log, false);
     wait_until("it is recorded", || {
-        withdraw::log_news(&node);
+        withdraw::log_withdrawals(&node);
         node.state.load().withdrawn.contains(&leaked)
     });
-    withdraw::log_news(&node);
+    withdraw::log_withdrawals(&node);
     assert!(
-        node.bad_news.load().withdrawn_keys.is_empty(),
+        node.known_withdrawals.load().withdrawn_keys.is_empty(),
         "dropped once the log contains it"
     );
 }
