--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -1,4 +1,5 @@
-//! One step after the other: what changed, what happened, what to do, and doing it.
+//! The planning loop for batch jobs: applies changes of the state and reports of workers, decides,
+//! and calls workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, mpsc};
@@ -16,47 +17,47 @@
 use pomelohitch_platform::workers::{self as platform, Action, Listed, Reports, Start};
 use tracing::{info, warn};
 
-use super::effects::{Ask, Call, Effects, Learned, Outcome};
-use super::polls::{self, News};
-use crate::node::{BadNews, Node};
+use super::effects::{Call, CallRequest, CallResult, Effects, Outcome};
+use super::polls::{self, Update};
+use crate::node::{KnownWithdrawals, Node};
 
-/// How long one proposal may take.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(4);
-/// A lease is renewed when this part of it is over.
-const RENEW_PART: u32 = 3;
-/// How long to wait before a call that taught nothing is made again.
-const CALL_AGAIN_AFTER: Duration = Duration::from_millis(300);
-/// How long the reports of an attempt that has ended may take before it is given up on.
-const REPORTS_WITHIN: Duration = Duration::from_secs(30);
-/// The most reports in one record.
+/// Timeout of one proposal.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// A lease is renewed after its length divided by this.
+const RENEW_DIVISOR: u32 = 3;
+/// Delay before a call without a usable answer is repeated.
+const CALL_RETRY_DELAY: Duration = Duration::from_millis(300);
+/// Timeout for the reports of an attempt that has ended; afterwards its outcome is unknown.
+const REPORTS_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of reports in one record.
 const MAX_REPORTS: usize = 1024;
 
-/// Drives batch work while this member plans.
+/// Plans batch jobs during one term of this member.
 #[derive(Debug)]
 pub struct Driver {
     options: super::Options,
     node: Arc<Node>,
     planner: Planner,
-    /// The state that the planner's books follow.
+    /// The state that the planner's accounting reflects.
     known: Arc<State>,
-    known_news: Arc<BadNews>,
+    known_withdrawals: Arc<KnownWithdrawals>,
     has_list: bool,
     listed: Vec<Listed>,
-    news: mpsc::Receiver<News>,
+    updates: mpsc::Receiver<Update>,
     effects: Effects,
-    began: Instant,
-    /// Where the platform's reports are dealt with up to, once `pending` is in the log.
+    started_at: Instant,
+    /// Position in the platform's reports after which to continue once `pending` is in the log.
     reports_next: u64,
-    reports_read: Duration,
+    reports_read_at: Duration,
     pending: Vec<Report>,
-    renew: BTreeSet<(Duration, JobId, AttemptId)>,
-    again: BTreeSet<(Duration, JobId, AttemptId)>,
-    /// Attempts that have ended and whose reports haven't come, with the time that was found.
+    renewals: BTreeSet<(Duration, JobId, AttemptId)>,
+    retries: BTreeSet<(Duration, JobId, AttemptId)>,
+    /// Attempts that have ended without a report so far, with the time at which that was detected.
     unexplained: BTreeMap<JobId, (AttemptId, Duration)>,
 }
 
 impl Driver {
-    /// Takes batch work over as the log has it.
+    /// Starts from the state in the log.
     #[must_use]
     pub fn start(node: &Arc<Node>, options: super::Options) -> Driver {
         let state = node.state.load_full();
@@ -66,56 +67,57 @@
             node: node.clone(),
             planner: Planner::new(Options::default()),
             known: Arc::new(State::default()),
-            known_news: Arc::default(),
+            known_withdrawals: Arc::default(),
             has_list: false,
             listed: Vec::new(),
-            news: polls::start(node, reports_next),
+            updates: polls::start(node, reports_next),
             effects: Effects::start(node),
-            began: Instant::now(),
+            started_at: Instant::now(),
             reports_next,
-            reports_read: Duration::ZERO,
+            reports_read_at: Duration::ZERO,
             pending: Vec::new(),
-            renew: BTreeSet::new(),
-            again: BTreeSet::new(),
+            renewals: BTreeSet::new(),
+            retries: BTreeSet::new(),
             unexplained: BTreeMap::new(),
         }
     }
 
-    /// Does what is to be done now. Waits for the log at the most.
+    /// Runs one step. Blocks only on proposals to the log.
     pub fn step(&mut self) {
-        let now = self.began.elapsed();
-        self.take_news(now);
+        let now = self.started_at.elapsed();
+        self.take_updates(now);
         if !self.has_list {
             return;
         }
-        self.follow(now);
-        self.take_outcomes(now);
-        self.give_up();
+        self.sync(now);
+        self.process_outcomes(now);
+        self.report_unexplained();
         self.report();
-        self.follow(now);
+        self.sync(now);
         self.decide(now);
-        self.follow(now);
-        self.renew(now);
-        self.call_again(now);
+        self.sync(now);
+        self.renew_leases(now);
+        self.retry_calls(now);
     }
 
-    fn take_news(&mut self, now: Duration) {
-        while let Ok(news) = self.news.try_recv() {
-            match news {
-                News::List(list) => {
+    fn take_updates(&mut self, now: Duration) {
+        while let Ok(update) = self.updates.try_recv() {
+            match update {
+                Update::List(list) => {
                     self.has_list = true;
                     if self.listed != list.workers {
                         self.listed = list.workers;
                         self.set_workers(now);
                     }
                 }
-                News::Reports(reports) => self.take_reports(reports, now),
+                Update::Reports(reports) => self.take_reports(reports, now),
             }
         }
     }
 
-    /// Brings the planner's books to the newest state, and asks for what follows from it.
-    fn follow(&mut self, now: Duration) {
+    /// Updates the planner's accounting to the newest state, and calls workers for jobs that
+    /// changed.
+    fn sync(&mut self, now: Duration) {
         let state = self.node.state.load_full();
         let known = std::mem::replace(&mut self.known, state.clone());
         let is_same =
@@ -128,16 +130,18 @@
                 };
                 self.planner.set_team(id, quota);
             }
-            // The fold places nothing of a team that is gone; a planner that tried all the same
-            // would append a useless decision with every step.
+            // The fold rejects placements for a team that was removed; without this, the planner
+            // would append a useless decision in every step.
             let is_gone = |id: &&TeamId| !state.config.teams.contains_key(*id);
             for id in known.config.teams.keys().filter(is_gone) {
                 self.planner.set_team(id, TeamQuota { share: 1, limit: 0 });
             }
         }
-        let news = self.node.bad_news.load_full();
-        if !Arc::ptr_eq(&known.fleet, &state.fleet) || !Arc::ptr_eq(&news, &self.known_news) {
-            self.known_news = news;
+        let withdrawals = self.node.known_withdrawals.load_full();
+        if !Arc::ptr_eq(&known.fleet, &state.fleet)
+            || !Arc::ptr_eq(&withdrawals, &self.known_withdrawals)
+        {
+            self.known_withdrawals = withdrawals;
             self.set_workers(now);
         }
         if Arc::ptr_eq(&known.jobs, &state.jobs) {
@@ -156,35 +160,35 @@
             let entry = state.jobs.get(&id);
             self.planner.set_job(&id, entry, now);
             if let Some(entry) = entry {
-                self.act_on(entry, known.jobs.get(&id), now);
+                self.call_worker(entry, known.jobs.get(&id), now);
             }
         }
     }
 
-    /// Asks workers for what the log accepted. A new planner gets here for every job, and so
-    /// takes over the attempts of the one before it.
-    fn act_on(&mut self, entry: &Entry, before: Option<&Entry>, now: Duration) {
+    /// Makes the worker calls that the job's state requires. A new planner does this for every job
+    /// and thereby takes over the attempts of its predecessor.
+    fn call_worker(&mut self, entry: &Entry, before: Option<&Entry>, now: Duration) {
         let Some(attempt) = entry.attempt() else {
             return;
         };
         let id = &entry.job.id;
         let is_new = before.and_then(Entry::attempt) != Some(attempt);
         if is_new {
-            let due = now + self.lease(id) / RENEW_PART;
-            // A lease of an earlier planner may be older, so it is renewed soon.
+            let due = now + self.lease(id) / RENEW_DIVISOR;
+            // The age of a lease that an earlier planner granted isn't known, so renew it at once.
             let due = if matches!(entry.state, JobState::Placed(_)) {
                 due
             } else {
                 now
             };
-            self.renew.insert((due, id.clone(), attempt.attempt));
+            self.renewals.insert((due, id.clone(), attempt.attempt));
         }
         if let Some(call) = self.call_for(entry) {
-            self.ask(id, attempt, call);
+            self.submit_call(id, attempt, call);
         }
     }
 
-    /// What has to be asked of the worker for a job in this state.
+    /// The worker call that a job in this state requires, if any.
     fn call_for(&self, entry: &Entry) -> Option<Call> {
         match &entry.state {
             JobState::Placed(attempt) => Some(Call::Start(Start {
@@ -205,15 +209,15 @@
         }
     }
 
-    fn ask(&self, id: &JobId, attempt: &Attempt, call: Call) {
-        self.effects.ask(Ask {
+    fn submit_call(&self, id: &JobId, attempt: &Attempt, call: Call) {
+        self.effects.submit(CallRequest {
             job: id.clone(),
             attempt: attempt.clone(),
             call,
         });
     }
 
-    /// A lease that a job of this length rarely has to have renewed.
+    /// Length of a lease: twice the expected run time, so that most jobs need few renewals.
     fn lease(&self, id: &JobId) -> Duration {
         let run_time = self.planner.run_time(id).unwrap_or_default();
         run_time
@@ -221,55 +225,56 @@
             .clamp(self.options.shortest_lease, self.options.longest_lease)
     }
 
-    /// The attempt of a job, if it is still this one.
+    /// The job's entry and attempt, if `attempt` is still the current one.
     fn current(&self, id: &JobId, attempt: AttemptId) -> Option<(&Entry, &Attempt)> {
         let entry = self.known.jobs.get(id)?;
         let current = entry.attempt()?;
         (current.attempt == attempt).then_some((entry, current))
     }
 
-    fn take_outcomes(&mut self, now: Duration) {
+    fn process_outcomes(&mut self, now: Duration) {
         let outcomes: Vec<Outcome> = self.effects.outcomes().collect();
-        for Outcome { ask, learned } in outcomes {
-            let attempt = ask.attempt.attempt;
-            if self.current(&ask.job, attempt).is_none() {
+        for Outcome { request, result } in outcomes {
+            let attempt = request.attempt.attempt;
+            if self.current(&request.job, attempt).is_none() {
                 continue;
             }
-            match learned {
-                Learned::Event(event) => {
+            match result {
+                CallResult::Event(event) => {
                     if event == Event::NotStarted {
-                        // The worker has less room than the books say; asking it again at once
-                        // would go round and round.
-                        self.planner.observe_start_refusal(&ask.attempt.worker, now);
+                        // The worker has less capacity than the accounting shows. Without a
+                        // backoff the job would be placed there again at once.
+                        self.planner
+                            .observe_start_refusal(&request.attempt.worker, now);
                     }
                     self.pending.push(Report {
-                        job: ask.job,
+                        job: request.job,
                         attempt,
                         event,
                     });
                 }
-                Learned::Ended => {
+                CallResult::Ended => {
                     let found = (attempt, now);
-                    self.unexplained.entry(ask.job).or_insert(found);
+                    self.unexplained.entry(request.job).or_insert(found);
                 }
-                Learned::Nothing => {
-                    let due = now + CALL_AGAIN_AFTER;
-                    self.again.insert((due, ask.job, attempt));
+                CallResult::NoAnswer => {
+                    let due = now + CALL_RETRY_DELAY;
+                    self.retries.insert((due, request.job, attempt));
                 }
-                Learned::Done => {}
+                CallResult::Done => {}
             }
         }
     }
 
-    /// An attempt has ended, and no report tells how. As long as reports can't be read they may
-    /// still come; after that the outcome is unknown, which is said and not guessed.
-    fn give_up(&mut self) {
+    /// Reports ended attempts as `Unknown` if no report about them arrived in time. Time during
+    /// which reports can't be read doesn't count, because the report may still arrive.
+    fn report_unexplained(&mut self) {
         let mut lost = Vec::new();
         let known = self.known.clone();
         self.unexplained.retain(|id, (attempt, found)| {
             let current = known.jobs.get(id).and_then(|entry| entry.attempt());
             let is_current = current.is_some_and(|current| current.attempt == *attempt);
-            let is_late = self.reports_read >= *found + REPORTS_WITHIN;
+            let is_late = self.reports_read_at >= *found + REPORTS_TIMEOUT;
             if is_current && is_late {
                 lost.push(Report {
                     job: id.clone(),
@@ -283,7 +288,7 @@
     }
 
     fn take_reports(&mut self, reports: Reports, now: Duration) {
-        self.reports_read = now;
+        self.reports_read_at = now;
         self.reports_next = reports.next;
         for report in reports.reports {
             self.take_report(&report, now);
@@ -318,8 +323,8 @@
             Event::MemoryKilled { memory_mib } => self.planner.observe_memory_kill(id, memory_mib),
             _ => {}
         }
-        // The log may be ahead of the state known here, so that only what certainly changes
-        // nothing is left out: an attempt that the log has and knows to run.
+        // The log may be ahead of the state here, so a report is dropped only if it certainly
+        // changes nothing: the start of an attempt that the state already shows as running.
         let runs = |entry: &Entry| matches!(entry.state, JobState::Running(_));
         let is_known_to_run = self
             .current(id, attempt)
@@ -333,7 +338,7 @@
         }
     }
 
-    /// Puts what happened into the log; what couldn't be put there is kept for the next step.
+    /// Appends pending reports to the log; what can't be appended is kept for the next step.
     fn report(&mut self) {
         let state = self.node.state.load_full();
         self.pending.retain(|report| {
@@ -354,7 +359,7 @@
             next,
             reports: self.pending[..count].to_vec(),
         };
-        match self.node.propose(Body::Job(record), PROPOSE_LIMIT) {
+        match self.node.propose(Body::Job(record), PROPOSE_TIMEOUT) {
             Ok(_) => drop(self.pending.drain(..count)),
             Err(_) => metrics::counter!("job_report_errors").increment(1),
         }
@@ -379,20 +384,21 @@
             release: decision.release.clone(),
         };
         let body = Body::Job(JobRecord::Decide(record));
-        match self.node.propose(body, PROPOSE_LIMIT) {
+        match self.node.propose(body, PROPOSE_TIMEOUT) {
             Ok(decided) if decided.verdict == Verdict::Accepted => {}
             Ok(decided) => info!(verdict = ?decided.verdict, "a decision about jobs was rejected"),
             Err(error) => {
                 metrics::counter!("job_decision_errors").increment(1);
-                warn!(%error, "could not decide about jobs");
+                warn!(%error, "could not append a decision about jobs");
             }
         }
-        self.correct(&decision, now);
+        self.reconcile(&decision, now);
     }
 
-    /// The books took the decision for granted. What the log didn't accept, or not yet, is taken
-    /// back; should it come into force after all, the next step sees it in the state.
-    fn correct(&mut self, decision: &Decision, now: Duration) {
+    /// Resets the planner's accounting to the state for everything in the decision, because the
+    /// planner assumed that the log would accept it. Parts that are accepted later reach the
+    /// planner with the state in a later step.
+    fn reconcile(&mut self, decision: &Decision, now: Duration) {
         let state = self.node.state.load_full();
         let placed = decision.place.iter().map(|placement| &placement.job);
         let preempted = decision.preempt.iter().map(|preemption| &preemption.job);
@@ -406,43 +412,45 @@
     fn throttle(&self, throttle: &pomelohitch_place::planner::Throttle) {
         let jobs = self.known.jobs.get(&throttle.job);
         if let Some(attempt) = jobs.and_then(Entry::attempt) {
-            self.ask(&throttle.job, attempt, Call::Throttle);
+            self.submit_call(&throttle.job, attempt, Call::Throttle);
         }
     }
 
-    fn renew(&mut self, now: Duration) {
-        while self.renew.first().is_some_and(|(due, ..)| *due <= now) {
-            let Some((_, id, attempt)) = self.renew.pop_first() else {
+    fn renew_leases(&mut self, now: Duration) {
+        while self.renewals.first().is_some_and(|(due, ..)| *due <= now) {
+            let Some((_, id, attempt)) = self.renewals.pop_first() else {
                 return;
             };
             let Some((_, current)) = self.current(&id, attempt) else {
                 continue;
             };
             let lease = self.lease(&id);
-            self.ask(&id, &current.clone(), Call::Act(Action::Renew, lease));
-            self.renew.insert((now + lease / RENEW_PART, id, attempt));
+            self.submit_call(&id, &current.clone(), Call::Act(Action::Renew, lease));
+            self.renewals
+                .insert((now + lease / RENEW_DIVISOR, id, attempt));
         }
     }
 
-    fn call_again(&mut self, now: Duration) {
-        while self.again.first().is_some_and(|(due, ..)| *due <= now) {
-            let Some((_, id, attempt)) = self.again.pop_first() else {
+    fn retry_calls(&mut self, now: Duration) {
+        while self.retries.first().is_some_and(|(due, ..)| *due <= now) {
+            let Some((_, id, attempt)) = self.retries.pop_first() else {
                 return;
             };
             let Some((entry, current)) = self.current(&id, attempt) else {
                 continue;
             };
-            // Without a call a renewal got no answer; the worker counts the old lease on.
+            // If the state requires no call, the failed call was a renewal; the old lease still
+            // runs at the worker.
             let lease = self.lease(&id);
             let call = self.call_for(entry);
             let call = call.unwrap_or(Call::Act(Action::Renew, lease));
-            self.ask(&id, current, call);
+            self.submit_call(&id, current, call);
         }
     }
 
     fn set_workers(&mut self, now: Duration) {
         let state = self.node.state.load_full();
-        let leaving = self.node.bad_news.load();
+        let withdrawals = self.node.known_withdrawals.load();
         let mut gone: BTreeSet<InstanceId> = self.planner.workers().cloned().collect();
         for listed in &self.listed {
             gone.remove(&listed.id);
@@ -453,7 +461,7 @@
                 zone: listed.zone.clone(),
                 rack: listed.rack.clone(),
                 capacity: listed.capacity,
-                takes_work: is_active && !leaving.leaving_instances.contains(&listed.id),
+                takes_work: is_active && !withdrawals.leaving_instances.contains(&listed.id),
             };
             self.planner.set_worker(worker, now);
         }
@@ -468,9 +476,9 @@
     metrics::counter!("jobs_preempted").increment(decision.preempt.len() as u64);
     metrics::counter!("jobs_refused").increment(decision.refuse.len() as u64);
     for worker in &decision.quarantine {
-        warn!(%worker, "a worker that fails what others don't goes into quarantine");
+        warn!(%worker, "quarantined a worker: attempts fail there that succeed elsewhere");
     }
     for worker in &decision.release {
-        info!(%worker, "a probe went well; the worker is out of quarantine");
+        info!(%worker, "released a worker from quarantine after a successful probe");
     }
 }
--- a/pomelohitchd/src/front/exchange.rs
+++ b/pomelohitchd/src/front/exchange.rs
@@ -1,4 +1,4 @@
-//! One request from its head to its answer.
+//! Handles one request: checks its key, dispatches it and builds the answer.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -21,26 +21,26 @@
 use crate::jobs_api;
 use crate::node::Node;
 use crate::permits::keys::{self, Granted};
-use crate::permits::{self, NoTurn, Wanted};
+use crate::permits::{self, AcquireError, AcquireRequest};
 
-/// The result of this module.
+/// A result whose error becomes a problem document.
 pub type Result<T, E = Problem> = std::result::Result<T, E>;
 
-/// When to come back if no runner takes requests.
+/// `Retry-After` if no runner takes requests.
 const NO_RUNNER_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// When to come back if the entry's knowledge is too old.
+/// `Retry-After` if the state of this entry instance is stale.
 const STALE_RETRY_AFTER: Duration = Duration::from_secs(2);
-/// When to come back if an idempotency key can't be checked.
+/// `Retry-After` if an idempotency key can't be checked.
 const KEY_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// How requests are answered.
+/// Answers requests of callers.
 #[derive(Debug)]
 pub struct Exchange {
     node: Arc<Node>,
     sender: Sender,
 }
 
-/// A request whose caller is known.
+/// An authenticated request.
 #[derive(Debug)]
 struct Call {
     id: Box<str>,
@@ -53,7 +53,7 @@
 }
 
 impl Exchange {
-    /// Answers from what `node` knows.
+    /// An exchange that answers by the state of `node`.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Exchange {
         Exchange {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Answers a request that arrived whole; `arrived` is when its head had.
+    /// Answers a complete request; `arrived` is the time at which its head was complete.
     #[must_use]
     pub fn answer(
         &self,
@@ -86,7 +86,7 @@
         peer: SocketAddr,
         arrived: Instant,
     ) -> Result<Response> {
-        let key = shown_key(&head.headers)?;
+        let key = bearer_key(&head.headers)?;
         let (state, team) = self.check_key(&key)?;
         if is_jobs_path(&head.target) {
             return Ok(jobs_api::answer(
@@ -108,11 +108,11 @@
         answered.map(endpoint_response)
     }
 
-    /// The team whose key it is, by a state that isn't old.
+    /// The state, and the team whose key it is.
     ///
-    /// A process that wakes from a pause learns within moments that its knowledge is recent again,
-    /// while it still holds the state of before. So the state is taken after that was checked, not
-    /// before: a key that was withdrawn meanwhile would be accepted otherwise.
+    /// The state is loaded after the freshness check, not before. Otherwise a process that resumes
+    /// after a pause could pass the check while it holds the state from before the pause, and
+    /// accept a key that was withdrawn meanwhile.
     fn check_key(&self, key: &KeyHash) -> Result<(Arc<State>, Team)> {
         if !freshness::is_fresh(&self.node) {
             let detail = "neither the log nor the peers were heard lately";
@@ -120,7 +120,12 @@
             return Err(problem.retry_after(STALE_RETRY_AFTER));
         }
         let state = self.node.state.load_full();
-        let is_withdrawn = self.node.bad_news.load().withdrawn_keys.contains(key);
+        let is_withdrawn = self
+            .node
+            .known_withdrawals
+            .load()
+            .withdrawn_keys
+            .contains(key);
         let team = state.team_of_key(key).filter(|_| !is_withdrawn).cloned();
         match team {
             Some(team) => Ok((state, team)),
@@ -130,9 +135,9 @@
 
     fn call(&self, call: &Call) -> Result<Answer> {
         let granted = self.claim_key(call)?;
-        let answered = self.send_in_turn(call);
-        // The key stays taken unless the request certainly didn't run: then the caller may send
-        // it again.
+        let answered = self.acquire_and_send(call);
+        // The key stays taken unless the request certainly didn't run, in which case the caller may
+        // send it again.
         if let (Some(granted), Err(problem)) = (granted, &answered)
             && problem.ran == Ran::No
         {
@@ -141,7 +146,8 @@
         answered
     }
 
-    /// A request that may run any number of times needs nobody's leave.
+    /// Claims the idempotency key. Idempotent requests may run any number of times and need no
+    /// claim.
     fn claim_key(&self, call: &Call) -> Result<Option<Granted>> {
         let Some(key) = call.terms.key.as_ref().filter(|_| !call.terms.idempotent) else {
             return Ok(None);
@@ -149,8 +155,8 @@
         let key = format!("{}/{}/{key}", call.service.id, call.team.id);
         match keys::claim(&self.node, &key, &call.id) {
             Ok(granted) => Ok(Some(granted)),
-            // This request didn't run, but one with its key may have: "no" would invite the
-            // caller to send it again under another key.
+            // This request didn't run, but another one with its key may have. With `ran: no` the
+            // caller would send it again under another key.
             Err(Verdict::Taken) => Err(Problem::unknown(
                 Kind::DuplicateKey,
                 "a request with this idempotency key was sent to the endpoint before",
@@ -163,14 +169,14 @@
         }
     }
 
-    fn send_in_turn(&self, call: &Call) -> Result<Answer> {
-        let wanted = Wanted {
+    fn acquire_and_send(&self, call: &Call) -> Result<Answer> {
+        let request = AcquireRequest {
             service: &call.service.id,
             team: &call.team.id,
             priority: call.terms.priority,
             deadline: call.deadline,
         };
-        let mut sent = permits::acquire(&self.node, &wanted).map_err(no_turn)?;
+        let mut sent = permits::acquire(&self.node, &request).map_err(acquire_problem)?;
         let mut may_have_run = false;
         let mut connection = if call.terms.idempotent {
             Connection::Reused
@@ -178,18 +184,18 @@
             Connection::New
         };
         loop {
-            if let Err(problem) = self.check_again(call, &sent) {
-                permits::end(&self.node, &sent, Completion::Refused);
+            if let Err(problem) = self.recheck(call, &sent) {
+                permits::complete(&self.node, &sent, Completion::Refused);
                 let ran = if may_have_run { Ran::Unknown } else { Ran::No };
                 return Err(Problem { ran, ..problem });
             }
-            let error = match self.try_once(call, &sent, connection) {
+            let error = match self.attempt(call, &sent, connection) {
                 Ok(answer) => return Ok(answer),
                 Err(error) => error,
             };
             may_have_run |= !error.is_not_run();
-            if let Some(next) = self.next_try(call, &sent, &error) {
-                // Whatever made the first try fail, the next one doesn't trust old connections.
+            if let Some(next) = self.next_attempt(call, &sent, &error) {
+                // After a failure, a reused connection isn't trusted any more.
                 connection = Connection::New;
                 sent = next;
                 continue;
@@ -198,10 +204,10 @@
         }
     }
 
-    /// Right before sending: a process that was paused since its turn came may have been held for
-    /// dead, and its permits given to others; and a key may be withdrawn while its request waits
-    /// for its turn.
-    fn check_again(&self, call: &Call, sent: &Sent) -> Result<()> {
+    /// Repeats the checks right before sending. While the process was paused, its incarnation may
+    /// have been ended and its permits granted to others, and the key may have been withdrawn while
+    /// the request waited in the queue.
+    fn recheck(&self, call: &Call, sent: &Sent) -> Result<()> {
         let (_, team) = self.check_key(&call.key)?;
         if !permits::may_send(&self.node, sent) {
             let detail = "this entry instance was held for dead meanwhile";
@@ -217,42 +223,45 @@
         ))
     }
 
-    fn try_once(&self, call: &Call, sent: &Sent, connection: Connection) -> send::Result<Answer> {
-        // The runner was chosen by the state of before, which may have been a pause ago.
+    fn attempt(&self, call: &Call, sent: &Sent, connection: Connection) -> send::Result<Answer> {
+        // The runner was chosen by an earlier state, which is outdated if the process was paused.
         let state = self.node.state.load();
         let runner = state.fleet.instances.get(&sent.runner);
         if runner.is_none_or(|runner| runner.phase != Phase::Active) {
-            permits::end(&self.node, sent, Completion::Refused);
+            permits::complete(&self.node, sent, Completion::Refused);
             return Err(send::Error::Unsent {
                 reason: "the runner takes no new work".into(),
             });
         }
         let left = call.deadline.saturating_duration_since(Instant::now());
-        let limit = self.limit_of_try(call, connection, left);
+        let limit = self.attempt_limit(call, connection, left);
         let mut out = call.out.clone();
         out.headers
             .add("Request-Timeout-Ms", &left.as_millis().to_string());
         let answered = self.sender.send(sent.addr, &out, connection, limit);
-        permits::end(&self.node, sent, end_of(&answered));
+        permits::complete(&self.node, sent, completion_of(&answered));
         answered
     }
 
-    /// A kept connection may have gone silent: a request that may run twice doesn't spend its whole
-    /// time on finding that out.
-    fn limit_of_try(&self, call: &Call, connection: Connection, left: Duration) -> Duration {
+    /// Timeout of one attempt. A reused connection may be dead, so an idempotent request doesn't
+    /// spend its whole remaining time on it.
+    fn attempt_limit(&self, call: &Call, connection: Connection, left: Duration) -> Duration {
         match connection {
             Connection::New => left,
-            Connection::Reused => permits::patience(&self.node, &call.service.id)
-                .map_or(left, |patience| left.min(patience)),
+            Connection::Reused => permits::attempt_timeout(&self.node, &call.service.id)
+                .map_or(left, |timeout| left.min(timeout)),
         }
     }
 
-    /// A request that may not run twice is tried again only if no byte of it has left.
-    fn next_try(&self, call: &Call, sent: &Sent, error: &send::Error) -> Option<Sent> {
+    /// The next attempt, if there is one. A request that isn't idempotent is retried only if none
+    /// of its bytes were sent.
+    fn next_attempt(&self, call: &Call, sent: &Sent, error: &send::Error) -> Option<Sent> {
         let is_unsent = matches!(error, send::Error::Unsent { .. });
         let has_time = Instant::now() < call.deadline;
-        let may_try = has_time && (call.terms.idempotent || is_unsent);
-        let next = may_try.then(|| permits::retry(&self.node, sent)).flatten();
+        let may_retry = has_time && (call.terms.idempotent || is_unsent);
+        let next = may_retry
+            .then(|| permits::retry(&self.node, sent))
+            .flatten();
         if next.is_some() {
             metrics::counter!("request_retries").increment(1);
         }
@@ -260,15 +269,15 @@
     }
 }
 
-fn shown_key(headers: &Headers) -> Result<KeyHash> {
-    let shown = headers.get("Authorization");
-    let shown = shown.and_then(|value| value.strip_prefix("Bearer "));
-    shown
+fn bearer_key(headers: &Headers) -> Result<KeyHash> {
+    let header = headers.get("Authorization");
+    let header = header.and_then(|value| value.strip_prefix("Bearer "));
+    header
         .map(key::hash)
         .ok_or_else(|| Problem::not_run(Kind::UnknownKey, "show a key: Authorization: Bearer KEY"))
 }
 
-/// Without any runner the wait has no end that could be told.
+/// Refuses at once if the pool has no active instance, because no waiting time can be estimated.
 fn check_runners(state: &State, service: &Service) -> Result<()> {
     if state.fleet.active_in(&service.pool) > 0 {
         return Ok(());
@@ -277,7 +286,7 @@
     Err(Problem::not_run(Kind::NoRunner, detail).retry_after(NO_RUNNER_RETRY_AFTER))
 }
 
-fn end_of(answered: &send::Result<Answer>) -> Completion {
+fn completion_of(answered: &send::Result<Answer>) -> Completion {
     match answered {
         Ok(_) => Completion::Answered,
         Err(send::Error::Unsent { .. }) => Completion::Unsent,
@@ -286,14 +295,14 @@
     }
 }
 
-fn no_turn(reason: NoTurn) -> Problem {
+fn acquire_problem(reason: AcquireError) -> Problem {
     match reason {
-        NoTurn::Refused(refusal) => Problem::not_run(
+        AcquireError::Refused(refusal) => Problem::not_run(
             Kind::QueueFull,
             "it would not be served before its deadline",
         )
         .retry_after(refusal.retry_after),
-        NoTurn::Expired { retry_after } => Problem::not_run(
+        AcquireError::Expired { retry_after } => Problem::not_run(
             Kind::WaitedTooLong,
             "no runner and permit came free before its deadline",
         )
@@ -351,7 +360,7 @@
     })
 }
 
-/// Splits `SERVICE/PATH?QUERY` into the service and what the runner is asked for.
+/// Splits `SERVICE/PATH?QUERY` into the service and the target that is sent to the runner.
 fn split_target(target: &str) -> (&str, Box<str>) {
     let end = target.find(['/', '?']).unwrap_or(target.len());
     let (name, rest) = target.split_at(end);
@@ -363,10 +372,10 @@
     (name, path)
 }
 
-/// The one place that turns failed tries into words for the caller.
+/// The problem document for failed attempts.
 ///
-/// The last try alone doesn't tell: one before it may have run although this one certainly
-/// didn't.
+/// `error` is that of the last attempt; an earlier attempt may have run even if the last one
+/// certainly didn't.
 fn problem_of(error: &send::Error, may_have_run: bool) -> Problem {
     let detail = error.to_string();
     let problem = match error {
--- a/pomelohitchd/src/jobs_api.rs
+++ b/pomelohitchd/src/jobs_api.rs
@@ -1,11 +1,11 @@
-//! `/v1/jobs`: callers hand in, read and cancel batch jobs.
+//! `/v1/jobs`: callers submit, read and cancel batch jobs.
 //!
-//! * `POST /v1/jobs`, body a [`JobRequest`]: `201` with a [`JobView`] once the job is durable, `200` if
-//!   the same `Idempotency-Key` was used before.
+//! * `POST /v1/jobs`, body a [`JobRequest`]: `201` with a [`JobView`] once the job is durable,
+//!   `200` if the same `Idempotency-Key` was used before.
 //! * `GET /v1/jobs`: the team's jobs, `GET /v1/jobs/ID`: one of them.
-//! * `DELETE /v1/jobs/ID`: cancels it; the answer tells the state that follows.
+//! * `DELETE /v1/jobs/ID`: cancels it and answers with its new state.
 //!
-//! Everything else is a problem document (RFC 9457) with `ran`.
+//! All other answers are problem documents (RFC 9457) with the member `ran`.
 
 use std::io::Read;
 use std::time::Duration;
@@ -18,45 +18,45 @@
 use rouille::{Request, Response};
 use serde::{Deserialize, Serialize};
 
-use crate::group_commit::{Ask, Outcome};
+use crate::group_commit::{JobChange, Outcome};
 use crate::node::Node;
 
-/// The largest body that is read, in bytes.
-const MAX_BODY: u64 = 64 * 1024;
-/// The longest class, group or key, in bytes.
-const MAX_NAME: usize = 200;
-/// With so many jobs kept, ended ones among them, no more are taken in: every entry instance holds
-/// all of them, and would run out of memory without a word to anyone.
-pub const MOST_JOBS: usize = 40_000;
-/// The most jobs that a list carries.
+/// Largest accepted body, in bytes.
+const MAX_BODY_BYTES: u64 = 64 * 1024;
+/// Longest class, group or idempotency key, in bytes.
+const MAX_NAME_BYTES: usize = 200;
+/// No more jobs are accepted while the table holds this many, including ended ones. Every entry
+/// instance keeps all of them and would otherwise run out of memory without any error to callers.
+pub const MAX_KEPT_JOBS: usize = 40_000;
+/// Maximum number of jobs in a list.
 const MAX_LISTED: usize = 1000;
-/// When to come back after a refusal that is about to pass, in seconds.
+/// `Retry-After` of a refusal for a temporary reason, in seconds.
 const RETRY_AFTER: &str = "2";
 
-/// What a caller declares of a job.
+/// A job as its caller declares it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct JobRequest {
-    /// Jobs of one class behave alike.
+    /// Class of the job; jobs of one class have similar usage and run times.
     pub class: JobClass,
-    /// When it wants to run.
+    /// How soon it should run.
     #[serde(default = "patient")]
     pub urgency: Urgency,
-    /// Thousandths of a processor.
+    /// Processor time needed, in thousandths of a processor.
     pub cpu_milli: u64,
-    /// Memory in mebibytes.
+    /// Memory needed, in mebibytes.
     pub memory_mib: u64,
-    /// Whole accelerators.
+    /// Number of accelerators needed.
     #[serde(default)]
     pub accelerators: u64,
-    /// How long it runs, in milliseconds.
+    /// Expected run time in milliseconds.
     pub run_ms: u64,
-    /// Whether running it twice does no harm.
+    /// Whether it may safely run twice.
     #[serde(default)]
     pub idempotent: bool,
-    /// What the worker is to run.
+    /// Command that the worker runs.
     pub command: Box<str>,
-    /// Jobs with the same group are spread over availability zones and racks.
+    /// Jobs of the same group are spread over availability zones and racks.
     #[serde(default)]
     pub group: Option<Box<str>>,
 }
@@ -65,37 +65,37 @@
     Urgency::Patient
 }
 
-/// What a caller reads of a job.
+/// A job as its caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
     /// Its id.
     pub id: JobId,
     /// Its class.
     pub class: JobClass,
-    /// When it wants to run.
+    /// How soon it should run.
     pub urgency: Urgency,
     /// `waiting`, `placed`, `running`, `cancelling`, `stopping` or `ended`.
     pub state: Box<str>,
-    /// The worker that runs it, if one does.
+    /// Worker of the current attempt, if there is one.
     pub worker: Option<InstanceId>,
-    /// How often it was tried, but for attempts that never began or were checkpointed.
+    /// Number of attempts, not counting those that never started or were checkpointed.
     pub attempts: u32,
-    /// How it ended, if it did.
+    /// How it ended, if it has.
     pub end: Option<End>,
-    /// The offset at which it was submitted.
+    /// Offset of the record that submitted it.
     pub submitted: Offset,
 }
 
 /// A list of jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobList {
-    /// The jobs, by id.
+    /// The jobs, latest submission first.
     pub jobs: Vec<JobView>,
     /// Whether the team has more jobs than are listed.
     pub more: bool,
 }
 
-/// Answers a request of `team`, whose key was checked.
+/// Answers a request of `team`, whose key the caller of this function has checked.
 #[must_use]
 pub fn answer(node: &Node, team: &Team, req: &Request) -> Response {
     let path = req.url();
@@ -115,20 +115,20 @@
         Err(refusal) => return refusal,
     };
     let key = req.header("Idempotency-Key");
-    if key.is_some_and(|key| key.is_empty() || key.len() > MAX_NAME) {
+    if key.is_some_and(|key| key.is_empty() || key.len() > MAX_NAME_BYTES) {
         return problem(400, "no", "Idempotency-Key is empty or too long");
     }
     let job = job_of(team, key, declared);
-    if let Some(answer) = known(node, &job) {
+    if let Some(answer) = known_job(node, &job) {
         return answer;
     }
-    if node.state.load().jobs.table.len() >= MOST_JOBS {
+    if node.state.load().jobs.table.len() >= MAX_KEPT_JOBS {
         metrics::counter!("jobs_turned_away").increment(1);
         return problem(503, "no", "too many jobs are kept; nothing was taken in")
             .with_additional_header("Retry-After", RETRY_AFTER);
     }
-    match node.commit_jobs(Ask::Submit(vec![job.clone()])) {
-        Outcome::Durable => taken_in(node, &job),
+    match node.commit_jobs(JobChange::Submit(vec![job.clone()])) {
+        Outcome::Durable => submitted_job(node, &job),
         outcome => not_durable(outcome),
     }
 }
@@ -139,10 +139,14 @@
         return refuse("the body was read before");
     };
     let mut bytes = Vec::new();
-    if body.take(MAX_BODY + 1).read_to_end(&mut bytes).is_err() {
+    if body
+        .take(MAX_BODY_BYTES + 1)
+        .read_to_end(&mut bytes)
+        .is_err()
+    {
         return refuse("the body ended early");
     }
-    if bytes.len() as u64 > MAX_BODY {
+    if bytes.len() as u64 > MAX_BODY_BYTES {
         return Err(problem(413, "no", "the body is larger than 65536 bytes"));
     }
     let declared: JobRequest = match serde_json::from_slice(&bytes) {
@@ -152,7 +156,7 @@
     let group = declared.group.as_deref().unwrap_or("-");
     if [&*declared.class, group]
         .iter()
-        .any(|name| name.is_empty() || name.len() > MAX_NAME)
+        .any(|name| name.is_empty() || name.len() > MAX_NAME_BYTES)
     {
         return refuse("class or group is empty or too long");
     }
@@ -162,8 +166,8 @@
     Ok(declared)
 }
 
-/// A caller that never got an answer submits again with the same key, maybe at another entry
-/// instance. The id follows from team and key, so that the fold sees the same job.
+/// Builds the job. Its id is derived from team and key, so that the fold recognises a job that a
+/// caller submits again after a lost answer, possibly at another entry instance.
 fn job_of(team: &TeamId, key: Option<&str>, declared: JobRequest) -> Job {
     let id = match key {
         Some(key) => pomelohitch_core::key::hash(&format!("{team}\0{key}"))[..32].into(),
@@ -186,8 +190,8 @@
     }
 }
 
-/// The answer for a job whose id is known already, without an append.
-fn known(node: &Node, job: &Job) -> Option<Response> {
+/// The answer for a job whose id is already in the state, without an append.
+fn known_job(node: &Node, job: &Job) -> Option<Response> {
     let state = node.state.load();
     if let Some(entry) = state.jobs.get(&job.id) {
         return Some(same_or_conflict(entry, job, 200));
@@ -199,8 +203,8 @@
     })
 }
 
-/// The log may have shown the same key first with another job; each caller is told the truth
-/// about its own.
+/// Another caller may have submitted a different job with the same key first; only a caller whose
+/// job equals the stored one gets it as an answer.
 fn same_or_conflict(entry: &Entry, job: &Job, status: u16) -> Response {
     if *entry.job == *job {
         json(status, &view(entry))
@@ -210,7 +214,7 @@
     }
 }
 
-fn taken_in(node: &Node, job: &Job) -> Response {
+fn submitted_job(node: &Node, job: &Job) -> Response {
     let state = node.state.load();
     match state.jobs.get(&job.id) {
         Some(entry) => same_or_conflict(entry, job, 201),
@@ -245,24 +249,28 @@
 
 fn show(node: &Node, team: &TeamId, id: &str) -> Response {
     let state = node.state.load();
-    match own(&state.jobs, team, id) {
+    match find_own(&state.jobs, team, id) {
         Some(entry) => json(200, &view(entry)),
         None => unknown_job(),
     }
 }
 
 fn cancel(node: &Node, team: &TeamId, id: &str) -> Response {
-    if own(&node.state.load().jobs, team, id).is_none() {
+    if find_own(&node.state.load().jobs, team, id).is_none() {
         return unknown_job();
     }
-    match node.commit_jobs(Ask::Cancel(vec![id.into()])) {
+    match node.commit_jobs(JobChange::Cancel(vec![id.into()])) {
         Outcome::Durable => show(node, team, id),
         outcome => not_durable(outcome),
     }
 }
 
-/// Another team's job looks the same as one that doesn't exist.
-fn own<'a>(jobs: &'a pomelohitch_core::state::Jobs, team: &TeamId, id: &str) -> Option<&'a Entry> {
+/// The job if it belongs to `team`, so that other teams' jobs look like ones that don't exist.
+fn find_own<'a>(
+    jobs: &'a pomelohitch_core::state::Jobs,
+    team: &TeamId,
+    id: &str,
+) -> Option<&'a Entry> {
     jobs.get(id).filter(|entry| entry.job.team == *team)
 }
 
@@ -270,7 +278,7 @@
     problem(404, "no", "the team has no job with this id")
 }
 
-/// What a caller reads of `entry`.
+/// The job of `entry` as its caller sees it.
 #[must_use]
 pub fn view(entry: &Entry) -> JobView {
     let (state, end) = match &entry.state {
--- a/pomelohitchd/src/permits/borders.rs
+++ b/pomelohitchd/src/permits/limit_split.rs
@@ -1,6 +1,6 @@
-//! Moves the border between a team's requests and its jobs; see docs/design/limit-parts.md.
+//! Splits each team's limit between its requests and its jobs; see docs/design/limit-parts.md.
 //!
-//! Done by the home of the team's permits, one border after the other.
+//! The home of the team's permits proposes the changes, one team after the other.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,39 +17,40 @@
 use super::Inner;
 use crate::node::{Node, ProposeError};
 
-/// How often borders are looked at.
-const TICK: Duration = Duration::from_millis(500);
-/// How long one proposal may take.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
-/// Permits that are asked back for jobs but don't come are let go of after so long: the requests
-/// that use them run for long.
-const RECLAIM_LIMIT: Duration = Duration::from_secs(10);
-/// A border whose both sides have enough is moved only by more than this part of the limit, so
-/// that a demand that goes up and down doesn't fill the log.
-const SLACK_PART: u32 = 8;
+/// Interval at which the splits are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of one proposal.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A reservation for jobs is dropped if its permits aren't free after this time, because long
+/// requests use them.
+const RECLAIM_TIMEOUT: Duration = Duration::from_secs(10);
+/// If neither side lacks permits, a split changes only by more than the limit divided by this, so
+/// that fluctuating demand doesn't fill the log.
+const MIN_CHANGE_DIVISOR: u32 = 8;
 
-/// What the home keeps free for jobs beyond what the log says.
+/// Permits that the home withholds from requests for a split that isn't in the log yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Reserved {
+struct Reservation {
     jobs: u32,
-    /// The border's version and the epoch for which this holds: a proposal that names others is
-    /// rejected.
+    /// Version of the split and epoch for which this holds. The fold rejects a proposal whose
+    /// version or epoch isn't the current one.
     base: Option<Offset>,
     epoch: Offset,
     since: Instant,
     is_proposed: bool,
-    /// Whether a proposal may still land.
-    is_open: bool,
+    /// Whether a proposal without a known verdict may still be appended.
+    may_be_accepted: bool,
 }
 
-/// Borders that are being moved by this member.
+/// Changes of splits that this member has in progress.
 #[derive(Debug, Default)]
-pub struct Borders {
-    reserved: BTreeMap<TeamId, Reserved>,
+pub struct LimitSplits {
+    reserved: BTreeMap<TeamId, Reservation>,
 }
 
-impl Borders {
-    /// How many requests of the team may run, by the log and by what is reserved for jobs.
+impl LimitSplits {
+    /// Number of requests of the team that may run: its part of the limit in the log, less what is
+    /// reserved for jobs.
     #[must_use]
     pub fn requests_of(&self, state: &State, team: &TeamId) -> u32 {
         let Some(team) = state.config.teams.get(team) else {
@@ -60,21 +61,21 @@
         limit.min(team.limit.saturating_sub(reserved))
     }
 
-    /// Lets go of what is settled: the border or the members changed, or the permits for it didn't
-    /// come back.
-    pub fn settle(&mut self, state: &State) {
+    /// Drops reservations that no longer apply: the split or the epoch changed, or the permits
+    /// weren't freed in time.
+    pub fn drop_settled(&mut self, state: &State) {
         self.reserved.retain(|team, reserved| {
             let is_current = state.limits.version_of(team) == reserved.base
                 && state.members.epoch == reserved.epoch;
-            let is_late = !reserved.is_proposed && reserved.since.elapsed() > RECLAIM_LIMIT;
-            is_current && (reserved.is_open || !is_late)
+            let is_late = !reserved.is_proposed && reserved.since.elapsed() > RECLAIM_TIMEOUT;
+            is_current && (reserved.may_be_accepted || !is_late)
         });
     }
 }
 
-/// What both sides of a border want.
+/// Demand of a team's jobs and requests for its limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Wants {
+pub struct SplitDemand {
     /// Jobs that run or are being started or stopped.
     pub active: u32,
     /// Jobs that run or wait.
@@ -83,12 +84,13 @@
     pub requests: u32,
 }
 
-/// Where the border belongs: how much of `limit` is for jobs.
+/// The part of `limit` that should be for jobs.
 ///
-/// Each side has what it wants if both fit, and what is left over is halved. If they don't fit, each
-/// has at least half of the limit or what it wants, whichever is less. What runs is never cut.
+/// If both demands fit, each side gets its demand and half of the remainder. Otherwise each side
+/// gets at least the lesser of its demand and half of the limit. Jobs never get less than what is
+/// active.
 #[must_use]
-pub fn part_of_jobs(limit: u32, wants: &Wants) -> u32 {
+pub fn jobs_part(limit: u32, wants: &SplitDemand) -> u32 {
     let half = limit / 2;
     let left = limit.saturating_sub(wants.jobs.saturating_add(wants.requests));
     let jobs = if left > 0 {
@@ -101,51 +103,53 @@
     jobs.max(wants.active).min(limit)
 }
 
-/// Whether a border at `now` is worth moving to `target`.
+/// Whether the part for jobs should change from `now` to `target`.
 #[must_use]
-pub fn is_worth_moving(limit: u32, now: u32, target: u32, wants: &Wants) -> bool {
+pub fn is_change_needed(limit: u32, now: u32, target: u32, wants: &SplitDemand) -> bool {
     let lacks_jobs = now < wants.jobs && target > now;
     let lacks_requests = limit.saturating_sub(now) < wants.requests && target < now;
-    lacks_jobs || lacks_requests || now.abs_diff(target) > limit / SLACK_PART
+    lacks_jobs || lacks_requests || now.abs_diff(target) > limit / MIN_CHANGE_DIVISOR
 }
 
-/// Looks for ever.
+/// Checks and proposes splits forever.
 pub fn run(node: &Arc<Node>) {
     loop {
-        std::thread::sleep(TICK);
+        std::thread::sleep(CHECK_INTERVAL);
         if !node.is_ready() {
             continue;
         }
-        for divide in due(node) {
+        for divide in due_proposals(node) {
             propose(node, divide);
         }
     }
 }
 
-/// The moves that can be proposed now; reserves for those that need permits back first.
-fn due(node: &Node) -> Vec<DivideLimit> {
+/// The changes that can be proposed now. Also reserves permits for those that have to wait until
+/// requests free them.
+fn due_proposals(node: &Node) -> Vec<DivideLimit> {
     let state = node.state.load_full();
     let waiting = waiting_jobs(&state);
     let mut inner = node.permits.lock();
-    inner.borders.settle(&state);
-    // What a later epoch's home doesn't know of mustn't be promised by an earlier one's.
+    inner.limit_splits.drop_settled(&state);
+    // A newer epoch's home doesn't know the reservations made here, so none are made while the
+    // epochs differ.
     if inner.homes.epoch().offset != state.members.epoch {
         return Vec::new();
     }
     let members: Vec<_> = state.members.by_id.keys().collect();
     let own = &node.settings.member;
     let teams = state.config.teams.values();
-    let owned = teams.filter(|team| {
+    let homed_here = teams.filter(|team| {
         let resource = Resource::Team(team.id.clone());
         home_of(&resource, members.iter().copied()) == Some(own)
     });
     let now = node.permits.now();
-    let mut due = Vec::new();
-    for team in owned {
+    let mut proposals = Vec::new();
+    for team in homed_here {
         let waiting = waiting.get(&team.id).copied().unwrap_or(0);
-        due.extend(inner.move_border(&state, team, waiting, now));
+        proposals.extend(inner.propose_split(&state, team, waiting, now));
     }
-    due
+    proposals
 }
 
 fn waiting_jobs(state: &State) -> BTreeMap<TeamId, u32> {
@@ -159,7 +163,7 @@
 }
 
 impl Inner {
-    fn move_border(
+    fn propose_split(
         &mut self,
         state: &State,
         team: &Team,
@@ -170,14 +174,14 @@
         let bounds = self.bounds(state, &resource);
         let demand = self.homes.settled_demand(&resource, &bounds, now)?;
         let active = state.jobs.active_of(&team.id);
-        let wants = Wants {
+        let wants = SplitDemand {
             active,
             jobs: active.saturating_add(waiting),
             requests: demand.wanted,
         };
-        let target = self.borders.target(state, team, &wants)?;
+        let target = self.limit_splits.target(state, team, &wants)?;
         let current = state.limits.jobs_of(team);
-        let reserved = self.borders.reserved.get_mut(&team.id)?;
+        let reserved = self.limit_splits.reserved.get_mut(&team.id)?;
         let is_free = demand.held <= team.limit.saturating_sub(target);
         if target > current && !is_free {
             return None;
@@ -193,61 +197,61 @@
     }
 }
 
-impl Borders {
-    /// Where a border is to go, if anywhere; from now on that is reserved for jobs.
-    pub fn target(&mut self, state: &State, team: &Team, wants: &Wants) -> Option<u32> {
+impl LimitSplits {
+    /// The part for jobs to propose, if it should change; reserves it for jobs.
+    pub fn target(&mut self, state: &State, team: &Team, wants: &SplitDemand) -> Option<u32> {
         let current = state.limits.jobs_of(team);
         if let Some(reserved) = self.reserved.get_mut(&team.id) {
-            let is_waited_for = reserved.is_proposed && reserved.since.elapsed() < RECLAIM_LIMIT;
+            let is_pending = reserved.is_proposed && reserved.since.elapsed() < RECLAIM_TIMEOUT;
             reserved.jobs = reserved.jobs.max(wants.active);
-            // A limit that was lowered meanwhile would have it rejected for ever.
-            return (!is_waited_for).then_some(reserved.jobs.min(team.limit));
+            // If the limit was lowered meanwhile, a larger value would be rejected every time.
+            return (!is_pending).then_some(reserved.jobs.min(team.limit));
         }
-        let target = part_of_jobs(team.limit, wants);
-        if !is_worth_moving(team.limit, current, target, wants) {
+        let target = jobs_part(team.limit, wants);
+        if !is_change_needed(team.limit, current, target, wants) {
             return None;
         }
-        let reserved = Reserved {
+        let reserved = Reservation {
             jobs: target,
             base: state.limits.version_of(&team.id),
             epoch: state.members.epoch,
             since: Instant::now(),
             is_proposed: false,
-            is_open: false,
+            may_be_accepted: false,
         };
         self.reserved.insert(team.id.clone(), reserved);
         Some(target)
     }
 
-    /// Takes over what became of a proposal.
+    /// Applies the outcome of a proposal.
     ///
-    /// One whose verdict isn't known may still land, also after a later one was rejected; what it
-    /// gives to jobs stays reserved until the border has another version.
+    /// A proposal without a known verdict may still be appended, even after a later one was
+    /// rejected. Its part for jobs stays reserved until the version of the split changes.
     pub fn on_outcome(&mut self, team: &TeamId, outcome: Outcome) {
         let Some(reserved) = self.reserved.get_mut(team) else {
             return;
         };
-        reserved.is_open |= outcome == Outcome::Unknown;
-        if outcome == Outcome::Accepted || !reserved.is_open {
+        reserved.may_be_accepted |= outcome == Outcome::Unknown;
+        if outcome == Outcome::Accepted || !reserved.may_be_accepted {
             self.reserved.remove(team);
         }
     }
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The border is where it was proposed.
+    /// The proposed split is the current one.
     Accepted,
-    /// It certainly changed nothing and won't.
+    /// The proposal has no effect, now or later.
     Refused,
-    /// It may still land.
+    /// The proposal may still be appended.
     Unknown,
 }
 
 fn propose(node: &Node, divide: DivideLimit) {
     let team = divide.team.clone();
-    let outcome = match node.propose(Body::DivideLimit(divide), PROPOSE_LIMIT) {
+    let outcome = match node.propose(Body::DivideLimit(divide), PROPOSE_TIMEOUT) {
         Ok(decided) if decided.verdict == Verdict::Accepted => Outcome::Accepted,
         Ok(_) | Err(ProposeError::NotAppended { .. }) => Outcome::Refused,
         Err(ProposeError::NoVerdict { .. }) => Outcome::Unknown,
@@ -258,5 +262,5 @@
         Outcome::Unknown => "unknown",
     };
     metrics::counter!("limit_borders_moved", "verdict" => label).increment(1);
-    node.permits.lock().borders.on_outcome(&team, outcome);
+    node.permits.lock().limit_splits.on_outcome(&team, outcome);
 }
