--- a/crates/pomelohitch-standin/examples/load.rs
+++ b/crates/pomelohitch-standin/examples/load.rs
@@ -1,5 +1,5 @@
-//! What an entry instance adds to a request, against a direct call to the runner and a bare
-//! pass-through of `rouille` and `ureq`, in one run on one schedule.
+//! Compares the latency of a request through an entry instance with a direct call to the runner and
+//! with a plain proxy of `rouille` and `ureq`, on the same schedules.
 //!
 //! `cargo build --release --bins && cargo run --release -p pomelohitch-standin --example load`
 
@@ -20,15 +20,15 @@
 use pomelohitch_standin::{Instances, Log, Runner, Workers, instances, log, runner, workers};
 use rouille::{Request, Response};
 
-/// Runners of the service.
+/// Number of runners of the service.
 const RUNNERS: usize = 6;
-/// How long the start may take.
+/// Time limit for the entry instance to become ready.
 const START_LIMIT: Duration = Duration::from_secs(30);
-/// How often waiting loops look.
+/// Polling interval of waiting loops.
 const TICK: Duration = Duration::from_millis(50);
-/// Latencies above this count as this, microseconds.
+/// Upper bound of the recorded latencies; longer ones are clamped to it.
 const LONGEST_MICROS: u64 = 60_000_000;
-/// Headers that belong to one connection.
+/// Headers that are valid for one connection only and aren't forwarded.
 const OF_CONNECTION: [&str; 4] = ["Host", "Connection", "Content-Length", "Transfer-Encoding"];
 
 /// Measures what an entry instance adds to a request.
@@ -185,11 +185,11 @@
     entry
 }
 
-/// A server that hands everything to one runner, with no check, limit or promise.
+/// Starts a server that forwards every request to one runner, without checks or limits.
 fn pass_through(runner: SocketAddr) -> SocketAddr {
     let agent = pomelohitch_standin::caller::agent();
     let handler = move |req: &Request| pass_on(&agent, runner, req);
-    let server = rouille::Server::new("127.0.0.1:0", handler).expect("a free loopback port");
+    let server = rouille::Server::new("127.0.0.1:0", handler).expect("a loopback port is free");
     let addr = server.server_addr();
     std::thread::spawn(move || server.run());
     addr
--- a/crates/pomelohitch-standin/examples/local_fleet/batch.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/batch.rs
@@ -1,4 +1,4 @@
-//! The jobs that are handed in beside the requests.
+//! The batch jobs that are submitted during the load.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,20 +9,21 @@
 use pomelohitch_standin::config::TEAMS;
 use pomelohitch_standin::jobs::{self, Done, Handed, Job};
 
-/// One job is handed in every so often.
+/// Interval between two submissions.
 const EVERY: Duration = Duration::from_millis(250);
-/// How often a job whose hand-in is unknown is handed in, each time at another entry instance.
+/// Maximum number of attempts to submit a job while the result is unknown, each at another entry
+/// instance.
 const TRIES: usize = 5;
-/// How long the jobs may take to end once the load is over.
+/// Time limit for all jobs to end after the load.
 const END_LIMIT: Duration = Duration::from_mins(1);
-/// How often waiting loops look.
+/// Polling interval of waiting loops.
 const TICK: Duration = Duration::from_millis(200);
-/// What the jobs truly do, in turn; all are declared alike, so that some are far off.
+/// Commands of the jobs, in turn. All jobs declare the same sizes, so that some are far off.
 const COMMANDS: [&str; 4] = ["run=50", "run=200", "run=800 memory=160", "run=2000"];
-/// How long each is declared to run.
+/// Declared run time of each job.
 const DECLARED: Duration = Duration::from_millis(200);
 
-/// Hands jobs in for `time` or until `stop` is set.
+/// Submits jobs for `time` or until `stop` is set.
 #[must_use]
 pub fn run(time: Duration, entries: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool) -> Vec<Done> {
     let start = Instant::now();
@@ -70,7 +71,7 @@
     entries.get(index % entries.len().max(1)).copied()
 }
 
-/// Asks for each job that was taken in until it has ended, or for so long that it never will.
+/// Polls each accepted job until it has ended, [`END_LIMIT`] has passed or `stop` is set.
 pub fn wait_ended(all: &mut [Done], entries: &[SocketAddr], stop: &AtomicBool) {
     let start = Instant::now();
     let agent = caller::agent();
--- a/crates/pomelohitch-standin/examples/local_fleet/fleet.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes. Dropping them ends them, in whichever way the program ends.
+//! The processes of the fleet. Dropping the handles kills them, also when the program panics.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -14,41 +14,41 @@
 use pomelohitch_standin::runner::{Faults, Ledger};
 use serde::de::DeserializeOwned;
 
-/// Entry instances.
+/// Number of entry instances.
 const ENTRIES: usize = 3;
-/// Runners of the service.
+/// Number of runners of the service.
 const RUNNERS: usize = 6;
-/// How long the start may take.
+/// Time limit for the fleet to become ready.
 const START_LIMIT: Duration = Duration::from_secs(30);
-/// How long a call to the stand-ins may take.
+/// Timeout of a call to the stand-ins.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often waiting loops look.
+/// Polling interval of waiting loops.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Where a stand-in listens.
+/// URLs of a stand-in.
 #[derive(Debug, Clone)]
 pub struct Address {
-    /// For the system.
+    /// URL of the service that it stands in for.
     pub url: Box<str>,
-    /// For its faults and its ledger.
+    /// URL of its control address, for faults and ledger.
     pub control: Box<str>,
 }
 
-/// A process of stand-ins.
+/// A process with one or more stand-ins.
 #[derive(Debug)]
 struct Standins {
     child: Child,
     addresses: Vec<Address>,
 }
 
-/// All processes.
+/// All processes of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     /// The entry instances.
     pub entries: Vec<Daemon>,
-    /// Where the built binaries are.
+    /// Directory of the built binaries.
     pub bin_dir: PathBuf,
-    /// Where the processes' logs go.
+    /// Directory of the entry instances' logs.
     pub log_dir: PathBuf,
     log: Standins,
     runners: Standins,
@@ -58,7 +58,7 @@
 }
 
 impl Fleet {
-    /// Starts everything.
+    /// Starts all processes and publishes the fleet files.
     #[must_use]
     pub fn start(bin_dir: &Path) -> Fleet {
         let log_dir = bin_dir.join("local-fleet");
@@ -110,8 +110,8 @@
         self.entries.push(Daemon::start(&program, &options, log));
     }
 
-    /// Checks and publishes the fleet files as operators do. The files started from nothing, so
-    /// an earlier run's lock would be wrong.
+    /// Checks and publishes the fleet files as operators do. The log is new and empty, so the lock file
+    /// of an earlier run is removed.
     fn publish(&self) {
         let tree = self.log_dir.join("tree");
         if let Err(error) = std::fs::remove_dir_all(&tree) {
@@ -120,9 +120,9 @@
         for (dir, text) in files() {
             let dir = tree.join(dir);
             std::fs::create_dir_all(&dir).expect("the build directory can be written");
-            std::fs::write(dir.join("pomelohitch.toml"), text).expect("it can be written");
+            std::fs::write(dir.join("pomelohitch.toml"), text).expect("the directory was created");
         }
-        let tree = tree.to_str().expect("the build directory's path is text");
+        let tree = tree.to_str().expect("the build directory's path is UTF-8");
         for command in ["check", "publish"] {
             let code = self.operate(&[command, tree]);
             assert!(code == Some(0), "pomelohitch {command} exits with {code:?}");
@@ -133,12 +133,12 @@
     fn operate(&self, args: &[&str]) -> Option<i32> {
         let mut command = Command::new(self.bin_dir.join("pomelohitch"));
         command.args(["--log-url", &self.log.addresses[0].url]);
-        // Whoever reads the addresses from our output isn't to meet the command's own.
+        // Scripts read the addresses from our stdout, so the command's output goes to stderr.
         let status = command.args(args).stdout(std::io::stderr()).status();
         status.expect("the command line was built").code()
     }
 
-    /// What `pomelohitch` shows an operator who asks the entry instances.
+    /// Output of `pomelohitch` with `args`, which queries the entry instances.
     #[must_use]
     pub fn show(&self, args: &[&str]) -> String {
         let admins = self.entries.iter().map(|e| format!("http://{}", e.admin));
@@ -154,7 +154,8 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Waits until every entry instance serves callers and knows every runner.
+    /// Waits until every entry instance is ready and knows every runner; false after a time-out or
+    /// once `stop` is set.
     #[must_use]
     pub fn wait_ready(&self, stop: &AtomicBool) -> bool {
         let start = Instant::now();
@@ -172,14 +173,14 @@
         false
     }
 
-    /// The entry instances that say that they serve callers, as a balancer would ask them.
+    /// Addresses of the ready entry instances, by the same check that a load balancer makes.
     #[must_use]
     pub fn ready_entries(&self) -> Vec<SocketAddr> {
         let ready = self.entries.iter().filter(|entry| entry.is_ready());
         ready.map(|entry| entry.callers).collect()
     }
 
-    /// Prints what somebody needs to send requests and drive the fleet.
+    /// Prints the addresses, keys and service needed to send requests and to operate the fleet.
     pub fn announce(&self) {
         for entry in &self.entries {
             println!("entry http://{}", entry.callers);
@@ -197,20 +198,20 @@
     /// Replaces the faults of one runner.
     pub fn set_runner_faults(&self, index: usize, faults: &Faults) {
         let url = format!("{}/faults", self.runners.addresses[index].control);
-        let body = serde_json::to_vec(faults).expect("faults have a JSON form");
+        let body = serde_json::to_vec(faults).expect("faults serialize as JSON");
         agent()
             .post(url)
             .send(&body)
             .expect("the runner's control address answers");
     }
 
-    /// What every runner counted.
+    /// The ledger of every runner.
     #[must_use]
     pub fn runner_ledgers(&self) -> Vec<Ledger> {
         self.runners.addresses.iter().map(ledger).collect()
     }
 
-    /// What the workers counted.
+    /// The ledger of the workers.
     #[must_use]
     pub fn worker_ledger(&self) -> pomelohitch_standin::workers::Ledger {
         ledger(&self.workers.addresses[0])
@@ -240,7 +241,7 @@
     }
 }
 
-/// The fleet files by directory: one beside the service's code, one for teams and pools.
+/// The fleet files by directory: one for teams and shared pools, one for the service and its pool.
 fn files() -> [(&'static str, String); 2] {
     let teams = TEAMS.map(|(team, shown)| {
         let hash = key::hash(shown);
@@ -264,7 +265,7 @@
             url: url.into(),
             control: control.into(),
         },
-        _ => panic!("a stand-in told no address: {line:?}"),
+        _ => panic!("a stand-in printed no address: {line:?}"),
     }
 }
 
--- a/crates/pomelohitch-standin/examples/local_fleet/main.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/main.rs
@@ -1,8 +1,8 @@
-//! A small fleet on this machine: stand-ins and three entry instances as separate processes,
-//! mixed load, one entry instance replaced and one runner frozen on the way.
+//! A small fleet on this machine: stand-ins and three entry instances as separate processes under
+//! mixed load, while one entry instance is replaced and one runner is frozen for a while.
 //!
-//! Started by `scripts/local-fleet`. Ends by itself with a table, with code 0 only if nothing was
-//! lost or doubled, no refusal was false, and every planned stop was graceful.
+//! Started by `scripts/local-fleet`. Prints a table at the end, and exits with 0 only if nothing was
+//! lost or doubled, no refusal was false, and the shutdown of the replaced instance was graceful.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,7 +18,7 @@
 mod report;
 mod run;
 
-/// Code after a signal.
+/// Exit code after a signal.
 const EXIT_INTERRUPTED: u8 = 130;
 
 /// Runs a small fleet on this machine under load.
--- a/crates/pomelohitch-standin/examples/local_fleet/report.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/report.rs
@@ -1,4 +1,4 @@
-//! The table at the end, and the verdict.
+//! Prints the results of a run and decides the exit code.
 
 use std::collections::BTreeMap;
 use std::process::ExitCode;
@@ -12,13 +12,14 @@
 use crate::fleet::Fleet;
 use crate::run::Outcome;
 
-/// How many different answers are shown of those that weren't whole.
+/// Maximum number of distinct failures that are printed.
 const SHOWN: usize = 12;
 
-/// Latencies above this count as this, in microseconds.
+/// Upper bound of the recorded latencies; longer ones are clamped to it.
 const LONGEST_MICROS: u64 = 3_600_000_000;
 
-/// Prints what became of the load; success only if every promise was kept.
+/// Prints the outcomes of the load; success only if both tallies are clean, some requests and jobs
+/// succeeded, and the replaced entry instance exited with 0.
 pub fn print(fleet: &Fleet, outcome: &Outcome) -> ExitCode {
     let ledgers = fleet.runner_ledgers();
     let total = Tally::count(&outcome.calls, &ledgers);
@@ -73,7 +74,7 @@
 }
 
 fn row(name: &str, tally: &Tally, calls: &[&Done]) {
-    // A histogram that grows by itself would cut values to its first, tiny range here.
+    // An auto-resizing histogram would clamp to its initial, tiny range in `saturating_record`.
     let mut latencies =
         Histogram::<u64>::new_with_max(LONGEST_MICROS, 3).expect("three digits are allowed");
     for done in calls.iter().filter(|done| done.outcome == Seen::Whole) {
@@ -98,7 +99,7 @@
     );
 }
 
-/// What the callers were told instead of an answer, the most frequent first.
+/// Prints the reasons of incomplete requests, the most frequent first.
 fn print_reasons(calls: &[Done]) {
     let mut reasons = BTreeMap::<String, usize>::new();
     for done in calls {
--- a/crates/pomelohitch-standin/examples/local_fleet/run.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/run.rs
@@ -1,4 +1,4 @@
-//! The load, and what is done to the fleet meanwhile.
+//! Runs the load, and the planned steps on the fleet meanwhile.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -14,31 +14,31 @@
 use crate::batch;
 use crate::fleet::Fleet;
 
-/// How often the balancer asks who is ready.
+/// Interval at which the simulated load balancer checks which entry instances are ready.
 const BALANCER_TICK: Duration = Duration::from_millis(50);
-/// How long a graceful shutdown may take.
+/// Time limit of a graceful shutdown.
 const SHUTDOWN_LIMIT: Duration = Duration::from_secs(40);
-/// The runner that freezes.
+/// Index of the runner that freezes.
 const FROZEN: usize = 0;
 
-/// What the run gave.
+/// Results of the run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Every request with what became of it.
+    /// Every request with its outcome.
     pub calls: Vec<Done>,
-    /// Every job with what became of it.
+    /// Every job with its outcome.
     pub jobs: Vec<jobs::Done>,
-    /// With which code the replaced entry instance ended.
+    /// Exit code of the replaced entry instance; `None` if it didn't exit in time.
     pub replaced_exit: Option<i32>,
 }
 
-/// Something that is done to the fleet when its time has come.
+/// A planned step: calls `act` on the fleet once `at` has passed since the start.
 struct Step {
     at: Duration,
     act: fn(&mut Fleet),
 }
 
-/// Sends the load; replaces an entry instance and freezes a runner on the way.
+/// Sends the load, while an entry instance is replaced and a runner is frozen for a while.
 pub fn run(fleet: &mut Fleet, rate: f64, time: Duration, seed: u64, stop: &AtomicBool) -> Outcome {
     let load = Load {
         rate,
@@ -79,7 +79,7 @@
         (calls, handing_in.join().expect("handing in doesn't panic"))
     });
     batch::wait_ended(&mut jobs, &fleet.ready_entries(), stop);
-    // Interrupted before its time came, it was never asked to stop.
+    // After an interrupt, the entry instance may never have been asked to terminate.
     let is_interrupted = stop.load(Ordering::Acquire);
     let limit = if is_interrupted {
         Duration::ZERO
--- a/crates/pomelohitch-standin/examples/standin.rs
+++ b/crates/pomelohitch-standin/examples/standin.rs
@@ -1,7 +1,7 @@
-//! The stand-ins as a process of their own.
+//! Runs stand-ins as a separate process.
 //!
-//! Prints `listening NAME http://IP:PORT control http://IP:PORT` for each stand-in, and ends when
-//! its standard input closes, so that none outlives the program that started it.
+//! Prints `listening NAME http://IP:PORT control http://IP:PORT` for each stand-in, and exits when
+//! its standard input closes, so that it doesn't outlive the program that started it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -55,11 +55,11 @@
     },
 }
 
-/// Workers in one rack.
+/// Number of workers in a rack.
 const WORKERS_PER_RACK: usize = 4;
-/// Availability zones.
+/// Number of availability zones.
 const ZONES: usize = 4;
-/// What a worker has.
+/// Capacity of a worker.
 const WORKER: Resources = Resources {
     cpu_milli: 16_000,
     memory_mib: 65_536,
@@ -117,7 +117,7 @@
 }
 
 fn wait_for_end() {
-    // Whatever is read or goes wrong, the end of the input is what counts.
+    // Input is discarded; a read error counts as the end of the input.
     let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
 }
 
--- a/crates/pomelohitch-standin/src/caller.rs
+++ b/crates/pomelohitch-standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the entry instances, who notes what became of each request.
+//! A caller of the entry instances, which classifies the outcome of each request.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,29 +7,29 @@
 
 use crate::runner;
 
-/// An answer that comes so long after the request's own time limit counts as none.
+/// Time after a request's own timeout after which the caller stops waiting for an answer.
 const GRACE: Duration = Duration::from_secs(30);
 
 /// A request.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The caller's own id of it, told to the runner.
+    /// The caller's own id of the request, sent to the runner.
     pub id: Box<str>,
-    /// The service.
+    /// Service that is called.
     pub service: Box<str>,
-    /// The key that is shown.
+    /// API key.
     pub key: Box<str>,
     /// Whether it is sent as idempotent.
     pub idempotent: bool,
-    /// Its idempotency key, if it has one.
+    /// Idempotency key, if any.
     pub idempotency_key: Option<Box<str>>,
-    /// Whether it is sent as patient.
+    /// Whether it has the priority `patient` rather than `quick`.
     pub patient: bool,
-    /// How long it runs at the runner.
+    /// Run time at the runner.
     pub run: Duration,
-    /// Its time limit.
+    /// Timeout that is sent with the request.
     pub timeout: Duration,
-    /// The length of the answer at least.
+    /// Minimum length of the answer, bytes.
     pub answer_len: usize,
 }
 
@@ -49,29 +49,29 @@
     }
 }
 
-/// What became of a request, as its caller saw it.
+/// Outcome of a request, as its caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer of the runner to this very request.
+    /// The complete answer of the runner to this request.
     Whole,
-    /// It was told that the request didn't run, or no entry instance took the connection.
+    /// The answer says that the request didn't run, or the connection was refused.
     NotRun(Box<str>),
-    /// It was told that the request may have run, or the connection broke.
+    /// The answer says that the request may have run, or the connection broke.
     Unknown(Box<str>),
-    /// Nothing at all, long after the time limit.
+    /// No answer within the timeout and the grace period.
     Hung,
-    /// An answer that isn't the runner's to this request, nor a problem document.
+    /// An answer that is neither the runner's to this request nor a problem document.
     Wrong(Box<str>),
 }
 
-/// A request that is over.
+/// A request with its outcome.
 #[derive(Debug, Clone)]
 pub struct Done {
-    /// What was asked.
+    /// The request.
     pub call: Call,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// From when it should have been sent until it was over.
+    /// Time from its scheduled start to its outcome.
     pub latency: Duration,
 }
 
@@ -120,7 +120,7 @@
     }
 }
 
-/// An agent that hands every status to its caller.
+/// An HTTP agent that returns error statuses as answers.
 #[must_use]
 pub fn agent() -> ureq::Agent {
     let config = ureq::Agent::config_builder().http_status_as_error(false);
--- a/crates/pomelohitch-standin/src/config.rs
+++ b/crates/pomelohitch-standin/src/config.rs
@@ -1,4 +1,4 @@
-//! A small configuration for tests and the local fleet, and publishing it straight to the log.
+//! A small configuration for tests and the local fleet, and functions that append it to the log.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
 pub const POOL: &str = "passes";
 /// The path under which [`small`] is published.
 pub const PATH: &str = "fleet/pomelohitch.toml";
-/// The teams of [`small`] with their keys.
+/// The teams of [`small`] with their API keys.
 pub const TEAMS: [(&str, &str); 2] = [("kiosks", "key-of-kiosks"), ("hotels", "key-of-hotels")];
 
-/// Two teams and one service whose runners form a pool, with a pool of spares and one of workers.
+/// Two teams, one service with a pool of runners, a pool of spares and a pool of workers.
 #[must_use]
 pub fn small() -> FleetFile {
     let pool = |id: &str, spare| Pool {
@@ -53,10 +53,10 @@
     }
 }
 
-/// Appends a publish of `file`, as an operator would; `base` is the version it starts from.
+/// Publishes `file` as an operator does; `base` is the version that the change is based on.
 ///
 /// # Errors
-/// If the log doesn't take it, or may not have.
+/// If the append fails or its effect is unknown.
 pub fn publish(
     log: &Log,
     file: FleetFile,
@@ -70,10 +70,10 @@
     append(log, Body::Publish(Publish { changes }))
 }
 
-/// Appends `body` in the name of an operator.
+/// Appends `body` as a record of an operator.
 ///
 /// # Errors
-/// If the log doesn't take it, or may not have.
+/// If the append fails or its effect is unknown.
 pub fn append(log: &Log, body: Body) -> pomelohitch_platform::Result<Appended> {
     let record = Record {
         id: RecordId::new_v4(),
--- a/crates/pomelohitch-standin/src/daemon.rs
+++ b/crates/pomelohitch-standin/src/daemon.rs
@@ -11,58 +11,58 @@
 use rustix::process::{Pid, Signal, kill_process};
 use serde::Deserialize;
 
-/// The operators' key of every entry instance that is started here.
+/// Admin key of every entry instance that is started here.
 pub const ADMIN_KEY: &str = "local-admin-key";
-/// How often waiting loops look.
+/// Polling interval of waiting loops.
 const TICK: Duration = Duration::from_millis(10);
-/// How long a call to the operators' port may take.
+/// Timeout of a call to the admin address.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What an entry instance is told.
+/// Settings of an entry instance.
 #[derive(Debug, Clone, Default)]
 pub struct Options<'a> {
-    /// Its id.
+    /// Member id.
     pub member: &'a str,
-    /// Address of the log.
+    /// URL of the log.
     pub log_url: &'a str,
-    /// Address of the pools.
+    /// URL of the service of instances.
     pub instances_url: &'a str,
-    /// Address of the workers.
+    /// URL of the workers.
     pub workers_url: &'a str,
-    /// Further flags.
+    /// Further command-line flags.
     pub flags: &'a [&'a str],
 }
 
-/// What the operators' port tells.
+/// State of an entry instance, as its admin address returns it.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Status {
     /// Whether it serves callers.
     pub ready: bool,
-    /// Whether it shuts down.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// The state in force there.
+    /// The fleet state that it uses.
     pub state: State,
 }
 
 /// A running entry instance; dropping it kills the process.
 #[derive(Debug)]
 pub struct Daemon {
-    /// Its id.
+    /// Member id.
     pub member: Box<str>,
-    /// Its address for callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// Its address for operators.
+    /// Address for operators.
     pub admin: SocketAddr,
-    /// Its address for the other entry instances.
+    /// Address for the other entry instances.
     pub peers: SocketAddr,
     child: Child,
 }
 
 impl Daemon {
-    /// Starts `program` and waits for its addresses; what it logs goes to `log`.
+    /// Starts `program` and waits until it prints its addresses; its log goes to `log`.
     ///
     /// # Panics
-    /// If the process can't be started or ends before it tells its addresses.
+    /// If the process can't be started or exits before it has printed its addresses.
     #[must_use]
     pub fn start(program: &Path, options: &Options<'_>, log: File) -> Daemon {
         let Options {
@@ -94,7 +94,7 @@
             let line = lines.next().and_then(Result::ok).unwrap_or_default();
             let addr = line.strip_prefix(&format!("listening {name} "));
             let addr = addr.and_then(|addr| addr.parse().ok());
-            addr.unwrap_or_else(|| panic!("{member} told no {name} address: {line:?}"))
+            addr.unwrap_or_else(|| panic!("{member} printed no {name} address: {line:?}"))
         };
         let callers = next("callers");
         let admin = next("admin");
@@ -110,16 +110,16 @@
 
     /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
-        // It may have ended by itself.
+        // The process may have exited already.
         let _ = kill_process(Pid::from_child(&self.child), signal);
     }
 
-    /// Asks for a graceful shutdown.
+    /// Requests a graceful shutdown with `SIGTERM`.
     pub fn terminate(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Waits for its end; the exit code, or `None` if `cap` passes first or a signal ended it.
+    /// Waits for the process to exit; `None` if that takes longer than `cap` or a signal ended it.
     pub fn wait(&mut self, cap: Duration) -> Option<i32> {
         let start = Instant::now();
         while start.elapsed() < cap {
@@ -132,25 +132,25 @@
         None
     }
 
-    /// Whether it says that it serves callers.
+    /// Whether its readiness check succeeds.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.get("/readyz").is_some()
     }
 
-    /// What its operators' port tells; `None` if it doesn't answer.
+    /// Its status from the admin address; `None` if it doesn't answer.
     #[must_use]
     pub fn status(&self) -> Option<Status> {
         serde_json::from_slice(&self.get("/v1/admin/state")?).ok()
     }
 
-    /// The state in force there; `None` if it doesn't answer.
+    /// The fleet state that it uses; `None` if it doesn't answer.
     #[must_use]
     pub fn state(&self) -> Option<State> {
         Some(self.status()?.state)
     }
 
-    /// Its counters, as Prometheus text.
+    /// Its metrics as Prometheus text; `None` if it doesn't answer.
     #[must_use]
     pub fn metrics(&self) -> Option<String> {
         String::from_utf8(self.get("/metrics")?).ok()
--- a/crates/pomelohitch-standin/src/faults.rs
+++ b/crates/pomelohitch-standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that all stand-ins share, and the control address.
+//! Faults that the stand-ins share, and the server of the control address.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -8,20 +8,21 @@
 
 use crate::server::{Answer, Options, Request, Server};
 
-/// Faults of calls to the platform, the field `calls` of the faults of log, instances and workers.
+/// Faults of calls to the platform: the field `calls` in the faults of log, instances and workers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallFaults {
     /// Every call is answered with `503` and has no effect.
     pub down: bool,
-    /// Every call waits so long before it takes effect.
+    /// Delay of every call before it takes effect.
     #[serde(rename = "delay_ms", with = "pomelohitch_core::millis")]
     pub delay: Duration,
-    /// So many calls from now on take effect, and the connection ends without an answer.
+    /// This many of the next calls other than `GET` take effect, and their connections are closed
+    /// without an answer.
     pub lose_answers: u32,
 }
 
-/// A value that handle, control address and service share.
+/// A value that the handle, the control address and the service share.
 #[derive(Debug, Default)]
 pub struct Shared<T>(Arc<Mutex<T>>);
 
@@ -38,13 +39,13 @@
         Shared(Arc::new(Mutex::new(value)))
     }
 
-    /// Locks the value. Every step on it leaves it whole, also one that panics.
+    /// Locks the value, also after a panic of a holder: every update leaves the value consistent.
     pub fn lock(&self) -> MutexGuard<'_, T> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Plays the faults `of` around a call that `act` answers.
+/// Answers a call with `act` under the call faults that `of` selects.
 pub(crate) fn play<F>(
     faults: &Shared<F>,
     of: fn(&mut F) -> &mut CallFaults,
@@ -74,7 +75,7 @@
     Answer::Close
 }
 
-/// Starts the control address over `set` and `ledger`.
+/// Starts the server of a control address: `set` replaces the faults, `ledger` returns the counts.
 pub(crate) fn control<F, L>(
     set: impl Fn(F) + Send + Sync + 'static,
     ledger: impl Fn() -> L + Send + Sync + 'static,
--- a/crates/pomelohitch-standin/src/instances.rs
+++ b/crates/pomelohitch-standin/src/instances.rs
@@ -1,7 +1,7 @@
-//! Pools of instances, and their lagging list.
+//! Pools of instances, listed with a delay.
 //!
-//! An instance drains once the runner behind it is idle: its control address is asked for that.
-//! A reboot starts from a drained instance and ends live; so does a move, in the other pool.
+//! A drain completes when the instance's runner is idle, which its control address tells. A reboot
+//! or a move needs a drained instance and leaves it live, a move in the other pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,9 +15,9 @@
 use crate::runner;
 use crate::server::{self, Answer, Request, Server};
 
-/// How long the runner's control address may take.
+/// Timeout of a call to a runner's control address.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many states of the list are remembered to show the one that the lag asks for.
+/// Number of past states of the list that are kept; the list is served from them with the lag.
 const HISTORY: usize = 10_000;
 
 /// Faults of the pools.
@@ -26,13 +26,13 @@
 pub struct Faults {
     /// Faults of calls.
     pub calls: CallFaults,
-    /// These reboot and never come back.
+    /// Instances that never return from a reboot.
     pub never_return: BTreeSet<InstanceId>,
-    /// These are down.
+    /// Instances that are down.
     pub down: BTreeSet<InstanceId>,
-    /// The platform takes these away.
+    /// Instances that the platform withdraws.
     pub leaving: BTreeSet<InstanceId>,
-    /// The list stays as it is.
+    /// Whether the list is frozen.
     pub stale_list: bool,
 }
 
@@ -41,11 +41,11 @@
 pub struct Options {
     /// The instances at the start.
     pub instances: Vec<Instance>,
-    /// How far behind the list is.
+    /// Delay of the list.
     pub lag: Duration,
-    /// How long a reboot takes.
+    /// Duration of a reboot.
     pub reboot: Duration,
-    /// How long a move takes.
+    /// Duration of a move.
     pub move_time: Duration,
 }
 
@@ -60,34 +60,34 @@
     }
 }
 
-/// An instance at the start.
+/// Initial state of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// As it is listed.
+    /// Its entry in the list.
     pub listed: Listed,
-    /// The control address of its runner, if it has one; without one it is always idle.
+    /// Control address of its runner; without one it is always idle.
     pub control: Option<SocketAddr>,
 }
 
-/// An effect that took place.
+/// An operation on an instance that took effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect {
-    /// The decision that asked for it.
+    /// Offset of the decision that requested it.
     pub op: Offset,
-    /// The instance.
+    /// Instance that it applies to.
     pub instance: InstanceId,
     /// `drain`, `undrain`, `reboot` or `move`.
     pub action: Box<str>,
-    /// Whether it is complete.
+    /// Whether it has completed.
     pub done: bool,
 }
 
-/// What the pools counted.
+/// Effects and counts of the pools.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Every effect once, in the order in which they began.
+    /// Every effect once, in the order of their starts.
     pub effects: Vec<Effect>,
-    /// Reboots and moves that began while requests ran on the instance, which cut them.
+    /// Reboots and moves that began while requests ran on the instance and so interrupted them.
     pub cut: u64,
 }
 
@@ -95,7 +95,7 @@
 struct Entry {
     listed: Listed,
     control: Option<SocketAddr>,
-    /// When a reboot or move ends, and where the instance then is.
+    /// When the reboot or move ends, and the pool of the instance after that.
     until: Option<(Instant, PoolId)>,
 }
 
@@ -153,30 +153,30 @@
         }
     }
 
-    /// Where they are reached.
+    /// URL of the service of instances.
     #[must_use]
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Their control address.
+    /// URL of the control address.
     #[must_use]
     pub fn control_url(&self) -> String {
         self.control.url()
     }
 
-    /// Replaces their faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock() = faults;
     }
 
-    /// What they counted.
+    /// The effects and counts up to now.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.pools.lock().ledger.clone()
     }
 
-    /// What an instance truly does now, without lag.
+    /// The current entry of an instance, without the lag of the list.
     #[must_use]
     pub fn now(&self, id: &str) -> Option<Listed> {
         let faults = self.faults.lock().clone();
@@ -206,7 +206,7 @@
         pools
     }
 
-    /// Brings everything to the present: ended reboots and moves, and what the faults say.
+    /// Advances to the present: completes reboots and moves that are due, and applies the faults.
     fn advance(&mut self, faults: &Faults) {
         let now = Instant::now();
         let mut changed = false;
@@ -245,7 +245,7 @@
         self.history.push(Snapshot { at, list });
     }
 
-    /// The list as it was a lag ago; the first one if nothing is that old.
+    /// The list as of one lag ago; the first list if none is that old.
     fn list(&self, is_stale: bool) -> List {
         let lag = self.options.lag;
         let is_old = |snapshot: &&Snapshot| snapshot.at.elapsed() >= lag;
@@ -257,7 +257,7 @@
         list
     }
 
-    /// Begins an effect, or says why the instance's state doesn't allow it.
+    /// Starts an operation, or returns the answer that refuses it.
     fn begin(&mut self, id: &str, action: &str, ask: &Ask, is_idle: bool) -> Result<(), Answer> {
         let Some(entry) = self.entries.get_mut(id) else {
             return Err(Answer::text(404, "no such instance"));
@@ -294,14 +294,14 @@
         Ok(())
     }
 
-    /// Whether the effect `op` is complete; once it was, it stays so.
+    /// Whether the effect `op` is complete; a complete effect stays complete.
     fn is_done(&mut self, op: Offset, is_idle: bool) -> bool {
         let found = self
             .ledger
             .effects
             .iter_mut()
             .find(|effect| effect.op == op);
-        let effect = found.expect("the effect was begun before it is asked for");
+        let effect = found.expect("`change` begins an unknown effect before it calls this");
         let Some(entry) = self.entries.get_mut(&effect.instance) else {
             return false;
         };
@@ -354,7 +354,7 @@
     Answer::json(200, &serde_json::json!({ "done": done }))
 }
 
-/// Asks a runner whether nothing runs on it; one that doesn't answer may still run something.
+/// Whether the runner with this control address runs no request; false if it doesn't answer.
 fn is_idle(control: SocketAddr) -> bool {
     let agent = ureq::Agent::config_builder()
         .timeout_global(Some(CONTROL_TIMEOUT))
--- a/crates/pomelohitch-standin/src/jobs.rs
+++ b/crates/pomelohitch-standin/src/jobs.rs
@@ -1,4 +1,4 @@
-//! A caller who hands in batch jobs, and the count of them against the workers' ledger.
+//! Submits batch jobs, and compares their outcomes with the workers' ledger.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,45 +8,45 @@
 
 use crate::workers::{Ledger, Runs};
 
-/// How long one call may take.
+/// Timeout of a call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A job to hand in.
+/// A job to submit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
-    /// Its idempotency key: handing it in again with the same key makes no second job.
+    /// Idempotency key: submitting the job again with the same key creates no second job.
     pub idempotency_key: Box<str>,
-    /// The key of its team.
+    /// API key of its team.
     pub key: Box<str>,
     /// Whether it is urgent.
     pub urgent: bool,
-    /// Whether running it twice does no harm.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// How long it is declared to run.
+    /// Declared run time.
     pub declared: Duration,
-    /// What it truly does, as the stand-in of the workers reads it.
+    /// Command; the stand-in of the workers reads from it what the job really takes.
     pub command: Box<str>,
 }
 
-/// What became of a job, as its caller saw it.
+/// Result of the submission of a job, as its caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Handed {
-    /// It was taken in under this id.
+    /// It was accepted under this id.
     Accepted(Box<str>),
-    /// It was refused as not taken in.
+    /// It was refused, with the answer that it wasn't accepted.
     NotRun(Box<str>),
-    /// Nothing certain was said.
+    /// It may or may not have been accepted.
     Unknown(Box<str>),
 }
 
-/// How a job stands.
+/// State of a job.
 #[derive(Debug, Clone, Deserialize)]
 pub struct View {
-    /// Its id.
+    /// Job id.
     pub id: Box<str>,
-    /// `ended` once it is over.
+    /// State; `ended` once the job has ended.
     pub state: Box<str>,
-    /// How it ended.
+    /// Reason and outcome of its end; `None` before.
     pub end: Option<End>,
 }
 
@@ -55,7 +55,7 @@
     ran: Box<str>,
 }
 
-/// Hands `job` in at `entry`.
+/// Submits `job` to the entry instance at `entry`.
 #[must_use]
 pub fn submit(agent: &ureq::Agent, entry: SocketAddr, job: &Job) -> Handed {
     let body = serde_json::json!({
@@ -96,7 +96,7 @@
     }
 }
 
-/// How the job `id` stands, as `entry` says.
+/// Queries the state of the job `id`; `None` if `entry` doesn't return it.
 #[must_use]
 pub fn view(agent: &ureq::Agent, entry: SocketAddr, key: &str, id: &str) -> Option<View> {
     let req = agent.get(format!("http://{entry}/v1/jobs/{id}"));
@@ -109,31 +109,31 @@
     serde_json::from_slice(&body).ok()
 }
 
-/// A job with what its caller was told at the hand-in and at the end.
+/// A job with the result of its submission and its last known state.
 #[derive(Debug, Clone)]
 pub struct Done {
     /// The job.
     pub job: Job,
-    /// What was said at the hand-in.
+    /// Result of its submission.
     pub handed: Handed,
-    /// How it stood when the run was over; only asked if it was taken in.
+    /// Its state at the end of the run; only queried if it was accepted.
     pub last: Option<View>,
 }
 
-/// The counts of jobs.
+/// Numbers of jobs by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Jobs that were handed in.
+    /// Submitted jobs.
     pub sent: u64,
-    /// They were taken in, and ended.
+    /// Accepted jobs that ended.
     pub ended: u64,
-    /// They were refused as not run.
+    /// Jobs that were refused as not run.
     pub refused: u64,
-    /// Nothing certain was said at the hand-in, or their end is unknown and was said so.
+    /// Jobs whose submission has no definite result, or whose outcome is reported as unknown.
     pub unknown: u64,
-    /// They were taken in, and never ended, or ended well without having run.
+    /// Accepted jobs that never ended, or that are reported as successful without a successful run.
     pub lost: u64,
-    /// They mustn't run twice, but were started more than once; or ran twice at the same time.
+    /// Non-idempotent jobs that were started more than once, and jobs with concurrent runs.
     pub doubled: u64,
 }
 
@@ -148,7 +148,7 @@
         tally
     }
 
-    /// Whether every promise was kept.
+    /// Whether no job was lost or doubled.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.lost + self.doubled == 0
--- a/crates/pomelohitch-standin/src/lib.rs
+++ b/crates/pomelohitch-standin/src/lib.rs
@@ -1,23 +1,23 @@
 //! Small stand-ins of the platform for tests and the local fleet; never a dependency of the binaries.
 //!
-//! Each stand-in listens on an ephemeral loopback port, speaks what `docs/PLATFORM.md` says, and
-//! has a handle with its faults and what it counted. Dropping the handle ends it and closes its
-//! connections. The same faults and counts are reached over a control address: `POST /faults`
-//! with a JSON object replaces all faults, `GET /ledger` returns what was counted.
+//! Each stand-in listens on an ephemeral loopback port, implements the protocol of
+//! `docs/PLATFORM.md`, and has a handle with its faults and its ledger. Dropping the handle ends it
+//! and closes its connections. Faults and ledger are also available over HTTP at a control address:
+//! `POST /faults` with a JSON object replaces all faults, `GET /ledger` returns the ledger.
 //!
-//! * [`server`]: the loopback HTTP server, which can also lose, cut and withhold answers.
-//! * [`faults`]: faults that all stand-ins share, and the control address.
+//! * [`server`]: the loopback HTTP server, which can also drop, truncate and withhold answers.
+//! * [`faults`]: faults that the stand-ins share, and the server of the control address.
 //! * [`log`]: the append-only log.
-//! * [`instances`]: pools of instances and their lagging list.
+//! * [`instances`]: pools of instances, listed with a delay.
 //! * [`workers`]: workers that run tasks under leases.
 //! * [`runner`]: an endpoint's runner, with a ledger of the requests that it ran.
 //!
-//! Around them, for tests over real processes and the local fleet:
+//! For tests with real processes and for the local fleet:
 //!
 //! * [`daemon`]: an entry instance's process.
 //! * [`config`]: a small configuration.
-//! * [`caller`], [`load`], [`jobs`] and [`tally`]: requests and jobs, what became of each, and the count against the
-//!   runners' ledgers.
+//! * [`caller`], [`load`] and [`jobs`]: send requests and jobs, and record the outcome of each.
+//! * [`tally`]: compares the outcomes with the runners' ledgers.
 
 pub mod caller;
 pub mod config;
--- a/crates/pomelohitch-standin/src/load.rs
+++ b/crates/pomelohitch-standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: requests leave on a schedule, whether or not earlier ones were answered.
+//! Open-loop load: requests are sent on a schedule, whether or not earlier ones were answered.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -10,25 +10,24 @@
 
 use crate::caller::{self, Call, Done, Outcome};
 
-/// The load.
+/// Settings of a load.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Requests a second on average.
+    /// Average number of requests per second; intervals are exponentially distributed.
     pub rate: f64,
-    /// How long requests leave.
+    /// Duration of the schedule.
     pub time: Duration,
-    /// Decides when each leaves, and what it is.
+    /// Seed of the times and the properties of the requests.
     pub seed: u64,
-    /// How many requests wait for their answers at once at the most; further ones leave late,
-    /// which their latencies show.
+    /// Maximum number of requests in flight; further ones are sent late, which counts as latency.
     pub callers: usize,
-    /// The keys to show, one after the other.
+    /// API keys, used in turn.
     pub keys: Vec<Box<str>>,
-    /// What the ids start with.
+    /// Prefix of the request ids.
     pub prefix: Box<str>,
-    /// How long a request runs at the most, whole milliseconds.
+    /// Maximum run time of a request; fractions of a millisecond are ignored.
     pub longest_run: Duration,
-    /// How many bytes an answer is padded to at the most.
+    /// Maximum length to which an answer is padded, bytes.
     pub longest_answer: usize,
 }
 
@@ -47,10 +46,10 @@
     }
 }
 
-/// Time limits of quick and of patient requests.
+/// Timeouts of quick and of patient requests.
 const TIMEOUTS: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(5)];
 
-/// When each request leaves, counted from the start, and what it is.
+/// The requests of a load, each with its time from the start.
 #[must_use]
 pub fn schedule(load: &Load) -> Vec<(Duration, Call)> {
     let mut rng = StdRng::seed_from_u64(load.seed);
@@ -81,10 +80,10 @@
     }
 }
 
-/// Sends the load to `entries`, each time to the next one, until it is over or `stop` is set.
+/// Sends the load to `entries` in turn, until the schedule ends or `stop` is set.
 ///
-/// Latencies count from when a request should have left, so that a stall isn't hidden by the
-/// requests that it kept from leaving.
+/// Latencies count from the scheduled time of a request, so that a stall also shows in the requests
+/// that it delays (no coordinated omission).
 #[must_use]
 pub fn run(load: &Load, entries: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool) -> Vec<Done> {
     let schedule = schedule(load);
--- a/crates/pomelohitch-standin/src/log.rs
+++ b/crates/pomelohitch-standin/src/log.rs
@@ -1,4 +1,4 @@
-//! The append-only log: offsets, retention by count, reads that wait.
+//! The append-only log, with offsets, retention by count, and long-polling reads.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -17,14 +17,14 @@
 pub struct Faults {
     /// Faults of appends and reads.
     pub calls: CallFaults,
-    /// From now on each stream keeps only so many records; `None` leaves it as it was.
+    /// Number of records that each stream retains from now on; `None` leaves it unchanged.
     pub keep: Option<usize>,
 }
 
 /// Settings of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// How many records each stream keeps.
+    /// Number of records that each stream retains.
     pub keep: usize,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// What the log counted.
+/// Counts of the log.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// Appends that took effect.
@@ -100,37 +100,37 @@
         }
     }
 
-    /// Where it is reached.
+    /// URL of the log.
     #[must_use]
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Its control address.
+    /// URL of the control address.
     #[must_use]
     pub fn control_url(&self) -> String {
         self.control.url()
     }
 
-    /// Replaces its faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         set_faults(&self.faults, &self.store, faults);
     }
 
-    /// What it counted.
+    /// The counts up to now.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.store.lock().ledger.clone()
     }
 
-    /// The oldest offset of `stream` that is kept.
+    /// The oldest retained offset of `stream`.
     #[must_use]
     pub fn first(&self, stream: &str) -> Offset {
         let streams = self.store.lock();
         streams.by_name.get(stream).map_or(0, |stream| stream.first)
     }
 
-    /// The records of `stream` that are kept.
+    /// The retained records of `stream`.
     #[must_use]
     pub fn records(&self, stream: &str) -> Vec<Box<str>> {
         let streams = self.store.lock();
--- a/crates/pomelohitch-standin/src/runner.rs
+++ b/crates/pomelohitch-standin/src/runner.rs
@@ -1,8 +1,9 @@
 //! An endpoint's runner, with a ledger of the requests that it ran.
 //!
-//! The header `Test-Request` names the caller's own id of a request. The ledger counts by it, so
-//! that doubled and lost requests show at the runner and not by our own daemon's word. The header
-//! `Test-Run-Ms` says how long the request runs, `Test-Answer-Bytes` how long the answer is at least.
+//! The header `Test-Request` has the caller's own id of a request. The ledger counts by this id, so
+//! that doubled and lost requests are found without relying on the daemon under test. The header
+//! `Test-Run-Ms` sets the run time of the request, `Test-Answer-Bytes` the minimum length of the
+//! answer.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,22 +15,22 @@
 use crate::faults;
 use crate::server::{self, Answer, Request, Response, Server};
 
-/// What a runner does with requests.
+/// How a runner treats requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
     /// It runs and answers them.
     #[default]
     Work,
-    /// Nothing goes on; what arrived meanwhile is worked off afterwards.
+    /// It accepts connections but doesn't progress; requests that arrive meanwhile run afterwards.
     Freeze,
     /// It refuses them with `503` and `Request-Ran: no`.
     Refuse,
-    /// It runs them, and their answers end in the middle of the body.
+    /// It runs them and truncates the bodies of the answers.
     CutBody,
-    /// Their connections go silent for good before they run.
+    /// It doesn't run them, and their connections stay open without an answer.
     SilentBeforeRun,
-    /// They run, and their connections go silent for good before the answer.
+    /// It runs them, and their connections stay open without an answer.
     SilentAfterRun,
 }
 
@@ -37,21 +38,21 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// What it does with requests.
+    /// How it treats requests.
     pub mode: Mode,
-    /// Every request runs so much longer.
+    /// Added to the run time of every request.
     #[serde(rename = "delay_ms", with = "pomelohitch_core::millis")]
     pub delay: Duration,
-    /// Connections that are open now are silent for good; later ones work.
+    /// Whether connections that are open now get no answers any more; later ones work.
     pub silence_open: bool,
 }
 
 /// Settings of a runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// How many requests run at once; more are refused with `Request-Ran: no`.
+    /// Maximum number of concurrent requests; further ones are refused with `Request-Ran: no`.
     pub slots: usize,
-    /// How many connections are accepted at once.
+    /// Maximum number of open connections.
     pub connections: usize,
 }
 
@@ -64,27 +65,27 @@
     }
 }
 
-/// What a runner did with one request of a caller.
+/// Runs of one request of a caller, as a runner counted them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Runs {
-    /// How often it started.
+    /// Number of starts.
     pub started: u64,
-    /// How often it finished.
+    /// Number of finished runs.
     pub finished: u64,
-    /// When it last started, milliseconds since the Unix epoch.
+    /// Time of the last start, milliseconds since the Unix epoch.
     pub last_start_ms: u64,
 }
 
-/// What a runner counted.
+/// Counts of a runner.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// How many requests run now.
+    /// Number of requests that run now.
     pub running: usize,
-    /// The most that ran at once.
+    /// Maximum number of requests that ran at the same time.
     pub most_running: usize,
-    /// How many were refused with `Request-Ran: no`.
+    /// Number of requests that were refused with `Request-Ran: no`.
     pub refused: u64,
-    /// What became of each request, by the caller's id of it.
+    /// Runs of each request that was started, by the caller's id of the request.
     pub runs: BTreeMap<Box<str>, Runs>,
 }
 
@@ -92,9 +93,9 @@
 struct State {
     faults: Faults,
     ledger: Ledger,
-    /// Connections below this one are silent.
+    /// Connections with a lower number get no answers.
     silent_below: u64,
-    /// The connection after the newest that was seen.
+    /// One more than the highest number of a connection that sent a request.
     next_connection: u64,
 }
 
@@ -105,7 +106,7 @@
     slots: usize,
 }
 
-/// A running runner.
+/// A started runner; dropping it closes its ports and connections.
 #[derive(Debug)]
 pub struct Runner {
     server: Server,
@@ -140,37 +141,37 @@
         }
     }
 
-    /// Where it accepts requests.
+    /// Address for requests.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.server.addr()
     }
 
-    /// Its control address.
+    /// URL of the control address.
     #[must_use]
     pub fn control_url(&self) -> String {
         self.control.url()
     }
 
-    /// Replaces its faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         self.bench.set_faults(faults);
     }
 
-    /// What it counted.
+    /// The counts up to now.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.bench.lock().ledger.clone()
     }
 
-    /// How many connections to it are open.
+    /// Number of open connections.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.server.open_connections()
     }
 }
 
-/// What a runner answers to the request `id` with `body`, at least `min_len` bytes long.
+/// The body that a runner answers to the request `id` with `body`, padded to `min_len` bytes.
 #[must_use]
 pub fn answer_body(id: &str, body: &[u8], min_len: usize) -> Vec<u8> {
     let mut answer = format!("{id}\n").into_bytes();
@@ -195,7 +196,7 @@
         self.thawed.notify_all();
     }
 
-    /// The state once the runner isn't frozen.
+    /// Waits until the runner isn't frozen, and locks its state.
     fn wait_thawed(&self) -> MutexGuard<'_, State> {
         let state = self.lock();
         let thawed = self
--- a/crates/pomelohitch-standin/src/server.rs
+++ b/crates/pomelohitch-standin/src/server.rs
@@ -1,6 +1,6 @@
-//! A loopback HTTP/1.1 server that can also lose, cut and withhold answers.
+//! A loopback HTTP/1.1 server that can also drop, truncate and withhold answers.
 //!
-//! `rouille` always answers, and so can't play a platform whose answers get lost.
+//! `rouille` always answers, and so can't simulate a platform whose answers get lost.
 
 use std::collections::HashMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -12,39 +12,39 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The largest head of a request.
+/// Maximum size of a request's head.
 const HEAD_BYTES: usize = 64 * 1024;
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 const HEADERS: usize = 64;
-/// How long to wait before looking again whether a connection may be accepted.
+/// Polling interval while the limit of connections is reached.
 const FULL_WAIT: Duration = Duration::from_millis(5);
 
-/// A request that was read whole.
+/// A request with its whole body.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
-    /// Counts the connections of this server; the first one is 0.
+    /// Number of the connection; the server counts from 0.
     pub connection: u64,
-    /// The method.
+    /// Method, as sent.
     pub method: Box<str>,
-    /// The path without the query.
+    /// Path without the query.
     pub path: Box<str>,
-    /// The query, without `?`.
+    /// Query without `?`, not decoded.
     pub query: Box<str>,
-    /// The headers as sent, names in lower case.
+    /// Headers in the order sent; names in lower case.
     pub headers: Vec<(Box<str>, Box<str>)>,
-    /// The body.
+    /// Body, without its transfer encoding.
     pub body: Vec<u8>,
 }
 
 impl Request {
-    /// The first header called `name`, which is in lower case.
+    /// Value of the first header `name`, which must be in lower case.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(known, _)| &**known == name);
         found.map(|(_, value)| &**value)
     }
 
-    /// The number that the query gives `name`.
+    /// Value of the query parameter `name`; `None` if it isn't a number.
     #[must_use]
     pub fn query_number(&self, name: &str) -> Option<u64> {
         let mut pairs = self
@@ -54,16 +54,16 @@
         pairs.find(|(known, _)| *known == name)?.1.parse().ok()
     }
 
-    /// The parts of the path.
+    /// Segments of the path.
     #[must_use]
     pub fn segments(&self) -> Vec<&str> {
         self.path.trim_matches('/').split('/').collect()
     }
 
-    /// The body as JSON, or the answer that says why it isn't.
+    /// Decodes the body as JSON.
     ///
     /// # Errors
-    /// A `400` if the body can't be decoded.
+    /// A `400` answer with the reason if the body can't be decoded.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, Answer> {
         serde_json::from_slice(&self.body).map_err(|e| Answer::text(400, &e.to_string()))
     }
@@ -72,35 +72,35 @@
 /// A response.
 #[derive(Debug, Clone, Default)]
 pub struct Response {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// Headers besides `Content-Length`.
+    /// Headers except `Content-Length`, which the server adds.
     pub headers: Vec<(Box<str>, Box<str>)>,
-    /// The body.
+    /// Body; `Content-Length` is derived from it.
     pub body: Vec<u8>,
 }
 
-/// What to do with a request.
+/// How the server answers a request.
 #[derive(Debug, Clone)]
 pub enum Answer {
-    /// Answer it.
+    /// Send the response.
     Full(Response),
-    /// Answer with half of the body, then close the connection.
+    /// Send the response with half of its body, then close the connection.
     Cut(Response),
     /// Close the connection without an answer.
     Close,
-    /// Keep the connection open, read and never answer.
+    /// Keep the connection open and discard what arrives, without an answer.
     Silent,
 }
 
 impl Answer {
-    /// A JSON answer.
+    /// An answer with a JSON body.
     ///
     /// # Panics
-    /// If `value` has no JSON form.
+    /// If `value` can't be serialized as JSON.
     #[must_use]
     pub fn json(status: u16, value: &impl Serialize) -> Answer {
-        let body = serde_json::to_vec(value).expect("the stand-ins' types have a JSON form");
+        let body = serde_json::to_vec(value).expect("the stand-ins' types serialize as JSON");
         Answer::Full(Response {
             status,
             headers: vec![("Content-Type".into(), "application/json".into())],
@@ -108,7 +108,7 @@
         })
     }
 
-    /// A text answer.
+    /// An answer with a text body.
     #[must_use]
     pub fn text(status: u16, text: &str) -> Answer {
         Answer::Full(Response {
@@ -119,13 +119,13 @@
     }
 }
 
-/// Answers requests.
+/// Function that answers requests.
 pub type Handler = Box<dyn Fn(&Request) -> Answer + Send + Sync>;
 
 /// Settings of a server.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// How many connections are accepted at once; further ones wait unaccepted.
+    /// Maximum number of open connections; further ones wait in the listener's backlog.
     pub connections: usize,
 }
 
@@ -152,10 +152,11 @@
     /// Listens on a free loopback port.
     ///
     /// # Panics
-    /// If no port or thread is to be had: a test can't go on then.
+    /// If no port is free or the thread can't be started.
     #[must_use]
     pub fn start(options: &Options, handler: Handler) -> Server {
-        let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free loopback port");
+        let listener =
+            TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a loopback port is free");
         let addr = listener
             .local_addr()
             .expect("a bound listener has an address");
@@ -166,19 +167,19 @@
         Server { addr, shared }
     }
 
-    /// Where it listens.
+    /// Address that it listens on.
     #[must_use]
     pub fn addr(&self) -> SocketAddr {
         self.addr
     }
 
-    /// Where it listens, as `http://IP:PORT`.
+    /// Its URL, `http://IP:PORT`.
     #[must_use]
     pub fn url(&self) -> String {
         format!("http://{}", self.addr)
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.shared.open().len()
@@ -224,7 +225,7 @@
         shared.open().insert(connection, kept);
         let (shared, handler) = (shared.clone(), handler.clone());
         std::thread::spawn(move || {
-            // The peer may go away at any time.
+            // An error means that the peer closed the connection, which it may do at any time.
             let _ = serve(connection, stream, &handler);
             shared.open().remove(&connection);
         });
@@ -283,7 +284,8 @@
     Ok(Some(req))
 }
 
-/// Reads up to and with the empty line; `None` if the peer closed before it sent anything.
+/// Reads up to and including the empty line. `None` if the peer closed before that, or if the head
+/// is too large.
 fn read_head(reader: &mut impl BufRead) -> io::Result<Option<Vec<u8>>> {
     let mut head = Vec::new();
     loop {
--- a/crates/pomelohitch-standin/src/tally.rs
+++ b/crates/pomelohitch-standin/src/tally.rs
@@ -1,30 +1,30 @@
-//! Counts what callers saw against what the runners' ledgers say.
+//! Compares the outcomes that callers saw with the runners' ledgers.
 
 use std::collections::BTreeMap;
 
 use crate::caller::{Done, Outcome};
 use crate::runner::{Ledger, Runs};
 
-/// The counts.
+/// Numbers of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Requests that were sent.
     pub sent: u64,
-    /// Their whole answer came.
+    /// Requests with a complete answer.
     pub whole: u64,
-    /// They were refused as not run, which is true.
+    /// Requests that were refused as not run and did not run.
     pub refused: u64,
-    /// What became of them is unknown, and was said so.
+    /// Requests whose outcome is reported as unknown.
     pub unknown: u64,
-    /// They were refused as not run, but ran.
+    /// Requests that were refused as not run, but ran.
     pub false_not_run: u64,
-    /// Answers that belong to nobody's request.
+    /// Requests with an answer that isn't the runner's to this request.
     pub wrong: u64,
-    /// An answer came but no runner finished the request, or nothing came at all.
+    /// Requests with an answer though no runner finished them, or without any answer.
     pub lost: u64,
-    /// Sent as non-idempotent, and started more than once.
+    /// Non-idempotent requests that were started more than once.
     pub doubled: u64,
-    /// Sent as idempotent, and started more than once.
+    /// Idempotent requests that were started more than once.
     pub repeated: u64,
 }
 
@@ -41,7 +41,7 @@
         tally
     }
 
-    /// Whether every promise to the callers was kept.
+    /// Whether no request was lost, doubled, answered wrongly or falsely refused as not run.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.false_not_run + self.wrong + self.lost + self.doubled == 0
@@ -70,7 +70,7 @@
     }
 }
 
-/// What all runners did with each request.
+/// Sums the runs of each request over all runners.
 fn merge(ledgers: &[Ledger]) -> BTreeMap<&str, Runs> {
     let mut all = BTreeMap::<&str, Runs>::new();
     for (id, runs) in ledgers.iter().flat_map(|ledger| &ledger.runs) {
--- a/crates/pomelohitch-standin/src/workers.rs
+++ b/crates/pomelohitch-standin/src/workers.rs
@@ -1,7 +1,7 @@
-//! Workers that run tasks under leases and report with a lag.
+//! Workers that run tasks under leases and report with a delay.
 //!
-//! What a task truly does stands in its command, so that declared sizes can be wrong: words
-//! `run=MS`, `cpu=MILLI`, `memory=MIB` and `fail`, each in place of what was declared.
+//! The command of a task overrides its declared sizes, so that these can be wrong: the words
+//! `run=MS`, `cpu=MILLI` and `memory=MIB` set what it really takes, and `fail` makes it fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use crate::runner;
 use crate::server::{self, Answer, Request, Server};
 
-/// A throttled task takes so many times as long for what is left of it.
+/// Factor by which throttling extends the remaining run time of a task.
 const THROTTLE_FACTOR: u32 = 2;
 
 /// Faults of the workers.
@@ -24,20 +24,20 @@
 pub struct Faults {
     /// Faults of calls.
     pub calls: CallFaults,
-    /// So many starts from now on take effect, and the connection ends without an answer.
+    /// This many of the next starts take effect, and their connections are closed without an answer.
     pub lose_starts: u32,
-    /// These fail everything that they start.
+    /// Workers whose tasks all fail.
     pub failing: BTreeSet<InstanceId>,
 }
 
 /// Settings of the workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// The workers.
+    /// The workers, as listed.
     pub workers: Vec<Listed>,
-    /// How far behind the reports are.
+    /// Delay of the reports.
     pub lag: Duration,
-    /// How often a running task reports what it uses.
+    /// Interval at which a running task reports its usage.
     pub usage_every: Duration,
 }
 
@@ -51,23 +51,23 @@
     }
 }
 
-/// What the workers did with a job.
+/// Runs of a job, as the workers counted them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Runs {
-    /// How often it was started.
+    /// Number of starts.
     pub started: u64,
-    /// How often it succeeded.
+    /// Number of successful runs.
     pub succeeded: u64,
-    /// The most of it that ran at once.
+    /// Maximum number of its tasks that ran at the same time.
     pub most_at_once: usize,
-    /// When it first started, milliseconds since the Unix epoch.
+    /// Time of the first start, milliseconds since the Unix epoch.
     pub first_start_ms: u64,
 }
 
-/// What the workers counted.
+/// Counts of the workers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// What became of each job.
+    /// Runs of each job that was started.
     pub jobs: BTreeMap<JobId, Runs>,
 }
 
@@ -77,7 +77,7 @@
     start: Start,
     used: Resources,
     fails: bool,
-    /// When it is through, as things are.
+    /// When it completes, unless it is throttled or ends early.
     end: Instant,
     lease_until: Instant,
     next_usage: Instant,
@@ -88,9 +88,9 @@
 struct Fleet {
     options: Options,
     tasks: BTreeMap<Offset, Task>,
-    /// Starts that must not happen any more, because somebody was told that they never did.
+    /// Starts that are refused, because a lookup has answered that they never happened.
     fenced: BTreeSet<Offset>,
-    /// How much of a job is left after its checkpoint.
+    /// Remaining run time of each job at its checkpoint.
     left: BTreeMap<JobId, Duration>,
     reports: Vec<(Instant, Report)>,
     ledger: Ledger,
@@ -144,30 +144,30 @@
         }
     }
 
-    /// Where they are reached.
+    /// URL of the workers' service.
     #[must_use]
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Their control address.
+    /// URL of the control address.
     #[must_use]
     pub fn control_url(&self) -> String {
         self.control.url()
     }
 
-    /// Replaces their faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock() = faults;
     }
 
-    /// The faults that are left.
+    /// The current faults; the numbers in them are what remains.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.faults.lock().clone()
     }
 
-    /// What they counted.
+    /// The counts up to now.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.fleet.lock().ledger_now()
@@ -180,7 +180,7 @@
         self.ledger.clone()
     }
 
-    /// Brings every task to the present.
+    /// Advances every task to the present.
     fn advance(&mut self) {
         let now = Instant::now();
         let mut happened = Vec::new();
@@ -344,7 +344,7 @@
         }
     }
 
-    /// What happened up to `now`, in order.
+    /// Adds the task's events up to `now` to `happened`, in order.
     fn advance(&mut self, now: Instant, every: Duration, happened: &mut Vec<(Instant, Report)>) {
         let (last, event) = self.ending();
         while self.next_usage <= now.min(last) {
@@ -357,7 +357,7 @@
         }
     }
 
-    /// How the task ends if nobody does anything.
+    /// When and how the task ends without further calls.
     fn ending(&self) -> (Instant, Event) {
         let begin = self.next_usage;
         if self.used.memory_mib > self.start.reserve.memory_mib {
--- a/crates/pomelohitch-standin/tests/standins.rs
+++ b/crates/pomelohitch-standin/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins do what `docs/PLATFORM.md` says, and their faults what they are named for.
+//! The stand-ins conform to `docs/PLATFORM.md`, and their faults have the documented effects.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Waits until `check` holds, with a generous cap.
+/// Polls until `check` holds; panics after 30 s.
 fn wait_until(what: &str, mut check: impl FnMut() -> bool) {
     let start = Instant::now();
     while !check() {
@@ -42,15 +42,18 @@
     let client = platform::Log::http(&log.url(), TIMEOUT);
     let appended = (client.append)("s", &["a".into(), "b".into(), "c".into()]).expect("it is up");
     assert_eq!((appended.first, appended.next), (0, 3));
-    assert_eq!(read(&client, 1).expect("kept"), ["b".into(), "c".into()]);
+    assert_eq!(
+        read(&client, 1).expect("retained"),
+        ["b".into(), "c".into()]
+    );
     assert!(matches!(
         read(&client, 0),
         Err(Error::Trimmed { first: 1, .. })
     ));
 }
 
-/// The platform takes the record and then the connection breaks. The appender can't know whether
-/// it landed; it must not be told that it didn't.
+/// The log appends the record, and then the connection breaks. The client can't know whether the
+/// append took effect, so the error must not say that it had none.
 #[test]
 fn an_append_whose_answer_is_lost_has_landed_and_its_effect_is_unknown_to_the_appender() {
     let log = Log::start(&log::Options::default());
@@ -64,7 +67,7 @@
     (client.append)("s", &["b".into()]).expect("only one answer was lost");
 }
 
-/// The log refuses everything for a while: appends certainly don't land.
+/// A log that is down answers `503` without an effect, and the error says so.
 #[test]
 fn a_log_that_is_down_takes_nothing() {
     let log = Log::start(&log::Options::default());
@@ -226,8 +229,8 @@
     );
 }
 
-/// A frozen runner accepts connections and answers nothing; once it wakes, it runs what arrived
-/// meanwhile, whether or not its caller still waits.
+/// A frozen runner accepts connections without an answer; when the fault ends, it runs the requests
+/// that arrived meanwhile, whether or not their callers still wait.
 #[test]
 fn a_frozen_runner_runs_late_what_it_was_sent() {
     let runner = Runner::start(&runner::Options::default());
