--- a/crates/pomelohitch-standin/examples/load.rs
+++ b/crates/pomelohitch-standin/examples/load.rs
@@ -21,15 +21,15 @@
 use rouille::{Request, Response};
 
 /// Number of runners of the service.
-const RUNNERS: usize = 6;
+const RUNNER_COUNT: usize = 6;
 /// Time limit for the entry instance to become ready.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Polling interval of waiting loops.
-const TICK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Upper bound of the recorded latencies; longer ones are clamped to it.
-const LONGEST_MICROS: u64 = 60_000_000;
+const MAX_LATENCY_MICROS: u64 = 60_000_000;
 /// Headers that are valid for one connection only and aren't forwarded.
-const OF_CONNECTION: [&str; 4] = ["Host", "Connection", "Content-Length", "Transfer-Encoding"];
+const HOP_BY_HOP_HEADERS: [&str; 4] = ["Host", "Connection", "Content-Length", "Transfer-Encoding"];
 
 /// Measures what an entry instance adds to a request.
 #[derive(Debug, Parser)]
@@ -51,7 +51,7 @@
     bin_dir: PathBuf,
 }
 
-struct Way {
+struct Target {
     name: &'static str,
     entries: Mutex<Vec<SocketAddr>>,
     latencies: Histogram<u64>,
@@ -59,10 +59,10 @@
     other: u64,
 }
 
-impl Way {
-    fn new(name: &'static str, entries: Vec<SocketAddr>) -> Way {
-        let latencies = Histogram::new_with_max(LONGEST_MICROS, 3);
-        Way {
+impl Target {
+    fn new(name: &'static str, entries: Vec<SocketAddr>) -> Target {
+        let latencies = Histogram::new_with_max(MAX_LATENCY_MICROS, 3);
+        Target {
             name,
             entries: Mutex::new(entries),
             latencies: latencies.expect("three digits are allowed"),
@@ -83,18 +83,18 @@
         }
     }
 
-    fn print(&self, direct: &Way) {
-        let micros = |way: &Way, quantile| {
-            Duration::from_micros(way.latencies.value_at_quantile(quantile)).as_secs_f64() * 1e3
+    fn print(&self, direct: &Target) {
+        let micros = |target: &Target, quantile| {
+            Duration::from_micros(target.latencies.value_at_quantile(quantile)).as_secs_f64() * 1e3
         };
         let (p50, p99) = (micros(self, 0.5), micros(self, 0.99));
-        let more50 = p50 - micros(direct, 0.5);
-        let more99 = p99 - micros(direct, 0.99);
-        let Way {
+        let added_p50 = p50 - micros(direct, 0.5);
+        let added_p99 = p99 - micros(direct, 0.99);
+        let Target {
             name, whole, other, ..
         } = self;
         println!(
-            "| {name} | {whole} | {other} | {p50:.2} | {p99:.2} | {more50:.2} | {more99:.2} |"
+            "| {name} | {whole} | {other} | {p50:.2} | {p99:.2} | {added_p50:.2} | {added_p99:.2} |"
         );
     }
 }
@@ -102,7 +102,7 @@
 fn main() {
     let args = Args::parse();
     let start = |_| Runner::start(&runner::Options::default());
-    let runners: Vec<Runner> = (0..RUNNERS).map(start).collect();
+    let runners: Vec<Runner> = (0..RUNNER_COUNT).map(start).collect();
     let addrs: Vec<SocketAddr> = runners.iter().map(Runner::addr).collect();
     let log = Log::start(&log::Options::default());
     let pools = Instances::start(&instances::Options {
@@ -110,37 +110,37 @@
         ..instances::Options::default()
     });
     let workers = Workers::start(&workers::Options::default());
-    let client = pomelohitch_platform::Log::http(&log.url(), START_LIMIT);
+    let client = pomelohitch_platform::Log::http(&log.url(), START_TIMEOUT);
     config::publish(&client, config::small(), None).expect("the log is up");
     let entry = start_entry(&args, &log, &pools, &workers);
 
-    let mut ways = [
-        Way::new("direct to the runner", addrs.clone()),
-        Way::new(
+    let mut targets = [
+        Target::new("direct to the runner", addrs.clone()),
+        Target::new(
             "pass-through",
             addrs.into_iter().map(pass_through).collect(),
         ),
-        Way::new("entry instance", vec![entry.callers]),
+        Target::new("entry instance", vec![entry.callers]),
     ];
     for round in 0..args.rounds {
-        for way in &mut ways {
+        for target in &mut targets {
             let load = Load {
                 rate: args.rate,
                 time: Duration::from_secs(args.seconds),
                 seed: round,
                 keys: TEAMS.iter().map(|(_, key)| (*key).into()).collect(),
-                longest_run: Duration::ZERO,
-                longest_answer: args.answer_bytes,
+                max_run: Duration::ZERO,
+                max_answer_len: args.answer_bytes,
                 ..Load::default()
             };
-            let calls = load::run(&load, &way.entries, &AtomicBool::new(false));
-            way.add(&calls);
+            let calls = load::run(&load, &target.entries, &AtomicBool::new(false));
+            target.add(&calls);
         }
     }
     println!("| way | whole | other | p50 ms | p99 ms | more p50 ms | more p99 ms |");
     println!("|---|---|---|---|---|---|---|");
-    for way in &ways {
-        way.print(&ways[0]);
+    for target in &targets {
+        target.print(&targets[0]);
     }
 }
 
@@ -171,16 +171,16 @@
     let file = file.expect("the build directory can be written");
     let entry = Daemon::start(&program, &options, file);
     let start = Instant::now();
-    let knows_all = || {
+    let knows_runners = || {
         let state = entry.state();
-        state.is_some_and(|state| state.fleet.instances.len() == RUNNERS)
+        state.is_some_and(|state| state.fleet.instances.len() == RUNNER_COUNT)
     };
-    while !(entry.is_ready() && knows_all()) {
+    while !(entry.is_ready() && knows_runners()) {
         assert!(
-            start.elapsed() < START_LIMIT,
+            start.elapsed() < START_TIMEOUT,
             "the entry never became ready"
         );
-        std::thread::sleep(TICK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     entry
 }
@@ -188,29 +188,29 @@
 /// Starts a server that forwards every request to one runner, without checks or limits.
 fn pass_through(runner: SocketAddr) -> SocketAddr {
     let agent = pomelohitch_standin::caller::agent();
-    let handler = move |req: &Request| pass_on(&agent, runner, req);
+    let handler = move |req: &Request| forward(&agent, runner, req);
     let server = rouille::Server::new("127.0.0.1:0", handler).expect("a loopback port is free");
     let addr = server.server_addr();
     std::thread::spawn(move || server.run());
     addr
 }
 
-fn pass_on(agent: &ureq::Agent, runner: SocketAddr, req: &Request) -> Response {
+fn forward(agent: &ureq::Agent, runner: SocketAddr, req: &Request) -> Response {
     let mut body = Vec::new();
     let mut data = req.data().expect("the body wasn't read before");
     if std::io::Read::read_to_end(&mut data, &mut body).is_err() {
         return Response::empty_400();
     }
-    let mut sent = agent.post(format!("http://{runner}{}", req.raw_url()));
+    let mut outgoing = agent.post(format!("http://{runner}{}", req.raw_url()));
     for (name, value) in req.headers() {
-        let is_own = OF_CONNECTION
+        let is_hop_by_hop = HOP_BY_HOP_HEADERS
             .iter()
-            .any(|own| own.eq_ignore_ascii_case(name));
-        if !is_own {
-            sent = sent.header(name, value);
+            .any(|known| known.eq_ignore_ascii_case(name));
+        if !is_hop_by_hop {
+            outgoing = outgoing.header(name, value);
         }
     }
-    let answer = sent.send(&body[..]);
+    let answer = outgoing.send(&body[..]);
     let answer = answer.and_then(|mut answer| answer.body_mut().read_to_vec());
     answer.map_or_else(
         |_| Response::empty_400().with_status_code(502),
--- a/crates/pomelohitch-standin/examples/local_fleet/batch.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/batch.rs
@@ -10,18 +10,18 @@
 use pomelohitch_standin::jobs::{self, Done, Handed, Job};
 
 /// Interval between two submissions.
-const EVERY: Duration = Duration::from_millis(250);
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum number of attempts to submit a job while the result is unknown, each at another entry
 /// instance.
-const TRIES: usize = 5;
+const MAX_ATTEMPTS: usize = 5;
 /// Time limit for all jobs to end after the load.
-const END_LIMIT: Duration = Duration::from_mins(1);
+const END_TIMEOUT: Duration = Duration::from_mins(1);
 /// Polling interval of waiting loops.
-const TICK: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Commands of the jobs, in turn. All jobs declare the same sizes, so that some are far off.
 const COMMANDS: [&str; 4] = ["run=50", "run=200", "run=800 memory=160", "run=2000"];
 /// Declared run time of each job.
-const DECLARED: Duration = Duration::from_millis(200);
+const DECLARED_RUN_TIME: Duration = Duration::from_millis(200);
 
 /// Submits jobs for `time` or until `stop` is set.
 #[must_use]
@@ -30,28 +30,32 @@
     let agent = caller::agent();
     let mut all = Vec::new();
     for index in 0.. {
-        let due = start + EVERY * index;
+        let due = start + SUBMIT_INTERVAL * index;
         if due >= start + time || stop.load(Ordering::Acquire) {
             break;
         }
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        all.push(hand_in(&agent, entries, index as usize));
+        all.push(submit_with_retries(&agent, entries, index as usize));
     }
     all
 }
 
-fn hand_in(agent: &ureq::Agent, entries: &Mutex<Vec<SocketAddr>>, index: usize) -> Done {
+fn submit_with_retries(
+    agent: &ureq::Agent,
+    entries: &Mutex<Vec<SocketAddr>>,
+    index: usize,
+) -> Done {
     let job = Job {
         idempotency_key: format!("job-{index}").into(),
         key: TEAMS[index % TEAMS.len()].1.into(),
         urgent: index.is_multiple_of(4),
         idempotent: index.is_multiple_of(2),
-        declared: DECLARED,
+        declared: DECLARED_RUN_TIME,
         command: COMMANDS[index % COMMANDS.len()].into(),
     };
     let mut handed = Handed::NotRun("no entry instance is ready".into());
-    for attempt in 0..TRIES {
-        let Some(entry) = pick(entries, index + attempt) else {
+    for attempt in 0..MAX_ATTEMPTS {
+        let Some(entry) = pick_entry(entries, index + attempt) else {
             break;
         };
         handed = jobs::submit(agent, entry, &job);
@@ -66,12 +70,12 @@
     }
 }
 
-fn pick(entries: &Mutex<Vec<SocketAddr>>, index: usize) -> Option<SocketAddr> {
+fn pick_entry(entries: &Mutex<Vec<SocketAddr>>, index: usize) -> Option<SocketAddr> {
     let entries = entries.lock().unwrap_or_else(PoisonError::into_inner);
     entries.get(index % entries.len().max(1)).copied()
 }
 
-/// Polls each accepted job until it has ended, [`END_LIMIT`] has passed or `stop` is set.
+/// Polls each accepted job until it has ended, [`END_TIMEOUT`] has passed or `stop` is set.
 pub fn wait_ended(all: &mut [Done], entries: &[SocketAddr], stop: &AtomicBool) {
     let start = Instant::now();
     let agent = caller::agent();
@@ -86,11 +90,11 @@
                 .last
                 .as_ref()
                 .is_some_and(|view| &*view.state == "ended");
-            let is_late = start.elapsed() > END_LIMIT || stop.load(Ordering::Acquire);
-            if has_ended || is_late {
+            let is_overdue = start.elapsed() > END_TIMEOUT || stop.load(Ordering::Acquire);
+            if has_ended || is_overdue {
                 break;
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/pomelohitch-standin/examples/local_fleet/fleet.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/fleet.rs
@@ -15,15 +15,15 @@
 use serde::de::DeserializeOwned;
 
 /// Number of entry instances.
-const ENTRIES: usize = 3;
+const ENTRY_COUNT: usize = 3;
 /// Number of runners of the service.
-const RUNNERS: usize = 6;
+const RUNNER_COUNT: usize = 6;
 /// Time limit for the fleet to become ready.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of a call to the stand-ins.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 /// Polling interval of waiting loops.
-const TICK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// URLs of a stand-in.
 #[derive(Debug, Clone)]
@@ -64,9 +64,9 @@
         let log_dir = bin_dir.join("local-fleet");
         std::fs::create_dir_all(&log_dir).expect("the build directory can be written");
         let log = Standins::start(bin_dir, &["log".into()], 1);
-        let count = RUNNERS.to_string();
+        let count = RUNNER_COUNT.to_string();
         let runners = ["runners".into(), "--count".into(), count];
-        let runners = Standins::start(bin_dir, &runners, RUNNERS);
+        let runners = Standins::start(bin_dir, &runners, RUNNER_COUNT);
         let mut args = vec!["instances".to_owned()];
         for (index, runner) in runners.addresses.iter().enumerate() {
             let (addr, control) = (host(&runner.url), host(&runner.control));
@@ -86,7 +86,7 @@
             runners,
             started: 0,
         };
-        for _ in 0..ENTRIES {
+        for _ in 0..ENTRY_COUNT {
             fleet.start_entry();
         }
         fleet.publish();
@@ -124,13 +124,13 @@
         }
         let tree = tree.to_str().expect("the build directory's path is UTF-8");
         for command in ["check", "publish"] {
-            let code = self.operate(&[command, tree]);
+            let code = self.run_command(&[command, tree]);
             assert!(code == Some(0), "pomelohitch {command} exits with {code:?}");
         }
     }
 
     /// Runs `pomelohitch` as an operator would, and returns its exit code.
-    fn operate(&self, args: &[&str]) -> Option<i32> {
+    fn run_command(&self, args: &[&str]) -> Option<i32> {
         let mut command = Command::new(self.bin_dir.join("pomelohitch"));
         command.args(["--log-url", &self.log.addresses[0].url]);
         // Scripts read the addresses from our stdout, so the command's output goes to stderr.
@@ -140,7 +140,7 @@
 
     /// Output of `pomelohitch` with `args`, which queries the entry instances.
     #[must_use]
-    pub fn show(&self, args: &[&str]) -> String {
+    pub fn query(&self, args: &[&str]) -> String {
         let admins = self.entries.iter().map(|e| format!("http://{}", e.admin));
         let admins: Vec<String> = admins.collect();
         let output = Command::new(self.bin_dir.join("pomelohitch"))
@@ -161,14 +161,15 @@
         let start = Instant::now();
         let is_ready = |entry: &Daemon| {
             let state = entry.state();
-            let knows = state.is_some_and(|state| state.fleet.instances.len() == RUNNERS);
-            knows && entry.is_ready()
+            let knows_runners =
+                state.is_some_and(|state| state.fleet.instances.len() == RUNNER_COUNT);
+            knows_runners && entry.is_ready()
         };
-        while !stop.load(Ordering::Acquire) && start.elapsed() < START_LIMIT {
+        while !stop.load(Ordering::Acquire) && start.elapsed() < START_TIMEOUT {
             if self.entries.iter().all(is_ready) {
                 return true;
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
@@ -181,7 +182,7 @@
     }
 
     /// Prints the addresses, keys and service needed to send requests and to operate the fleet.
-    pub fn announce(&self) {
+    pub fn print_addresses(&self) {
         for entry in &self.entries {
             println!("entry http://{}", entry.callers);
         }
--- a/crates/pomelohitch-standin/examples/local_fleet/main.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/main.rs
@@ -19,7 +19,7 @@
 mod run;
 
 /// Exit code after a signal.
-const EXIT_INTERRUPTED: u8 = 130;
+const EXIT_CODE_INTERRUPTED: u8 = 130;
 
 /// Runs a small fleet on this machine under load.
 #[derive(Debug, Parser)]
@@ -48,7 +48,7 @@
     if !fleet.wait_ready(&stop) {
         return end(&stop, "the fleet never became ready; see its logs");
     }
-    fleet.announce();
+    fleet.print_addresses();
     let time = Duration::from_secs(args.seconds);
     let outcome = run::run(&mut fleet, args.rate, time, args.seed, &stop);
     if stop.load(Ordering::Acquire) {
@@ -60,7 +60,7 @@
 fn end(stop: &AtomicBool, why: &str) -> ExitCode {
     eprintln!("local-fleet: {why}");
     if stop.load(Ordering::Acquire) {
-        ExitCode::from(EXIT_INTERRUPTED)
+        ExitCode::from(EXIT_CODE_INTERRUPTED)
     } else {
         ExitCode::FAILURE
     }
--- a/crates/pomelohitch-standin/examples/local_fleet/report.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/report.rs
@@ -13,10 +13,10 @@
 use crate::run::Outcome;
 
 /// Maximum number of distinct failures that are printed.
-const SHOWN: usize = 12;
+const MAX_REASONS: usize = 12;
 
 /// Upper bound of the recorded latencies; longer ones are clamped to it.
-const LONGEST_MICROS: u64 = 3_600_000_000;
+const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
 
 /// Prints the outcomes of the load; success only if both tallies are clean, some requests and jobs
 /// succeeded, and the replaced entry instance exited with 0.
@@ -62,7 +62,7 @@
     let exit = outcome.replaced_exit;
     println!("the replaced entry instance ended with code {exit:?}");
     for args in [&["report", "burn"][..], &["status"]] {
-        println!("\n$ pomelohitch {}\n{}", args.join(" "), fleet.show(args));
+        println!("\n$ pomelohitch {}\n{}", args.join(" "), fleet.query(args));
     }
     let is_clean = total.is_clean() && jobs.is_clean();
     if is_clean && total.whole > 0 && jobs.ended > 0 && exit == Some(0) {
@@ -76,7 +76,7 @@
 fn row(name: &str, tally: &Tally, calls: &[&Done]) {
     // An auto-resizing histogram would clamp to its initial, tiny range in `saturating_record`.
     let mut latencies =
-        Histogram::<u64>::new_with_max(LONGEST_MICROS, 3).expect("three digits are allowed");
+        Histogram::<u64>::new_with_max(MAX_LATENCY_MICROS, 3).expect("three digits are allowed");
     for done in calls.iter().filter(|done| done.outcome == Seen::Whole) {
         let micros = u64::try_from(done.latency.as_micros()).unwrap_or(u64::MAX);
         latencies.saturating_record(micros);
@@ -114,7 +114,7 @@
     }
     let mut reasons: Vec<_> = reasons.into_iter().collect();
     reasons.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-    for (reason, count) in reasons.into_iter().take(SHOWN) {
+    for (reason, count) in reasons.into_iter().take(MAX_REASONS) {
         println!("{count:>6} x {reason}");
     }
 }
--- a/crates/pomelohitch-standin/examples/local_fleet/run.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/run.rs
@@ -17,9 +17,9 @@
 /// Interval at which the simulated load balancer checks which entry instances are ready.
 const BALANCER_TICK: Duration = Duration::from_millis(50);
 /// Time limit of a graceful shutdown.
-const SHUTDOWN_LIMIT: Duration = Duration::from_secs(40);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(40);
 /// Index of the runner that freezes.
-const FROZEN: usize = 0;
+const FROZEN_RUNNER: usize = 0;
 
 /// Results of the run.
 #[derive(Debug)]
@@ -59,24 +59,27 @@
         },
         Step {
             at: time / 2,
-            act: |fleet| fleet.set_runner_faults(FROZEN, &mode(Mode::Freeze)),
+            act: |fleet| fleet.set_runner_faults(FROZEN_RUNNER, &mode(Mode::Freeze)),
         },
         Step {
             at: time * 7 / 10,
-            act: |fleet| fleet.set_runner_faults(FROZEN, &mode(Mode::Work)),
+            act: |fleet| fleet.set_runner_faults(FROZEN_RUNNER, &mode(Mode::Work)),
         },
     ];
-    let is_over = AtomicBool::new(false);
+    let is_load_done = AtomicBool::new(false);
     let (calls, mut jobs) = std::thread::scope(|scope| {
-        let handing_in = scope.spawn(|| batch::run(time, &ready, stop));
+        let submitting = scope.spawn(|| batch::run(time, &ready, stop));
         let sending = scope.spawn(|| {
             let calls = load::run(&load, &ready, stop);
-            is_over.store(true, Ordering::Release);
+            is_load_done.store(true, Ordering::Release);
             calls
         });
-        drive(fleet, &steps, &ready, &is_over);
+        run_steps(fleet, &steps, &ready, &is_load_done);
         let calls = sending.join().expect("the load doesn't panic");
-        (calls, handing_in.join().expect("handing in doesn't panic"))
+        (
+            calls,
+            submitting.join().expect("submitting jobs doesn't panic"),
+        )
     });
     batch::wait_ended(&mut jobs, &fleet.ready_entries(), stop);
     // After an interrupt, the entry instance may never have been asked to terminate.
@@ -84,7 +87,7 @@
     let limit = if is_interrupted {
         Duration::ZERO
     } else {
-        SHUTDOWN_LIMIT
+        SHUTDOWN_TIMEOUT
     };
     let replaced_exit = fleet.entries[0].wait(limit);
     Outcome {
@@ -94,10 +97,15 @@
     }
 }
 
-fn drive(fleet: &mut Fleet, steps: &[Step], ready: &Mutex<Vec<SocketAddr>>, is_over: &AtomicBool) {
+fn run_steps(
+    fleet: &mut Fleet,
+    steps: &[Step],
+    ready: &Mutex<Vec<SocketAddr>>,
+    is_load_done: &AtomicBool,
+) {
     let start = Instant::now();
     let mut steps = steps.iter().peekable();
-    while !is_over.load(Ordering::Acquire) {
+    while !is_load_done.load(Ordering::Acquire) {
         if let Some(step) = steps.next_if(|step| step.at <= start.elapsed()) {
             (step.act)(fleet);
         }
--- a/crates/pomelohitch-standin/examples/standin.rs
+++ b/crates/pomelohitch-standin/examples/standin.rs
@@ -58,9 +58,9 @@
 /// Number of workers in a rack.
 const WORKERS_PER_RACK: usize = 4;
 /// Number of availability zones.
-const ZONES: usize = 4;
+const ZONE_COUNT: usize = 4;
 /// Capacity of a worker.
-const WORKER: Resources = Resources {
+const WORKER_CAPACITY: Resources = Resources {
     cpu_milli: 16_000,
     memory_mib: 65_536,
     accelerators: 0,
@@ -71,8 +71,8 @@
     match standin {
         Standin::Log { keep } => {
             let log = Log::start(&log::Options { keep });
-            announce("log", &log.url(), &log.control_url());
-            wait_for_end();
+            print_addresses("log", &log.url(), &log.control_url());
+            wait_for_stdin_close();
         }
         Standin::Instances {
             instances,
@@ -85,8 +85,8 @@
                 reboot: Duration::from_millis(reboot_ms),
                 ..instances::Options::default()
             });
-            announce("instances", &instances.url(), &instances.control_url());
-            wait_for_end();
+            print_addresses("instances", &instances.url(), &instances.control_url());
+            wait_for_stdin_close();
         }
         Standin::Workers { count, lag_ms } => {
             let workers = Workers::start(&workers::Options {
@@ -94,29 +94,29 @@
                 lag: Duration::from_millis(lag_ms),
                 ..workers::Options::default()
             });
-            announce("workers", &workers.url(), &workers.control_url());
-            wait_for_end();
+            print_addresses("workers", &workers.url(), &workers.control_url());
+            wait_for_stdin_close();
         }
         Standin::Runners { count } => {
             let start = |_| Runner::start(&runner::Options::default());
             let runners: Vec<Runner> = (0..count).map(start).collect();
             for runner in &runners {
-                announce(
+                print_addresses(
                     "runner",
                     &format!("http://{}", runner.addr()),
                     &runner.control_url(),
                 );
             }
-            wait_for_end();
+            wait_for_stdin_close();
         }
     }
 }
 
-fn announce(name: &str, url: &str, control: &str) {
+fn print_addresses(name: &str, url: &str, control: &str) {
     println!("listening {name} {url} control {control}");
 }
 
-fn wait_for_end() {
+fn wait_for_stdin_close() {
     // Input is discarded; a read error counts as the end of the input.
     let _ = std::io::copy(&mut std::io::stdin(), &mut std::io::sink());
 }
@@ -125,9 +125,9 @@
     pomelohitch_platform::workers::Listed {
         id: format!("worker-{index}").into(),
         pool: "batch".into(),
-        zone: format!("zone-{}", index % ZONES).into(),
+        zone: format!("zone-{}", index % ZONE_COUNT).into(),
         rack: format!("rack-{}", index / WORKERS_PER_RACK).into(),
-        capacity: WORKER,
+        capacity: WORKER_CAPACITY,
     }
 }
 
--- a/crates/pomelohitch-standin/src/caller.rs
+++ b/crates/pomelohitch-standin/src/caller.rs
@@ -30,7 +30,7 @@
     /// Timeout that is sent with the request.
     pub timeout: Duration,
     /// Minimum length of the answer, bytes.
-    pub answer_len: usize,
+    pub min_answer_len: usize,
 }
 
 impl Default for Call {
@@ -44,7 +44,7 @@
             patient: false,
             run: Duration::ZERO,
             timeout: Duration::from_secs(5),
-            answer_len: 0,
+            min_answer_len: 0,
         }
     }
 }
@@ -93,7 +93,7 @@
         "Request-Priority" => (if call.patient { "patient" } else { "quick" }).to_owned(),
         "Test-Request" => call.id.to_string(),
         "Test-Run-Ms" => call.run.as_millis().to_string(),
-        _ => call.answer_len.to_string(),
+        _ => call.min_answer_len.to_string(),
     };
     let mut req = agent.post(url);
     for name in [
@@ -113,7 +113,7 @@
     let req = req.config().timeout_global(Some(limit)).build();
     let body = format!("body of {}", call.id);
     match req.send(&body) {
-        Ok(answer) => judge(call, body.as_bytes(), answer),
+        Ok(answer) => classify(call, body.as_bytes(), answer),
         Err(error) if is_refused(&error) => Outcome::NotRun("connection refused".into()),
         Err(_) if start.elapsed() >= limit => Outcome::Hung,
         Err(error) => Outcome::Unknown(format!("no answer: {error}").into()),
@@ -127,7 +127,7 @@
     config.build().new_agent()
 }
 
-fn judge(call: &Call, sent: &[u8], mut answer: ureq::http::Response<ureq::Body>) -> Outcome {
+fn classify(call: &Call, sent: &[u8], mut answer: ureq::http::Response<ureq::Body>) -> Outcome {
     let status = answer.status();
     let body = match answer.body_mut().read_to_vec() {
         Ok(body) => body,
@@ -142,7 +142,7 @@
             _ => Outcome::Wrong(text()),
         };
     }
-    let expected = runner::answer_body(&call.id, sent, call.answer_len);
+    let expected = runner::answer_body(&call.id, sent, call.min_answer_len);
     if status == 200 && body == expected {
         Outcome::Whole
     } else {
--- a/crates/pomelohitch-standin/src/daemon.rs
+++ b/crates/pomelohitch-standin/src/daemon.rs
@@ -14,7 +14,7 @@
 /// Admin key of every entry instance that is started here.
 pub const ADMIN_KEY: &str = "local-admin-key";
 /// Polling interval of waiting loops.
-const TICK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Timeout of a call to the admin address.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -119,13 +119,13 @@
         self.signal(Signal::TERM);
     }
 
-    /// Waits for the process to exit; `None` if that takes longer than `cap` or a signal ended it.
-    pub fn wait(&mut self, cap: Duration) -> Option<i32> {
+    /// Waits for the process to exit; `None` if that takes longer than `timeout` or a signal ended it.
+    pub fn wait(&mut self, timeout: Duration) -> Option<i32> {
         let start = Instant::now();
-        while start.elapsed() < cap {
+        while start.elapsed() < timeout {
             match self.child.try_wait() {
                 Ok(Some(status)) => return status.code(),
-                Ok(None) => std::thread::sleep(TICK),
+                Ok(None) => std::thread::sleep(POLL_INTERVAL),
                 Err(_) => return None,
             }
         }
--- a/crates/pomelohitch-standin/src/faults.rs
+++ b/crates/pomelohitch-standin/src/faults.rs
@@ -45,21 +45,21 @@
     }
 }
 
-/// Answers a call with `act` under the call faults that `of` selects.
-pub(crate) fn play<F>(
+/// Answers a call with `answer_call` under the call faults that `select` returns.
+pub(crate) fn with_call_faults<F>(
     faults: &Shared<F>,
-    of: fn(&mut F) -> &mut CallFaults,
+    select: fn(&mut F) -> &mut CallFaults,
     req: &Request,
-    act: impl FnOnce() -> Answer,
+    answer_call: impl FnOnce() -> Answer,
 ) -> Answer {
-    let delay = of(&mut faults.lock()).delay;
+    let delay = select(&mut faults.lock()).delay;
     std::thread::sleep(delay);
-    if of(&mut faults.lock()).down {
+    if select(&mut faults.lock()).down {
         return Answer::text(503, "down");
     }
-    let answer = act();
+    let answer = answer_call();
     let mut faults = faults.lock();
-    let faults = of(&mut faults);
+    let faults = select(&mut faults);
     if &*req.method == "GET" {
         // A read that waited while the service went down gets no answer either.
         return if faults.down {
@@ -76,7 +76,7 @@
 }
 
 /// Starts the server of a control address: `set` replaces the faults, `ledger` returns the counts.
-pub(crate) fn control<F, L>(
+pub(crate) fn start_control<F, L>(
     set: impl Fn(F) + Send + Sync + 'static,
     ledger: impl Fn() -> L + Send + Sync + 'static,
 ) -> Server
--- a/crates/pomelohitch-standin/src/instances.rs
+++ b/crates/pomelohitch-standin/src/instances.rs
@@ -18,7 +18,7 @@
 /// Timeout of a call to a runner's control address.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Number of past states of the list that are kept; the list is served from them with the lag.
-const HISTORY: usize = 10_000;
+const MAX_SNAPSHOTS: usize = 10_000;
 
 /// Faults of the pools.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -96,7 +96,7 @@
     listed: Listed,
     control: Option<SocketAddr>,
     /// When the reboot or move ends, and the pool of the instance after that.
-    until: Option<(Instant, PoolId)>,
+    busy_until: Option<(Instant, PoolId)>,
 }
 
 #[derive(Debug)]
@@ -114,7 +114,7 @@
 }
 
 #[derive(Deserialize)]
-struct Ask {
+struct OperationRequest {
     op: Offset,
     pool: Option<PoolId>,
 }
@@ -134,16 +134,16 @@
     pub fn start(options: &Options) -> Instances {
         let pools = Shared::new(Pools::new(options));
         let faults = Shared::<Faults>::default();
-        let (played, serving) = (faults.clone(), pools.clone());
+        let (call_faults, call_pools) = (faults.clone(), pools.clone());
         let handler = move |req: &Request| {
-            let act = || answer(&serving, &played.lock().clone(), req);
-            faults::play(&played, |f| &mut f.calls, req, act)
+            let act = || answer(&call_pools, &call_faults.lock().clone(), req);
+            faults::with_call_faults(&call_faults, |f| &mut f.calls, req, act)
         };
         let server = Server::start(&server::Options::default(), Box::new(handler));
-        let (set, counted) = (faults.clone(), pools.clone());
-        let control = faults::control(
-            move |faults| *set.lock() = faults,
-            move || counted.lock().ledger.clone(),
+        let (control_faults, control_pools) = (faults.clone(), pools.clone());
+        let control = faults::start_control(
+            move |faults| *control_faults.lock() = faults,
+            move || control_pools.lock().ledger.clone(),
         );
         Instances {
             server,
@@ -192,7 +192,7 @@
             let entry = Entry {
                 listed: instance.listed.clone(),
                 control: instance.control,
-                until: None,
+                busy_until: None,
             };
             (instance.listed.id.clone(), entry)
         });
@@ -202,7 +202,7 @@
             ledger: Ledger::default(),
             options: options.clone(),
         };
-        pools.remember();
+        pools.push_snapshot();
         pools
     }
 
@@ -212,11 +212,11 @@
         let mut changed = false;
         for (id, entry) in &mut self.entries {
             let before = entry.listed.state;
-            if let Some((end, pool)) = entry.until.clone()
+            if let Some((end, pool)) = entry.busy_until.clone()
                 && end <= now
                 && !faults.never_return.contains(id)
             {
-                entry.until = None;
+                entry.busy_until = None;
                 entry.listed.pool = pool;
                 entry.listed.state = ListedState::Live;
             }
@@ -228,17 +228,17 @@
             changed |= entry.listed.state != before;
         }
         if changed {
-            self.remember();
+            self.push_snapshot();
         }
     }
 
-    fn remember(&mut self) {
+    fn push_snapshot(&mut self) {
         let instances = self.entries.values().map(|entry| entry.listed.clone());
         let list = List {
             as_of: Duration::from_millis(runner::epoch_ms()),
             instances: instances.collect(),
         };
-        if self.history.len() == HISTORY {
+        if self.history.len() == MAX_SNAPSHOTS {
             self.history.remove(0);
         }
         let at = Instant::now();
@@ -258,14 +258,20 @@
     }
 
     /// Starts an operation, or returns the answer that refuses it.
-    fn begin(&mut self, id: &str, action: &str, ask: &Ask, is_idle: bool) -> Result<(), Answer> {
+    fn begin(
+        &mut self,
+        id: &str,
+        action: &str,
+        request: &OperationRequest,
+        is_idle: bool,
+    ) -> Result<(), Answer> {
         let Some(entry) = self.entries.get_mut(id) else {
             return Err(Answer::text(404, "no such instance"));
         };
         let state = entry.listed.state;
-        let takes_away = matches!(action, "reboot" | "move");
+        let interrupts = matches!(action, "reboot" | "move");
         let end = |after: Duration| Instant::now() + after;
-        match (action, state, &ask.pool) {
+        match (action, state, &request.pool) {
             ("drain", ListedState::Live | ListedState::Leaving, _) => {
                 entry.listed.state = ListedState::Draining;
             }
@@ -276,17 +282,17 @@
             }
             ("reboot", ListedState::Drained, _) => {
                 entry.listed.state = ListedState::Rebooting;
-                entry.until = Some((end(self.options.reboot), entry.listed.pool.clone()));
+                entry.busy_until = Some((end(self.options.reboot), entry.listed.pool.clone()));
             }
             ("move", ListedState::Drained, Some(pool)) => {
-                entry.until = Some((end(self.options.move_time), pool.clone()));
+                entry.busy_until = Some((end(self.options.move_time), pool.clone()));
             }
             _ => return Err(Answer::text(409, &format!("the instance is {state:?}"))),
         }
-        self.remember();
-        self.ledger.cut += u64::from(takes_away && !is_idle);
+        self.push_snapshot();
+        self.ledger.cut += u64::from(interrupts && !is_idle);
         self.ledger.effects.push(Effect {
-            op: ask.op,
+            op: request.op,
             instance: id.into(),
             action: action.into(),
             done: false,
@@ -301,7 +307,8 @@
             .effects
             .iter_mut()
             .find(|effect| effect.op == op);
-        let effect = found.expect("`change` begins an unknown effect before it calls this");
+        let effect =
+            found.expect("`apply_operation` begins an unknown effect before it calls this");
         let Some(entry) = self.entries.get_mut(&effect.instance) else {
             return false;
         };
@@ -309,14 +316,14 @@
             effect.done = match &*effect.action {
                 "drain" => is_idle || entry.listed.state == ListedState::Drained,
                 "undrain" => true,
-                _ => entry.until.is_none() && entry.listed.state == ListedState::Live,
+                _ => entry.busy_until.is_none() && entry.listed.state == ListedState::Live,
             };
             if effect.done
                 && &*effect.action == "drain"
                 && entry.listed.state == ListedState::Draining
             {
                 entry.listed.state = ListedState::Drained;
-                self.remember();
+                self.push_snapshot();
                 return true;
             }
         }
@@ -330,15 +337,20 @@
     }
     match (&*req.method, &req.segments()[..]) {
         ("GET", ["instances"]) => Answer::json(200, &pools.lock().list(faults.stale_list)),
-        ("POST", ["instances", id, action]) => match req.json::<Ask>() {
-            Ok(ask) => change(pools, id, action, &ask),
+        ("POST", ["instances", id, action]) => match req.json::<OperationRequest>() {
+            Ok(request) => apply_operation(pools, id, action, &request),
             Err(answer) => answer,
         },
         _ => Answer::text(404, "not found"),
     }
 }
 
-fn change(pools: &Shared<Pools>, id: &str, action: &str, ask: &Ask) -> Answer {
+fn apply_operation(
+    pools: &Shared<Pools>,
+    id: &str,
+    action: &str,
+    request: &OperationRequest,
+) -> Answer {
     let control = pools.lock().entries.get(id).and_then(|entry| entry.control);
     let is_idle = control.is_none_or(is_idle);
     let mut pools = pools.lock();
@@ -346,11 +358,11 @@
         .ledger
         .effects
         .iter()
-        .any(|effect| effect.op == ask.op);
-    if !is_known && let Err(answer) = pools.begin(id, action, ask, is_idle) {
+        .any(|effect| effect.op == request.op);
+    if !is_known && let Err(answer) = pools.begin(id, action, request, is_idle) {
         return answer;
     }
-    let done = pools.is_done(ask.op, is_idle);
+    let done = pools.is_done(request.op, is_idle);
     Answer::json(200, &serde_json::json!({ "done": done }))
 }
 
--- a/crates/pomelohitch-standin/src/load.rs
+++ b/crates/pomelohitch-standin/src/load.rs
@@ -26,9 +26,9 @@
     /// Prefix of the request ids.
     pub prefix: Box<str>,
     /// Maximum run time of a request; fractions of a millisecond are ignored.
-    pub longest_run: Duration,
+    pub max_run: Duration,
     /// Maximum length to which an answer is padded, bytes.
-    pub longest_answer: usize,
+    pub max_answer_len: usize,
 }
 
 impl Default for Load {
@@ -40,8 +40,8 @@
             callers: 128,
             keys: Vec::new(),
             prefix: "r".into(),
-            longest_run: Duration::from_millis(40),
-            longest_answer: 20_000,
+            max_run: Duration::from_millis(40),
+            max_answer_len: 20_000,
         }
     }
 }
@@ -67,15 +67,15 @@
 
 fn call(load: &Load, index: usize, rng: &mut impl Rng) -> Call {
     let patient = rng.random_bool(0.3);
-    let longest_run = u64::try_from(load.longest_run.as_millis()).unwrap_or(u64::MAX);
+    let max_run = u64::try_from(load.max_run.as_millis()).unwrap_or(u64::MAX);
     Call {
         id: format!("{}-{index}", load.prefix).into(),
         key: load.keys[index % load.keys.len()].clone(),
         idempotent: rng.random_bool(0.5),
         patient,
-        run: Duration::from_millis(rng.random_range(0..=longest_run)),
+        run: Duration::from_millis(rng.random_range(0..=max_run)),
         timeout: TIMEOUTS[usize::from(patient)],
-        answer_len: rng.random_range(0..=load.longest_answer),
+        min_answer_len: rng.random_range(0..=load.max_answer_len),
         ..Call::default()
     }
 }
@@ -94,10 +94,12 @@
     std::thread::scope(|scope| {
         for _ in 0..load.callers {
             scope.spawn(|| {
-                while let Some(one) = send_next(&schedule, &next, entries, &agent, start, stop) {
+                while let Some(done_call) =
+                    send_next(&schedule, &next, entries, &agent, start, stop)
+                {
                     done.lock()
                         .unwrap_or_else(PoisonError::into_inner)
-                        .push(one);
+                        .push(done_call);
                 }
             });
         }
--- a/crates/pomelohitch-standin/src/log.rs
+++ b/crates/pomelohitch-standin/src/log.rs
@@ -82,15 +82,20 @@
         let store = Arc::new(Store::default());
         store.lock().keep = options.keep;
         let faults = Shared::<Faults>::default();
-        let (played, serving) = (faults.clone(), store.clone());
+        let (call_faults, call_store) = (faults.clone(), store.clone());
         let handler = move |req: &Request| {
-            faults::play(&played, |f| &mut f.calls, req, || answer(&serving, req))
+            faults::with_call_faults(
+                &call_faults,
+                |f| &mut f.calls,
+                req,
+                || answer(&call_store, req),
+            )
         };
         let server = Server::start(&server::Options::default(), Box::new(handler));
-        let (set, counted) = ((faults.clone(), store.clone()), store.clone());
-        let control = faults::control(
-            move |faults| set_faults(&set.0, &set.1, faults),
-            move || counted.lock().ledger.clone(),
+        let (control_target, control_store) = ((faults.clone(), store.clone()), store.clone());
+        let control = faults::start_control(
+            move |faults| set_faults(&control_target.0, &control_target.1, faults),
+            move || control_store.lock().ledger.clone(),
         );
         Log {
             server,
--- a/crates/pomelohitch-standin/src/runner.rs
+++ b/crates/pomelohitch-standin/src/runner.rs
@@ -100,7 +100,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Bench {
+struct Inner {
     state: Mutex<State>,
     thawed: Condvar,
     slots: usize,
@@ -111,33 +111,33 @@
 pub struct Runner {
     server: Server,
     control: Server,
-    bench: Arc<Bench>,
+    inner: Arc<Inner>,
 }
 
 impl Runner {
     /// Starts a runner.
     #[must_use]
     pub fn start(options: &Options) -> Runner {
-        let bench = Arc::new(Bench {
+        let inner = Arc::new(Inner {
             slots: options.slots,
-            ..Bench::default()
+            ..Inner::default()
         });
-        let serving = bench.clone();
+        let request_inner = inner.clone();
         let server = Server::start(
             &server::Options {
                 connections: options.connections,
             },
-            Box::new(move |req| serving.answer(req)),
+            Box::new(move |req| request_inner.answer(req)),
         );
-        let (set, counted) = (bench.clone(), bench.clone());
-        let control = faults::control(
-            move |faults| set.set_faults(faults),
-            move || counted.lock().ledger.clone(),
+        let (control_inner, ledger_inner) = (inner.clone(), inner.clone());
+        let control = faults::start_control(
+            move |faults| control_inner.set_faults(faults),
+            move || ledger_inner.lock().ledger.clone(),
         );
         Runner {
             server,
             control,
-            bench,
+            inner,
         }
     }
 
@@ -155,13 +155,13 @@
 
     /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
-        self.bench.set_faults(faults);
+        self.inner.set_faults(faults);
     }
 
     /// The counts up to now.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
-        self.bench.lock().ledger.clone()
+        self.inner.lock().ledger.clone()
     }
 
     /// Number of open connections.
@@ -182,7 +182,7 @@
     answer
 }
 
-impl Bench {
+impl Inner {
     fn lock(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/pomelohitch-standin/src/server.rs
+++ b/crates/pomelohitch-standin/src/server.rs
@@ -13,11 +13,11 @@
 use serde::de::DeserializeOwned;
 
 /// Maximum size of a request's head.
-const HEAD_BYTES: usize = 64 * 1024;
+const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// Maximum number of headers of a request.
-const HEADERS: usize = 64;
+const MAX_HEADERS: usize = 64;
 /// Polling interval while the limit of connections is reached.
-const FULL_WAIT: Duration = Duration::from_millis(5);
+const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// A request with its whole body.
 #[derive(Debug, Clone, Default)]
@@ -211,7 +211,7 @@
     let mut connection = 0;
     loop {
         while shared.open().len() >= limit && !shared.is_stopped() {
-            std::thread::sleep(FULL_WAIT);
+            std::thread::sleep(ACCEPT_POLL_INTERVAL);
         }
         let Ok((stream, _)) = listener.accept() else {
             continue;
@@ -219,10 +219,10 @@
         if shared.is_stopped() {
             return;
         }
-        let Ok(kept) = stream.try_clone() else {
+        let Ok(registered) = stream.try_clone() else {
             continue;
         };
-        shared.open().insert(connection, kept);
+        shared.open().insert(connection, registered);
         let (shared, handler) = (shared.clone(), handler.clone());
         std::thread::spawn(move || {
             // An error means that the peer closed the connection, which it may do at any time.
@@ -291,9 +291,9 @@
     loop {
         let start = head.len();
         let read = reader
-            .take(HEAD_BYTES as u64)
+            .take(MAX_HEAD_BYTES as u64)
             .read_until(b'\n', &mut head)?;
-        if read == 0 || head.len() > HEAD_BYTES {
+        if read == 0 || head.len() > MAX_HEAD_BYTES {
             return Ok(None);
         }
         if &head[start..] == b"\r\n" {
@@ -303,7 +303,7 @@
 }
 
 fn parse_head(head: &[u8]) -> io::Result<Request> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     parsed.parse(head).map_err(io::Error::other)?;
     let target = parsed.path.unwrap_or_default();
--- a/crates/pomelohitch-standin/src/workers.rs
+++ b/crates/pomelohitch-standin/src/workers.rs
@@ -38,7 +38,7 @@
     /// Delay of the reports.
     pub lag: Duration,
     /// Interval at which a running task reports its usage.
-    pub usage_every: Duration,
+    pub usage_interval: Duration,
 }
 
 impl Default for Options {
@@ -46,7 +46,7 @@
         Options {
             workers: Vec::new(),
             lag: Duration::from_millis(200),
-            usage_every: Duration::from_millis(200),
+            usage_interval: Duration::from_millis(200),
         }
     }
 }
@@ -91,13 +91,13 @@
     /// Starts that are refused, because a lookup has answered that they never happened.
     fenced: BTreeSet<Offset>,
     /// Remaining run time of each job at its checkpoint.
-    left: BTreeMap<JobId, Duration>,
+    remaining: BTreeMap<JobId, Duration>,
     reports: Vec<(Instant, Report)>,
     ledger: Ledger,
 }
 
 #[derive(Deserialize)]
-struct Ask {
+struct TaskCall {
     op: Offset,
     #[serde(default, rename = "lease_ms", with = "pomelohitch_core::millis")]
     lease: Duration,
@@ -120,21 +120,21 @@
             options: options.clone(),
             tasks: BTreeMap::new(),
             fenced: BTreeSet::new(),
-            left: BTreeMap::new(),
+            remaining: BTreeMap::new(),
             reports: Vec::new(),
             ledger: Ledger::default(),
         });
         let faults = Shared::<Faults>::default();
-        let (played, serving) = (faults.clone(), fleet.clone());
+        let (call_faults, call_fleet) = (faults.clone(), fleet.clone());
         let handler = move |req: &Request| {
-            let act = || answer(&serving, &played, req);
-            faults::play(&played, |f| &mut f.calls, req, act)
+            let act = || answer(&call_fleet, &call_faults, req);
+            faults::with_call_faults(&call_faults, |f| &mut f.calls, req, act)
         };
         let server = Server::start(&server::Options::default(), Box::new(handler));
-        let (set, counted) = (faults.clone(), fleet.clone());
-        let control = faults::control(
-            move |faults| *set.lock() = faults,
-            move || counted.lock().ledger_now(),
+        let (control_faults, control_fleet) = (faults.clone(), fleet.clone());
+        let control = faults::start_control(
+            move |faults| *control_faults.lock() = faults,
+            move || control_fleet.lock().ledger_now(),
         );
         Workers {
             server,
@@ -183,12 +183,12 @@
     /// Advances every task to the present.
     fn advance(&mut self) {
         let now = Instant::now();
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         for task in self.tasks.values_mut().filter(|task| task.is_running) {
-            task.advance(now, self.options.usage_every, &mut happened);
+            task.advance(now, self.options.usage_interval, &mut events);
         }
-        happened.sort_by_key(|(at, _)| *at);
-        for (_, report) in &happened {
+        events.sort_by_key(|(at, _)| *at);
+        for (_, report) in &events {
             if report.event == Event::Succeeded {
                 self.ledger
                     .jobs
@@ -197,7 +197,7 @@
                     .succeeded += 1;
             }
         }
-        self.reports.extend(happened);
+        self.reports.extend(events);
     }
 
     fn start(&mut self, worker: &str, start: Start, is_failing: bool) -> Answer {
@@ -213,8 +213,8 @@
             return Answer::text(409, "not started");
         }
         let mut task = Task::new(worker, start, is_failing);
-        if let Some(left) = self.left.remove(&task.start.job) {
-            task.end = Instant::now() + left;
+        if let Some(remaining) = self.remaining.remove(&task.start.job) {
+            task.end = Instant::now() + remaining;
         }
         let running = self.tasks.values().filter(|known| known.is_running);
         let at_once = 1 + running
@@ -238,16 +238,16 @@
             .workers
             .iter()
             .find(|known| *known.id == *worker);
-        let on_it = |task: &&Task| task.is_running && *task.worker == *worker;
-        let taken = self
+        let on_worker = |task: &&Task| task.is_running && *task.worker == *worker;
+        let reserved = self
             .tasks
             .values()
-            .filter(on_it)
+            .filter(on_worker)
             .map(|task| task.start.reserve);
-        let total = taken.fold(*reserve, |sum, one| Resources {
-            cpu_milli: sum.cpu_milli + one.cpu_milli,
-            memory_mib: sum.memory_mib + one.memory_mib,
-            accelerators: sum.accelerators + one.accelerators,
+        let total = reserved.fold(*reserve, |sum, task_reserve| Resources {
+            cpu_milli: sum.cpu_milli + task_reserve.cpu_milli,
+            memory_mib: sum.memory_mib + task_reserve.memory_mib,
+            accelerators: sum.accelerators + task_reserve.accelerators,
         });
         listed.is_some_and(|Listed { capacity, .. }| {
             total.cpu_milli <= capacity.cpu_milli
@@ -256,24 +256,24 @@
         })
     }
 
-    fn change(&mut self, action: &str, ask: &Ask) -> Answer {
+    fn change(&mut self, action: &str, call: &TaskCall) -> Answer {
         let now = Instant::now();
-        let Some(task) = self.tasks.get_mut(&ask.op).filter(|task| task.is_running) else {
+        let Some(task) = self.tasks.get_mut(&call.op).filter(|task| task.is_running) else {
             return Answer::text(404, "no such task");
         };
-        let left = task.end.saturating_duration_since(now);
+        let remaining = task.end.saturating_duration_since(now);
         let ended = match action {
             "renew" => {
-                task.lease_until = now + ask.lease;
+                task.lease_until = now + call.lease;
                 None
             }
             "throttle" => {
-                task.end = now + left * THROTTLE_FACTOR;
+                task.end = now + remaining * THROTTLE_FACTOR;
                 None
             }
             "stop" => Some(Event::Stopped),
             "checkpoint" => {
-                self.left.insert(task.start.job.clone(), left);
+                self.remaining.insert(task.start.job.clone(), remaining);
                 Some(Event::Checkpointed)
             }
             _ => return Answer::text(404, "not found"),
@@ -344,16 +344,21 @@
         }
     }
 
-    /// Adds the task's events up to `now` to `happened`, in order.
-    fn advance(&mut self, now: Instant, every: Duration, happened: &mut Vec<(Instant, Report)>) {
+    /// Adds the task's events up to `now` to `events`, in order.
+    fn advance(
+        &mut self,
+        now: Instant,
+        usage_interval: Duration,
+        events: &mut Vec<(Instant, Report)>,
+    ) {
         let (last, event) = self.ending();
         while self.next_usage <= now.min(last) {
-            happened.push((self.next_usage, self.report(Event::Usage)));
-            self.next_usage += every;
+            events.push((self.next_usage, self.report(Event::Usage)));
+            self.next_usage += usage_interval;
         }
         if last <= now {
             self.is_running = false;
-            happened.push((last, self.report(event)));
+            events.push((last, self.report(event)));
         }
     }
 
@@ -392,8 +397,8 @@
             Ok(start) => start_task(fleet, faults, worker, start),
             Err(answer) => answer,
         },
-        ("POST", ["workers", _, action]) => match req.json::<Ask>() {
-            Ok(ask) => fleet.lock().change(action, &ask),
+        ("POST", ["workers", _, action]) => match req.json::<TaskCall>() {
+            Ok(call) => fleet.lock().change(action, &call),
             Err(answer) => answer,
         },
         _ => Answer::text(404, "not found"),
--- a/crates/pomelohitch-standin/tests/standins.rs
+++ b/crates/pomelohitch-standin/tests/standins.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_log_keeps_the_newest_records_and_tells_who_asks_for_older_ones() {
+fn a_log_retains_the_newest_records_and_reports_trimmed_ones() {
     let log = Log::start(&log::Options { keep: 2 });
     let client = platform::Log::http(&log.url(), TIMEOUT);
     let appended = (client.append)("s", &["a".into(), "b".into(), "c".into()]).expect("it is up");
@@ -55,7 +55,7 @@
 /// The log appends the record, and then the connection breaks. The client can't know whether the
 /// append took effect, so the error must not say that it had none.
 #[test]
-fn an_append_whose_answer_is_lost_has_landed_and_its_effect_is_unknown_to_the_appender() {
+fn an_append_with_a_lost_answer_takes_effect_and_its_error_says_unknown() {
     let log = Log::start(&log::Options::default());
     let client = platform::Log::http(&log.url(), TIMEOUT);
     let mut faults = log::Faults::default();
@@ -69,7 +69,7 @@
 
 /// A log that is down answers `503` without an effect, and the error says so.
 #[test]
-fn a_log_that_is_down_takes_nothing() {
+fn a_log_that_is_down_appends_nothing() {
     let log = Log::start(&log::Options::default());
     let client = platform::Log::http(&log.url(), TIMEOUT);
     let calls = CallFaults {
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn workers_report_how_each_task_ends_and_a_looked_up_start_never_happens_later() {
+fn workers_report_how_each_task_ends_and_refuse_a_start_after_its_lookup() {
     let workers = Workers::start(&workers::Options {
         workers: vec![tasks::Listed {
             id: "w".into(),
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_runner_answers_what_was_agreed_and_refuses_beyond_its_slots() {
+fn a_runner_answers_with_the_agreed_body_and_refuses_beyond_its_slots() {
     let runner = Runner::start(&runner::Options {
         slots: 1,
         ..runner::Options::default()
@@ -232,7 +232,7 @@
 /// A frozen runner accepts connections without an answer; when the fault ends, it runs the requests
 /// that arrived meanwhile, whether or not their callers still wait.
 #[test]
-fn a_frozen_runner_runs_late_what_it_was_sent() {
+fn a_frozen_runner_runs_pending_requests_later() {
     let runner = Runner::start(&runner::Options::default());
     let mode = |mode| runner::Faults {
         mode,
