--- a/crates/pomelohitch-standin/src/faults.rs
+++ b/crates/pomelohitch-standin/src/faults.rs
@@ -61,7 +61,7 @@
     let mut faults = faults.lock();
     let faults = select(&mut faults);
     if &*req.method == "GET" {
-        // A read that waited while the service went down gets no answer either.
+        // A read that was waiting when the service went down is refused as well.
         return if faults.down {
             Answer::text(503, "down")
         } else {
