--- a/crates/pomelohitch-config/src/fault.rs
+++ b/crates/pomelohitch-config/src/fault.rs
@@ -1,20 +1,20 @@
-//! What is wrong with a fleet file, where, and how to mend it.
+//! A fault of a fleet file: its place, what is wrong and how to fix it.
 
 use std::fmt;
 
 use pomelohitch_core::id::FilePath;
 use serde::Serialize;
 
-/// One fault; faults sort by file and line.
+/// A fault of a fleet file. Faults sort by file, then by line.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Fault {
-    /// The file, relative to the tree.
+    /// Path relative to the root of the tree; `(in force)` if the fault is only in other files.
     pub path: FilePath,
-    /// The line, counted from 1.
+    /// Line number, counted from 1; 0 if the path is `(in force)`.
     pub line: usize,
     /// What is wrong.
     pub what: Box<str>,
-    /// How to mend it.
+    /// How to fix it.
     pub fix: Box<str>,
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// The line of the byte at `index` of `text`, counted from 1.
+/// Returns the line number, counted from 1, of the byte at `index` of `text`.
 #[must_use]
 pub fn line_at(text: &str, index: usize) -> usize {
     let before = text.char_indices().take_while(|(at, _)| *at < index);
--- a/crates/pomelohitch-config/src/lib.rs
+++ b/crates/pomelohitch-config/src/lib.rs
@@ -1,14 +1,14 @@
-//! Fleet files: parse, check and compare with what is in force.
+//! Fleet files: parsing, validation and comparison with the configuration in force.
 //!
-//! A fleet file is a short TOML file named [`FILE_NAME`] beside a service's code. A tree of them
-//! is published together. Nothing here talks to the platform.
+//! A fleet file is a short TOML file named [`FILE_NAME`] beside a service's code. All fleet files
+//! below a directory (a tree) are published in one step. This crate makes no network requests.
 //!
-//! * [`spec`]: every section and field with unit, range and default; the one place that knows.
-//! * [`parse`]: one file's text to checked values, or every fault at once.
-//! * [`tree`]: all files below a directory, and the rules that hold across them.
-//! * [`lock`]: which versions in force the files in a checkout started from.
-//! * [`plan`]: which changes a publish of the tree would make.
-//! * [`fault`]: what is wrong, where, and how to mend it.
+//! * [`spec`]: the definition of every section and field, with unit, range and default.
+//! * [`parse`]: parses one file into checked values, or reports all of its faults.
+//! * [`tree`]: loads all files below a directory and checks the rules that span files.
+//! * [`lock`]: the lock file, which records the versions that the files in a checkout are based on.
+//! * [`plan`]: computes the changes that publishing a tree would make.
+//! * [`fault`]: a fault with its place and its fix.
 
 pub mod fault;
 pub mod lock;
@@ -22,7 +22,7 @@
 pub use plan::{Change, ChangeKind, Plan};
 pub use tree::Tree;
 
-/// The name of every fleet file.
+/// File name of every fleet file.
 pub const FILE_NAME: &str = "pomelohitch.toml";
-/// The name of the lock file at the root of a tree.
+/// File name of the lock file at the root of a tree.
 pub const LOCK_NAME: &str = "pomelohitch.lock";
--- a/crates/pomelohitch-config/src/lock.rs
+++ b/crates/pomelohitch-config/src/lock.rs
@@ -1,8 +1,8 @@
-//! Which versions in force the files in a checkout started from.
+//! The lock file, which records the versions that the files in a checkout are based on.
 //!
-//! A publish names for each file the version that the operator started from. The lock file keeps
-//! these versions beside the fleet files, so that they travel with the checkout: two operators
-//! who edit from the same version are noticed, whoever is second.
+//! A publish states, for each file, the version in force on which the operator's edit is based. The
+//! lock file keeps these versions in version control beside the fleet files. If two operators edit
+//! the same version, the second publish is detected as stale.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -13,18 +13,18 @@
 
 use crate::LOCK_NAME;
 
-/// The lock file couldn't be used.
+/// Reading or writing the lock file failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// It couldn't be read or written.
+    /// The lock file can't be read, written or replaced.
     #[snafu(display("{step} {LOCK_NAME}: {source}; check the permissions of the tree"))]
     Io {
-        /// What was being done.
+        /// The operation that failed: `read`, `write` or `replace`.
         step: &'static str,
         /// Why not.
         source: std::io::Error,
     },
-    /// It isn't what this program writes.
+    /// The content isn't a valid lock file, for example after a merge conflict.
     #[snafu(display(
         "read {LOCK_NAME}: {source}; take it from your version control again, or remove it and \
          run `pomelohitch diff --rebase`"
@@ -36,26 +36,27 @@
     },
 }
 
-/// The result of this module.
+/// Result of reading or writing the lock file.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 const HEADING: &str =
     "# Versions in force that these files started from. Written by pomelohitch; commit it.\n";
 
-/// Versions by file. A file that isn't listed was not in force when the operator started.
+/// Content of the lock file. A file that isn't listed was not in force when the edit began.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lock {
-    /// The version in force of each file of the tree.
+    /// For each file of the tree, the version in force on which the checkout is based.
     #[serde(default)]
     pub files: BTreeMap<FilePath, Offset>,
 }
 
 impl Lock {
-    /// Reads the lock of the tree at `root`; a tree without one has published nothing yet.
+    /// Reads the lock file of the tree at `root`. Returns an empty lock if there is no file, as
+    /// before the first publish.
     ///
     /// # Errors
-    /// If it is there but can't be read.
+    /// If the file exists but can't be read or parsed.
     pub fn load(root: &Path) -> Result<Lock> {
         match std::fs::read_to_string(root.join(LOCK_NAME)) {
             Ok(text) => toml::from_str(&text).context(ParseSnafu),
@@ -64,14 +65,14 @@
         }
     }
 
-    /// Writes the lock of the tree at `root`: beside its place first, so that a process that is
-    /// ended in the middle leaves the old one whole.
+    /// Writes the lock file of the tree at `root`. Writes a temporary file and renames it, so that
+    /// a process killed during the write leaves the previous lock file intact.
     ///
     /// # Errors
-    /// If it can't be written.
+    /// If the file can't be written or renamed.
     ///
     /// # Panics
-    /// Never: a map of text to numbers is always TOML.
+    /// Never: a map from strings to integers always serialises to TOML.
     pub fn store(&self, root: &Path) -> Result<()> {
         let body = toml::to_string(self).expect("a map of text to numbers is TOML");
         let new = root.join(format!("{LOCK_NAME}.new"));
--- a/crates/pomelohitch-config/src/parse.rs
+++ b/crates/pomelohitch-config/src/parse.rs
@@ -1,4 +1,4 @@
-//! One fleet file's text to checked values, or every fault at once.
+//! Parses one fleet file into checked values, or reports all of its faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,27 +16,27 @@
 
 use values::Values;
 
-/// The result of this module: a value, or every fault at once.
+/// Result of parsing a file: a value, or all faults of the file.
 pub type Result<T, E = Vec<Fault>> = std::result::Result<T, E>;
 
 /// Longest id, in bytes.
 const ID_BYTES: usize = 63;
-/// The table inside a service that holds its objective.
+/// Name of the subtable of a service that holds its objective.
 const OBJECTIVE_TABLE: &str = "objective";
 /// Seconds of a day.
 const DAY_SECONDS: u64 = 86_400;
 
-/// What a line of a file declares.
+/// A declaration or a reference to a pool, by which the line that holds it is looked up.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Declared {
     /// `team`, `pool`, `service`, `key`, or `pool of service` for a reference to a pool.
     pub kind: Box<str>,
-    /// The id; for a reference, that of the service that refers.
+    /// The declared id; for a reference to a pool, the id of the service that holds it.
     pub id: Box<str>,
 }
 
 impl Declared {
-    /// The thing of `kind` called `id`.
+    /// Creates the declaration of the given `kind` and `id`.
     #[must_use]
     pub fn new(kind: &str, id: &str) -> Declared {
         Declared {
@@ -46,19 +46,19 @@
     }
 }
 
-/// A file whose own fields are right.
+/// A parsed file that has no faults of its own. Rules that span files are not checked yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Parsed {
-    /// The values.
+    /// The parsed values.
     pub file: FleetFile,
-    /// On which line each thing is declared.
+    /// Line number of each declaration and each reference to a pool, counted from 1.
     pub lines: BTreeMap<Declared, usize>,
 }
 
-/// Parses the text of the file at `path`.
+/// Parses `text`, the content of the file at `path`.
 ///
 /// # Errors
-/// Every fault of the file, sorted by line.
+/// All faults of the file, sorted by line.
 pub fn parse(path: &str, text: &str) -> Result<Parsed> {
     let (document, errors) = DeTable::parse_recoverable(text);
     let mut parser = Parser {
@@ -227,7 +227,8 @@
         })
     }
 
-    /// Checks the fields of one table against `section`; `tables` are read by the caller.
+    /// Checks the fields of one table against `section` and fills in defaults. Subtables named in
+    /// `tables` are skipped: the caller parses them.
     fn values(
         &mut self,
         section: &Section,
--- a/crates/pomelohitch-config/src/parse/values.rs
+++ b/crates/pomelohitch-config/src/parse/values.rs
@@ -1,4 +1,4 @@
-//! The checked values of one table.
+//! Checked values of one table of a fleet file.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,17 +11,17 @@
 
 /// Length of a key hash in hexadecimal digits.
 const KEY_HASH_DIGITS: usize = 64;
-/// Parts in a million of one percent.
+/// Parts per million in one percent.
 const PPM_PER_PERCENT: u32 = 10_000;
-/// Decimals of a percentage that still make a whole part in a million.
+/// Most decimals of a percentage that is a whole number of parts per million.
 const PERCENT_DECIMALS: usize = 4;
 
-/// A value that a field doesn't allow.
+/// A value that the field doesn't allow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Wrong {
-    /// The value, as it stands in the file.
+    /// The value as shown in the fault.
     pub(super) shown: Box<str>,
-    /// Where it stands, if it isn't at the field itself.
+    /// Byte offset of the value; `None` if only the field's own offset is known.
     pub(super) at: Option<usize>,
 }
 
@@ -40,15 +40,15 @@
     at: usize,
 }
 
-/// The values of one table by field. A field that is wrong or missing reads as zero or empty:
-/// its fault was noted, and the whole file is then refused.
+/// The values of one table by field. A field that is invalid or missing reads as zero or empty: the
+/// parser has recorded its fault by then and rejects the whole file.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Values {
     by_name: BTreeMap<&'static str, Read>,
 }
 
 impl Values {
-    /// Takes over a value of the file.
+    /// Checks a value of the file and stores it.
     pub(super) fn read(
         &mut self,
         field: &'static Field,
@@ -63,7 +63,7 @@
         Ok(())
     }
 
-    /// Takes over the default of a field that isn't given.
+    /// Stores the default of a field that the file doesn't set.
     pub(super) fn set_default(&mut self, field: &'static Field, default: &str) {
         let value = DeValue::parse(default).expect("defaults of the tables are TOML");
         let value = check(field.kind, value.get_ref())
@@ -71,7 +71,7 @@
         self.by_name.insert(field.name, Read { value, at: 0 });
     }
 
-    /// Where the value of a field stands.
+    /// Byte offset of a field's value; 0 for a default, `None` if the field has no value.
     pub(super) fn at(&self, name: &str) -> Option<usize> {
         self.by_name.get(name).map(|read| read.at)
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Each hash with where it stands.
+    /// Each key hash with its byte offset.
     pub(super) fn keys(&self, name: &str) -> impl Iterator<Item = (KeyHash, usize)> + use<> {
         let keys = match self.get(name) {
             Some(Value::Keys(keys)) => keys.clone(),
@@ -153,7 +153,7 @@
         let text = item.get_ref().as_str().unwrap_or_default();
         let is_hash = text.len() == KEY_HASH_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
         if !is_hash {
-            // The text may be a key that was pasted in place of its hash: it isn't shown.
+            // The text may be a secret key pasted instead of its hash, so the fault omits it.
             return Err(Wrong {
                 shown: "[...] with an entry that isn't a hash".into(),
                 at: Some(at),
@@ -164,7 +164,7 @@
     Ok(Value::Keys(keys))
 }
 
-/// Reads the digits themselves: a float would turn 99.9 into a little less.
+/// Parses the decimal digits directly: as a float, 99.9 would be slightly too small.
 fn percent(text: &str) -> Option<Value> {
     let (whole, decimals) = text.split_once('.').unwrap_or((text, ""));
     if decimals.len() > PERCENT_DECIMALS {
--- a/crates/pomelohitch-config/src/plan.rs
+++ b/crates/pomelohitch-config/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which changes a publish of a tree would make.
+//! Computes the changes that publishing a tree would make.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -16,43 +16,43 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeKind {
-    /// It wasn't in force.
+    /// The file is not in force yet.
     Add,
-    /// Its content changes.
+    /// The file is in force with other content.
     Change,
-    /// It is in force, the lock lists it, and the tree no longer has it.
+    /// The file is in force and in the lock, but no longer in the tree.
     Remove,
 }
 
 /// One file that a publish would change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// The file.
+    /// Path of the file, relative to the root of the tree.
     pub path: FilePath,
-    /// What happens to it.
+    /// How the file changes.
     pub kind: ChangeKind,
-    /// The version that the operator started from.
+    /// The version on which the operator's edit is based, from the lock; `None` if it isn't listed.
     pub base: Option<Offset>,
-    /// The version in force.
+    /// The version in force; `None` if the file is not in force.
     pub in_force: Option<Offset>,
-    /// One line for each field that differs: `- name = value` in force, `+ name = value` wanted.
+    /// The fields that differ: `- name = value` as in force, `+ name = value` as in the tree.
     pub lines: Vec<Box<str>>,
     #[serde(skip)]
     file: Option<FleetFile>,
 }
 
 impl Change {
-    /// Whether the file was changed since the operator started.
+    /// Whether the version in force differs from the one on which the edit is based.
     #[must_use]
     pub fn is_stale(&self) -> bool {
         self.base != self.in_force
     }
 }
 
-/// What a publish would change, and which files stay beside it.
+/// The changes that a publish would make, and the files in force that it leaves alone.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// Files that would change, by path.
+    /// Files that would change, sorted by path.
     pub changes: Vec<Change>,
     /// Files in force that belong to other trees.
     pub others: BTreeMap<FilePath, VersionedFile>,
@@ -61,8 +61,8 @@
 impl Plan {
     /// Compares `tree` with the configuration in force.
     ///
-    /// A file in force that neither the tree nor its lock knows belongs to someone else and
-    /// stays: otherwise two teams with a tree each would remove each other's files.
+    /// A file in force that is neither in the tree nor in its lock belongs to another tree and is
+    /// kept. Otherwise two teams that publish from separate trees would remove each other's files.
     #[must_use]
     pub fn new(tree: &Tree, lock: &Lock, in_force: &Config) -> Plan {
         let mut plan = Plan::default();
@@ -83,7 +83,7 @@
         plan
     }
 
-    /// The proposal that makes these changes.
+    /// The publish record that proposes these changes.
     #[must_use]
     pub fn publish(&self) -> Publish {
         let changes = self.changes.iter().map(|change| {
@@ -99,7 +99,8 @@
     }
 }
 
-/// The lock of `tree` after its operator has seen how it differs from `in_force`.
+/// The lock of `tree` once the operator has reviewed its differences from `in_force`: it lists the
+/// version in force of each file of the tree.
 #[must_use]
 pub fn lock_of(tree: &Tree, in_force: &Config) -> Lock {
     let files = tree.files.keys().filter_map(|path| {
@@ -112,11 +113,11 @@
 }
 
 impl Plan {
-    /// The lock of `tree` after the changes came into force at `offset`.
+    /// The lock of `tree` after the changes took effect at `offset` of the log.
     ///
-    /// `in_force` is the configuration that was compared, not a later one: a version that came
-    /// after it holds changes that this operator hasn't seen, and the next publish would undo
-    /// them unnoticed.
+    /// `in_force` must be the configuration from which the plan was computed. Later versions may
+    /// contain changes that the operator hasn't seen; locking them would let the next publish
+    /// revert these changes without detection.
     #[must_use]
     pub fn lock_after(&self, tree: &Tree, in_force: &Config, offset: Offset) -> Lock {
         let mut lock = lock_of(tree, in_force);
@@ -142,7 +143,8 @@
     let kind = match (wanted, current) {
         (Some(wanted), Some(current)) if *wanted == current.file => return None,
         (Some(_), Some(_)) => ChangeKind::Change,
-        // Somebody removed a file that the tree still has: the base says so, and the fold rejects.
+        // If the lock lists the file, another operator has removed it since. The change then states
+        // a base, and the fold rejects it as stale.
         (Some(_), None) => ChangeKind::Add,
         (None, Some(_)) => ChangeKind::Remove,
         (None, None) => return None,
@@ -175,7 +177,7 @@
     lines
 }
 
-/// Every field of a file by its full name, as text.
+/// All fields of a file, as text by their full names.
 fn fields(file: Option<&FleetFile>) -> Fields {
     let mut fields = Fields::new();
     let Some(file) = file else { return fields };
--- a/crates/pomelohitch-config/src/spec.rs
+++ b/crates/pomelohitch-config/src/spec.rs
@@ -1,24 +1,24 @@
-//! Every section and field of a fleet file: unit, range, default.
+//! Definition of every section and field of a fleet file, with unit, range and default.
 //!
-//! The parser, its error texts and `docs/CONFIGURATION.md` all follow these tables.
+//! The parser, its error texts and `docs/CONFIGURATION.md` are derived from these tables.
 
 use std::fmt;
 
-/// What a field holds.
+/// Type and range of a field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// A whole number in a range, both ends included.
+    /// An integer in an inclusive range.
     Integer {
-        /// The least.
+        /// Smallest allowed value.
         low: u64,
-        /// The most.
+        /// Largest allowed value.
         high: u64,
     },
     /// `true` or `false`.
     Boolean,
-    /// The id of something declared elsewhere.
+    /// The id of a declaration, such as a pool, in any file of the fleet.
     Id,
-    /// Hashes of keys, 64 hexadecimal digits each.
+    /// An array of key hashes of 64 hexadecimal digits each.
     KeyHashes,
     /// A percentage above 0 and below 100, with up to four decimals.
     Percent,
@@ -36,22 +36,22 @@
     }
 }
 
-/// One field of a section.
+/// Definition of a field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Field {
     /// Its name in the file.
     pub name: &'static str,
     /// What it holds.
     pub kind: Kind,
-    /// What is counted, such as `ms` or `instances`.
+    /// Unit of the value, such as `ms` or `instances`; empty if it has none.
     pub unit: &'static str,
-    /// The value when it isn't given, as it would stand in the file; `None` if it must be given.
+    /// Default as TOML text; `None` if the field is required.
     pub default: Option<&'static str>,
-    /// One sentence for operators.
+    /// Description for operators, one sentence.
     pub about: &'static str,
 }
 
-/// A section: `[team.ID]` and the like.
+/// Definition of a section, such as `[team.ID]`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Section {
     /// Its name in the file.
@@ -60,7 +60,7 @@
     pub fields: &'static [Field],
 }
 
-/// `[team.ID]`.
+/// Fields of `[team.ID]`.
 pub const TEAM: Section = Section {
     name: "team",
     fields: &[
@@ -94,7 +94,7 @@
     ],
 };
 
-/// `[pool.ID]`.
+/// Fields of `[pool.ID]`.
 pub const POOL: Section = Section {
     name: "pool",
     fields: &[
@@ -118,7 +118,7 @@
     ],
 };
 
-/// `[service.ID]`.
+/// Fields of `[service.ID]`.
 pub const SERVICE: Section = Section {
     name: "service",
     fields: &[
@@ -192,7 +192,7 @@
     ],
 };
 
-/// `[service.ID.objective]`.
+/// Fields of `[service.ID.objective]`.
 pub const OBJECTIVE: Section = Section {
     name: "objective",
     fields: &[
@@ -223,17 +223,17 @@
     ],
 };
 
-/// The sections at the top of a file.
+/// The top-level sections of a file; the objective is a subtable of a service.
 pub const SECTIONS: &[Section] = &[TEAM, POOL, SERVICE];
 
 impl Section {
-    /// The field called `name`.
+    /// Looks up the field called `name`; `None` if the section has no such field.
     #[must_use]
     pub fn field(&self, name: &str) -> Option<&'static Field> {
         self.fields.iter().find(|field| field.name == name)
     }
 
-    /// The names of its fields, for an error's text.
+    /// The names of all fields, joined by commas for error messages.
     #[must_use]
     pub fn field_names(&self) -> String {
         let names: Vec<_> = self.fields.iter().map(|field| field.name).collect();
--- a/crates/pomelohitch-config/src/tree.rs
+++ b/crates/pomelohitch-config/src/tree.rs
@@ -1,4 +1,4 @@
-//! All fleet files below a directory, and the rules that hold across them.
+//! Loads all fleet files below a directory and checks the rules that span files.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -14,50 +14,50 @@
 /// Largest fleet file, in bytes: all of a publish's files travel in one record of the log.
 const FILE_BYTES: u64 = 256 * 1024;
 
-/// The tree couldn't be read.
+/// Loading a tree failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// A file or directory can't be read.
     #[snafu(display("read {}: {source}; check the path and its permissions", path.display()))]
     Io {
-        /// Which.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// No fleet file is below the directory.
+    /// The directory contains no fleet file.
     #[snafu(display("no {FILE_NAME} below {}; check the path", root.display()))]
     Empty {
-        /// The directory.
+        /// Root of the tree.
         root: PathBuf,
     },
     /// The files have faults.
     #[snafu(display("{} fault(s) in the fleet files", faults.len()))]
     Faults {
-        /// All of them, sorted.
+        /// All faults of all files, sorted by file and line.
         faults: Vec<Fault>,
     },
 }
 
-/// The result of this module.
+/// Result of loading a tree.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// The files of a tree, each right by itself.
+/// The files of a tree, each without faults of its own.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Tree {
-    /// Files by their path in the tree, with `/` between its parts.
+    /// Files by path relative to the root, with `/` as the separator.
     pub files: BTreeMap<FilePath, Parsed>,
 }
 
 impl Tree {
     /// Reads every fleet file below `root`.
     ///
-    /// Hidden directories and symbolic links are passed over: a link could lead out of the tree
-    /// or back into it.
+    /// Hidden directories and symbolic links are skipped: a link could lead out of the tree or form
+    /// a cycle.
     ///
     /// # Errors
-    /// If a file can't be read, none is there, or files have faults: then every fault of every
-    /// file at once.
+    /// If a file or directory can't be read, the directory contains no fleet file, or files have
+    /// faults. [`Error::Faults`] lists the faults of all files.
     pub fn load(root: &Path) -> Result<Tree> {
         let mut paths = Vec::new();
         find(root, &mut paths)?;
@@ -83,10 +83,11 @@
         }
     }
 
-    /// Checks the rules across files, over these and the `others` that stay in force beside them.
+    /// Checks the rules that span files, over the files of this tree and `others`, the files in
+    /// force that belong to other trees.
     ///
     /// # Errors
-    /// Every fault, sorted, at a line of this tree.
+    /// All faults, sorted, each located at a line of this tree where one exists.
     pub fn check(&self, others: &BTreeMap<FilePath, VersionedFile>) -> Result<(), Vec<Fault>> {
         let mut files = others.clone();
         for (path, parsed) in &self.files {
@@ -102,7 +103,7 @@
         Err(faults)
     }
 
-    /// Puts a rule across files that is broken to the line where it can be mended.
+    /// Converts a violated rule that spans files to a fault at the line where it can be fixed.
     #[must_use]
     pub fn locate(
         &self,
@@ -160,7 +161,7 @@
     }
 
     fn last_of(&self, kind: &str, id: &str) -> (FilePath, usize) {
-        // A rule broken only by files outside the tree has no line in it.
+        // A rule that only files outside the tree violate has no line in the tree.
         self.places(kind, id)
             .last()
             .unwrap_or_else(|| ("(in force)".into(), 0))
--- a/crates/pomelohitch-config/tests/config.rs
+++ b/crates/pomelohitch-config/tests/config.rs
@@ -1,4 +1,4 @@
-//! Tests of fleet files: parsing, trees, locks and plans.
+//! Tests of fleet files: parsing, trees, lock files and plans.
 
 mod config {
     mod lock;
--- a/crates/pomelohitch-config/tests/config/lock.rs
+++ b/crates/pomelohitch-config/tests/config/lock.rs
@@ -14,8 +14,8 @@
     assert_eq!(Lock::load(root.path()).expect("it is there"), lock);
 }
 
-/// A merge of two branches leaves conflict marks in the lock. Taking it for empty would turn
-/// every file into a new one; it is refused with what to do.
+/// A merge of two branches leaves conflict marks in the lock file. Reading it as empty would plan
+/// every file as an addition, so loading fails with an error that says how to recover.
 #[test]
 fn a_lock_with_conflict_marks_is_refused() {
     let root = tempfile::tempdir().expect("a temporary directory");
--- a/crates/pomelohitch-config/tests/config/parse.rs
+++ b/crates/pomelohitch-config/tests/config/parse.rs
@@ -35,7 +35,7 @@
     assert_eq!(objective.window, Duration::from_hours(28 * 24));
 }
 
-/// An operator who mends one fault at a time publishes late; all of them are told at once.
+/// Reporting only the first fault would cost the operator one run per fault.
 #[test]
 fn all_faults_of_a_file_are_told_with_line_and_fix() {
     let text = "[team.lifts]\nshare = 0\nlimits = 4\n\n[service.passes]\npool = 7\n\
@@ -66,8 +66,8 @@
     "##);
 }
 
-/// Somebody pastes the key itself where its hash belongs. The text of the fault ends up in
-/// terminals and build logs, so the key must not be in it.
+/// An operator pastes a secret key in place of its hash. Faults are printed to terminals and build
+/// logs, so their text must not contain the key.
 #[test]
 fn a_key_in_place_of_its_hash_is_refused_and_not_shown() {
     let text = "[team.lifts]\nshare = 1\nlimit = 1\nkeys = [\"pmh_secret\"]\n";
--- a/crates/pomelohitch-config/tests/config/plan.rs
+++ b/crates/pomelohitch-config/tests/config/plan.rs
@@ -51,8 +51,8 @@
     assert_eq!(lines, ["- pool.one.floor = 1", "+ pool.one.floor = 2"]);
 }
 
-/// Two teams publish from two trees. Each must only remove what its own tree once held, or the
-/// first publish of one would take the other's pools and services away.
+/// Two teams publish from separate trees. A publish must remove only files that its own lock lists,
+/// or the first publish of one team would remove the pools and services of the other.
 #[test]
 fn files_of_other_trees_stay_and_own_files_that_are_gone_are_removed() {
     let config = in_force(&[("mine", 3, "[pool.one]\n"), ("theirs", 4, "[pool.two]\n")]);
@@ -66,8 +66,8 @@
     assert!(plan.others.contains_key("theirs"));
 }
 
-/// Between the comparison and the verdict somebody else changes an unrelated file of the tree.
-/// A lock that took over that version would let the next publish undo the change unnoticed.
+/// Another operator changes an unrelated file of the tree after the plan was computed. A lock with
+/// that newer version would let the next publish revert the change without detection.
 #[test]
 fn the_lock_after_a_publish_holds_no_version_that_its_operator_has_not_seen() {
     let compared = in_force(&[("a", 3, "[pool.one]\n"), ("b", 4, "[pool.two]\n")]);
