--- a/crates/pomelohitch-peer/examples/beat_cost.rs
+++ b/crates/pomelohitch-peer/examples/beat_cost.rs
@@ -1,8 +1,7 @@
-//! Measures what a heartbeat costs on a link: bytes in each direction, and processor time.
+//! Measures the cost of a heartbeat on a link: bytes in each direction, and CPU time.
 //!
-//! Two members of one process beat over loopback through a relay that counts bytes. Headers of
-//! TCP and IP come on top; they are added in the printed estimate with the usual 52 bytes for
-//! each segment.
+//! Two members in one process exchange heartbeats over loopback through a relay that counts bytes.
+//! The column `with headers/beat` adds 52 bytes of TCP and IP headers per segment.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -16,7 +15,7 @@
 /// IP and TCP headers of a segment, with time stamps, in bytes.
 const SEGMENT_HEADERS: u64 = 52;
 
-/// Bytes and segments that passed the relay in one direction.
+/// Bytes and segments that the relay forwarded in one direction.
 #[derive(Debug, Default)]
 struct Passed {
     bytes: AtomicU64,
@@ -52,7 +51,7 @@
             (bytes + segments * SEGMENT_HEADERS) / BEATS
         );
     }
-    // Both members and the relay run in this process, so this is an upper bound for two members.
+    // The process also runs the relay, so this is an upper bound for two members.
     println!(
         "processor microseconds/beat, both ends and the relay: {}",
         ticks * 10_000 / BEATS
@@ -125,7 +124,7 @@
     }
 }
 
-/// Processor time of this process so far, in hundredths of a second.
+/// CPU time of this process so far, in clock ticks of 10 ms.
 fn processor_ticks() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat
@@ -133,7 +132,8 @@
         .next()
         .unwrap_or_default()
         .split_whitespace();
-    // User and system time are the 14th and 15th field; the name in brackets is the second.
+    // User and system time are fields 14 and 15. The text after the name, which is field 2 in
+    // parentheses, starts at field 3.
     fields
         .skip(11)
         .take(2)
--- a/crates/pomelohitch-peer/src/links.rs
+++ b/crates/pomelohitch-peer/src/links.rs
@@ -1,13 +1,13 @@
-//! The thread of the links: it answers peers, and keeps one outgoing link to each.
+//! The links' thread: answers requests of peers and maintains one outgoing link to each peer.
 //!
-//! A connection can go silent for good while new ones work, because something between the two
-//! ends lost track of it. Nothing arrives then, not even an error. Each call therefore has a time
-//! limit of its own, and a link whose call ran out of time is dropped and made anew.
+//! A connection can stop delivering data without an error while new connections work, for example
+//! when a device on the path drops its state for it. Every request therefore has a timeout. When a
+//! heartbeat times out, the link is closed and connected again.
 //!
-//! * [`handlers`]: what the thread asks of the process, and calls that the process makes.
-//! * [`clock`]: tells when a heartbeat was said, not when it arrived.
-//! * [`outgoing`]: the link to a peer, its heartbeats and calls.
-//! * `incoming`: answers peers.
+//! * [`handlers`]: callbacks into the process, and calls that the process makes to peers.
+//! * [`clock`]: bounds the time at which a heartbeat was sent, independent of its arrival.
+//! * [`outgoing`]: the link to a peer, with its heartbeats and calls.
+//! * `incoming`: answers the requests of peers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -36,16 +36,16 @@
 pub use outgoing::is_due;
 use outgoing::keep_link;
 
-/// A link couldn't be used.
+/// A link failed or the links couldn't be started.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum Error {
-    /// The peer can't be reached.
+    /// The TCP connection to the peer failed.
     #[snafu(display("connect to {peer}: {source}"))]
     Connect {
         /// The peer's address.
         peer: SocketAddr,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The peer didn't answer within the time limit: the link is taken for silent.
@@ -54,33 +54,33 @@
         /// The peer's address.
         peer: SocketAddr,
     },
-    /// The peer's answer is malformed, or the connection broke.
+    /// The answer to a heartbeat is malformed, or the connection was lost.
     #[snafu(display("heartbeat to {peer}: {source}"))]
     Rpc {
         /// The peer's address.
         peer: SocketAddr,
-        /// What the codec said.
+        /// The RPC error.
         source: capnp::Error,
     },
-    /// The links' thread couldn't be started.
+    /// The listener can't be used, or the links' thread can't be started.
     #[snafu(display("start the links on {listen}: {source}"))]
     Start {
         /// The address to listen on.
         listen: SocketAddr,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
 
-/// The result of this module.
+/// Result of starting or using a link.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Times of the links.
+/// Timing of the links.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// How often a heartbeat is sent on each link.
+    /// Interval between heartbeats on a link.
     pub interval: Duration,
-    /// How long a call may take before its link counts as silent.
+    /// Timeout of each connection attempt, heartbeat and call.
     pub timeout: Duration,
 }
 
@@ -93,28 +93,29 @@
     }
 }
 
-/// A member to keep a link to.
+/// A member to which a link is maintained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its id.
+    /// Id of the member.
     pub member: MemberId,
-    /// Where it listens.
+    /// Address on which its links listen.
     pub addr: SocketAddr,
 }
 
-/// What the process may ask of the thread.
+/// A command to the links' thread.
 #[derive(Debug)]
 pub enum Command {
-    /// Keep links to exactly these peers.
+    /// Maintain links to exactly these peers; links to all others are closed.
     Peers(Vec<Peer>),
-    /// Call a peer.
+    /// Send a call to a peer. It fails if there is no link to the peer.
     Call(MemberId, Call),
 }
 
 /// Where commands go.
 pub type Commands = mpsc::UnboundedSender<Command>;
 
-/// The running links. Dropping it closes the channel, which ends the thread.
+/// The running links. Dropping the value closes its command channel; the thread ends when no clone
+/// of the sender is left.
 #[derive(Debug)]
 pub struct Links {
     /// Where commands go.
@@ -123,7 +124,7 @@
 }
 
 impl Links {
-    /// Starts the thread, which accepts peers on `listener`.
+    /// Starts the links' thread, which accepts connections of peers on `listener`.
     ///
     /// # Errors
     /// If the listener can't be used or the thread can't be started.
@@ -157,10 +158,11 @@
         Ok(Links { commands, thread })
     }
 
-    /// Closes the channel and waits for the thread to end.
+    /// Drops the command channel and waits for the thread, which ends once no clone of the sender
+    /// is left.
     pub fn stop(self) {
         drop(self.commands);
-        // The thread only ends by itself or by a panic that was already printed.
+        // An error means that the thread panicked, which the panic hook has already reported.
         let _ = self.thread.join();
     }
 }
@@ -276,8 +278,8 @@
     stream: tokio::net::TcpStream,
     side: rpc_twoparty_capnp::Side,
 ) -> Box<dyn capnp_rpc::VatNetwork<rpc_twoparty_capnp::Side>> {
-    // Heartbeats are small and wait for one another; without this they are held back to be sent
-    // together, which delays them by tens of milliseconds. Failing to set it only costs time.
+    // Nagle's algorithm would delay these small requests and answers by tens of milliseconds. An
+    // error is ignored because it only costs this delay.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     Box::new(twoparty::VatNetwork::new(
--- a/crates/pomelohitch-peer/src/links/clock.rs
+++ b/crates/pomelohitch-peer/src/links/clock.rs
@@ -1,15 +1,15 @@
-//! Tells when a heartbeat was said, not when it arrived.
+//! Bounds the time at which a heartbeat was sent, independent of its arrival.
 //!
-//! A process that was paused finds heartbeats of long ago in its sockets' buffers. Counted by when
-//! they arrive, they would make old knowledge look recent. Each side therefore echoes the other's
-//! clock as it last heard it: what echoes a time was said after it.
+//! A process that was paused finds old heartbeats in its socket buffers. Their arrival time would
+//! make their content look recent. Each side therefore echoes the latest clock value that it
+//! received from the other: a heartbeat that echoes a value was sent after that value was read.
 
 use std::time::{Duration, Instant};
 
-/// The own clock, as peers echo it.
+/// The clock whose values this process sends in heartbeats and peers echo.
 ///
-/// It starts at random, so that an echo of an earlier process with the same member id isn't
-/// taken for one of ours.
+/// It starts at a random value, so that echoes of the clock of an earlier process with the same
+/// member id are recognised and ignored.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     base: u64,
@@ -17,21 +17,23 @@
 }
 
 impl Clock {
-    /// A clock that shows `base`, which isn't 0, at `started`.
+    /// Creates a clock whose value at `started` is derived from `base`. The value is never 0, which
+    /// stands for "no clock received" in heartbeats.
     #[must_use]
     pub fn new(base: u32, started: Instant) -> Clock {
         let base = (u64::from(base) + 1) << 31;
         Clock { base, started }
     }
 
-    /// What it shows now, in milliseconds.
+    /// Current value, in milliseconds.
     #[must_use]
     pub fn now(&self) -> u64 {
         let elapsed = u64::try_from(self.started.elapsed().as_millis());
         self.base + elapsed.unwrap_or(u64::MAX / 2)
     }
 
-    /// When it showed `shown`; `None` if it never did.
+    /// The time at which the clock had `value`; `None` if the value is from another clock or in the
+    /// future.
     #[must_use]
     pub fn time_of(&self, shown: u64) -> Option<Instant> {
         let elapsed = Duration::from_millis(shown.checked_sub(self.base)?);
--- a/crates/pomelohitch-peer/src/links/handlers.rs
+++ b/crates/pomelohitch-peer/src/links/handlers.rs
@@ -1,4 +1,4 @@
-//! What the thread of the links asks of the process, and calls that the process makes.
+//! Callbacks of the links' thread into the process, and calls that the process makes to peers.
 
 use std::time::Instant;
 
@@ -8,14 +8,15 @@
 use crate::message::Heartbeat;
 use crate::permits::{Batch, Claim, Replies, Verdict};
 
-/// Gets the answer of a call; `None` if there is none in time. Called on the thread of the links.
+/// Receives the answer to a call, `None` if the call failed or timed out. Runs on the links'
+/// thread.
 pub type OnAnswer<T> = Box<dyn FnOnce(Option<T>) + Send>;
 
 /// A call to a peer.
 pub enum Call {
-    /// Permits.
+    /// Requests permits from the home of the resources.
     Permits(Batch, OnAnswer<Replies>),
-    /// An idempotency key.
+    /// Claims or releases an idempotency key at its home.
     Claim(Claim, OnAnswer<Verdict>),
 }
 
@@ -29,7 +30,7 @@
 }
 
 impl Call {
-    /// Answers that there is no answer.
+    /// Completes the call without an answer.
     pub(super) fn fail(self) {
         match self {
             Call::Permits(_, on_answer) => on_answer(None),
@@ -38,35 +39,36 @@
     }
 }
 
-/// A heartbeat that arrived.
+/// A heartbeat received from a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heard {
-    /// What the peer said.
+    /// The heartbeat.
     pub beat: Heartbeat,
-    /// The peer said it after this time, since it echoes our clock of then; `None` if it never
-    /// heard us. When it arrived tells nothing: it may have waited in a socket's buffer.
+    /// The peer sent it after this time, at which our clock had the echoed value; `None` if it
+    /// echoes no value of our clock. The arrival time is no bound, because the heartbeat may have
+    /// waited in a socket buffer.
     pub said_after: Option<Instant>,
 }
 
-/// Told of a failed link, with the peer's id.
+/// Receives the error of a failed link, with the peer's id.
 pub type OnError = Box<dyn Fn(&MemberId, &Error)>;
 
-/// What the thread asks of the process. They are called on the thread and must not block.
+/// Callbacks into the process. They run on the links' thread and must not block.
 pub struct Handlers {
-    /// The heartbeat to send now.
+    /// Returns the heartbeat to send; the links set its `clock` and `echo`.
     pub own_beat: Box<dyn Fn() -> Heartbeat>,
-    /// A peer's heartbeat arrived.
+    /// Handles a heartbeat received from a peer.
     pub on_beat: Box<dyn Fn(Heard)>,
-    /// A peer asks for permits of which this member is the home.
+    /// Answers a peer that regards this member as the home of the resources.
     pub on_batch: Box<dyn Fn(Batch) -> Replies>,
-    /// A peer asks about a key of which this member is the home.
+    /// Answers a peer that regards this member as the home of the key.
     pub on_claim: Box<dyn Fn(Claim) -> Verdict>,
-    /// A link failed; it is made anew by itself.
+    /// Reports a failed link; the links reconnect it on their own.
     pub on_error: OnError,
 }
 
 impl Default for Handlers {
-    /// Handlers that have nothing to say.
+    /// Handlers that send empty heartbeats, grant nothing and ignore all input.
     fn default() -> Self {
         Handlers {
             own_beat: Box::new(Heartbeat::default),
--- a/crates/pomelohitch-peer/src/links/incoming.rs
+++ b/crates/pomelohitch-peer/src/links/incoming.rs
@@ -1,4 +1,4 @@
-//! Answers peers.
+//! Answers the requests of peers.
 
 use std::cell::RefCell;
 use std::net::TcpListener;
@@ -13,14 +13,14 @@
 use crate::message::Heartbeat;
 use crate::permits::{Batch, Claim};
 
-/// Accepts peers on `listener` for ever.
+/// Accepts connections of peers on `listener` until the task is aborted.
 pub(super) async fn accept(cx: Rc<Context>, listener: TcpListener) {
     let listener = tokio::net::TcpListener::from_std(listener)
         .expect("the listener was set to non-blocking and the runtime has its driver enabled");
     let server: link::Client = capnp_rpc::new_client(Server { cx });
     let open: RefCell<tokio::task::JoinSet<()>> = RefCell::default();
     loop {
-        // Accepting fails when the process is out of descriptors; peers try again by themselves.
+        // Accepting fails when the process has no free file descriptors. Peers retry on their own.
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(100)).await;
             continue;
@@ -28,7 +28,7 @@
         let rpc = RpcSystem::new(network(stream, SERVER), Some(server.clone().client));
         let mut open = open.borrow_mut();
         open.spawn_local(async {
-            // A broken incoming connection is the peer's to make anew.
+            // The peer reconnects when a connection fails, so the error is ignored.
             let _ = rpc.await;
         });
         while open.try_join_next().is_some() {}
--- a/crates/pomelohitch-peer/src/links/outgoing.rs
+++ b/crates/pomelohitch-peer/src/links/outgoing.rs
@@ -1,4 +1,4 @@
-//! The link to a peer: its connection, heartbeats and calls.
+//! The outgoing link to a peer: connection, heartbeats and calls.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -21,7 +21,8 @@
 /// How many heartbeats in a row a link may leave out because its peer was heard anyway.
 const PROOF_EVERY: u32 = 8;
 
-/// Sends heartbeats for ever, over a new connection whenever the one before failed.
+/// Maintains the link to `peer` until the task is aborted: connects, sends heartbeats and calls,
+/// and reconnects after an error.
 pub(super) async fn keep_link(
     cx: Rc<Context>,
     peer: Peer,
@@ -33,7 +34,7 @@
             Err(error) => error,
         };
         (cx.handlers.on_error)(&peer.member, &error);
-        // Calls that wait for a link that is down are answered now, not when it is up again.
+        // Fails queued calls at once, so that they don't wait for the reconnection.
         while let Ok(call) = calls.try_recv() {
             call.fail();
         }
@@ -104,11 +105,11 @@
     }
 }
 
-/// Whether a link sends a heartbeat now, having left out `left_out` in a row, when its peer was
-/// heard so long ago.
+/// Whether a link sends a heartbeat now, after `skipped` consecutive skipped ones, if the last
+/// heartbeat of the peer arrived `since_heartbeat` ago (`None`: never).
 ///
-/// A heartbeat and its answer tell both ends the same, so the end that lately heard the other
-/// leaves its own out, but for one now and then that shows that its own link still works.
+/// A heartbeat and its answer give both ends the same information. An end that received one within
+/// the interval skips its own, except for every ninth, which checks that its own link still works.
 #[must_use]
 pub fn is_due(left_out: u32, heard_ago: Option<Duration>, interval: Duration) -> bool {
     left_out >= PROOF_EVERY || heard_ago.is_none_or(|ago| ago >= interval)
@@ -125,7 +126,7 @@
     read().context(RpcSnafu { peer })
 }
 
-/// An outgoing connection; its task ends with it.
+/// An outgoing connection. Dropping it aborts the task that drives it.
 struct Connection {
     client: link::Client,
     task: AbortHandle,
--- a/crates/pomelohitch-peer/src/message.rs
+++ b/crates/pomelohitch-peer/src/message.rs
@@ -1,35 +1,37 @@
-//! What is said over a link, as plain types.
+//! The heartbeat as a plain type, with its encoding.
 
 use pomelohitch_core::id::{Incarnation, InstanceId, KeyHash, MemberId, Offset};
 
 use crate::link_capnp::heartbeat;
 
-/// The result of this module.
+/// Result of decoding a message.
 pub type Result<T, E = capnp::Error> = std::result::Result<T, E>;
 
-/// Sent at a fixed interval in both directions.
+/// A heartbeat: the sender's state, sent at a fixed interval and returned as the answer to one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Heartbeat {
     /// Who says it.
     pub member: MemberId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The offset of the next record that it will apply.
+    /// Offset of the next log record that the sender will apply.
     pub next: Offset,
-    /// Whether it shuts down.
+    /// Whether the sender is shutting down.
     pub leaving: bool,
-    /// Hashes of keys that were withdrawn lately: bad news, which can only make a peer refuse.
+    /// Hashes of recently withdrawn keys. A peer applies them before the log confirms them, because
+    /// they can only make it refuse requests.
     pub withdrawn_keys: Vec<KeyHash>,
-    /// Instances seen to leave lately: bad news, which can only make a peer refuse.
+    /// Instances that the sender recently saw leave. A peer applies them before the log confirms
+    /// them, because they can only make it refuse requests.
     pub leaving_instances: Vec<InstanceId>,
-    /// The sender's own clock, milliseconds from a random start; set by the links.
+    /// Value of the sender's clock, in milliseconds from a random start; set by the links.
     pub clock: u64,
-    /// The receiver's clock as the sender last heard it, 0 if never; set by the links.
+    /// Latest value of the receiver's clock that the sender received, 0 if none; set by the links.
     pub echo: u64,
 }
 
 impl Heartbeat {
-    /// Reads a heartbeat.
+    /// Decodes a heartbeat.
     ///
     /// # Errors
     /// If the message is malformed.
--- a/crates/pomelohitch-peer/src/permits.rs
+++ b/crates/pomelohitch-peer/src/permits.rs
@@ -1,4 +1,4 @@
-//! Permits and claims as they go over a link.
+//! Batches of permit requests and claims as plain types, with their encoding.
 
 use pomelohitch_core::id::{Incarnation, MemberId, Offset};
 use pomelohitch_permits::{Ask, Load, Reply, Resource};
@@ -6,69 +6,70 @@
 use crate::link_capnp;
 use crate::message::Result;
 
-/// What a member says to the home of some resources.
+/// Requests and load reports that a member sends to the home of some resources.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch {
     /// Who says it.
     pub member: MemberId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The epoch by which it found the home.
+    /// Epoch of the membership from which the sender determined the home.
     pub epoch: Offset,
-    /// All of this member, incarnation and epoch.
+    /// Permit requests; all have the member, incarnation and epoch of the batch.
     pub asks: Vec<Ask>,
-    /// Hints: the receiver holds more than its part of these while another member lacks.
+    /// Resources of which the receiver holds more than its part while another member needs permits.
+    /// These are hints.
     pub recalls: Vec<Resource>,
-    /// Everything that the member has; replaces what it said before.
+    /// The sender's complete load; replaces its earlier reports.
     pub loads: Vec<Load>,
 }
 
 /// A home's answer to a [`Batch`].
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Replies {
-    /// The epoch of the batch.
+    /// Epoch of the batch.
     pub epoch: Offset,
-    /// Answers to those asks that were taken.
+    /// Answers to the permit requests that the home accepted.
     pub replies: Vec<Reply>,
 }
 
-/// What is asked about an idempotency key.
+/// The operation of a claim on an idempotency key.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum ClaimStep {
-    /// May the request run?
+    /// Asks whether the request may run.
     #[default]
     Begin,
-    /// It certainly didn't run; another request with the key may.
+    /// Reports that the request certainly didn't run, so that another one with the key may.
     Release,
 }
 
-/// A request that shows an idempotency key.
+/// A claim on an idempotency key, sent to the home of the key.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Claim {
     /// Who asks.
     pub member: MemberId,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// The epoch by which it found the home.
+    /// Epoch of the membership from which the sender determined the home.
     pub epoch: Offset,
-    /// Service, team and idempotency key in one.
+    /// Service, team and idempotency key, combined into one string.
     pub key: Box<str>,
-    /// The id of the request.
+    /// Id of the request that carries the key.
     pub request: Box<str>,
-    /// What is asked.
+    /// The operation.
     pub step: ClaimStep,
-    /// Whether everyone else who was the home within the window is asked as well.
+    /// Whether the sender also asks all other members that were the home within the window.
     pub asks_all: bool,
 }
 
-/// What the home of a key says.
+/// Answer of the home of a key to a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// No request with this key was granted within the window.
     Granted,
-    /// One was.
+    /// A request with this key was granted within the window.
     Taken,
-    /// The home can't say: it isn't the home, or became it within the window.
+    /// The receiver can't decide: it isn't the home, or became the home within the window.
     Unknown,
 }
 
--- a/crates/pomelohitch-peer/tests/links.rs
+++ b/crates/pomelohitch-peer/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between entry instances, over real sockets on loopback.
+//! Tests of links between entry instances, over loopback sockets.
 
 #![allow(clippy::unwrap_used, reason = "a panic is how a test fails")]
 
@@ -12,7 +12,7 @@
 /// Far above what any step here takes; a test that reaches it has failed.
 const CAP: Duration = Duration::from_secs(30);
 
-/// What a member noticed, in order.
+/// An event that a member's handlers received.
 #[derive(Debug, PartialEq, Eq)]
 enum Noticed {
     Beat(Heartbeat),
@@ -59,7 +59,7 @@
     Handlers {
         own_beat: Box::new(move || beat_of(member)),
         on_beat: Box::new(move |heard| {
-            // The links set these two; the tests of the clock are about them.
+            // The links set these two fields; the tests of the clock cover them.
             let beat = Heartbeat {
                 clock: 0,
                 echo: 0,
@@ -105,9 +105,9 @@
     two.links.stop();
 }
 
-/// Something between two entry instances loses track of their connection: it stays open, but
-/// nothing arrives any more, while a new connection works. Users would notice a team's limit
-/// standing still on one entry instance, because its permits no longer arrive.
+/// A connection between two entry instances stays open but stops delivering data, while a new
+/// connection works. Without detection the member would get no permits, and the limits of teams
+/// would stay fixed on it.
 #[test]
 fn a_connection_gone_silent_is_noticed_and_made_anew() {
     let one = start("one");
@@ -133,8 +133,8 @@
     two.links.stop();
 }
 
-/// A peer's process dies and another takes its address. The first link breaks; members that
-/// didn't connect again would hold the new process for dead and remove it.
+/// A peer's process dies and another one takes over its address, which breaks the link. Members
+/// that don't reconnect would regard the new process as dead and remove it.
 #[test]
 fn a_peer_that_was_replaced_is_connected_again() {
     let one = start("one");
@@ -155,9 +155,9 @@
     again.unwrap().stop();
 }
 
-/// Two entry instances have a link to each other, and each heartbeat's answer carries the other's.
-/// If both beat on their own, a node of eight would use up its allowance for control on
-/// heartbeats that tell nothing new.
+/// Two entry instances have links to each other, and the answer to a heartbeat carries the peer's
+/// own state. If both sent at the full rate, an entry instance in a fleet of eight would use up its
+/// budget for control traffic on redundant heartbeats.
 #[test]
 fn a_pair_shares_its_heartbeats() {
     const INTERVAL: Duration = Duration::from_secs(1);
@@ -180,8 +180,8 @@
     );
 }
 
-/// The other end's heartbeats stop arriving: ours are due at once, so that a dead peer is
-/// noticed.
+/// Once no heartbeat of the peer arrives for an interval, the link sends its own again, so that a
+/// dead peer is detected.
 #[test]
 fn a_silent_peer_is_asked() {
     let interval = Duration::from_secs(1);
@@ -190,8 +190,8 @@
     assert!(!is_due(0, Some(interval / 2), interval));
 }
 
-/// A heartbeat waited in a socket's buffer while its receiver was paused. By its arrival it would
-/// look new; by the receiver's own clock that it echoes, its true age is known.
+/// A heartbeat waits in a socket buffer while its receiver is paused. By its arrival time it would
+/// look recent; the echoed value of the receiver's clock bounds its true age.
 #[test]
 fn an_echo_tells_when_the_clock_showed_it() {
     let started = Instant::now()
@@ -204,8 +204,8 @@
     assert!(clock.time_of(clock.now()).is_some());
 }
 
-/// A peer echoes the clock of the process that had this member's id before, or was never told a
-/// clock. Neither says anything of this process's time.
+/// A peer echoes the clock of an earlier process with the same member id, or has received no clock
+/// yet. Neither bounds the age of its heartbeat.
 #[test]
 fn an_echo_of_another_clock_or_of_the_future_tells_nothing() {
     let clock = Clock::new(7, Instant::now());
