--- a/crates/pomelohitch-property/src/lib.rs
+++ b/crates/pomelohitch-property/src/lib.rs
@@ -1,13 +1,13 @@
-//! Property tests whose inputs are the same in each run.
+//! Property tests with deterministic inputs.
 //!
-//! `bolero` generates the values. Its own test runner takes one seed from the environment and draws
-//! all others from the system, so two runs would test different inputs.
+//! `bolero` generates the inputs. Its own test runner takes only one seed from the environment and
+//! draws the others from the system, so each run would test different inputs.
 //!
-//! Three environment variables change what is played:
+//! Three environment variables select the inputs:
 //!
-//! * `PROPERTY_SEED`: the seed of the run, from which the seeds of its inputs are drawn; 1.
-//! * `PROPERTY_INPUTS`: how many inputs each property gets; 1,000.
-//! * `PROPERTY_INPUT`: the seed of the only input, as a failure prints it.
+//! * `PROPERTY_SEED`: the seed from which the seeds of a run's inputs are drawn. Default: 1.
+//! * `PROPERTY_INPUTS`: the number of inputs per property. Default: 1,000.
+//! * `PROPERTY_INPUT`: the seed of the only input to test, as printed by a failure.
 
 use std::env::{self, VarError};
 use std::fmt::Debug;
@@ -19,7 +19,7 @@
 use rand_xoshiro::Xoroshiro128PlusPlus;
 use rand_xoshiro::rand_core::{RngCore, SeedableRng};
 
-/// Seed of one input; `bolero` prints and takes the same.
+/// Seed of one input, in the format of `bolero`.
 pub type InputSeed = u128;
 
 /// The seed of a run, unless `PROPERTY_SEED` sets another.
@@ -27,10 +27,11 @@
 /// Inputs of each property, unless `PROPERTY_INPUTS` sets another count.
 const INPUTS: usize = 1_000;
 
-/// Checks that a property holds for every input of this run.
+/// Checks that `property` holds for every input of the run.
 ///
 /// # Panics
-/// If it doesn't; the seed of the input and the input are printed first.
+/// If the property doesn't hold; prints the seed of the input and the input first. Also if an
+/// environment variable isn't a number.
 pub fn check<T: TypeGenerator + Debug>(property: impl Fn(&T)) {
     if let Some(seed) = variable("PROPERTY_INPUT") {
         return check_one(seed, &property);
@@ -42,10 +43,10 @@
     }
 }
 
-/// Checks a property for the input of one seed.
+/// Checks that `property` holds for the input generated from `seed`.
 ///
 /// # Panics
-/// If it doesn't hold; the seed and the input are printed first.
+/// If the property doesn't hold; prints the seed and the input first.
 pub fn check_one<T: TypeGenerator + Debug>(seed: InputSeed, property: impl Fn(&T)) {
     let input: T = generate(seed);
     if let Err(payload) = panic::catch_unwind(AssertUnwindSafe(|| property(&input))) {
@@ -54,7 +55,7 @@
     }
 }
 
-/// The seeds of a run's inputs.
+/// Infinite sequence of the input seeds of the run with seed `run`.
 pub fn seeds(run: u64) -> impl Iterator<Item = InputSeed> {
     let mut rng = Xoroshiro128PlusPlus::seed_from_u64(run);
     std::iter::repeat_with(move || {
@@ -64,10 +65,10 @@
     })
 }
 
-/// The input of a seed.
+/// Generates the input of a seed.
 ///
 /// # Panics
-/// If the type's generator gives up, which those of standard types don't.
+/// If the generator of the type rejects its bytes; those of standard types never do.
 #[must_use]
 pub fn generate<T: TypeGenerator>(seed: InputSeed) -> T {
     let rng = Xoroshiro128PlusPlus::from_seed(seed.to_le_bytes());
--- a/crates/pomelohitch-property/tests/inputs.rs
+++ b/crates/pomelohitch-property/tests/inputs.rs
@@ -1,4 +1,4 @@
-//! What a property test is given.
+//! Tests of the inputs that property tests receive.
 
 use std::cell::RefCell;
 
