--- a/crates/pomelohitch-config/src/lock.rs
+++ b/crates/pomelohitch-config/src/lock.rs
@@ -21,7 +21,7 @@
     Io {
         /// The operation that failed: `read`, `write` or `replace`.
         step: &'static str,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The content isn't a valid lock file, for example after a merge conflict.
@@ -30,7 +30,7 @@
          run `pomelohitch diff --rebase`"
     ))]
     Parse {
-        /// Why not.
+        /// The TOML error.
         #[snafu(source(from(toml::de::Error, Box::new)))]
         source: Box<toml::de::Error>,
     },
@@ -74,7 +74,8 @@
     /// # Panics
     /// Never: a map from strings to integers always serialises to TOML.
     pub fn store(&self, root: &Path) -> Result<()> {
-        let body = toml::to_string(self).expect("a map of text to numbers is TOML");
+        let body = toml::to_string(self)
+            .expect("a map from strings to integers always serialises to TOML");
         let new = root.join(format!("{LOCK_NAME}.new"));
         std::fs::write(&new, format!("{HEADING}{body}")).context(IoSnafu { step: "write" })?;
         std::fs::rename(&new, root.join(LOCK_NAME)).context(IoSnafu { step: "replace" })
--- a/crates/pomelohitch-config/src/parse.rs
+++ b/crates/pomelohitch-config/src/parse.rs
@@ -19,27 +19,26 @@
 /// Result of parsing a file: a value, or all faults of the file.
 pub type Result<T, E = Vec<Fault>> = std::result::Result<T, E>;
 
-/// Longest id, in bytes.
-const ID_BYTES: usize = 63;
+/// Maximum length of an id, in bytes.
+const MAX_ID_BYTES: usize = 63;
 /// Name of the subtable of a service that holds its objective.
 const OBJECTIVE_TABLE: &str = "objective";
-/// Seconds of a day.
-const DAY_SECONDS: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 
 /// A declaration or a reference to a pool, by which the line that holds it is looked up.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Declared {
+pub struct Declaration {
     /// `team`, `pool`, `service`, `key`, or `pool of service` for a reference to a pool.
     pub kind: Box<str>,
     /// The declared id; for a reference to a pool, the id of the service that holds it.
     pub id: Box<str>,
 }
 
-impl Declared {
+impl Declaration {
     /// Creates the declaration of the given `kind` and `id`.
     #[must_use]
-    pub fn new(kind: &str, id: &str) -> Declared {
-        Declared {
+    pub fn new(kind: &str, id: &str) -> Declaration {
+        Declaration {
             kind: kind.into(),
             id: id.into(),
         }
@@ -52,7 +51,7 @@
     /// The parsed values.
     pub file: FleetFile,
     /// Line number of each declaration and each reference to a pool, counted from 1.
-    pub lines: BTreeMap<Declared, usize>,
+    pub lines: BTreeMap<Declaration, usize>,
 }
 
 /// Parses `text`, the content of the file at `path`.
@@ -101,7 +100,7 @@
 
     fn declare(&mut self, kind: &str, id: &str, at: usize) {
         let line = line_at(self.text, at);
-        self.parsed.lines.insert(Declared::new(kind, id), line);
+        self.parsed.lines.insert(Declaration::new(kind, id), line);
     }
 
     fn document(&mut self, document: &Table<'_>) {
@@ -112,7 +111,7 @@
                 (Some(section), None) => {
                     let name = section.name;
                     self.fault(
-                        name_at(value),
+                        value_start(value),
                         format!("'{name}' holds no tables"),
                         format!("write [{name}.ID]"),
                     );
@@ -138,7 +137,7 @@
                 self.fault(
                     at,
                     format!("'{id}' can't be the id of a {name}"),
-                    format!("use 1 to {ID_BYTES} letters, digits, '-' or '_'"),
+                    format!("use 1 to {MAX_ID_BYTES} letters, digits, '-' or '_'"),
                 );
             }
             let Some(fields) = value.get_ref().as_table() else {
@@ -161,7 +160,11 @@
     fn team(&mut self, id: &str, at: usize, fields: &Table<'_>) {
         let values = self.values(&TEAM, id, at, fields, &[]);
         for (key, at) in values.keys("keys") {
-            if self.parsed.lines.contains_key(&Declared::new("key", &key)) {
+            if self
+                .parsed
+                .lines
+                .contains_key(&Declaration::new("key", &key))
+            {
                 self.fault(
                     at,
                     "the same key hash stands twice",
@@ -209,7 +212,7 @@
     }
 
     fn objective(&mut self, service: &str, value: &Spanned<DeValue<'_>>) -> Option<Objective> {
-        let at = name_at(value);
+        let at = value_start(value);
         let Some(fields) = value.get_ref().as_table() else {
             self.fault(
                 at,
@@ -223,7 +226,7 @@
         Some(Objective {
             within: values.millis("within_ms"),
             good_ppm: values.ppm("good_percent"),
-            window: Duration::from_secs(days * DAY_SECONDS),
+            window: Duration::from_secs(days * SECONDS_PER_DAY),
         })
     }
 
@@ -251,10 +254,10 @@
                 );
                 continue;
             };
-            if let Err(wrong) = values.read(field, value) {
+            if let Err(invalid) = values.read(field, value) {
                 self.fault(
-                    wrong.at.unwrap_or(name_at),
-                    format!("{name} = {} of {} '{id}'", wrong.shown, section.name),
+                    invalid.at.unwrap_or(name_at),
+                    format!("{name} = {} of {} '{id}'", invalid.display, section.name),
                     format!("give {}", field.kind),
                 );
             }
@@ -283,11 +286,11 @@
     }
 }
 
-fn name_at(value: &Spanned<DeValue<'_>>) -> usize {
+fn value_start(value: &Spanned<DeValue<'_>>) -> usize {
     value.span().start
 }
 
 fn is_id(id: &str) -> bool {
-    let is_letter = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    !id.is_empty() && id.len() <= ID_BYTES && id.bytes().all(is_letter)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(is_allowed)
 }
--- a/crates/pomelohitch-config/src/parse/values.rs
+++ b/crates/pomelohitch-config/src/parse/values.rs
@@ -18,9 +18,9 @@
 
 /// A value that the field doesn't allow.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Wrong {
+pub(super) struct InvalidValue {
     /// The value as shown in the fault.
-    pub(super) shown: Box<str>,
+    pub(super) display: Box<str>,
     /// Byte offset of the value; `None` if only the field's own offset is known.
     pub(super) at: Option<usize>,
 }
@@ -35,16 +35,16 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Read {
+struct Entry {
     value: Value,
     at: usize,
 }
 
-/// The values of one table by field. A field that is invalid or missing reads as zero or empty: the
+/// The values of one table by field. A field that is invalid or missing reads as zero or empty; the
 /// parser has recorded its fault by then and rejects the whole file.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Values {
-    by_name: BTreeMap<&'static str, Read>,
+    by_name: BTreeMap<&'static str, Entry>,
 }
 
 impl Values {
@@ -53,35 +53,35 @@
         &mut self,
         field: &'static Field,
         value: &Spanned<DeValue<'_>>,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), InvalidValue> {
         let at = value.span().start;
-        let value = check(field.kind, value.get_ref()).map_err(|wrong| Wrong {
-            shown: wrong.shown,
-            at: wrong.at.or(Some(at)),
+        let value = check(field.kind, value.get_ref()).map_err(|invalid| InvalidValue {
+            display: invalid.display,
+            at: invalid.at.or(Some(at)),
         })?;
-        self.by_name.insert(field.name, Read { value, at });
+        self.by_name.insert(field.name, Entry { value, at });
         Ok(())
     }
 
     /// Stores the default of a field that the file doesn't set.
     pub(super) fn set_default(&mut self, field: &'static Field, default: &str) {
-        let value = DeValue::parse(default).expect("defaults of the tables are TOML");
+        let value = DeValue::parse(default).expect("defaults in `spec` are valid TOML");
         let value = check(field.kind, value.get_ref())
-            .expect("defaults of the tables are of their field's kind");
-        self.by_name.insert(field.name, Read { value, at: 0 });
+            .expect("defaults in `spec` are valid for their field");
+        self.by_name.insert(field.name, Entry { value, at: 0 });
     }
 
     /// Byte offset of a field's value; 0 for a default, `None` if the field has no value.
     pub(super) fn at(&self, name: &str) -> Option<usize> {
-        self.by_name.get(name).map(|read| read.at)
+        self.by_name.get(name).map(|entry| entry.at)
     }
 
     pub(super) fn integer(&self, name: &str) -> u32 {
-        u32::try_from(self.long(name)).expect("ranges of the tables end below 2^32")
+        u32::try_from(self.integer_u64(name)).expect("all ranges in `spec` end below 2^32")
     }
 
     pub(super) fn millis(&self, name: &str) -> Duration {
-        Duration::from_millis(self.long(name))
+        Duration::from_millis(self.integer_u64(name))
     }
 
     pub(super) fn boolean(&self, name: &str) -> bool {
@@ -111,7 +111,7 @@
         keys.into_iter()
     }
 
-    fn long(&self, name: &str) -> u64 {
+    fn integer_u64(&self, name: &str) -> u64 {
         match self.get(name) {
             Some(Value::Integer(number)) => *number,
             _ => 0,
@@ -119,11 +119,11 @@
     }
 
     fn get(&self, name: &str) -> Option<&Value> {
-        self.by_name.get(name).map(|read| &read.value)
+        self.by_name.get(name).map(|entry| &entry.value)
     }
 }
 
-fn check(kind: Kind, value: &DeValue<'_>) -> Result<Value, Wrong> {
+fn check(kind: Kind, value: &DeValue<'_>) -> Result<Value, InvalidValue> {
     let checked = match (kind, value) {
         (Kind::Integer { low, high }, DeValue::Integer(number)) => {
             u64::from_str_radix(number.as_str(), number.radix())
@@ -140,13 +140,13 @@
         (Kind::Percent, DeValue::Float(number)) => percent(number.as_str()),
         _ => None,
     };
-    checked.ok_or_else(|| Wrong {
-        shown: shown(value),
+    checked.ok_or_else(|| InvalidValue {
+        display: display_text(value),
         at: None,
     })
 }
 
-fn check_keys(value: &DeValue<'_>) -> Result<Value, Wrong> {
+fn check_keys(value: &DeValue<'_>) -> Result<Value, InvalidValue> {
     let mut keys = Vec::new();
     for item in value.as_array().into_iter().flatten() {
         let at = item.span().start;
@@ -154,8 +154,8 @@
         let is_hash = text.len() == KEY_HASH_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
         if !is_hash {
             // The text may be a secret key pasted instead of its hash, so the fault omits it.
-            return Err(Wrong {
-                shown: "[...] with an entry that isn't a hash".into(),
+            return Err(InvalidValue {
+                display: "[...] with an entry that isn't a hash".into(),
                 at: Some(at),
             });
         }
@@ -179,7 +179,7 @@
         .then_some(Value::Ppm(ppm))
 }
 
-fn shown(value: &DeValue<'_>) -> Box<str> {
+fn display_text(value: &DeValue<'_>) -> Box<str> {
     match value {
         DeValue::String(text) => format!("{:?}", text.as_ref()).into(),
         DeValue::Integer(number) => number.as_str().into(),
--- a/crates/pomelohitch-config/src/plan.rs
+++ b/crates/pomelohitch-config/src/plan.rs
@@ -12,7 +12,7 @@
 use crate::lock::Lock;
 use crate::tree::Tree;
 
-/// What happens to a file.
+/// How a publish changes a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ChangeKind {
@@ -69,10 +69,10 @@
         let locked = lock.files.keys();
         let paths: BTreeSet<_> = tree.files.keys().chain(locked).collect();
         for path in &paths {
-            let wanted = tree.files.get(*path).map(|parsed| &parsed.file);
+            let desired = tree.files.get(*path).map(|parsed| &parsed.file);
             let current = in_force.files.get(*path);
             let base = lock.files.get(*path).copied();
-            plan.changes.extend(change(path, wanted, current, base));
+            plan.changes.extend(change(path, desired, current, base));
         }
         plan.others = in_force
             .files
@@ -135,13 +135,13 @@
 
 fn change(
     path: &FilePath,
-    wanted: Option<&FleetFile>,
+    desired: Option<&FleetFile>,
     current: Option<&VersionedFile>,
     base: Option<Offset>,
 ) -> Option<Change> {
     let in_force = current.map(|entry| entry.version);
-    let kind = match (wanted, current) {
-        (Some(wanted), Some(current)) if *wanted == current.file => return None,
+    let kind = match (desired, current) {
+        (Some(desired), Some(current)) if *desired == current.file => return None,
         (Some(_), Some(_)) => ChangeKind::Change,
         // If the lock lists the file, another operator has removed it since. The change then states
         // a base, and the fold rejects it as stale.
@@ -150,14 +150,14 @@
         (None, None) => return None,
     };
     let before = fields(current.map(|entry| &entry.file));
-    let after = fields(wanted);
+    let after = fields(desired);
     Some(Change {
         path: path.clone(),
         kind,
         base,
         in_force,
         lines: differences(&before, &after),
-        file: wanted.cloned(),
+        file: desired.cloned(),
     })
 }
 
@@ -218,15 +218,15 @@
             );
         }
         if let Some(objective) = &service.objective {
-            let mut shown = String::new();
+            let mut text = String::new();
             let _ = write!(
-                shown,
+                text,
                 "{} ppm within {} ms over {} s",
                 objective.good_ppm,
                 objective.within.as_millis(),
                 objective.window.as_secs()
             );
-            add(format!("service.{id}.objective"), shown);
+            add(format!("service.{id}.objective"), text);
         }
     }
     fields
--- a/crates/pomelohitch-config/src/spec.rs
+++ b/crates/pomelohitch-config/src/spec.rs
@@ -39,9 +39,9 @@
 /// Definition of a field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Field {
-    /// Its name in the file.
+    /// Name of the field in the file.
     pub name: &'static str,
-    /// What it holds.
+    /// Type and range of the value.
     pub kind: Kind,
     /// Unit of the value, such as `ms` or `instances`; empty if it has none.
     pub unit: &'static str,
@@ -54,9 +54,9 @@
 /// Definition of a section, such as `[team.ID]`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Section {
-    /// Its name in the file.
+    /// Name of the section in the file.
     pub name: &'static str,
-    /// Its fields.
+    /// Definitions of the fields, in the order of the documentation.
     pub fields: &'static [Field],
 }
 
--- a/crates/pomelohitch-config/src/tree.rs
+++ b/crates/pomelohitch-config/src/tree.rs
@@ -9,10 +9,10 @@
 
 use crate::FILE_NAME;
 use crate::fault::Fault;
-use crate::parse::{Declared, Parsed, parse};
+use crate::parse::{Declaration, Parsed, parse};
 
-/// Largest fleet file, in bytes: all of a publish's files travel in one record of the log.
-const FILE_BYTES: u64 = 256 * 1024;
+/// Maximum size of a fleet file, in bytes. All files of a publish share one log record.
+const MAX_FILE_BYTES: u64 = 256 * 1024;
 
 /// Loading a tree failed.
 #[derive(Debug, Snafu)]
@@ -60,7 +60,7 @@
     /// faults. [`Error::Faults`] lists the faults of all files.
     pub fn load(root: &Path) -> Result<Tree> {
         let mut paths = Vec::new();
-        find(root, &mut paths)?;
+        find_files(root, &mut paths)?;
         paths.sort();
         if paths.is_empty() {
             return EmptySnafu { root }.fail();
@@ -68,7 +68,7 @@
         let mut tree = Tree::default();
         let mut faults = Vec::new();
         for path in paths {
-            let name = name_in(root, &path);
+            let name = relative_path(root, &path);
             match read(&name, &path)? {
                 Ok(parsed) => {
                     tree.files.insert(name, parsed);
@@ -113,7 +113,7 @@
         match fault {
             config::Fault::Duplicate { kind, id } => self.duplicate(kind, id, others),
             config::Fault::UnknownPool { service, pool } => {
-                let (path, line) = self.last_of("pool of service", service);
+                let (path, line) = self.last_declaration("pool of service", service);
                 Fault {
                     path,
                     line,
@@ -128,8 +128,8 @@
     }
 
     fn duplicate(&self, kind: &str, id: &str, others: &BTreeMap<FilePath, VersionedFile>) -> Fault {
-        let (path, line) = self.last_of(kind, id);
-        let elsewhere = self.places(kind, id).find(|place| place.0 != path);
+        let (path, line) = self.last_declaration(kind, id);
+        let elsewhere = self.declarations(kind, id).find(|other| other.0 != path);
         let first = match elsewhere {
             Some((path, line)) => format!("{path}:{line}"),
             None => others
@@ -143,26 +143,30 @@
         Fault {
             path,
             line,
-            what: format!("{kind} '{}' is also declared in {first}", short(kind, id)).into(),
+            what: format!(
+                "{kind} '{}' is also declared in {first}",
+                abbreviated(kind, id)
+            )
+            .into(),
             fix: "remove or rename one of the two".into(),
         }
     }
 
-    fn places<'a>(
+    fn declarations<'a>(
         &'a self,
         kind: &str,
         id: &str,
     ) -> impl Iterator<Item = (FilePath, usize)> + use<'a> {
-        let declared = Declared::new(kind, id);
+        let declared = Declaration::new(kind, id);
         self.files.iter().filter_map(move |(path, parsed)| {
             let line = parsed.lines.get(&declared)?;
             Some((path.clone(), *line))
         })
     }
 
-    fn last_of(&self, kind: &str, id: &str) -> (FilePath, usize) {
+    fn last_declaration(&self, kind: &str, id: &str) -> (FilePath, usize) {
         // A rule that only files outside the tree violate has no line in the tree.
-        self.places(kind, id)
+        self.declarations(kind, id)
             .last()
             .unwrap_or_else(|| ("(in force)".into(), 0))
     }
@@ -180,23 +184,23 @@
     }
 }
 
-/// How many digits of a key's hash are shown.
-const SHOWN_DIGITS: usize = 12;
+/// Number of leading digits of a key hash in messages.
+const SHOWN_HASH_DIGITS: usize = 12;
 
-fn short<'a>(kind: &str, id: &'a str) -> &'a str {
+fn abbreviated<'a>(kind: &str, id: &'a str) -> &'a str {
     match kind {
-        "key" => id.get(..SHOWN_DIGITS).unwrap_or(id),
+        "key" => id.get(..SHOWN_HASH_DIGITS).unwrap_or(id),
         _ => id,
     }
 }
 
-fn find(dir: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
+fn find_files(dir: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
     for entry in std::fs::read_dir(dir).context(IoSnafu { path: dir })? {
         let entry = entry.context(IoSnafu { path: dir })?;
         let kind = entry.file_type().context(IoSnafu { path: entry.path() })?;
         let name = entry.file_name();
         if kind.is_dir() && !name.as_encoded_bytes().starts_with(b".") {
-            find(&entry.path(), found)?;
+            find_files(&entry.path(), found)?;
         } else if kind.is_file() && name == FILE_NAME {
             found.push(entry.path());
         }
@@ -204,7 +208,7 @@
     Ok(())
 }
 
-fn name_in(root: &Path, path: &Path) -> FilePath {
+fn relative_path(root: &Path, path: &Path) -> FilePath {
     let relative = path.strip_prefix(root).unwrap_or(path);
     let parts: Vec<_> = relative
         .components()
@@ -215,12 +219,12 @@
 
 fn read(name: &str, path: &Path) -> Result<Result<Parsed, Vec<Fault>>> {
     let size = std::fs::metadata(path).context(IoSnafu { path })?.len();
-    if size > FILE_BYTES {
+    if size > MAX_FILE_BYTES {
         return Ok(Err(vec![Fault {
             path: name.into(),
             line: 1,
             what: format!("the file has {size} bytes").into(),
-            fix: format!("split it into files of at most {FILE_BYTES} bytes").into(),
+            fix: format!("split it into files of at most {MAX_FILE_BYTES} bytes").into(),
         }]));
     }
     let text = std::fs::read_to_string(path).context(IoSnafu { path })?;
--- a/crates/pomelohitch-config/tests/config/lock.rs
+++ b/crates/pomelohitch-config/tests/config/lock.rs
@@ -1,17 +1,17 @@
 use pomelohitch_config::{LOCK_NAME, Lock};
 
 #[test]
-fn a_lock_reads_back_as_it_was_written() {
+fn a_stored_lock_loads_unchanged() {
     let root = tempfile::tempdir().expect("a temporary directory");
     assert_eq!(
-        Lock::load(root.path()).expect("none is there"),
+        Lock::load(root.path()).expect("a missing file is an empty lock"),
         Lock::default()
     );
     let lock = Lock {
         files: [("a/pomelohitch.toml".into(), 17)].into(),
     };
-    lock.store(root.path()).expect("it can be written");
-    assert_eq!(Lock::load(root.path()).expect("it is there"), lock);
+    lock.store(root.path()).expect("the directory is writable");
+    assert_eq!(Lock::load(root.path()).expect("the file exists"), lock);
 }
 
 /// A merge of two branches leaves conflict marks in the lock file. Reading it as empty would plan
@@ -19,9 +19,10 @@
 #[test]
 fn a_lock_with_conflict_marks_is_refused() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    std::fs::write(root.path().join(LOCK_NAME), "<<<<<<< mine\n[files]\n").expect("written");
-    let told = Lock::load(root.path())
-        .expect_err("it is broken")
+    std::fs::write(root.path().join(LOCK_NAME), "<<<<<<< mine\n[files]\n")
+        .expect("the directory is writable");
+    let message = Lock::load(root.path())
+        .expect_err("conflict marks are not TOML")
         .to_string();
-    assert!(told.contains("--rebase"), "{told}");
+    assert!(message.contains("--rebase"), "{message}");
 }
--- a/crates/pomelohitch-config/tests/config/parse.rs
+++ b/crates/pomelohitch-config/tests/config/parse.rs
@@ -19,7 +19,7 @@
          [service.passes.objective]\nwithin_ms = 800\ngood_percent = 99.95\n"
     );
     let file = parse("pomelohitch.toml", &text)
-        .expect("the text is right")
+        .expect("the text is valid")
         .file;
     assert_eq!(file.teams[0].limit, 4000);
     assert_eq!(&*file.teams[0].keys[0], HASH);
@@ -30,14 +30,17 @@
         (service.slots, service.connections, service.queue),
         (8, 64, 200)
     );
-    let objective = service.objective.as_ref().expect("the objective is given");
+    let objective = service
+        .objective
+        .as_ref()
+        .expect("the text sets the objective");
     assert_eq!(objective.good_ppm, 999_500);
     assert_eq!(objective.window, Duration::from_hours(28 * 24));
 }
 
 /// Reporting only the first fault would cost the operator one run per fault.
 #[test]
-fn all_faults_of_a_file_are_told_with_line_and_fix() {
+fn all_faults_of_a_file_are_reported_with_line_and_fix() {
     let text = "[team.lifts]\nshare = 0\nlimits = 4\n\n[service.passes]\npool = 7\n\
                 min_available = -1\ntimeout_ms = 99999999\n[service.passes.objective]\n\
                 within_ms = 1\ngood_percent = 100\n[queue.x]\n[pool.\"a b\"]\n";
@@ -55,7 +58,7 @@
 }
 
 #[test]
-fn broken_toml_and_a_repeated_table_are_told_with_their_lines() {
+fn invalid_toml_and_a_duplicate_table_are_reported_with_their_lines() {
     let text = "[pool.sales]\nfloor = = 2\n[pool.sales]\n[pool.tools]\nspare = maybe\n";
     insta::assert_snapshot!(faults(text), @r##"
     a/pomelohitch.toml:2: extra `=`, expected nothing; write it as TOML
@@ -71,9 +74,9 @@
 #[test]
 fn a_key_in_place_of_its_hash_is_refused_and_not_shown() {
     let text = "[team.lifts]\nshare = 1\nlimit = 1\nkeys = [\"pmh_secret\"]\n";
-    let told = faults(text);
-    assert!(told.contains("pomelohitch.toml:4:"), "{told}");
-    assert!(!told.contains("secret"), "{told}");
+    let message = faults(text);
+    assert!(message.contains("pomelohitch.toml:4:"), "{message}");
+    assert!(!message.contains("secret"), "{message}");
 }
 
 #[test]
@@ -83,14 +86,14 @@
             "[service.s]\npool = \"p\"\nmin_available = 1\n[service.s.objective]\n\
              within_ms = 5\ngood_percent = {text}\n"
         );
-        let parsed = parse("f", &text).expect("the text is right");
+        let parsed = parse("f", &text).expect("the text is valid");
         let objective = parsed.file.services[0].objective.clone();
         assert_eq!(objective.map(|o| o.good_ppm), Some(ppm));
     }
 }
 
 #[test]
-fn any_bytes_give_values_or_faults_and_never_a_panic() {
+fn parsing_never_panics_on_any_input() {
     pomelohitch_property::check(|bytes: &Vec<u8>| {
         if let Ok(text) = std::str::from_utf8(bytes) {
             let _ = parse("f", text);
--- a/crates/pomelohitch-config/tests/config/plan.rs
+++ b/crates/pomelohitch-config/tests/config/plan.rs
@@ -7,7 +7,7 @@
 
 fn tree(files: &[(&str, &str)]) -> Tree {
     let parsed = files.iter().map(|(path, text)| {
-        let parsed = parse(path, text).expect("the text is right");
+        let parsed = parse(path, text).expect("the text is valid");
         ((*path).into(), parsed)
     });
     Tree {
@@ -19,12 +19,12 @@
     let files: BTreeMap<_, _> = files
         .iter()
         .map(|(path, version, text)| {
-            let file = parse(path, text).expect("the text is right").file;
+            let file = parse(path, text).expect("the text is valid").file;
             let version = *version;
             ((*path).into(), VersionedFile { version, file })
         })
         .collect();
-    Config::from_files(files).expect("the files keep the rules")
+    Config::from_files(files).expect("the files satisfy the rules that span files")
 }
 
 fn lock(files: &[(&str, u64)]) -> Lock {
@@ -54,7 +54,7 @@
 /// Two teams publish from separate trees. A publish must remove only files that its own lock lists,
 /// or the first publish of one team would remove the pools and services of the other.
 #[test]
-fn files_of_other_trees_stay_and_own_files_that_are_gone_are_removed() {
+fn files_of_other_trees_stay_and_deleted_files_of_the_tree_are_removed() {
     let config = in_force(&[("mine", 3, "[pool.one]\n"), ("theirs", 4, "[pool.two]\n")]);
     let tree = tree(&[("new", "[pool.three]\n")]);
     let plan = Plan::new(&tree, &lock(&[("mine", 3)]), &config);
@@ -69,7 +69,7 @@
 /// Another operator changes an unrelated file of the tree after the plan was computed. A lock with
 /// that newer version would let the next publish revert the change without detection.
 #[test]
-fn the_lock_after_a_publish_holds_no_version_that_its_operator_has_not_seen() {
+fn the_lock_after_a_publish_lists_only_versions_that_the_operator_has_seen() {
     let compared = in_force(&[("a", 3, "[pool.one]\n"), ("b", 4, "[pool.two]\n")]);
     let tree = tree(&[("a", "[pool.one]\nfloor = 2\n"), ("b", "[pool.two]\n")]);
     let plan = Plan::new(&tree, &lock_of(&tree, &compared), &compared);
--- a/crates/pomelohitch-config/tests/config/tree.rs
+++ b/crates/pomelohitch-config/tests/config/tree.rs
@@ -8,43 +8,45 @@
 use pomelohitch_core::config::{Pool, VersionedFile};
 
 fn write(root: &Path, dir: &str, text: &str) {
-    fs::create_dir_all(root.join(dir)).expect("the directory can be made");
+    fs::create_dir_all(root.join(dir)).expect("the directory can be created");
     fs::write(root.join(dir).join("pomelohitch.toml"), text).expect("the file can be written");
 }
 
-fn told(tree: &Tree, others: &BTreeMap<Box<str>, VersionedFile>) -> String {
-    let faults = tree.check(others).expect_err("the files break a rule");
+fn reported(tree: &Tree, others: &BTreeMap<Box<str>, VersionedFile>) -> String {
+    let faults = tree
+        .check(others)
+        .expect_err("the files violate a rule that spans files");
     let lines: Vec<_> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 #[test]
-fn files_are_found_below_the_root_and_hidden_directories_are_passed_over() {
+fn files_are_found_below_the_root_and_hidden_directories_are_skipped() {
     let root = tempfile::tempdir().expect("a temporary directory");
     write(root.path(), "a/b", "[pool.one]\n");
     write(root.path(), ".git", "broken");
-    let tree = Tree::load(root.path()).expect("the tree is right");
+    let tree = Tree::load(root.path()).expect("the tree is valid");
     let paths: Vec<_> = tree.files.keys().map(|path| &**path).collect();
     assert_eq!(paths, ["a/b/pomelohitch.toml"]);
 }
 
 #[test]
-fn faults_of_several_files_come_together() {
+fn faults_of_several_files_are_reported_together() {
     let root = tempfile::tempdir().expect("a temporary directory");
     write(root.path(), "a", "[pool.one]\nflor = 1\n");
     write(root.path(), "b", "[team.two]\nshare = 1\n");
     let Err(Error::Faults { faults }) = Tree::load(root.path()) else {
         panic!("the tree has faults");
     };
-    let places: Vec<_> = faults.iter().map(|f| (&*f.path, f.line)).collect();
+    let positions: Vec<_> = faults.iter().map(|f| (&*f.path, f.line)).collect();
     assert_eq!(
-        places,
+        positions,
         [("a/pomelohitch.toml", 2), ("b/pomelohitch.toml", 1)]
     );
 }
 
 #[test]
-fn rules_across_files_are_told_at_the_line_to_mend() {
+fn violations_across_files_are_reported_at_the_line_to_fix() {
     let root = tempfile::tempdir().expect("a temporary directory");
     write(
         root.path(),
@@ -52,7 +54,7 @@
         "[pool.one]\n[service.s]\npool = \"gone\"\nmin_available = 1\n",
     );
     write(root.path(), "b", "\n[pool.one]\n[pool.shared]\n");
-    let tree = Tree::load(root.path()).expect("each file is right by itself");
+    let tree = Tree::load(root.path()).expect("each file is valid on its own");
     let shared = FleetFile {
         pools: vec![Pool {
             id: "shared".into(),
@@ -68,7 +70,7 @@
             file: shared,
         },
     )]);
-    insta::assert_snapshot!(told(&tree, &others), @r##"
+    insta::assert_snapshot!(reported(&tree, &others), @r##"
     a/pomelohitch.toml:3: service 's' names pool 'gone', which no file declares; declare [pool.gone] or name another
     b/pomelohitch.toml:2: pool 'one' is also declared in a/pomelohitch.toml:1; remove or rename one of the two
     b/pomelohitch.toml:3: pool 'shared' is also declared in c/pomelohitch.toml, in force; remove or rename one of the two
--- a/crates/pomelohitch-peer/examples/beat_cost.rs
+++ b/crates/pomelohitch-peer/examples/beat_cost.rs
@@ -10,51 +10,51 @@
 
 use pomelohitch_peer::{Command, Handlers, Heartbeat, Links, Peer, Settings};
 
-/// How many heartbeats are counted.
-const BEATS: u64 = 2000;
-/// IP and TCP headers of a segment, with time stamps, in bytes.
-const SEGMENT_HEADERS: u64 = 52;
+/// Number of heartbeats to measure.
+const HEARTBEATS: u64 = 2000;
+/// Size of the IP and TCP headers of a segment, with timestamps.
+const SEGMENT_HEADER_BYTES: u64 = 52;
 
 /// Bytes and segments that the relay forwarded in one direction.
 #[derive(Debug, Default)]
-struct Passed {
+struct Traffic {
     bytes: AtomicU64,
     segments: AtomicU64,
 }
 
 fn main() {
-    let beats = Arc::new(AtomicU64::new(0));
-    let (one, _) = member("entry-1", beats.clone());
+    let heartbeats = Arc::new(AtomicU64::new(0));
+    let (one, _) = member("entry-1", heartbeats.clone());
     let (two, addr) = member("entry-2", Arc::default());
-    let [there, back] = [Arc::new(Passed::default()), Arc::new(Passed::default())];
-    let relay = relay(addr, there.clone(), back.clone());
+    let [outbound, inbound] = [Arc::new(Traffic::default()), Arc::new(Traffic::default())];
+    let relay = relay(addr, outbound.clone(), inbound.clone());
     let peer = Peer {
         member: "entry-2".into(),
         addr: relay,
     };
-    let before = processor_ticks();
+    let before = cpu_ticks();
     one.commands
         .send(Command::Peers(vec![peer]))
         .expect("the thread runs until the links are stopped");
-    while beats.load(Ordering::Acquire) < BEATS {
+    while heartbeats.load(Ordering::Acquire) < HEARTBEATS {
         std::thread::sleep(Duration::from_millis(10));
     }
-    let ticks = processor_ticks() - before;
+    let ticks = cpu_ticks() - before;
     println!("direction  bytes/beat  segments/beat  with headers/beat");
-    for (name, passed) in [("there", &there), ("back", &back)] {
-        let bytes = passed.bytes.load(Ordering::Relaxed);
-        let segments = passed.segments.load(Ordering::Relaxed);
+    for (name, traffic) in [("there", &outbound), ("back", &inbound)] {
+        let bytes = traffic.bytes.load(Ordering::Relaxed);
+        let segments = traffic.segments.load(Ordering::Relaxed);
         println!(
             "{name:9}  {:10}  {:13.1}  {:17}",
-            bytes / BEATS,
-            ratio(segments, BEATS),
-            (bytes + segments * SEGMENT_HEADERS) / BEATS
+            bytes / HEARTBEATS,
+            ratio(segments, HEARTBEATS),
+            (bytes + segments * SEGMENT_HEADER_BYTES) / HEARTBEATS
         );
     }
     // The process also runs the relay, so this is an upper bound for two members.
     println!(
         "processor microseconds/beat, both ends and the relay: {}",
-        ticks * 10_000 / BEATS
+        ticks * 10_000 / HEARTBEATS
     );
     one.stop();
     two.stop();
@@ -66,7 +66,7 @@
     ratio
 }
 
-fn member(id: &'static str, beats: Arc<AtomicU64>) -> (Links, SocketAddr) {
+fn member(id: &'static str, heartbeats: Arc<AtomicU64>) -> (Links, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let addr = listener
         .local_addr()
@@ -83,7 +83,7 @@
             ..Heartbeat::default()
         }),
         on_beat: Box::new(move |_| {
-            beats.fetch_add(1, Ordering::AcqRel);
+            heartbeats.fetch_add(1, Ordering::AcqRel);
         }),
         on_error: Box::new(|peer, error| eprintln!("{peer}: {error}")),
         ..Handlers::default()
@@ -91,41 +91,42 @@
     (links.expect("a thread can be started"), addr)
 }
 
-fn relay(to: SocketAddr, there: Arc<Passed>, back: Arc<Passed>) -> SocketAddr {
+fn relay(to: SocketAddr, outbound: Arc<Traffic>, inbound: Arc<Traffic>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
     let addr = listener
         .local_addr()
         .expect("a bound socket has an address");
     std::thread::spawn(move || {
-        let (near, _) = listener.accept().expect("the member connects");
-        let far = TcpStream::connect(to).expect("the other member listens");
-        for stream in [&near, &far] {
+        let (client, _) = listener.accept().expect("the member connects");
+        let server = TcpStream::connect(to).expect("the other member listens");
+        for stream in [&client, &server] {
             stream
                 .set_nodelay(true)
                 .expect("a connected socket takes options");
         }
-        let copies = [&near, &far].map(|stream| stream.try_clone().expect("descriptors are left"));
-        let [near_copy, far_copy] = copies;
-        std::thread::spawn(move || pass(near_copy, far, &there));
-        pass(far_copy, near, &back);
+        let copies = [&client, &server]
+            .map(|stream| stream.try_clone().expect("file descriptors are available"));
+        let [client_copy, server_copy] = copies;
+        std::thread::spawn(move || forward(client_copy, server, &outbound));
+        forward(server_copy, client, &inbound);
     });
     addr
 }
 
-fn pass(mut from: TcpStream, mut to: TcpStream, passed: &Passed) {
+fn forward(mut from: TcpStream, mut to: TcpStream, traffic: &Traffic) {
     use std::io::{Read, Write};
     let mut buf = [0; 4096];
     while let Ok(count) = from.read(&mut buf) {
         if count == 0 || to.write_all(&buf[..count]).is_err() {
             return;
         }
-        passed.bytes.fetch_add(count as u64, Ordering::Relaxed);
-        passed.segments.fetch_add(1, Ordering::Relaxed);
+        traffic.bytes.fetch_add(count as u64, Ordering::Relaxed);
+        traffic.segments.fetch_add(1, Ordering::Relaxed);
     }
 }
 
 /// CPU time of this process so far, in clock ticks of 10 ms.
-fn processor_ticks() -> u64 {
+fn cpu_ticks() -> u64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat
         .rsplit(')')
--- a/crates/pomelohitch-peer/src/links.rs
+++ b/crates/pomelohitch-peer/src/links.rs
@@ -33,8 +33,8 @@
 pub use clock::Clock;
 pub use handlers::{Call, Handlers, Heard, OnAnswer, OnError};
 use incoming::accept;
-pub use outgoing::is_due;
-use outgoing::keep_link;
+pub use outgoing::is_heartbeat_due;
+use outgoing::run_link;
 
 /// A link failed or the links couldn't be started.
 #[derive(Debug, Snafu)]
@@ -48,9 +48,9 @@
         /// The I/O error.
         source: std::io::Error,
     },
-    /// The peer didn't answer within the time limit: the link is taken for silent.
+    /// The peer didn't accept a connection or answer a heartbeat within the timeout.
     #[snafu(display("heartbeat to {peer}: no answer in time"))]
-    Silent {
+    Timeout {
         /// The peer's address.
         peer: SocketAddr,
     },
@@ -111,14 +111,14 @@
     Call(MemberId, Call),
 }
 
-/// Where commands go.
+/// Channel to the links' thread.
 pub type Commands = mpsc::UnboundedSender<Command>;
 
 /// The running links. Dropping the value closes its command channel; the thread ends when no clone
 /// of the sender is left.
 #[derive(Debug)]
 pub struct Links {
-    /// Where commands go.
+    /// Channel to the links' thread.
     pub commands: Commands,
     thread: JoinHandle<()>,
 }
@@ -150,7 +150,7 @@
                     settings,
                     handlers: handlers(),
                     clock: Clock::new(rand::random(), Instant::now()),
-                    known: RefCell::default(),
+                    last_heartbeats: RefCell::default(),
                 });
                 LocalSet::new().block_on(&runtime, run(cx, listener, rx));
             })
@@ -171,40 +171,45 @@
     settings: Settings,
     handlers: Handlers,
     clock: Clock,
-    known: RefCell<BTreeMap<MemberId, Known>>,
+    last_heartbeats: RefCell<BTreeMap<MemberId, LastHeartbeat>>,
 }
 
 impl Context {
-    fn heard(&self, beat: Heartbeat) {
-        let known = Known {
-            at: Instant::now(),
-            clock: beat.clock,
+    fn record_heartbeat(&self, heartbeat: Heartbeat) {
+        let last = LastHeartbeat {
+            received_at: Instant::now(),
+            clock: heartbeat.clock,
         };
-        self.known.borrow_mut().insert(beat.member.clone(), known);
-        let said_after = self.clock.time_of(beat.echo);
-        (self.handlers.on_beat)(Heard { beat, said_after });
+        self.last_heartbeats
+            .borrow_mut()
+            .insert(heartbeat.member.clone(), last);
+        let said_after = self.clock.time_of(heartbeat.echo);
+        (self.handlers.on_beat)(Heard {
+            beat: heartbeat,
+            said_after,
+        });
     }
 
-    fn heard_ago(&self, member: &MemberId) -> Option<Duration> {
-        self.known
+    fn since_heartbeat(&self, member: &MemberId) -> Option<Duration> {
+        self.last_heartbeats
             .borrow()
             .get(member)
-            .map(|known| known.at.elapsed())
+            .map(|last| last.received_at.elapsed())
     }
 
-    fn beat_to(&self, member: &MemberId) -> Heartbeat {
-        let known = self.known.borrow();
+    fn heartbeat_to(&self, member: &MemberId) -> Heartbeat {
+        let last_heartbeats = self.last_heartbeats.borrow();
         Heartbeat {
             clock: self.clock.now(),
-            echo: known.get(member).map_or(0, |known| known.clock),
+            echo: last_heartbeats.get(member).map_or(0, |last| last.clock),
             ..(self.handlers.own_beat)()
         }
     }
 }
 
-/// What was last heard of a peer, over either of the two links to it.
-struct Known {
-    at: Instant,
+/// The last heartbeat received from a peer, as a request on its link or as an answer on ours.
+struct LastHeartbeat {
+    received_at: Instant,
     clock: u64,
 }
 
@@ -217,29 +222,29 @@
     let mut links = BTreeMap::new();
     while let Some(command) = commands.recv().await {
         match command {
-            Command::Peers(peers) => keep_links(&cx, &mut links, peers),
-            Command::Call(member, call) => pass_on(&links, &member, call),
+            Command::Peers(peers) => update_links(&cx, &mut links, peers),
+            Command::Call(member, call) => forward_call(&links, &member, call),
         }
     }
     accepting.abort();
-    for kept in links.into_values() {
-        kept.task.abort();
+    for link in links.into_values() {
+        link.task.abort();
     }
 }
 
-/// A link that is kept to a peer.
-struct Kept {
+/// The task that maintains the link to a peer.
+struct LinkTask {
     addr: SocketAddr,
     calls: mpsc::UnboundedSender<Call>,
     task: AbortHandle,
 }
 
-type KeptLinks = BTreeMap<MemberId, Kept>;
+type LinkTasks = BTreeMap<MemberId, LinkTask>;
 
-fn pass_on(links: &KeptLinks, member: &MemberId, call: Call) {
+fn forward_call(links: &LinkTasks, member: &MemberId, call: Call) {
     match links.get(member) {
-        Some(kept) => {
-            if let Err(mpsc::error::SendError(call)) = kept.calls.send(call) {
+        Some(link) => {
+            if let Err(mpsc::error::SendError(call)) = link.calls.send(call) {
                 call.fail();
             }
         }
@@ -247,22 +252,22 @@
     }
 }
 
-fn keep_links(cx: &Rc<Context>, links: &mut KeptLinks, peers: Vec<Peer>) {
-    links.retain(|member, kept| {
-        let is_kept = peers
+fn update_links(cx: &Rc<Context>, links: &mut LinkTasks, peers: Vec<Peer>) {
+    links.retain(|member, link| {
+        let is_wanted = peers
             .iter()
-            .any(|peer| peer.member == *member && peer.addr == kept.addr);
-        if !is_kept {
-            kept.task.abort();
+            .any(|peer| peer.member == *member && peer.addr == link.addr);
+        if !is_wanted {
+            link.task.abort();
         }
-        is_kept
+        is_wanted
     });
     for peer in peers {
         links.entry(peer.member.clone()).or_insert_with(|| {
             let addr = peer.addr;
             let (calls, rx) = mpsc::unbounded_channel();
-            let task = tokio::task::spawn_local(keep_link(cx.clone(), peer, rx));
-            Kept {
+            let task = tokio::task::spawn_local(run_link(cx.clone(), peer, rx));
+            LinkTask {
                 addr,
                 calls,
                 task: task.abort_handle(),
--- a/crates/pomelohitch-peer/src/links/clock.rs
+++ b/crates/pomelohitch-peer/src/links/clock.rs
@@ -35,8 +35,8 @@
     /// The time at which the clock had `value`; `None` if the value is from another clock or in the
     /// future.
     #[must_use]
-    pub fn time_of(&self, shown: u64) -> Option<Instant> {
-        let elapsed = Duration::from_millis(shown.checked_sub(self.base)?);
+    pub fn time_of(&self, value: u64) -> Option<Instant> {
+        let elapsed = Duration::from_millis(value.checked_sub(self.base)?);
         let time = self.started.checked_add(elapsed)?;
         (time <= Instant::now()).then_some(time)
     }
--- a/crates/pomelohitch-peer/src/links/incoming.rs
+++ b/crates/pomelohitch-peer/src/links/incoming.rs
@@ -18,7 +18,7 @@
     let listener = tokio::net::TcpListener::from_std(listener)
         .expect("the listener was set to non-blocking and the runtime has its driver enabled");
     let server: link::Client = capnp_rpc::new_client(Server { cx });
-    let open: RefCell<tokio::task::JoinSet<()>> = RefCell::default();
+    let connections: RefCell<tokio::task::JoinSet<()>> = RefCell::default();
     loop {
         // Accepting fails when the process has no free file descriptors. Peers retry on their own.
         let Ok((stream, _)) = listener.accept().await else {
@@ -26,12 +26,12 @@
             continue;
         };
         let rpc = RpcSystem::new(network(stream, SERVER), Some(server.clone().client));
-        let mut open = open.borrow_mut();
-        open.spawn_local(async {
+        let mut connections = connections.borrow_mut();
+        connections.spawn_local(async {
             // The peer reconnects when a connection fails, so the error is ignored.
             let _ = rpc.await;
         });
-        while open.try_join_next().is_some() {}
+        while connections.try_join_next().is_some() {}
     }
 }
 
@@ -46,13 +46,13 @@
         mut results: link::BeatResults,
     ) -> impl Future<Output = Result<(), capnp::Error>> + 'static {
         let read = || Heartbeat::read(params.get()?.get_beat()?);
-        let beat = match read() {
-            Ok(beat) => beat,
+        let heartbeat = match read() {
+            Ok(heartbeat) => heartbeat,
             Err(error) => return Promise::err(error),
         };
-        let member = beat.member.clone();
-        self.cx.heard(beat);
-        let own = self.cx.beat_to(&member);
+        let member = heartbeat.member.clone();
+        self.cx.record_heartbeat(heartbeat);
+        let own = self.cx.heartbeat_to(&member);
         own.write(results.get().init_beat());
         Promise::ok(())
     }
--- a/crates/pomelohitch-peer/src/links/outgoing.rs
+++ b/crates/pomelohitch-peer/src/links/outgoing.rs
@@ -11,26 +11,26 @@
 use tokio::time::timeout;
 
 use super::{
-    CLIENT, Call, ConnectSnafu, Context, Error, Peer, Result, RpcSnafu, SERVER, SilentSnafu,
+    CLIENT, Call, ConnectSnafu, Context, Error, Peer, Result, RpcSnafu, SERVER, TimeoutSnafu,
     network,
 };
 use crate::link_capnp::link;
 use crate::message::Heartbeat;
 use crate::permits::{Batch, Claim, Replies, Verdict};
 
-/// How many heartbeats in a row a link may leave out because its peer was heard anyway.
-const PROOF_EVERY: u32 = 8;
+/// Number of consecutive heartbeats that a link skips while heartbeats of the peer arrive.
+const MAX_SKIPPED_HEARTBEATS: u32 = 8;
 
 /// Maintains the link to `peer` until the task is aborted: connects, sends heartbeats and calls,
 /// and reconnects after an error.
-pub(super) async fn keep_link(
+pub(super) async fn run_link(
     cx: Rc<Context>,
     peer: Peer,
     mut calls: mpsc::UnboundedReceiver<Call>,
 ) {
     loop {
         let error = match connect(&cx, peer.addr).await {
-            Ok(link) => use_until_error(&cx, &peer, &link, &mut calls).await,
+            Ok(link) => run_connection(&cx, &peer, &link, &mut calls).await,
             Err(error) => error,
         };
         (cx.handlers.on_error)(&peer.member, &error);
@@ -42,29 +42,30 @@
     }
 }
 
-async fn use_until_error(
+async fn run_connection(
     cx: &Rc<Context>,
     peer: &Peer,
     link: &Connection,
     calls: &mut mpsc::UnboundedReceiver<Call>,
 ) -> Error {
-    let beating = beat_until_error(cx, peer, link);
-    tokio::pin!(beating);
+    let heartbeats = send_heartbeats(cx, peer, link);
+    tokio::pin!(heartbeats);
     loop {
         tokio::select! {
-            error = &mut beating => return error,
+            error = &mut heartbeats => return error,
             Some(call) = calls.recv() => {
-                tokio::task::spawn_local(make(link.client.clone(), call, cx.settings.timeout));
+                tokio::task::spawn_local(send_call(link.client.clone(), call, cx.settings.timeout));
             }
         }
     }
 }
 
-/// A call has a time limit of its own; that a link is silent is noticed by its heartbeats.
-async fn make(client: link::Client, call: Call, limit: Duration) {
+/// Sends a call with its own timeout. A call that times out doesn't close the link; only a
+/// heartbeat that times out does.
+async fn send_call(client: link::Client, call: Call, limit: Duration) {
     match call {
         Call::Permits(batch, on_answer) => {
-            let answer = timeout(limit, ask_for_permits(&client, &batch)).await;
+            let answer = timeout(limit, request_permits(&client, &batch)).await;
             on_answer(answer.ok().and_then(Result::ok));
         }
         Call::Claim(claim, on_answer) => {
@@ -74,7 +75,7 @@
     }
 }
 
-async fn ask_for_permits(client: &link::Client, batch: &Batch) -> Result<Replies, capnp::Error> {
+async fn request_permits(client: &link::Client, batch: &Batch) -> Result<Replies, capnp::Error> {
     let mut req = client.permits_request();
     batch.write(req.get().init_batch());
     let answer = req.send().promise.await?;
@@ -88,18 +89,18 @@
     Ok(Verdict::read(answer.get()?.get_verdict()?))
 }
 
-async fn beat_until_error(cx: &Rc<Context>, peer: &Peer, link: &Connection) -> Error {
+async fn send_heartbeats(cx: &Rc<Context>, peer: &Peer, link: &Connection) -> Error {
     let interval = cx.settings.interval;
-    let mut left_out = PROOF_EVERY;
+    let mut skipped = MAX_SKIPPED_HEARTBEATS;
     loop {
-        if is_due(left_out, cx.heard_ago(&peer.member), interval) {
-            left_out = 0;
-            match beat(cx, peer, &link.client).await {
-                Ok(beat) => cx.heard(beat),
+        if is_heartbeat_due(skipped, cx.since_heartbeat(&peer.member), interval) {
+            skipped = 0;
+            match send_heartbeat(cx, peer, &link.client).await {
+                Ok(heartbeat) => cx.record_heartbeat(heartbeat),
                 Err(error) => return error,
             }
         } else {
-            left_out += 1;
+            skipped += 1;
         }
         tokio::time::sleep(interval).await;
     }
@@ -111,16 +112,20 @@
 /// A heartbeat and its answer give both ends the same information. An end that received one within
 /// the interval skips its own, except for every ninth, which checks that its own link still works.
 #[must_use]
-pub fn is_due(left_out: u32, heard_ago: Option<Duration>, interval: Duration) -> bool {
-    left_out >= PROOF_EVERY || heard_ago.is_none_or(|ago| ago >= interval)
+pub fn is_heartbeat_due(
+    skipped: u32,
+    since_heartbeat: Option<Duration>,
+    interval: Duration,
+) -> bool {
+    skipped >= MAX_SKIPPED_HEARTBEATS || since_heartbeat.is_none_or(|ago| ago >= interval)
 }
 
-async fn beat(cx: &Rc<Context>, peer: &Peer, client: &link::Client) -> Result<Heartbeat> {
+async fn send_heartbeat(cx: &Rc<Context>, peer: &Peer, client: &link::Client) -> Result<Heartbeat> {
     let mut req = client.beat_request();
-    cx.beat_to(&peer.member).write(req.get().init_beat());
+    cx.heartbeat_to(&peer.member).write(req.get().init_beat());
     let peer = peer.addr;
     let Ok(answer) = timeout(cx.settings.timeout, req.send().promise).await else {
-        return SilentSnafu { peer }.fail();
+        return TimeoutSnafu { peer }.fail();
     };
     let read = || Heartbeat::read(answer?.get()?.get_beat()?);
     read().context(RpcSnafu { peer })
@@ -141,7 +146,7 @@
 async fn connect(cx: &Rc<Context>, peer: SocketAddr) -> Result<Connection> {
     let connecting = tokio::net::TcpStream::connect(peer);
     let Ok(stream) = timeout(cx.settings.timeout, connecting).await else {
-        return SilentSnafu { peer }.fail();
+        return TimeoutSnafu { peer }.fail();
     };
     let mut rpc = RpcSystem::new(
         network(stream.context(ConnectSnafu { peer })?, CLIENT),
--- a/crates/pomelohitch-peer/src/message.rs
+++ b/crates/pomelohitch-peer/src/message.rs
@@ -10,9 +10,9 @@
 /// A heartbeat: the sender's state, sent at a fixed interval and returned as the answer to one.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Who says it.
+    /// Id of the sender.
     pub member: MemberId,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
     /// Offset of the next log record that the sender will apply.
     pub next: Offset,
@@ -79,5 +79,5 @@
 }
 
 fn len(texts: &[Box<str>]) -> u32 {
-    u32::try_from(texts.len()).expect("bad news is cut to a few hundred entries by the sender")
+    u32::try_from(texts.len()).expect("the sender truncates both lists to a few hundred entries")
 }
--- a/crates/pomelohitch-peer/src/permits.rs
+++ b/crates/pomelohitch-peer/src/permits.rs
@@ -9,9 +9,9 @@
 /// Requests and load reports that a member sends to the home of some resources.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// Who says it.
+    /// Id of the sender.
     pub member: MemberId,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
     /// Epoch of the membership from which the sender determined the home.
     pub epoch: Offset,
@@ -46,9 +46,9 @@
 /// A claim on an idempotency key, sent to the home of the key.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Claim {
-    /// Who asks.
+    /// Id of the sender.
     pub member: MemberId,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: Incarnation,
     /// Epoch of the membership from which the sender determined the home.
     pub epoch: Offset,
--- a/crates/pomelohitch-property/src/lib.rs
+++ b/crates/pomelohitch-property/src/lib.rs
@@ -22,10 +22,10 @@
 /// Seed of one input, in the format of `bolero`.
 pub type InputSeed = u128;
 
-/// The seed of a run, unless `PROPERTY_SEED` sets another.
-const RUN_SEED: u64 = 1;
-/// Inputs of each property, unless `PROPERTY_INPUTS` sets another count.
-const INPUTS: usize = 1_000;
+/// Default of `PROPERTY_SEED`.
+const DEFAULT_RUN_SEED: u64 = 1;
+/// Default of `PROPERTY_INPUTS`.
+const DEFAULT_INPUT_COUNT: usize = 1_000;
 
 /// Checks that `property` holds for every input of the run.
 ///
@@ -33,11 +33,11 @@
 /// If the property doesn't hold; prints the seed of the input and the input first. Also if an
 /// environment variable isn't a number.
 pub fn check<T: TypeGenerator + Debug>(property: impl Fn(&T)) {
-    if let Some(seed) = variable("PROPERTY_INPUT") {
+    if let Some(seed) = parse_env("PROPERTY_INPUT") {
         return check_one(seed, &property);
     }
-    let run = variable("PROPERTY_SEED").unwrap_or(RUN_SEED);
-    let count = variable("PROPERTY_INPUTS").unwrap_or(INPUTS);
+    let run = parse_env("PROPERTY_SEED").unwrap_or(DEFAULT_RUN_SEED);
+    let count = parse_env("PROPERTY_INPUTS").unwrap_or(DEFAULT_INPUT_COUNT);
     for seed in seeds(run).take(count) {
         check_one(seed, &property);
     }
@@ -73,10 +73,11 @@
 pub fn generate<T: TypeGenerator>(seed: InputSeed) -> T {
     let rng = Xoroshiro128PlusPlus::from_seed(seed.to_le_bytes());
     let mut driver = Rng::new(rng, &Options::default());
-    T::generate(&mut driver).expect("a random driver has bytes for every value")
+    T::generate(&mut driver)
+        .expect("generators of standard types succeed with unlimited random bytes")
 }
 
-fn variable<T: FromStr>(name: &str) -> Option<T> {
+fn parse_env<T: FromStr>(name: &str) -> Option<T> {
     let text = match env::var(name) {
         Ok(text) => text,
         Err(VarError::NotPresent) => return None,
--- a/crates/pomelohitch-property/tests/inputs.rs
+++ b/crates/pomelohitch-property/tests/inputs.rs
@@ -5,7 +5,7 @@
 use pomelohitch_property::{check, generate, seeds};
 
 #[test]
-fn two_runs_of_a_seed_have_the_same_inputs() {
+fn runs_with_the_same_seed_have_the_same_inputs() {
     let inputs = |run| -> Vec<Vec<u8>> { seeds(run).take(20).map(generate).collect() };
     assert_eq!(inputs(1), inputs(1));
     assert_ne!(inputs(1), inputs(2));
