--- a/crates/pomelohitch-peer/src/links.rs
+++ b/crates/pomelohitch-peer/src/links.rs
@@ -49,7 +49,7 @@
         source: std::io::Error,
     },
     /// The peer didn't accept a connection or answer a heartbeat within the timeout.
-    #[snafu(display("heartbeat to {peer}: no answer in time"))]
+    #[snafu(display("connection or heartbeat to {peer} timed out"))]
     Timeout {
         /// The peer's address.
         peer: SocketAddr,
