--- a/crates/pomelohitch-config/src/parse.rs
+++ b/crates/pomelohitch-config/src/parse.rs
@@ -68,9 +68,9 @@
     };
     for error in &errors {
         let at = error.span().map_or(0, |span| span.start);
-        parser.fault(at, error.message(), syntax_fix(error.message()));
+        parser.add_fault(at, error.message(), syntax_fix(error.message()));
     }
-    parser.document(document.get_ref());
+    parser.parse_document(document.get_ref());
     parser.faults.sort();
     if parser.faults.is_empty() {
         Ok(parser.parsed)
@@ -89,7 +89,7 @@
 }
 
 impl Parser<'_> {
-    fn fault(&mut self, at: usize, what: impl Into<Box<str>>, fix: impl Into<Box<str>>) {
+    fn add_fault(&mut self, at: usize, what: impl Into<Box<str>>, fix: impl Into<Box<str>>) {
         self.faults.push(Fault {
             path: self.path.clone(),
             line: line_at(self.text, at),
@@ -103,14 +103,14 @@
         self.parsed.lines.insert(Declaration::new(kind, id), line);
     }
 
-    fn document(&mut self, document: &Table<'_>) {
+    fn parse_document(&mut self, document: &Table<'_>) {
         for (name, value) in document {
             let section = SECTIONS.iter().find(|s| s.name == name.get_ref().as_ref());
             match (section, value.get_ref().as_table()) {
-                (Some(section), Some(items)) => self.items(section, items),
+                (Some(section), Some(items)) => self.parse_section(section, items),
                 (Some(section), None) => {
                     let name = section.name;
-                    self.fault(
+                    self.add_fault(
                         value_start(value),
                         format!("'{name}' holds no tables"),
                         format!("write [{name}.ID]"),
@@ -118,7 +118,7 @@
                 }
                 (None, _) => {
                     let known: Vec<_> = SECTIONS.iter().map(|s| s.name).collect();
-                    self.fault(
+                    self.add_fault(
                         name.span().start,
                         format!("unknown section '{}'", name.get_ref()),
                         format!("sections are {}", known.join(", ")),
@@ -128,20 +128,20 @@
         }
     }
 
-    fn items(&mut self, section: &Section, items: &Table<'_>) {
+    fn parse_section(&mut self, section: &Section, items: &Table<'_>) {
         for (id, value) in items {
             let at = id.span().start;
             let name = section.name;
             let id: &str = id.get_ref();
             if !is_id(id) {
-                self.fault(
+                self.add_fault(
                     at,
                     format!("'{id}' can't be the id of a {name}"),
                     format!("use 1 to {MAX_ID_BYTES} letters, digits, '-' or '_'"),
                 );
             }
             let Some(fields) = value.get_ref().as_table() else {
-                self.fault(
+                self.add_fault(
                     at,
                     format!("'{name}.{id}' isn't a table"),
                     format!("write [{name}.{id}] and its fields below"),
@@ -150,22 +150,22 @@
             };
             self.declare(name, id, at);
             match name {
-                "team" => self.team(id, at, fields),
-                "pool" => self.pool(id, at, fields),
-                _ => self.service(id, at, fields),
+                "team" => self.parse_team(id, at, fields),
+                "pool" => self.parse_pool(id, at, fields),
+                _ => self.parse_service(id, at, fields),
             }
         }
     }
 
-    fn team(&mut self, id: &str, at: usize, fields: &Table<'_>) {
-        let values = self.values(&TEAM, id, at, fields, &[]);
+    fn parse_team(&mut self, id: &str, at: usize, fields: &Table<'_>) {
+        let values = self.parse_fields(&TEAM, id, at, fields, &[]);
         for (key, at) in values.keys("keys") {
             if self
                 .parsed
                 .lines
                 .contains_key(&Declaration::new("key", &key))
             {
-                self.fault(
+                self.add_fault(
                     at,
                     "the same key hash stands twice",
                     "remove one of the two",
@@ -181,8 +181,8 @@
         });
     }
 
-    fn pool(&mut self, id: &str, at: usize, fields: &Table<'_>) {
-        let values = self.values(&POOL, id, at, fields, &[]);
+    fn parse_pool(&mut self, id: &str, at: usize, fields: &Table<'_>) {
+        let values = self.parse_fields(&POOL, id, at, fields, &[]);
         self.parsed.file.pools.push(Pool {
             id: id.into(),
             spare: values.boolean("spare"),
@@ -190,14 +190,14 @@
         });
     }
 
-    fn service(&mut self, id: &str, at: usize, fields: &Table<'_>) {
-        let values = self.values(&SERVICE, id, at, fields, &[OBJECTIVE_TABLE]);
+    fn parse_service(&mut self, id: &str, at: usize, fields: &Table<'_>) {
+        let values = self.parse_fields(&SERVICE, id, at, fields, &[OBJECTIVE_TABLE]);
         if let Some(pool_at) = values.at("pool") {
             self.declare("pool of service", id, pool_at);
         }
         let objective = fields
             .get(OBJECTIVE_TABLE)
-            .and_then(|value| self.objective(id, value));
+            .and_then(|value| self.parse_objective(id, value));
         self.parsed.file.services.push(Service {
             id: id.into(),
             pool: values.text("pool"),
@@ -211,17 +211,21 @@
         });
     }
 
-    fn objective(&mut self, service: &str, value: &Spanned<DeValue<'_>>) -> Option<Objective> {
+    fn parse_objective(
+        &mut self,
+        service: &str,
+        value: &Spanned<DeValue<'_>>,
+    ) -> Option<Objective> {
         let at = value_start(value);
         let Some(fields) = value.get_ref().as_table() else {
-            self.fault(
+            self.add_fault(
                 at,
                 format!("the objective of '{service}' isn't a table"),
                 format!("write [service.{service}.objective]"),
             );
             return None;
         };
-        let values = self.values(&OBJECTIVE, service, at, fields, &[]);
+        let values = self.parse_fields(&OBJECTIVE, service, at, fields, &[]);
         let days = u64::from(values.integer("window_days"));
         Some(Objective {
             within: values.millis("within_ms"),
@@ -232,7 +236,7 @@
 
     /// Checks the fields of one table against `section` and fills in defaults. Subtables named in
     /// `tables` are skipped: the caller parses them.
-    fn values(
+    fn parse_fields(
         &mut self,
         section: &Section,
         id: &str,
@@ -247,7 +251,7 @@
                 continue;
             }
             let Some(field) = section.field(name) else {
-                self.fault(
+                self.add_fault(
                     name_at,
                     format!("unknown field '{name}' of {} '{id}'", section.name),
                     format!("fields are {}", section.field_names()),
@@ -255,7 +259,7 @@
                 continue;
             };
             if let Err(invalid) = values.read(field, value) {
-                self.fault(
+                self.add_fault(
                     invalid.at.unwrap_or(name_at),
                     format!("{name} = {} of {} '{id}'", invalid.display, section.name),
                     format!("give {}", field.kind),
@@ -267,7 +271,7 @@
             match field.default {
                 _ if is_given => {}
                 Some(default) => values.set_default(field, default),
-                None => self.fault(
+                None => self.add_fault(
                     at,
                     format!("{} '{id}' has no {}", section.name, field.name),
                     format!("add {} = ... ({})", field.name, field.kind),
--- a/crates/pomelohitch-config/src/plan.rs
+++ b/crates/pomelohitch-config/src/plan.rs
@@ -72,7 +72,7 @@
             let desired = tree.files.get(*path).map(|parsed| &parsed.file);
             let current = in_force.files.get(*path);
             let base = lock.files.get(*path).copied();
-            plan.changes.extend(change(path, desired, current, base));
+            plan.changes.extend(diff_file(path, desired, current, base));
         }
         plan.others = in_force
             .files
@@ -133,7 +133,7 @@
     }
 }
 
-fn change(
+fn diff_file(
     path: &FilePath,
     desired: Option<&FleetFile>,
     current: Option<&VersionedFile>,
@@ -156,14 +156,14 @@
         kind,
         base,
         in_force,
-        lines: differences(&before, &after),
+        lines: diff_lines(&before, &after),
         file: desired.cloned(),
     })
 }
 
 type Fields = BTreeMap<Box<str>, Box<str>>;
 
-fn differences(before: &Fields, after: &Fields) -> Vec<Box<str>> {
+fn diff_lines(before: &Fields, after: &Fields) -> Vec<Box<str>> {
     let names: BTreeSet<_> = before.keys().chain(after.keys()).collect();
     let mut lines = Vec::new();
     for name in names {
--- a/crates/pomelohitch-config/src/tree.rs
+++ b/crates/pomelohitch-config/src/tree.rs
@@ -69,7 +69,7 @@
         let mut faults = Vec::new();
         for path in paths {
             let name = relative_path(root, &path);
-            match read(&name, &path)? {
+            match read_file(&name, &path)? {
                 Ok(parsed) => {
                     tree.files.insert(name, parsed);
                 }
@@ -111,7 +111,7 @@
         others: &BTreeMap<FilePath, VersionedFile>,
     ) -> Fault {
         match fault {
-            config::Fault::Duplicate { kind, id } => self.duplicate(kind, id, others),
+            config::Fault::Duplicate { kind, id } => self.locate_duplicate(kind, id, others),
             config::Fault::UnknownPool { service, pool } => {
                 let (path, line) = self.last_declaration("pool of service", service);
                 Fault {
@@ -127,7 +127,12 @@
         }
     }
 
-    fn duplicate(&self, kind: &str, id: &str, others: &BTreeMap<FilePath, VersionedFile>) -> Fault {
+    fn locate_duplicate(
+        &self,
+        kind: &str,
+        id: &str,
+        others: &BTreeMap<FilePath, VersionedFile>,
+    ) -> Fault {
         let (path, line) = self.last_declaration(kind, id);
         let elsewhere = self.declarations(kind, id).find(|other| other.0 != path);
         let first = match elsewhere {
@@ -217,7 +222,7 @@
     parts.join("/").into()
 }
 
-fn read(name: &str, path: &Path) -> Result<Result<Parsed, Vec<Fault>>> {
+fn read_file(name: &str, path: &Path) -> Result<Result<Parsed, Vec<Fault>>> {
     let size = std::fs::metadata(path).context(IoSnafu { path })?.len();
     if size > MAX_FILE_BYTES {
         return Ok(Err(vec![Fault {
--- a/crates/pomelohitch-config/tests/config/lock.rs
+++ b/crates/pomelohitch-config/tests/config/lock.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_stored_lock_loads_unchanged() {
-    let root = tempfile::tempdir().expect("a temporary directory");
+    let root = tempfile::tempdir().expect("a temporary directory can be created");
     assert_eq!(
         Lock::load(root.path()).expect("a missing file is an empty lock"),
         Lock::default()
@@ -18,7 +18,7 @@
 /// every file as an addition, so loading fails with an error that says how to recover.
 #[test]
 fn a_lock_with_conflict_marks_is_refused() {
-    let root = tempfile::tempdir().expect("a temporary directory");
+    let root = tempfile::tempdir().expect("a temporary directory can be created");
     std::fs::write(root.path().join(LOCK_NAME), "<<<<<<< mine\n[files]\n")
         .expect("the directory is writable");
     let message = Lock::load(root.path())
--- a/crates/pomelohitch-config/tests/config/tree.rs
+++ b/crates/pomelohitch-config/tests/config/tree.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn files_are_found_below_the_root_and_hidden_directories_are_skipped() {
-    let root = tempfile::tempdir().expect("a temporary directory");
+    let root = tempfile::tempdir().expect("a temporary directory can be created");
     write(root.path(), "a/b", "[pool.one]\n");
     write(root.path(), ".git", "broken");
     let tree = Tree::load(root.path()).expect("the tree is valid");
@@ -32,7 +32,7 @@
 
 #[test]
 fn faults_of_several_files_are_reported_together() {
-    let root = tempfile::tempdir().expect("a temporary directory");
+    let root = tempfile::tempdir().expect("a temporary directory can be created");
     write(root.path(), "a", "[pool.one]\nflor = 1\n");
     write(root.path(), "b", "[team.two]\nshare = 1\n");
     let Err(Error::Faults { faults }) = Tree::load(root.path()) else {
@@ -47,7 +47,7 @@
 
 #[test]
 fn violations_across_files_are_reported_at_the_line_to_fix() {
-    let root = tempfile::tempdir().expect("a temporary directory");
+    let root = tempfile::tempdir().expect("a temporary directory can be created");
     write(
         root.path(),
         "a",
