--- a/pomelohitch/src/check.rs
+++ b/pomelohitch/src/check.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch check`: are the fleet files right?
+//! `pomelohitch check`: checks fleet files for faults.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -13,19 +13,19 @@
 use crate::exit::Exit;
 use crate::output::Output;
 
-/// The files couldn't be judged.
+/// The files can't be checked.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The tree can't be read.
     #[snafu(display("{source}"))]
     Tree {
-        /// Why not.
+        /// The error of the tree.
         source: TreeError,
     },
     /// The lock can't be read.
     #[snafu(display("{source}"))]
     Lock {
-        /// Why not.
+        /// The error of the lock.
         source: pomelohitch_config::lock::Error,
     },
 }
@@ -33,21 +33,21 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What was found.
+/// The result of a check.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Outcome {
-    /// How many files were read; those with faults of their own aren't counted.
+    /// Number of files in the tree; 0 if faults prevent loading it.
     pub files: usize,
-    /// Whether the files of other trees in force were taken into account.
+    /// Whether files in force from other trees were included in the check.
     pub with_others: bool,
-    /// Every fault, sorted by file and line.
+    /// All faults, sorted by file and line.
     pub faults: Vec<Fault>,
 }
 
-/// Checks the tree at `root`, beside the files of other trees if `in_force` is known.
+/// Checks the tree at `root`; with `in_force` also against the files in force from other trees.
 ///
 /// # Errors
-/// If the tree can't be read.
+/// If the tree or the lock can't be read.
 pub fn check(root: &Path, in_force: Option<&Config>) -> Result<Outcome> {
     let with_others = in_force.is_some();
     let tree = match Tree::load(root) {
@@ -75,7 +75,7 @@
     })
 }
 
-/// Shows what was found.
+/// Renders the result of a check.
 #[must_use]
 pub fn show(outcome: &Outcome) -> Output {
     let exit = if outcome.faults.is_empty() {
--- a/pomelohitch/src/cli.rs
+++ b/pomelohitch/src/cli.rs
@@ -1,4 +1,4 @@
-//! Commands and flags.
+//! Definitions of commands and flags.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -16,29 +16,29 @@
 ///
 /// Exit codes: 0 done; 1 refused, nothing changed; 2 wrong command line; 3 not known whether a
 /// change comes into force; 4 log or entry instance unreachable, nothing changed; 5 a service
-/// burns its budget (`report burn --fail-on-burn`).
+/// burns its error budget too fast (`report burn --fail-on-burn`).
 #[derive(Debug, Parser)]
 #[command(name = "pomelohitch", version)]
 pub struct Cli {
-    /// What most commands need.
+    /// Options that most commands share.
     #[command(flatten)]
     pub common: Common,
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What most commands need.
+/// Options that most commands share.
 #[derive(Debug, Clone, Args)]
 pub struct Common {
-    /// How results are written
+    /// Output format
     #[arg(long, global = true, value_enum, default_value_t)]
     pub format: Format,
     /// Address of the platform's log, <http://IP:PORT>
     #[arg(long, global = true, env = "POMELOHITCH_LOG_URL")]
     pub log_url: Option<Box<str>>,
-    /// Address of an entry instance's operators' port, <http://IP:PORT>; several with commas,
-    /// tried in turn
+    /// Address of an entry instance's operators' port, <http://IP:PORT>; several are separated by
+    /// commas and tried in turn
     #[arg(
         long,
         global = true,
@@ -46,7 +46,7 @@
         value_delimiter = ','
     )]
     pub admin_url: Vec<Box<str>>,
-    /// The operators' key; better given by the environment, where other users don't see it
+    /// The operators' key; set it in the environment, as other users can see the command line
     #[arg(
         long,
         global = true,
@@ -54,7 +54,7 @@
         hide_env_values = true
     )]
     pub admin_key: Option<Box<str>>,
-    /// Time limit of one call, milliseconds
+    /// Timeout of one call, in milliseconds
     #[arg(
         long,
         global = true,
@@ -62,10 +62,10 @@
         default_value_t = 2000
     )]
     pub timeout_ms: u64,
-    /// How long to wait for the verdict on a change, seconds
+    /// How long to wait for the verdict on a change, in seconds
     #[arg(long, global = true, env = "POMELOHITCH_LIMIT_S", default_value_t = 30)]
     pub limit_s: u64,
-    /// Who makes a change, as its record says
+    /// Name of the operator that is recorded with a change
     #[arg(
         long,
         global = true,
@@ -76,7 +76,7 @@
 }
 
 impl Common {
-    /// Time limit of one call.
+    /// Timeout of one call.
     #[must_use]
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
@@ -89,53 +89,53 @@
     }
 }
 
-/// What to do.
+/// Commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Tell every fault of the fleet files below TREE; with --log-url also beside other trees
+    /// Check the fleet files below TREE; with --log-url also against the files of other trees
     Check {
-        /// The directory
+        /// Directory of the fleet files
         tree: PathBuf,
     },
-    /// Tell what a publish of TREE would change
+    /// Show what a publish of TREE would change
     Diff {
-        /// The directory
+        /// Directory of the fleet files
         tree: PathBuf,
-        /// Write the versions in force to TREE/pomelohitch.lock, once the differences were seen
+        /// Write the versions in force to TREE/pomelohitch.lock; review the differences first
         #[arg(long)]
         rebase: bool,
     },
     /// Put the fleet files below TREE in force, all of them or none
     Publish {
-        /// The directory
+        /// Directory of the fleet files
         tree: PathBuf,
-        /// The files started from what was in force at this offset, whatever the lock says
+        /// Compare with the versions in force at this offset instead of those in the lock
         #[arg(long, value_name = "OFFSET")]
         base: Option<Offset>,
     },
-    /// Make and withdraw keys
+    /// Create and withdraw keys
     Keys {
-        /// What to do.
+        /// The command to run.
         #[command(subcommand)]
         command: KeysCommand,
     },
-    /// Show who is there, what goes on, what waits and why; asks --admin-url, else reads the log
+    /// Show members, pools, waves, teams and what waits; asks --admin-url, else reads the log
     Status,
     /// Start, pause and resume maintenance
     Maintain {
-        /// What to order.
+        /// The command to run.
         #[command(subcommand)]
         command: MaintainCommand,
     },
-    /// Report service-level burn, or what the fleet did
+    /// Report service-level burn, or activity of the fleet
     Report {
-        /// What to report.
+        /// The report to make.
         #[command(subcommand)]
         command: ReportCommand,
     },
-    /// Hand in, list, show and cancel batch jobs at an entry instance's callers' port
+    /// Submit, list, show and cancel batch jobs at an entry instance's callers' port
     Job(JobArgs),
-    /// Write completions for a shell to standard output
+    /// Write shell completions to standard output
     Completions {
         /// The shell
         #[arg(value_enum)]
@@ -143,20 +143,20 @@
     },
     /// Write man pages to a directory
     Man {
-        /// The directory
+        /// Directory to write to; it must exist
         dir: PathBuf,
     },
 }
 
-/// What to do with keys.
+/// Commands for keys.
 #[derive(Debug, Subcommand)]
 pub enum KeysCommand {
-    /// Make a key for a team, or for operators; it is shown once and stored nowhere
+    /// Create a key for a team or for operators; it is shown once and not stored
     New,
-    /// Withdraw a key for good, within seconds on every entry instance
+    /// Withdraw a key permanently; every entry instance refuses it within seconds
     Withdraw {
-        /// Its hash; without it the key itself is read from standard input, where neither other
-        /// users nor the shell's history see it
+        /// Hash of the key; without it the key is read from standard input, which keeps it out of
+        /// the process list and the shell's history
         #[arg(long)]
         hash: Option<KeyHash>,
     },
--- a/pomelohitch/src/clock.rs
+++ b/pomelohitch/src/clock.rs
@@ -1,13 +1,13 @@
-//! Time as commands see it; tests put their own in place.
+//! The clock that commands use; tests replace it with virtual time.
 
 use std::fmt;
 use std::time::{Duration, Instant};
 
-/// Tells the time and waits.
+/// Reads the time and sleeps.
 pub struct Clock {
-    /// The time now.
+    /// Returns the current time.
     pub now: Box<dyn Fn() -> Instant>,
-    /// Waits.
+    /// Blocks for the given duration.
     pub sleep: Box<dyn Fn(Duration)>,
 }
 
--- a/pomelohitch/src/diff.rs
+++ b/pomelohitch/src/diff.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch diff`: what would a publish change?
+//! `pomelohitch diff`: shows what a publish would change.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -12,19 +12,19 @@
 use crate::exit::Exit;
 use crate::output::Output;
 
-/// The tree couldn't be compared.
+/// The tree can't be compared with the files in force.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The tree can't be read, or has faults.
     #[snafu(display("{source}; run `pomelohitch check`"))]
     Tree {
-        /// Why not.
+        /// The error of the tree.
         source: pomelohitch_config::tree::Error,
     },
     /// The lock can't be read or written.
     #[snafu(display("{source}"))]
     Lock {
-        /// Why not.
+        /// The error of the lock.
         source: pomelohitch_config::lock::Error,
     },
 }
@@ -32,27 +32,27 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What differs.
+/// The differences between a tree and the files in force.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Outcome {
     /// Files that a publish would change.
     pub changes: Vec<Change>,
-    /// Whether the lock now holds the versions in force.
+    /// Whether the versions in force were written to the lock.
     pub rebased: bool,
 }
 
-/// Compares the tree at `root` with `in_force`; `rebase` writes the versions in force to the
-/// lock, for an operator who has seen the differences.
+/// Compares the tree at `root` with `in_force`; with `rebase` also writes the versions in force to
+/// the lock.
 ///
 /// # Errors
-/// If tree or lock can't be read, or the lock can't be written.
+/// If the tree or the lock can't be read, or the lock can't be written.
 pub fn diff(root: &Path, in_force: &Config, rebase: bool) -> Result<Outcome> {
     let tree = Tree::load(root).context(TreeSnafu)?;
     let lock = Lock::load(root).context(LockSnafu)?;
     let plan = Plan::new(&tree, &lock, in_force);
     if rebase {
         let mut new = lock_of(&tree, in_force);
-        // A file that the tree no longer has stays listed, so that a publish still removes it.
+        // Files missing from the tree stay in the lock, so that a publish still removes them.
         for change in &plan.changes {
             if let (ChangeKind::Remove, Some(version)) = (change.kind, change.in_force) {
                 new.files.insert(change.path.clone(), version);
@@ -66,7 +66,7 @@
     })
 }
 
-/// Shows what differs.
+/// Renders the differences.
 #[must_use]
 pub fn show(outcome: &Outcome) -> Output {
     let mut text = changes(&outcome.changes);
@@ -79,7 +79,7 @@
     Output::new(Exit::Done, text, outcome)
 }
 
-/// Changes as text, one line for each file and field.
+/// Renders `changes`, one line for each file and each field.
 #[must_use]
 pub fn changes(changes: &[Change]) -> String {
     let mut text = String::new();
--- a/pomelohitch/src/entry.rs
+++ b/pomelohitch/src/entry.rs
@@ -1,58 +1,58 @@
-//! A client of an entry instance's administration API.
+//! Client of the administration API of entry instances.
 
 use std::time::Duration;
 
 use serde::de::DeserializeOwned;
 use snafu::{ResultExt, Snafu};
 
-/// No entry instance gave the answer.
+/// A request to the administration API failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// No address is named.
+    /// No address of an entry instance is given.
     #[snafu(display("no entry instance is named; give --admin-url or POMELOHITCH_ADMIN_URL"))]
     NoUrl,
-    /// No key is given.
+    /// No operators' key is given.
     #[snafu(display("no operators' key is given; set POMELOHITCH_ADMIN_KEY"))]
     NoKey,
-    /// It couldn't be reached.
+    /// The entry instance is unreachable, or its response did not arrive in time.
     #[snafu(display("{step} at {entry}: {source}; try another entry instance"))]
     Transport {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// Its address.
+        /// Address of the entry instance.
         entry: Box<str>,
-        /// What the HTTP client said.
+        /// The HTTP client's error.
         #[snafu(source(from(ureq::Error, Box::new)))]
         source: Box<ureq::Error>,
     },
-    /// It refused the key.
+    /// The entry instance rejects the operators' key (status 401).
     #[snafu(display("{step} at {entry}: the operators' key isn't in force there"))]
     UnknownKey {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// Its address.
+        /// Address of the entry instance.
         entry: Box<str>,
     },
-    /// It refused.
+    /// The entry instance answers a GET with a status other than 200.
     #[snafu(display("{step} at {entry}: status {status}: {body}"))]
     Status {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// Its address.
+        /// Address of the entry instance.
         entry: Box<str>,
         /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// Body of the response.
         body: Box<str>,
     },
-    /// Its answer isn't what this version expects.
+    /// The response body does not decode as the expected type.
     #[snafu(display("{step} at {entry}: unreadable answer: {source}; is it of another version?"))]
     Decode {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// Its address.
+        /// Address of the entry instance.
         entry: Box<str>,
-        /// What the decoder said.
+        /// The JSON decoder's error.
         source: serde_json::Error,
     },
 }
@@ -60,24 +60,25 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Entry instances that are asked in turn.
+/// Entry instances, tried in order until one is reachable.
 #[derive(Debug, Clone, Default)]
 pub struct Entries {
-    /// Their addresses, such as `http://127.0.0.1:80`.
+    /// Addresses of their operators' ports, such as `http://127.0.0.1:80`.
     pub urls: Vec<Box<str>>,
     /// The operators' key.
     pub key: Option<Box<str>>,
-    /// Time limit of one call.
+    /// Timeout of one call.
     pub timeout: Duration,
 }
 
 const UNAUTHORIZED: u16 = 401;
 
 impl Entries {
-    /// Asks the entry instances in turn until one can be reached.
+    /// Sends a GET for `path` to the entry instances in order until one is reachable, and decodes
+    /// its response. `step` names the operation in errors.
     ///
     /// # Errors
-    /// Of the last that was asked.
+    /// The error of the last entry instance that was tried.
     pub fn get<T: DeserializeOwned>(&self, step: &'static str, path: &str) -> Result<T> {
         self.first(|url| {
             let (_, body) = self.call(step, url, path, None)?;
@@ -85,11 +86,11 @@
         })
     }
 
-    /// Sends `body` to the entry instances in turn until one can be reached, and returns the
-    /// status and body of its answer, whatever the status says.
+    /// Posts `body` to the entry instances in order until one is reachable, and returns the status
+    /// and body of its response; of the statuses only 401 is an error.
     ///
     /// # Errors
-    /// Of the last that was asked.
+    /// The error of the last entry instance that was tried.
     pub fn post(&self, step: &'static str, path: &str, body: &str) -> Result<(u16, String)> {
         self.first(|url| self.call(step, url, path, Some(body)))
     }
--- a/pomelohitch/src/exit.rs
+++ b/pomelohitch/src/exit.rs
@@ -4,26 +4,26 @@
 
 use serde::Serialize;
 
-/// How a command ended.
+/// The exit code of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Exit {
     /// 0: done.
     Done,
-    /// 1: refused, and certainly nothing changed: faults in files, a lost race, a rule.
+    /// 1: refused and nothing changed: faults in files, a conflicting change, or a rule.
     Refused,
     /// 2: the command line is wrong; `clap` uses the same code.
     Usage,
     /// 3: a change may or may not come into force.
     NotKnown,
-    /// 4: the log or the entry instance couldn't be reached, and certainly nothing changed.
+    /// 4: the log or the entry instance is unreachable, and nothing changed.
     Unreachable,
-    /// 5: `report burn --fail-on-burn` found a service that burns its budget too fast.
+    /// 5: `report burn --fail-on-burn` found a service that burns its error budget too fast.
     Burning,
 }
 
 impl Exit {
-    /// The code of the process.
+    /// The exit code of the process.
     #[must_use]
     pub fn code(self) -> u8 {
         match self {
--- a/pomelohitch/src/generate.rs
+++ b/pomelohitch/src/generate.rs
@@ -1,4 +1,4 @@
-//! Completions for shells, and man pages.
+//! Shell completions and man pages.
 
 use std::path::{Path, PathBuf};
 
@@ -8,7 +8,7 @@
 
 use crate::cli::Cli;
 
-/// A man page couldn't be written.
+/// The man pages can't be written.
 #[derive(Debug, Snafu)]
 #[snafu(display("write man pages to {}: {source}; check that the directory exists", dir.display()))]
 pub struct Error {
@@ -19,7 +19,7 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// The completions for `shell`.
+/// Returns the completion script for `shell`.
 ///
 /// # Panics
 /// Never: the generators write UTF-8.
--- a/pomelohitch/src/history.rs
+++ b/pomelohitch/src/history.rs
@@ -1,4 +1,4 @@
-//! Looks through the records that the log still keeps.
+//! Searches the records that the log still keeps.
 
 use pomelohitch_core::id::Offset;
 use pomelohitch_core::record::FLEET_STREAM;
@@ -6,10 +6,11 @@
 use pomelohitch_platform::Log;
 use pomelohitch_platform::log::Read;
 
-/// Where the file at `path` was last removed; `None` if the records don't tell any more.
+/// Returns the offset of the record that last removed the file at `path`; `None` if the log no
+/// longer keeps it, or can't be read.
 ///
-/// The state only knows that a file isn't there, so the records are folded again: one that asked
-/// for the removal and was rejected must not be named.
+/// The state does not keep the offset of a removal, so the records are folded again; searching
+/// their bodies would also find rejected removals.
 #[must_use]
 pub fn removed_at(log: &Log, path: &str) -> Option<Offset> {
     let mut state = State::default();
--- a/pomelohitch/src/job.rs
+++ b/pomelohitch/src/job.rs
@@ -1,6 +1,6 @@
-//! `pomelohitch job`: hand in, read and cancel batch jobs.
+//! `pomelohitch job`: submits, lists, shows and cancels batch jobs.
 //!
-//! Talks to the callers' port of any entry instance with a team's key.
+//! The requests go to the callers' port of an entry instance and carry a team's key.
 
 use std::io::Write;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::exit::Exit;
 use crate::output::Format;
 
-/// How often a submit or cancel without a clear answer is tried again with the same key.
+/// Maximum number of attempts of a submit or cancel whose outcome is unknown.
 const TRIES: u32 = 3;
-/// How long one call may take.
+/// Timeout of one call.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Batch jobs.
+/// Options and command of `pomelohitch job`.
 #[derive(Debug, Clone, Args)]
 pub struct JobArgs {
     /// Callers' port of an entry instance, <http://IP:PORT>
@@ -32,112 +32,112 @@
         default_value = ""
     )]
     pub key: Box<str>,
-    /// What to do
+    /// The command to run
     #[command(subcommand)]
     pub command: JobCommand,
 }
 
-/// What to do with jobs.
+/// Commands for jobs.
 #[derive(Debug, Clone, Subcommand)]
 pub enum JobCommand {
-    /// Hand in a job; returns once it is durable
+    /// Submit a job; returns once it is durable
     Submit(Submit),
-    /// List the team's jobs, the newest first
+    /// List the team's jobs, newest first
     List,
     /// Show one job
     Show {
-        /// Its id
+        /// Id of the job
         id: Box<str>,
     },
     /// Cancel a job
     Cancel {
-        /// Its id
+        /// Id of the job
         id: Box<str>,
     },
 }
 
-/// A job to hand in.
+/// A job to submit.
 #[derive(Debug, Clone, Args)]
 pub struct Submit {
-    /// Jobs of one class behave alike
+    /// Class of the job; jobs of one class are expected to behave alike
     #[arg(long)]
     pub class: Box<str>,
-    /// Thousandths of a processor
+    /// Processors, in thousandths
     #[arg(long)]
     pub cpu_milli: u64,
-    /// Memory in mebibytes
+    /// Memory, in mebibytes
     #[arg(long)]
     pub memory_mib: u64,
-    /// Whole accelerators
+    /// Number of accelerators
     #[arg(long, default_value_t = 0)]
     pub accelerators: u64,
-    /// How long it runs, milliseconds
+    /// Expected run time, in milliseconds
     #[arg(long)]
     pub run_ms: u64,
-    /// Start it within seconds
+    /// Start the job within seconds
     #[arg(long)]
     pub urgent: bool,
-    /// Running it twice does no harm
+    /// The job may safely run more than once
     #[arg(long)]
     pub idempotent: bool,
     /// Spread jobs of this group over availability zones and racks
     #[arg(long)]
     pub group: Option<Box<str>>,
-    /// Submits with the same key are one job; a random one if left out
+    /// Submits with the same key create one job; random if omitted
     #[arg(long)]
     pub idempotency_key: Option<Box<str>>,
-    /// What the worker is to run
+    /// Command that the worker runs
     pub command: Box<str>,
 }
 
-/// It couldn't be done.
+/// A job command failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A setting is missing.
+    /// A required flag is missing.
     #[snafu(display("{flag} is missing"))]
     Missing {
-        /// The flag to give.
+        /// Name of the flag.
         flag: &'static str,
     },
-    /// The entry instance couldn't be reached, or its answer didn't arrive.
+    /// The entry instance is unreachable, or its response did not arrive in time.
     #[snafu(display("{step} at {entry}: {source}"))]
     Transport {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The entry instance.
+        /// Address of the entry instance.
         entry: Box<str>,
-        /// What the HTTP client said.
+        /// The HTTP client's error.
         #[snafu(source(from(ureq::Error, Box::new)))]
         source: Box<ureq::Error>,
     },
-    /// The entry instance refused.
+    /// The entry instance answers with an error status.
     #[snafu(display("{step} at {entry}: {status} {title} (ran: {ran})"))]
     Refused {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The entry instance.
+        /// Address of the entry instance.
         entry: Box<str>,
         /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// Title of the problem in the response.
         title: Box<str>,
-        /// `no` or `unknown`.
+        /// Whether the request took effect: `no` or `unknown`.
         ran: Box<str>,
     },
-    /// The answer wasn't what was expected.
+    /// The JSON of a request or response can't be encoded or decoded.
     #[snafu(display("{step} at {entry}: unreadable answer: {source}"))]
     Decode {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The entry instance.
+        /// Address of the entry instance.
         entry: Box<str>,
-        /// What the decoder said.
+        /// The JSON library's error.
         source: serde_json::Error,
     },
-    /// The result couldn't be printed.
+    /// The result can't be written to the output.
     #[snafu(display("print the result: {source}"))]
     Print {
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
@@ -146,7 +146,7 @@
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Whether it certainly wasn't done.
+    /// The exit code: [`Exit::Refused`] only if the request certainly had no effect.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
@@ -208,10 +208,10 @@
     ran: Option<Box<str>>,
 }
 
-/// Does what `args` say and prints the result to `out` in `format`.
+/// Runs the command in `args` and prints the result to `out` in `format`.
 ///
 /// # Errors
-/// If it couldn't be done; [`Error::exit`] tells whether that is certain.
+/// If the command failed; [`Error::exit`] tells a refusal from an unknown outcome.
 pub fn run(args: &JobArgs, format: Format, out: &mut impl Write) -> Result<()> {
     let entry = Entry::new(args)?;
     let body = match &args.command {
@@ -258,7 +258,7 @@
     Ok(())
 }
 
-/// An entry instance, asked with a team's key.
+/// Client of one entry instance, with a team's key.
 struct Entry {
     agent: ureq::Agent,
     url: Box<str>,
@@ -304,8 +304,8 @@
         self.insist(step, "POST", "/v1/jobs", Some(key), &body)
     }
 
-    /// Asks again when the answer is lost or unclear. A submit keeps its key, and a cancel of a
-    /// cancelled job does nothing, so that neither happens twice.
+    /// Calls, and retries if the outcome is unknown. Retries are safe: a submit keeps its
+    /// idempotency key, and cancelling a cancelled job has no effect.
     fn insist(
         &self,
         step: &'static str,
--- a/pomelohitch/src/keys.rs
+++ b/pomelohitch/src/keys.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch keys`: new keys, and keys withdrawn at once.
+//! `pomelohitch keys`: creates and withdraws keys.
 
 use std::sync::Arc;
 
@@ -13,28 +13,28 @@
 use crate::output::Output;
 use crate::propose::{self, explain, propose};
 
-/// What every key begins with, so that scanners for leaked secrets recognise it.
+/// Prefix of every key, by which scanners for leaked secrets recognise it.
 const PREFIX: &str = "pmh_";
 
 /// A key and its hash.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct NewKey {
-    /// The key; it is shown once and stored nowhere.
+    /// The key; it is shown once and not stored.
     pub key: Box<str>,
-    /// Its hash, for a fleet file or the daemon's settings.
+    /// Hash of the key, for a fleet file or the daemon's settings.
     pub hash: KeyHash,
 }
 
 /// Length of a key hash in hexadecimal digits.
 const HASH_DIGITS: usize = 64;
 
-/// Whether `text` can be the hash of a key.
+/// Returns whether `text` has the format of a key hash.
 #[must_use]
 pub fn is_hash(text: &str) -> bool {
     text.len() == HASH_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-/// Makes a key of 244 random bits.
+/// Creates a key with 244 random bits (two version 4 UUIDs of 122).
 #[must_use]
 pub fn new() -> NewKey {
     let (a, b) = (uuid::Uuid::new_v4(), uuid::Uuid::new_v4());
@@ -46,7 +46,7 @@
     }
 }
 
-/// Shows a new key.
+/// Renders a new key.
 #[must_use]
 pub fn show_new(new: &NewKey) -> Output {
     let NewKey { key, hash } = new;
@@ -58,28 +58,28 @@
     Output::new(Exit::Done, text, new)
 }
 
-/// What became of a withdrawal.
+/// The outcome of a withdrawal in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Withdrawn {
-    /// It is in the log: no entry instance accepts the key once it has read so far.
+    /// The withdrawal is in force: an entry instance refuses the key once it has read this offset.
     InForce {
-        /// Since this offset.
+        /// Offset of the record.
         offset: Offset,
     },
-    /// The log refused it, or rejects it.
+    /// The log can't be reached or refused the append, or the fold rejects the withdrawal.
     NotInForce {
         /// Why, and what to do.
         reason: Box<str>,
     },
-    /// It may or may not come into force.
+    /// The withdrawal may or may not come into force.
     NotKnown {
-        /// Why it isn't known.
+        /// Why the outcome is unknown.
         reason: Box<str>,
     },
 }
 
-/// Withdraws the key with `hash` for good, whatever the fleet files say.
+/// Withdraws the key with `hash` permanently, even if a fleet file lists it.
 #[must_use]
 pub fn withdraw(log: &Arc<Log>, hash: KeyHash, options: &propose::Options) -> Withdrawn {
     let mut follower = propose::follow(log);
@@ -102,25 +102,26 @@
     }
 }
 
-/// What an entry instance said to refusing a key at once.
+/// The answer of an entry instance to the request to refuse a key without waiting for the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "at-once", rename_all = "kebab-case")]
 pub enum AtOnce {
-    /// It refuses the key, and tells its peers.
+    /// The entry instance refuses the key and notifies its peers.
     Refused,
-    /// It couldn't be asked, or didn't understand.
+    /// No entry instance is reachable, or it answered with an error.
     Failed {
-        /// Why.
+        /// The error.
         reason: Box<str>,
     },
 }
 
-/// Has an entry instance refuse the key with `hash` at once, also with the log down.
+/// Asks an entry instance to refuse the key with `hash` immediately, which works without the log.
 #[must_use]
 pub fn refuse_at_once(entries: &Entries, hash: &str) -> AtOnce {
     let body = serde_json::json!({ "hash": hash }).to_string();
     match entries.post("withdraw key", "/v1/admin/keys/withdraw", &body) {
-        // With these it refuses the key, whatever the log said to the withdrawal.
+        // The entry instance refuses the key with each of these statuses; 503 and 504 are about
+        // the append of the withdrawal to the log.
         Ok((200 | 503 | 504, _)) => AtOnce::Refused,
         Ok((status, body)) => AtOnce::Failed {
             reason: format!("status {status}: {body}").into(),
@@ -139,7 +140,7 @@
     at_once: Option<&'a AtOnce>,
 }
 
-/// Shows what became of a withdrawal, and of refusing the key at once if that was asked for.
+/// Renders the outcome of a withdrawal, and the answer of an entry instance if one was asked.
 #[must_use]
 pub fn show_withdrawn(withdrawn: &Withdrawn, at_once: Option<&AtOnce>) -> Output {
     let mut output = show_lasting(withdrawn);
--- a/pomelohitch/src/lib.rs
+++ b/pomelohitch/src/lib.rs
@@ -1,21 +1,22 @@
 //! The operators' command line.
 //!
-//! Each command is a function from its options to an [`Output`]: what is shown, as text and as
-//! JSON, and the exit code.
+//! Each command is a function from its options to an [`Output`]: the result as text and as JSON,
+//! and the exit code.
 //!
-//! * [`cli`]: commands and flags.
+//! * [`cli`]: definitions of commands and flags.
 //! * [`exit`]: the exit codes.
-//! * [`output`]: what a command shows.
-//! * [`run`]: from the command line to a command and its output.
-//! * [`clock`] and [`progress`]: time, and telling a person on a terminal what is waited for.
-//! * [`propose`]: appends a record and finds out what became of it.
-//! * [`check`], [`diff`], [`publish`]: fleet files.
-//! * [`history`]: looks through the records that the log still keeps.
-//! * [`keys`]: new keys, and keys withdrawn at once.
-//! * [`entry`]: asks an entry instance's administration API.
-//! * [`status`], [`maintain`], [`report`]: the fleet.
-//! * [`job`]: hand in, read and cancel batch jobs.
-//! * [`generate`]: completions and man pages.
+//! * [`output`]: the result of a command, rendered as text or JSON.
+//! * [`run`]: dispatches a parsed command line and writes the output.
+//! * [`clock`]: the clock that commands use; tests replace it.
+//! * [`progress`]: a spinner on terminals while a command waits.
+//! * [`propose`]: appends a record and reads the verdict on it.
+//! * [`check`], [`diff`], [`publish`]: check, compare and publish fleet files.
+//! * [`history`]: searches the records that the log still keeps.
+//! * [`keys`]: creates and withdraws keys.
+//! * [`entry`]: client of the administration API of entry instances.
+//! * [`status`], [`maintain`], [`report`]: status, maintenance and reports of the fleet.
+//! * [`job`]: submits, lists, shows and cancels batch jobs.
+//! * [`generate`]: shell completions and man pages.
 
 pub mod check;
 pub mod cli;
--- a/pomelohitch/src/maintain.rs
+++ b/pomelohitch/src/maintain.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch maintain`: waves, pauses.
+//! `pomelohitch maintain`: starts maintenance waves, pauses and resumes maintenance.
 
 use std::sync::Arc;
 
@@ -13,54 +13,54 @@
 use crate::output::Output;
 use crate::propose::{self, explain, propose};
 
-/// What to order.
+/// Maintenance commands.
 #[derive(Debug, Clone, Subcommand)]
 pub enum MaintainCommand {
-    /// Maintain every instance that is now in POOL once, as fast as the budgets allow
+    /// Start a wave: maintain each instance now in POOL once, as fast as availability budgets allow
     Wave {
         /// The pool
         pool: PoolId,
-        /// Availability zones at once; 0 for any number
+        /// Number of availability zones maintained at a time; 0 for no limit
         #[arg(long, default_value_t = 2)]
         zones: u32,
-        /// Racks at once; 0 for any number
+        /// Number of racks maintained at a time; 0 for no limit
         #[arg(long, default_value_t = 0)]
         racks: u32,
     },
-    /// Start no further drain for maintenance, and no further move away, in POOL or everywhere
+    /// Start no further maintenance drains and no further moves out of POOL, or of any pool
     Pause {
-        /// The pool; all pools if left out
+        /// The pool; all pools if omitted
         pool: Option<PoolId>,
     },
-    /// Take a pause back: that of POOL, or that of all pools
+    /// End a pause: that of POOL, or the one of all pools
     Resume {
-        /// The pool; the pause of all pools if left out
+        /// The pool; ends the pause of all pools if omitted
         pool: Option<PoolId>,
     },
 }
 
-/// What became of an order.
+/// The outcome of a maintenance order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Outcome {
-    /// It is in force.
+    /// The order is in force.
     InForce {
-        /// Since this offset.
+        /// Offset of its record.
         offset: Offset,
     },
-    /// The state in force doesn't allow it.
+    /// The fold rejects the order.
     NotInForce {
         /// Why, and what to do.
         reason: Box<str>,
     },
-    /// The log can't be reached, and nothing was appended.
+    /// The log is unreachable, and nothing was appended.
     Unreachable {
-        /// What it said.
+        /// The error of the log.
         reason: Box<str>,
     },
-    /// It may or may not come into force.
+    /// The order may or may not come into force.
     NotKnown {
-        /// Why it isn't known.
+        /// Why the outcome is unknown.
         reason: Box<str>,
     },
 }
@@ -80,7 +80,7 @@
     }
 }
 
-/// Proposes the order and finds out what became of it.
+/// Proposes the order and reads the verdict on it.
 #[must_use]
 pub fn maintain(log: &Arc<Log>, command: &MaintainCommand, options: &propose::Options) -> Outcome {
     let mut follower = propose::follow(log);
@@ -103,7 +103,7 @@
     }
 }
 
-/// Shows what became of an order.
+/// Renders the outcome of an order.
 #[must_use]
 pub fn show(outcome: &Outcome) -> Output {
     let (exit, text) = match outcome {
--- a/pomelohitch/src/output.rs
+++ b/pomelohitch/src/output.rs
@@ -1,4 +1,4 @@
-//! What a command shows.
+//! The result of a command, rendered as text or JSON.
 
 use std::fmt::Write as _;
 
@@ -8,56 +8,58 @@
 
 use crate::exit::Exit;
 
-/// How results are written.
+/// Output format.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, ValueEnum)]
 pub enum Format {
-    /// For people.
+    /// Text and tables.
     #[default]
     Table,
     /// One JSON document.
     Json,
 }
 
-/// What a command shows, in both formats, and how it ended.
+/// The result of a command in both formats, and its exit code.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Output {
-    /// For people.
+    /// The result as text; it ends with a newline.
     pub text: String,
-    /// For programs.
+    /// The result as JSON.
     pub json: Value,
-    /// How the command ended.
+    /// The exit code.
     pub exit: Exit,
 }
 
 impl Output {
-    /// An output with `json` from `value`.
+    /// Creates an output whose `json` is the serialization of `value`.
     ///
     /// # Panics
-    /// Never: results have string keys and no failing types.
+    /// If `value` does not serialize to JSON; results have string keys and no type whose
+    /// serialization fails.
     #[must_use]
     pub fn new(exit: Exit, text: String, value: &impl Serialize) -> Output {
-        let json = serde_json::to_value(value).expect("results have string keys");
+        let json = serde_json::to_value(value)
+            .expect("results have string keys and no type whose serialization fails");
         Output { text, json, exit }
     }
 
-    /// The text in `format`, with a line end.
+    /// Renders the result in `format`, with a newline at the end.
     ///
     /// # Panics
-    /// Never: a JSON value can always be written.
+    /// Never: a JSON value always serializes.
     #[must_use]
     pub fn render(&self, format: Format) -> String {
         match format {
             Format::Table => self.text.clone(),
             Format::Json => {
-                let text =
-                    serde_json::to_string_pretty(&self.json).expect("a JSON value can be written");
+                let text = serde_json::to_string_pretty(&self.json)
+                    .expect("a JSON value always serializes");
                 text + "\n"
             }
         }
     }
 }
 
-/// Rows under headings, each column as wide as its widest cell.
+/// Renders `rows` below `headings`, each column as wide as its widest cell.
 #[must_use]
 pub fn table(headings: &[&str], rows: &[Vec<String>]) -> String {
     let mut widths: Vec<_> = headings.iter().map(|h| h.chars().count()).collect();
--- a/pomelohitch/src/progress.rs
+++ b/pomelohitch/src/progress.rs
@@ -1,24 +1,24 @@
-//! Tells a person on a terminal what a command waits for.
+//! A spinner that shows what a command waits for.
 //!
-//! Only on standard error, and only when it is a terminal: what goes to files and other programs
-//! stays the same in every run.
+//! It is drawn on standard error, and only if that is a terminal, so that output to files and other
+//! programs is the same in every run.
 
 use std::io::IsTerminal as _;
 use std::time::Duration;
 
 use indicatif::ProgressBar;
 
-/// How often the sign of life moves.
+/// Time between two frames of the spinner.
 const TICK: Duration = Duration::from_millis(100);
 
-/// A sign of life with a line of text; it vanishes when dropped.
+/// A spinner with a line of text; it is cleared on drop.
 #[derive(Debug)]
 pub struct Progress {
     bar: ProgressBar,
 }
 
 impl Progress {
-    /// Begins to show `text`, if standard error is a terminal.
+    /// Starts the spinner with the message `text`, if standard error is a terminal.
     #[must_use]
     pub fn start(text: &str) -> Progress {
         let bar = if std::io::stderr().is_terminal() {
@@ -32,7 +32,7 @@
         Progress { bar }
     }
 
-    /// Shows another text.
+    /// Replaces the message.
     pub fn tell(&self, text: &str) {
         self.bar.set_message(text.to_owned());
     }
--- a/pomelohitch/src/propose.rs
+++ b/pomelohitch/src/propose.rs
@@ -1,8 +1,8 @@
-//! Appends a record and finds out what became of it.
+//! Appends a record to the fleet stream and reads the verdict on it.
 //!
-//! The log's answer to an append can be lost after the append took effect. Then the same record
-//! is appended again with the same id, which the fold counts once, and the log is read until the
-//! record's verdict is seen. What a command says afterwards was read, never guessed.
+//! The response to an append can be lost after the append took effect. The record is then appended
+//! again with the same id, which the fold applies once, and the log is read until the verdict is
+//! found. The reported outcome is thus always a verdict that was read from the log.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -15,16 +15,16 @@
 
 use crate::clock::Clock;
 
-/// How a proposal is made.
+/// Options of a proposal.
 #[derive(Debug)]
 pub struct Options {
-    /// How long to try to reach a verdict.
+    /// How long to try to obtain a verdict.
     pub limit: Duration,
-    /// How long to wait between two tries.
+    /// Delay between two attempts.
     pub again_after: Duration,
-    /// Who proposes.
+    /// Name of the operator that is recorded with the proposal.
     pub by: Box<str>,
-    /// Time.
+    /// The clock that measures the limit and the delays.
     pub clock: Clock,
 }
 
@@ -39,49 +39,49 @@
     }
 }
 
-/// What became of a proposal.
+/// The outcome of a proposal.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It came into force.
+    /// The record is in force.
     InForce {
-        /// Where it stands.
+        /// Offset of the record.
         offset: Offset,
     },
-    /// It stands in the log and every reader rejects it alike.
+    /// The record is in the log and the fold rejects it, which every reader does alike.
     Rejected {
-        /// Where it stands.
+        /// Offset of the record.
         offset: Offset,
-        /// Why.
+        /// Why the fold rejects it.
         rejection: Rejection,
     },
-    /// The log refused each append: it certainly doesn't come into force.
+    /// The log refused every append, so the record can't come into force later.
     NotAppended {
-        /// What the log said last.
+        /// The last error of the log.
         error: Error,
     },
-    /// An append may have taken effect, and its verdict couldn't be read within the limit.
+    /// An append may have taken effect, and no verdict was read within the limit.
     NotKnown {
-        /// The record's id.
+        /// Id of the record.
         id: RecordId,
-        /// What the log said last, if it said anything.
+        /// The last error of the log, if the last attempt failed.
         error: Option<Error>,
     },
 }
 
-/// A reader of the whole fleet stream.
+/// Returns a follower of the fleet stream, from its start.
 #[must_use]
 pub fn follow(log: &Arc<Log>) -> Follower {
     Follower::new(log.clone(), State::default())
 }
 
-/// Reads to the log's head, trying again until the limit.
+/// Reads to the head of the log, and retries errors until the limit.
 ///
 /// # Errors
-/// What the log said last.
+/// The last error of the log.
 pub fn catch_up(follower: &mut Follower, options: &Options) -> Result<(), Error> {
     let deadline = deadline(options);
     if follower.state().next == 0 {
-        // Only quicker than reading every record that is kept; without one the records are read.
+        // A snapshot only saves reading every record; without one the records are read.
         let _ = follower.load_snapshot();
     }
     loop {
@@ -94,10 +94,11 @@
     }
 }
 
-/// Reads until `end` is the next offset, or the log's head if that comes first.
+/// Reads until `end` is the next offset or the head of the log is reached, and retries errors until
+/// the limit.
 ///
 /// # Errors
-/// What the log said last.
+/// The last error of the log.
 pub fn catch_up_to(follower: &mut Follower, end: Offset, options: &Options) -> Result<(), Error> {
     let deadline = deadline(options);
     loop {
@@ -110,20 +111,21 @@
     }
 }
 
-/// What is known about the appends so far.
+/// Whether an append of the record has taken effect so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Landed {
-    /// None took effect.
+    /// No append took effect.
     No,
-    /// One may have.
+    /// An append may have taken effect.
     Maybe,
-    /// One did.
+    /// An append took effect.
     Yes,
 }
 
-/// Appends `body` as a proposal and reads until its verdict is seen or the limit has passed.
+/// Appends `body` as a proposal and reads until the verdict is found or the limit has passed.
 ///
-/// `follower` has caught up before; its state is what the operator saw.
+/// `follower` has caught up before: the record refers to its state as the one that the operator
+/// saw.
 #[must_use]
 pub fn propose(log: &Log, follower: &mut Follower, body: Body, options: &Options) -> Outcome {
     let record = Record {
@@ -161,8 +163,10 @@
     }
 }
 
-/// Looks at every batch as it is read: a later batch that fails must not hide the verdict that an
-/// earlier one brought, since the follower never reads it again.
+/// Reads to the head of the log and searches every batch for the verdict on record `id`.
+///
+/// Each batch is searched before the next is read: the follower never returns a batch again, so a
+/// failing read would otherwise lose a verdict in an earlier batch.
 fn read_verdict(follower: &mut Follower, id: RecordId) -> Result<Option<Outcome>, Error> {
     loop {
         let Progress { applied, head, .. } = follower.poll(Duration::ZERO)?;
@@ -181,8 +185,8 @@
     Some(match found.verdict.clone()? {
         Verdict::Accepted => Outcome::InForce { offset },
         Verdict::Rejected(rejection) => Outcome::Rejected { offset, rejection },
-        // Ids are new for each proposal, and the log is read in order: the first record with this
-        // id is never a repeat.
+        // Not expected: each proposal has a new id, and the log is read in order, so the first
+        // record with this id, which is never a repeat, is found before any repeat.
         Verdict::Repeat(first) => Outcome::InForce { offset: first },
     })
 }
@@ -204,7 +208,7 @@
         .unwrap_or_default()
 }
 
-/// Why the fold rejected a record, and what to do.
+/// Explains why the fold rejected a record, and what the operator can do.
 #[must_use]
 pub fn explain(rejection: &Rejection) -> String {
     match rejection {
--- a/pomelohitch/src/publish.rs
+++ b/pomelohitch/src/publish.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch publish`: puts a tree of fleet files in force, all of it or nothing.
+//! `pomelohitch publish`: puts a tree of fleet files in force, either all of them or none.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -15,34 +15,34 @@
 use crate::propose::{self, explain, propose};
 use crate::{check, diff, history};
 
-/// How to publish.
+/// Options of a publish.
 #[derive(Debug, Default)]
 pub struct Options {
-    /// The operator started from what was in force at this offset, whatever the lock says.
+    /// Offset whose versions in force replace those in the lock as the base of the changes.
     pub base: Option<Offset>,
-    /// How the proposal is made.
+    /// Options of the proposal.
     pub propose: propose::Options,
 }
 
-/// The publish couldn't begin; nothing was appended.
+/// The publish failed. Nothing was appended, unless it is the lock that can't be written.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The tree can't be read.
     #[snafu(display("{source}"))]
     Tree {
-        /// Why not.
+        /// The error of the tree.
         source: pomelohitch_config::tree::Error,
     },
-    /// The lock can't be read, or couldn't be written after the publish came into force.
+    /// The lock can't be read before the append, or can't be written after it.
     #[snafu(display("{source}"))]
     Lock {
-        /// Why not.
+        /// The error of the lock.
         source: pomelohitch_config::lock::Error,
     },
-    /// What is in force can't be read.
+    /// The files in force can't be read from the log.
     #[snafu(display("{source}; nothing was published: try again when the log is back"))]
     Log {
-        /// What the log said.
+        /// The error of the log.
         source: pomelohitch_platform::Error,
     },
 }
@@ -50,38 +50,38 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What became of a publish.
+/// The outcome of a publish.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The tree is already what is in force.
+    /// The tree equals the files in force; nothing was appended.
     NoDifferences,
     /// The files have faults; nothing was appended.
     Faults {
-        /// All of them.
+        /// All faults.
         faults: Vec<Fault>,
     },
     /// All changes are in force.
     InForce {
-        /// Since this offset.
+        /// Offset of the record.
         offset: Offset,
-        /// The changes.
+        /// The changes that were published.
         changes: Vec<Change>,
     },
     /// No change is in force.
     NotInForce {
-        /// Where the rejected record stands, if it was appended.
+        /// Offset of the rejected record, if it was appended.
         offset: Option<Offset>,
-        /// The rule that rejects it, unless the log refused the append.
+        /// Why the fold rejects the record; `None` if the log refused the append.
         rejection: Option<Rejection>,
         /// Why, and what to do.
         reason: Box<str>,
     },
     /// The changes may or may not come into force.
     NotKnown {
-        /// The id of the record that may have landed.
+        /// Id of the record that may have been appended.
         record: RecordId,
-        /// Why it isn't known.
+        /// Why the outcome is unknown.
         reason: Box<str>,
     },
 }
@@ -89,7 +89,8 @@
 /// Publishes the tree at `root`.
 ///
 /// # Errors
-/// If it couldn't begin; nothing was appended then.
+/// If the tree, the lock or the log can't be read, in which case nothing was appended, or if the
+/// lock can't be written.
 pub fn publish(root: &Path, log: &Arc<Log>, options: &Options) -> Result<Outcome> {
     let (tree, mut lock) = match load(root)? {
         Ok(loaded) => loaded,
@@ -130,7 +131,7 @@
     }
 }
 
-/// The versions that were in force when `base` was the last offset.
+/// Returns a lock with the versions that were in force when `base` was the newest offset.
 fn lock_at(
     tree: &Tree,
     lock: &Lock,
@@ -155,7 +156,8 @@
     lock.store(root).context(LockSnafu)
 }
 
-/// A lost race that is already seen isn't appended: it would be rejected by every reader.
+/// Returns the refusal of a plan with a stale change. Such a plan is not appended, since the fold
+/// would reject it.
 fn stale(plan: &Plan, log: &Log) -> Option<Outcome> {
     let change = plan.changes.iter().find(|change| change.is_stale())?;
     let rejection = Rejection::BaseChanged {
@@ -169,7 +171,7 @@
     })
 }
 
-/// The state doesn't know where a file was removed; the operator is told all the same.
+/// Explains `rejection`, and adds the offset of a removal, which the state does not keep.
 fn reason(rejection: &Rejection, log: &Log) -> String {
     let told = explain(rejection);
     let Rejection::BaseChanged {
@@ -208,7 +210,7 @@
     }
 }
 
-/// Shows what became of a publish.
+/// Renders the outcome of a publish.
 #[must_use]
 pub fn show(outcome: &Outcome) -> Output {
     Output::new(exit(outcome), text(outcome), outcome)
--- a/pomelohitch/src/report.rs
+++ b/pomelohitch/src/report.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch report`: service-level burn, and what the fleet did over a span.
+//! `pomelohitch report`: service-level burn, and activity of the fleet over a time span.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -19,50 +19,50 @@
 use crate::exit::Exit;
 use crate::output::{Output, table};
 
-/// What to report.
+/// Reports.
 #[derive(Debug, Clone, Subcommand)]
 pub enum ReportCommand {
-    /// Budget left and burn of every service that has an objective, by team
+    /// Error budget left and burn rate of every service that has an objective, by team
     Burn {
-        /// Exit with 5 if a service burns its budget too fast
+        /// Exit with 5 if a service burns its error budget too fast
         #[arg(long)]
         fail_on_burn: bool,
-        /// Draw the budget left over time to this file
+        /// Write a plot of the error budget left over time to this file
         #[arg(long, value_name = "FILE")]
         svg: Option<PathBuf>,
-        /// How many hours the picture shows
+        /// Time span of the plot, in hours
         #[arg(long, default_value_t = 72)]
         hours: u64,
     },
-    /// Roll-out, moves, buffer cost and nearness to share over the last hours
+    /// Maintenance waves, moves, idle instances and job time against shares over the last hours
     Fleet {
-        /// How many hours
+        /// Time span, in hours
         #[arg(long, default_value_t = 24)]
         hours: u64,
     },
 }
 
-/// The report couldn't be made.
+/// The report failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The log can't be read.
     #[snafu(display("{source}; nothing was changed"))]
     Log {
-        /// What it said.
+        /// The error of the log.
         source: LogError,
     },
-    /// The picture can't be drawn.
+    /// The plot can't be drawn.
     #[snafu(display("{source}"))]
     Plot {
-        /// Why not.
+        /// The error of the plot.
         source: plot::Error,
     },
-    /// The picture can't be written.
+    /// The plot can't be written.
     #[snafu(display("write {}: {source}; check the path", path.display()))]
     Write {
-        /// Where.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
@@ -70,17 +70,18 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Minutes of an hour.
+/// Minutes in an hour.
 const HOUR: Minute = 60;
 
-/// Reads the counts of all entry instances that the platform still keeps.
+/// Reads the counts of all entry instances, as far as the log still keeps them.
 ///
 /// # Errors
 /// If the log can't be read.
 pub fn ledger(log: &Log) -> Result<Ledger> {
     let mut ledger = Ledger::default();
     read_all(log, BURN_STREAM, |data| {
-        // A record of a newer version is passed over; its number then shows as a gap.
+        // A record that does not decode, such as one of a newer version, is skipped; its missing
+        // sequence number shows as a gap.
         if let Ok(record) = Record::decode(data) {
             ledger.add(&record);
         }
@@ -88,10 +89,9 @@
     Ok(ledger)
 }
 
-/// Measures the fleet stream from the time `since` on.
+/// Measures the activity of the fleet from the time `since` on.
 ///
-/// What was trimmed can't be measured any more: the span then begins where the newest whole
-/// snapshot ends.
+/// If records were trimmed, the span begins at the newest complete snapshot.
 ///
 /// # Errors
 /// If the log can't be read.
@@ -139,7 +139,7 @@
     }
 }
 
-/// Starts at the oldest record that is kept: what was trimmed can't be reported any more.
+/// Calls `each` with every record of `stream`, from the oldest that the log still keeps.
 fn read_all(log: &Log, stream: &str, mut each: impl FnMut(&str)) -> Result<()> {
     let mut from = 0;
     loop {
@@ -165,17 +165,17 @@
     }
 }
 
-/// Draws the budget left over the last `hours` to `path`.
+/// Writes a plot of the error budget left over the last `hours` to `path`.
 ///
 /// # Errors
-/// If it can't be drawn or written.
+/// If the plot can't be drawn or written.
 pub fn draw(path: &Path, ledger: &Ledger, config: &Config, now: Minute, hours: u64) -> Result<()> {
     let services = config.services.values();
     let svg = plot::budget_left(ledger, services, now, hours * HOUR).context(PlotSnafu)?;
     std::fs::write(path, svg).context(WriteSnafu { path })
 }
 
-/// Shows the burn.
+/// Renders the burn report; the exit code is 5 if `fail_on_burn` and a service raises an alarm.
 #[must_use]
 pub fn show_burn(report: &Report, fail_on_burn: bool) -> Output {
     let exit = if fail_on_burn && report.is_burning() {
@@ -233,7 +233,7 @@
     row
 }
 
-/// A minute as date and time, UTC.
+/// Formats a minute as date and time in UTC.
 fn clock(minute: Minute) -> String {
     let (days, minute) = (minute / (24 * HOUR), minute % (24 * HOUR));
     let (year, day) = year_of(days);
@@ -242,7 +242,7 @@
     format!("{year}-{month:02}-{day:02} {hour:02}:{minute:02} UTC")
 }
 
-/// The year of a day since the Unix epoch, and the day in it from 0.
+/// Returns the year of a day since the Unix epoch, and the day of that year from 0.
 fn year_of(mut days: u64) -> (u64, u64) {
     let mut year = 1970;
     loop {
@@ -255,7 +255,7 @@
     }
 }
 
-/// The month of a day of a year, and the day in it, both from 1.
+/// Returns the month of day `day` (from 0) of a year and the day of that month, both from 1.
 fn month_of(year: u64, mut day: u64) -> (usize, u64) {
     let february = if is_leap(year) { 29 } else { 28 };
     let lengths = [31, february, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31];
@@ -274,7 +274,7 @@
     year.is_multiple_of(4) && (!year.is_multiple_of(100) || year.is_multiple_of(400))
 }
 
-/// Shows what the fleet did.
+/// Renders the activity of the fleet.
 #[must_use]
 pub fn show_fleet(measured: &Measured) -> Output {
     let span = measured.to_ms.saturating_sub(measured.from_ms);
--- a/pomelohitch/src/run.rs
+++ b/pomelohitch/src/run.rs
@@ -1,4 +1,4 @@
-//! From the command line to a command and its output.
+//! Dispatches a parsed command line to its command and writes the output.
 
 use std::io::{Read as _, Write as _};
 use std::path::Path;
@@ -24,7 +24,7 @@
 use crate::status::Shown;
 use crate::{check, diff, generate, job, keys, maintain, propose, publish, report, status};
 
-/// Why a command couldn't do its work.
+/// A command failed.
 #[derive(Debug, Snafu)]
 enum Error {
     #[snafu(display("no log is named; give --log-url or POMELOHITCH_LOG_URL"))]
@@ -83,7 +83,7 @@
     }
 }
 
-/// Runs the command, writes its output and tells the exit code. Errors go to standard error.
+/// Runs the command, writes its output and returns the exit code. Errors go to standard error.
 #[must_use]
 pub fn main(cli: &Cli) -> ExitCode {
     let (output, is_error) = match run(cli) {
@@ -91,7 +91,7 @@
         Err(error) => (error.output(), true),
     };
     let text = output.render(cli.common.format);
-    // A reader that went away, such as `head`, wants no more.
+    // Write errors are ignored: the reader of a pipe, such as `head`, may have exited.
     let _ = if is_error {
         std::io::stderr().write_all(text.as_bytes())
     } else {
@@ -142,7 +142,8 @@
     }
 }
 
-/// An entry instance knows more than the log: its own lag, and when it last heard its peers.
+/// Asks an entry instance if one is given, else reads the log, which lacks the lag of the entry
+/// instance and the time since it heard from its peers.
 fn show_status(common: &Common) -> Result<Output> {
     if common.admin_url.is_empty() {
         let fleet = Status::of(&state(common)?);
@@ -208,7 +209,8 @@
             };
             let _progress = Progress::start("withdrawing: waiting for the log's verdict");
             let log = log(common)?;
-            // Refused at once first: the log may be down or slow, and the key may have leaked.
+            // The entry instance goes first: the key may have leaked, and the log may be slow or
+            // unreachable.
             let is_asked = !common.admin_url.is_empty();
             let at_once = is_asked.then(|| keys::refuse_at_once(&entries(common), &hash));
             let withdrawn = keys::withdraw(&log, hash, &proposing(common));
--- a/pomelohitch/src/status.rs
+++ b/pomelohitch/src/status.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch status`: who is there, what goes on, what waits and why.
+//! `pomelohitch status`: members, pools, waves, teams, and what waits for which reason.
 
 use std::fmt::Write as _;
 
@@ -8,16 +8,16 @@
 use crate::exit::Exit;
 use crate::output::{Output, table};
 
-/// What is shown.
+/// The data of a status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Shown {
-    /// The entry instance that was asked; `None` if the log itself was read.
+    /// Status of the entry instance that was asked; `None` if the log was read instead.
     pub entry: Option<EntryStatus>,
-    /// The fleet.
+    /// Status of the fleet.
     pub fleet: Status,
 }
 
-/// Shows a status.
+/// Renders a status.
 #[must_use]
 pub fn show(shown: &Shown) -> Output {
     let fleet = &shown.fleet;
--- a/pomelohitch/tests/cli.rs
+++ b/pomelohitch/tests/cli.rs
@@ -1,4 +1,4 @@
-//! Tests of the command line: against a log in memory, and of the binary itself.
+//! Tests of the commands against a log in memory, and of the binary.
 
 mod cli {
     mod binary;
--- a/pomelohitch/tests/cli/binary.rs
+++ b/pomelohitch/tests/cli/binary.rs
@@ -28,8 +28,8 @@
     assert!(told.contains("--log-url"), "{told}");
 }
 
-/// The log's address is wrong, or the log is down. The operator is told that nothing changed, by
-/// words and by the exit code.
+/// The log's address is wrong, or the log is down: the message and the exit code say that nothing
+/// changed.
 #[test]
 fn an_unreachable_log_exits_with_4() {
     let root = tempfile::tempdir().expect("a temporary directory");
@@ -60,8 +60,8 @@
     assert!(dir.path().join("pomelohitch-publish.1").exists());
 }
 
-/// In haste somebody gives the leaked key where its hash belongs. Withdrawing that text would say
-/// "in force" and leave the key working; and the message must not repeat the key.
+/// An operator passes a leaked key as `--hash`. Withdrawing that text as a hash would succeed and
+/// leave the key working. The error message must not contain the key.
 #[test]
 fn a_key_in_place_of_its_hash_is_not_withdrawn_as_if_it_were_one() {
     let args = [
--- a/pomelohitch/tests/cli/log.rs
+++ b/pomelohitch/tests/cli/log.rs
@@ -1,4 +1,4 @@
-//! A log in memory with faults, and virtual time.
+//! A log in memory that injects faults, and a virtual clock.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -11,28 +11,29 @@
 use pomelohitch_platform::log::{Appended, Batch, Stored};
 use pomelohitch_platform::{Effect, Error, Log};
 
-/// What the next call does instead of working.
+/// Fault of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It takes effect and its answer is lost.
+    /// The append takes effect and its response is lost.
     AnswerLost,
-    /// It has no effect, and nobody can tell.
+    /// The append has no effect; the error is that of a lost response.
     Lost,
 }
 
-/// What the log keeps and which faults come.
+/// The records of the log, and the faults to inject.
 #[derive(Debug, Default)]
 pub struct Store {
     pub records: Vec<Box<str>>,
+    /// Faults of the next appends, in order.
     pub on_append: VecDeque<Fault>,
     pub appends_down: bool,
     pub reads_down: bool,
-    /// Appended by somebody else just before the next append lands.
+    /// Records of another writer that are appended just before those of the next append.
     pub race: Vec<Box<str>>,
 }
 
-/// No test panics while it holds the store.
-pub const WHOLE: &str = "the store is whole";
+/// Why locking the store cannot fail.
+pub const WHOLE: &str = "no test panics while it holds the store";
 
 pub type Shared = Arc<Mutex<Store>>;
 
@@ -93,7 +94,7 @@
     }
 }
 
-/// Options whose waits pass in no time.
+/// Options with a virtual clock, on which sleeping only advances the time.
 pub fn virtual_time() -> Options {
     let start = Instant::now();
     let passed = Rc::new(Cell::new(Duration::ZERO));
--- a/pomelohitch/tests/cli/propose.rs
+++ b/pomelohitch/tests/cli/propose.rs
@@ -10,8 +10,8 @@
     })
 }
 
-/// The log stores the record, and the answer gets lost on its way back. An operator who is told
-/// "failed" would do it again, or worse, believe that nothing changed.
+/// The log stores the record and the response is lost. Reporting a failure would be wrong: the
+/// change is in force.
 #[test]
 fn an_answer_lost_after_taking_effect_is_found_out_by_reading() {
     let (store, log) = shared();
@@ -25,8 +25,8 @@
     assert_eq!(store.lock().expect(WHOLE).records.len(), 1);
 }
 
-/// The append itself got lost, and nobody can tell that from a lost answer. The record is sent
-/// again under the same id until it is seen.
+/// A lost request can't be told from a lost response, so the record is appended again with the same
+/// id until it is read.
 #[test]
 fn an_append_that_got_lost_is_sent_again_with_the_same_id() {
     let (store, log) = shared();
@@ -39,8 +39,7 @@
     );
 }
 
-/// The log is down for longer than the operator waits. Every append was refused, so nothing can
-/// come into force later, and the operator may go to bed.
+/// The log refuses every append until the limit, so the change can't come into force later.
 #[test]
 fn a_log_that_refuses_for_longer_than_the_limit_leaves_nothing_behind() {
     let (store, log) = shared();
@@ -56,8 +55,8 @@
     assert!(follower.state().withdrawn.is_empty());
 }
 
-/// One append may have landed, and then the log goes down for long. Neither "in force" nor "not
-/// in force" would be true.
+/// An append may have taken effect, and then the log is down until the limit. Neither "in force"
+/// nor "not in force" would be certain.
 #[test]
 fn an_unknown_append_followed_by_an_outage_is_not_known() {
     let (store, log) = shared();
--- a/pomelohitch/tests/cli/publish.rs
+++ b/pomelohitch/tests/cli/publish.rs
@@ -57,8 +57,8 @@
     assert_eq!(offset(&publish_now(root.path(), &log)), 1);
 }
 
-/// Somebody edits two files, and one has a fault. A publish that put the good one in force would
-/// leave the fleet in a state that nobody wrote.
+/// One of two edited files has a fault. Publishing only the other would put a combination in force
+/// that no operator wrote.
 #[test]
 fn a_fault_in_one_file_publishes_nothing() {
     let root = tempfile::tempdir().expect("a temporary directory");
@@ -74,8 +74,8 @@
     assert!(store.lock().expect(WHOLE).records.is_empty());
 }
 
-/// Two operators start from the same version and both publish. The second would undo the first
-/// one's change; it is refused and told where that change stands.
+/// Two operators publish from the same base version. The second publish would undo the first one's
+/// change, so it is refused, with the offset of that change.
 #[test]
 fn the_loser_of_a_race_is_told_which_offset_beat_it() {
     let (ann, ben) = (tempfile::tempdir(), tempfile::tempdir());
@@ -97,8 +97,8 @@
     assert_eq!(store.lock().expect(WHOLE).records.len(), 2);
 }
 
-/// The other operator's record lands between the comparison and the append: nothing was stale
-/// when it was looked at. Only the fold, at the record's own offset, can refuse it.
+/// Another operator's record is appended between the comparison and the append. Nothing was stale
+/// at the comparison, so only the fold can reject the record, at its own offset.
 #[test]
 fn a_race_that_is_lost_inside_the_log_is_not_in_force() {
     let root = tempfile::tempdir().expect("a temporary directory");
@@ -138,8 +138,8 @@
     assert_eq!(lock.files.values().copied().collect::<Vec<_>>(), [0]);
 }
 
-/// The outage outlasts the publish, which says "not known". When the log is back, the operator
-/// does what it was told, and the tool finds the record that had landed.
+/// An append takes effect and the log is down until the limit, so the outcome is "not known".
+/// Publishing again when the log is back finds the record.
 #[test]
 fn publishing_again_after_not_known_finds_the_record_that_had_landed() {
     let root = tempfile::tempdir().expect("a temporary directory");
@@ -191,8 +191,8 @@
     assert!(store.lock().expect(WHOLE).records.is_empty());
 }
 
-/// A checkout without a lock, or an older one, must not overwrite what somebody changed since;
-/// `--base` states what the operator started from, and `diff --rebase` takes it over.
+/// A checkout without a lock, or with an outdated one, must not overwrite newer changes, unless
+/// `--base` gives the offset from which the operator started.
 #[test]
 fn a_base_given_by_offset_stands_in_for_the_lock() {
     let root = tempfile::tempdir().expect("a temporary directory");
@@ -283,7 +283,7 @@
     assert_eq!(beside.faults, []);
 }
 
-/// Ann removes a service's file while Ben edits it. Ben is refused, and told where to look.
+/// Ann removes a file while Ben edits it. Ben's publish is refused, with the offset of the removal.
 #[test]
 fn the_loser_to_a_removal_is_told_which_offset_removed_the_file() {
     let (ann, ben) = (tempfile::tempdir(), tempfile::tempdir());
--- a/pomelohitch/tests/cli/views.rs
+++ b/pomelohitch/tests/cli/views.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of the fleet.
+//! Tests of the output of `status`, `maintain`, `keys` and `report`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
     (log.append)(FLEET_STREAM, &[record.encode()]).expect("the log works");
 }
 
-/// One entry instance that plans, two runners, and the files above.
+/// A fleet with the file above, one entry instance, which is the planner, and two runners.
 fn fleet() -> Arc<Log> {
     let (_, log) = shared();
     let file = parse("f", FILE).expect("the file is right").file;
@@ -83,8 +83,8 @@
     follower.state().clone()
 }
 
-/// A wave was started and nothing happens. Whoever looks has to see that no instance can be
-/// spared, and not guess whether the system is stuck.
+/// A wave that can't drain any instance must show why, as operators can't tell it from a stuck
+/// system otherwise.
 #[test]
 fn status_tells_what_waits_and_why() {
     let log = fleet();
@@ -188,8 +188,8 @@
     }
 }
 
-/// Everything fails for ten minutes at night, and one record of the counts is missing. The
-/// pipeline that asks has to fail, and whoever reads the report has to see the gap.
+/// All answers of ten minutes are bad, and one record is missing. `--fail-on-burn` must set the
+/// exit code, and the report must show the gap.
 #[test]
 fn a_burn_fails_the_report_that_was_asked_to_and_shows_its_gap() {
     let mut ledger = Ledger::default();
@@ -213,7 +213,7 @@
     "##);
 }
 
-/// The counts are read from the log's own stream, past records that this version can't read.
+/// Counts are read from their stream of the log; records that do not decode are skipped.
 #[test]
 fn counts_are_read_from_their_stream() {
     let (store, log) = shared();
--- a/pomelohitch/tests/job.rs
+++ b/pomelohitch/tests/job.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch job` against a stand-in of an entry instance.
+//! `pomelohitch job` against a stand-in for an entry instance.
 
 use std::sync::{Arc, Mutex};
 
@@ -15,7 +15,8 @@
     args: JobArgs,
 }
 
-/// An entry instance that answers by `answer` and notes the keys of submits.
+/// Starts an entry instance that answers with `answer`, and records the idempotency key of each
+/// request (`-` without one). `answer` gets the number of requests so far, from 1.
 fn entry(
     answer: impl Fn(&Request, usize) -> Answer + Send + Sync + 'static,
 ) -> (Server, Arc<Mutex<Vec<String>>>) {
@@ -64,8 +65,8 @@
     "pay",
 ];
 
-/// The answer to a submit is lost. The command asks again with the same key, so that there is one
-/// job and the caller learns its id.
+/// The response to a submit is lost. The command retries with the same idempotency key, so that
+/// only one job is created and the caller gets its id.
 #[test]
 fn a_submit_whose_answer_is_lost_is_repeated_with_the_same_key() {
     let (server, keys) = entry(|_, count| {
@@ -83,7 +84,8 @@
     assert_eq!(keys[0], keys[1]);
 }
 
-/// A script has to tell "certainly not done" from "maybe done", or it doubles or loses work.
+/// A script that takes an unknown outcome for a refusal submits the job twice; one that takes a
+/// refusal for an unknown outcome may not submit it at all.
 #[test]
 fn exit_codes_tell_refused_from_unknown() {
     let refuse = |ran: &'static str, status| {
