--- a/crates/pomelohitch-burn/src/counts.rs
+++ b/crates/pomelohitch-burn/src/counts.rs
@@ -1,4 +1,4 @@
-//! Counting answers on an entry instance.
+//! Counts answers on an entry instance.
 
 use std::collections::BTreeMap;
 
@@ -8,15 +8,15 @@
 use crate::Minute;
 use crate::record::Row;
 
-/// How many minutes are kept when none can be appended, such as in an outage of the log.
+/// Minutes of counts that are kept while they can't be appended, such as in an outage of the log.
 pub const MINUTES_KEPT: usize = 24 * 60;
 
-/// Good and bad answers.
+/// Numbers of good and bad answers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// Answered well and in time.
+    /// Answers that were successful and within the objective's time.
     pub good: u64,
-    /// Late, lost or refused.
+    /// Answers that were late, lost or refused.
     pub bad: u64,
 }
 
@@ -27,7 +27,7 @@
         self.bad += other.bad;
     }
 
-    /// How many answers there were.
+    /// Number of all answers.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.good + self.bad
@@ -36,17 +36,18 @@
 
 type Tallies = BTreeMap<ServiceId, BTreeMap<TeamId, Tally>>;
 
-/// The counts of the minutes that weren't taken yet.
+/// The counts by minute that [`Counts::take`] has not returned yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counts {
     minutes: BTreeMap<Minute, Tallies>,
 }
 
 impl Counts {
-    /// Counts one answer to `team` from `service`. Both are ids in force, which bounds the size.
+    /// Counts one answer of `service` to `team`. Both must be configured ids, which bounds the size
+    /// of the counts.
     pub fn record(&mut self, service: &str, team: &str, good: bool, minute: Minute) {
         let tallies = self.minutes.entry(minute).or_default();
-        // A look-up by reference first: all but the first answer of a minute allocate nothing.
+        // Checks by reference, so that only the first answer in a minute allocates the ids.
         if !tallies.contains_key(service) {
             tallies.insert(service.into(), BTreeMap::new());
         }
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Takes the rows of `minute`, which is over; none if nothing was answered in it.
+    /// Removes and returns the rows of `minute`, which must have passed; empty if there were no
+    /// answers.
     pub fn take(&mut self, minute: Minute) -> Vec<Row> {
         let tallies = self.minutes.remove(&minute).unwrap_or_default();
         let rows = tallies.into_iter().flat_map(|(service, teams)| {
--- a/crates/pomelohitch-burn/src/ledger.rs
+++ b/crates/pomelohitch-burn/src/ledger.rs
@@ -1,4 +1,4 @@
-//! All records together, and the gaps between them.
+//! The counts of all records, and the gaps in them.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,20 @@
 use crate::counts::Tally;
 use crate::record::Record;
 
-/// A run whose newest record is this old and isn't its last has ended without one, in minutes.
+/// Age in minutes beyond which a run's newest record means that the run ended abruptly, unless the
+/// record is marked as its last.
 const LATEST_AFTER: Minute = 3;
 
-/// Answers that were given and aren't counted, or may be.
+/// A time for which counts may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Gap {
     /// The first minute.
     pub from: Minute,
     /// The last minute.
     pub to: Minute,
-    /// The entry instance; `None` if no entry instance counted anything.
+    /// The entry instance; `None` for all of them.
     pub member: Option<MemberId>,
-    /// What is missing.
+    /// Why the counts are missing.
     pub cause: Cause,
 }
 
@@ -29,15 +30,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// A record of a run is missing between two others.
+    /// A sequence number is missing between two records of a run.
     RecordMissing,
-    /// The run ended without a graceful shutdown: its last minute wasn't appended.
+    /// The run ended without a graceful shutdown, so its last minute was not appended.
     EndedAbruptly,
-    /// No entry instance appended anything.
+    /// No entry instance appended a record.
     Silence,
 }
 
-/// One answer of who was asked by whom.
+/// A service and a team that it answered.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Pair {
     /// The service.
@@ -60,7 +61,7 @@
 }
 
 impl Ledger {
-    /// Adds a record; one that was added before changes nothing.
+    /// Adds a record; a record that was added before has no effect.
     pub fn add(&mut self, record: &Record) {
         let id = (record.member.clone(), record.incarnation);
         let run = self.runs.entry(id).or_default();
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Every pair that was counted.
+    /// Returns every service and team that have counts, sorted.
     #[must_use]
     pub fn pairs(&self) -> Vec<Pair> {
         let mut pairs: Vec<_> = self.minutes.values().flat_map(|m| m.keys()).collect();
@@ -87,7 +88,8 @@
         pairs.into_iter().cloned().collect()
     }
 
-    /// The answers from `service`, to `team` or to all, from the minute `from` to `to`.
+    /// Sums the answers of `service` to `team`, or to all teams, in the minutes `from` to `to`,
+    /// inclusive.
     #[must_use]
     pub fn tally(&self, service: &str, team: Option<&str>, from: Minute, to: Minute) -> Tally {
         let mut sum = Tally::default();
@@ -100,8 +102,8 @@
         sum
     }
 
-    /// The gaps from the minute `from` to `now`, sorted. What was before the first record isn't
-    /// one: nothing was counted yet, or the platform no longer keeps it.
+    /// Returns the gaps that end between the minutes `from` and `now`, sorted. The time before the
+    /// first record is not a gap: nothing was counted yet, or its records were trimmed.
     #[must_use]
     pub fn gaps(&self, from: Minute, now: Minute) -> Vec<Gap> {
         let mut gaps = self.silence(now);
@@ -113,7 +115,7 @@
         gaps
     }
 
-    /// The first minute that was counted.
+    /// Returns the first minute with a record.
     #[must_use]
     pub fn first(&self) -> Option<Minute> {
         self.minutes.first_key_value().map(|(minute, _)| *minute)
--- a/crates/pomelohitch-burn/src/plot.rs
+++ b/crates/pomelohitch-burn/src/plot.rs
@@ -1,4 +1,4 @@
-//! The budget left over time, as SVG.
+//! The error budget left over time, as SVG.
 
 use plotters::prelude::*;
 use pomelohitch_core::Service;
@@ -8,7 +8,7 @@
 use crate::report::burn;
 use crate::{MINUTE_SECONDS, Minute};
 
-/// The picture couldn't be drawn.
+/// The plot can't be drawn.
 #[derive(Debug, Snafu)]
 #[snafu(display("draw the budget left: {message}"))]
 pub struct Error {
@@ -18,20 +18,20 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Width and height in pixels.
+/// Width and height of the plot in pixels.
 const SIZE: (u32, u32) = (900, 420);
-/// How many points a line has.
+/// Number of points of a line.
 const POINTS: u64 = 300;
-/// Space for the labels of the axes, in pixels.
+/// Size of the area for the labels of an axis, in pixels.
 const LABELS: u32 = 45;
-/// Minutes of an hour.
+/// Minutes in an hour.
 const HOUR: Minute = 60;
 
-/// Draws the share of the budget that is left, over `span` minutes up to `now`: a line for each
-/// of `services` that has an objective.
+/// Draws the share of the error budget that is left, over `span` minutes up to `now`: a line for
+/// each of `services` that has an objective.
 ///
 /// # Errors
-/// If the picture can't be drawn.
+/// If the plot can't be drawn.
 pub fn budget_left<'a>(
     ledger: &Ledger,
     services: impl IntoIterator<Item = &'a Service>,
@@ -63,7 +63,8 @@
     lines.collect()
 }
 
-/// Minutes without an answer have no point, so that a gap isn't drawn as a good time.
+/// Returns the points of a line: hours relative to `now`, and the share of the budget left. A time
+/// whose window has no answers has no point, so that missing counts don't show as a full budget.
 fn points(ledger: &Ledger, service: &Service, now: Minute, span: Minute) -> Vec<(f64, f64)> {
     let Some(objective) = &service.objective else {
         return Vec::new();
--- a/crates/pomelohitch-burn/src/record.rs
+++ b/crates/pomelohitch-burn/src/record.rs
@@ -1,4 +1,4 @@
-//! One minute's counts as they stand in the stream.
+//! One minute's counts as a record of the stream.
 
 use pomelohitch_core::id::{Incarnation, MemberId, ServiceId, TeamId};
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 /// The stream of the platform's log that holds the counts.
 pub const BURN_STREAM: &str = "burn";
 
-/// A record couldn't be read from its bytes.
+/// The data of a record does not decode.
 #[derive(Debug, Snafu)]
 #[snafu(display("could not decode a record of the {BURN_STREAM} stream: {source}"))]
 pub struct DecodeError {
@@ -22,53 +22,53 @@
 
 /// The answers of one entry instance in one minute.
 ///
-/// A run of an entry instance numbers its records without gaps, so that a missing one shows, and
-/// one that was appended twice counts once.
+/// Each run of an entry instance numbers its records consecutively, so that a missing record is
+/// detected and a record that was appended twice counts once.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The entry instance.
     pub member: MemberId,
-    /// Its run.
+    /// The run of the entry instance.
     pub incarnation: Incarnation,
-    /// Counts the records of the run from 0.
+    /// Sequence number of the record in its run, from 0.
     pub seq: u64,
-    /// The minute.
+    /// The minute of the answers.
     pub minute: Minute,
-    /// Whether the run ended with this record, by a graceful shutdown.
+    /// Whether this is the last record of its run, written in a graceful shutdown.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub last: bool,
-    /// The counts; none if nothing was answered.
+    /// The counts by service and team; empty if there were no answers.
     pub rows: Vec<Row>,
 }
 
-/// The answers to one team from one service.
+/// The counts of answers of one service to one team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The service.
     pub service: ServiceId,
     /// The team.
     pub team: TeamId,
-    /// How many.
+    /// The counts.
     #[serde(flatten)]
     pub tally: Tally,
 }
 
 impl Record {
-    /// The bytes that are appended.
+    /// Encodes the record as JSON.
     ///
     /// # Panics
-    /// Never: no type of a record has a serialisation that can fail.
+    /// Never: no type of a record has a serialization that can fail.
     #[must_use]
     pub fn encode(&self) -> Box<str> {
         serde_json::to_string(self)
-            .expect("records have string keys and no failing types")
+            .expect("records have string keys and no type whose serialization fails")
             .into()
     }
 
-    /// Reads a record from what the log returned.
+    /// Decodes a record from JSON.
     ///
     /// # Errors
-    /// If `data` isn't a record that this version knows.
+    /// If `data` is not a record in the format of this version.
     pub fn decode(data: &str) -> Result<Record> {
         serde_json::from_str(data).context(DecodeSnafu)
     }
--- a/crates/pomelohitch-burn/src/report.rs
+++ b/crates/pomelohitch-burn/src/report.rs
@@ -1,9 +1,9 @@
-//! Budget left and burn over several windows, and which of them raise an alarm.
+//! Error budget left, burn rates over several windows, and alarms.
 //!
-//! Burn is the share of bad answers over the share that the objective allows: at 1 the budget
-//! just lasts for the objective's window. An alarm needs a long and a short window at once, so
-//! that it comes soon for a fast burn and goes away soon after the cause is gone (rules as in
-//! Google's Site Reliability Workbook, chapter 5).
+//! The burn rate is the share of bad answers divided by the share that the objective allows: at 1
+//! the error budget lasts exactly for the objective's window. An alarm requires a high burn rate
+//! over a long and over a short window, so that it is raised soon after a fast burn begins and ends
+//! soon after the burn does (rules as in Google's Site Reliability Workbook, chapter 5).
 
 use pomelohitch_core::Service;
 use pomelohitch_core::id::{ServiceId, TeamId};
@@ -13,24 +13,24 @@
 use crate::ledger::{Gap, Ledger};
 use crate::{MINUTE_SECONDS, Minute};
 
-/// Parts in a million.
+/// Parts per million in a whole.
 const MILLION: f64 = 1_000_000.0;
 
-/// The windows that are shown, in minutes.
+/// The windows of a report, in minutes.
 pub const WINDOWS: [Minute; 5] = [5, 30, 60, 6 * 60, 3 * 24 * 60];
 
-/// An alarm's rule.
+/// A condition that raises an alarm.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rule {
     /// The long window, in minutes.
     pub long: Minute,
     /// The short window, in minutes.
     pub short: Minute,
-    /// Both burn faster than this.
+    /// The rule holds if the burn rate exceeds this over both windows.
     pub burn: f64,
 }
 
-/// The alarm's rules.
+/// The rules, each of which raises an alarm.
 pub const RULES: [Rule; 3] = [
     Rule {
         long: 60,
@@ -49,50 +49,51 @@
     },
 ];
 
-/// The burn of all services that have an objective.
+/// The error budgets and burn rates of all services that have an objective.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// The minute up to which is counted.
+    /// The last minute of all windows.
     pub now: Minute,
-    /// The first minute that was counted; `None` if nothing was.
+    /// The first minute with a record; `None` if there are no records.
     pub counted_since: Option<Minute>,
-    /// Each service, first over all teams, then by team.
+    /// For each service a line over all teams, then one for each team.
     pub lines: Vec<Line>,
-    /// Where counts are missing, over the longest window.
+    /// Gaps in the counts within the longest objective window.
     pub gaps: Vec<Gap>,
 }
 
-/// The burn of one service, over all teams or for one.
+/// The error budget and burn rates of one service, over all teams or for one.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Line {
     /// The service.
     pub service: ServiceId,
     /// The team; `None` for all.
     pub team: Option<TeamId>,
-    /// Good answers that the service means to reach, in parts in a million.
+    /// The objective: share of good answers, in parts per million.
     pub good_ppm: u32,
-    /// The answers over the objective's window.
+    /// The answers in the objective's window.
     pub answers: Tally,
-    /// The share of the budget that is left, 1 if nothing is used, below 0 if it is overdrawn;
-    /// `None` if nothing was answered.
+    /// Share of the error budget that is left: 1 if it is unused, below 0 if it is exceeded; `None`
+    /// if there were no answers.
     pub budget_left: Option<f64>,
-    /// The burn over each window.
+    /// The burn rate over each of [`WINDOWS`].
     pub burns: Vec<Burn>,
-    /// Whether a rule of the alarm holds.
+    /// Whether an alarm rule holds.
     pub alarm: bool,
 }
 
-/// The burn over one window.
+/// The burn rate over one window.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Burn {
-    /// The window, in minutes.
+    /// Length of the window, in minutes.
     pub minutes: Minute,
-    /// The burn; `None` if nothing was answered.
+    /// The burn rate; `None` if there were no answers.
     pub burn: Option<f64>,
 }
 
 impl Report {
-    /// The burn of `services` by what `ledger` counted up to the minute `now`.
+    /// Creates the report on `services` from the counts in `ledger` up to and including the minute
+    /// `now`.
     #[must_use]
     pub fn new<'a>(
         ledger: &Ledger,
@@ -129,14 +130,14 @@
         }
     }
 
-    /// Whether any service raises an alarm.
+    /// Returns whether any line raises an alarm.
     #[must_use]
     pub fn is_burning(&self) -> bool {
         self.lines.iter().any(|line| line.alarm)
     }
 }
 
-/// What a line is worked out from.
+/// The input of one line.
 struct Counted<'a> {
     ledger: &'a Ledger,
     service: &'a ServiceId,
@@ -178,10 +179,11 @@
     }
 }
 
-/// The share of bad answers over the share that is allowed; `None` if there are no answers.
+/// Returns the share of bad answers divided by `allowed`, the share that the objective allows;
+/// `None` if there are no answers.
 #[must_use]
 pub fn burn(tally: Tally, allowed: f64) -> Option<f64> {
-    // Counts stay far below 2^52, so that no digit is lost.
+    // Counts stay far below 2^52, so the conversion is exact.
     #[expect(clippy::cast_precision_loss)]
     let share = |count: u64| count as f64 / tally.total() as f64;
     (tally.total() > 0).then(|| share(tally.bad) / allowed)
--- a/crates/pomelohitch-burn/src/span.rs
+++ b/crates/pomelohitch-burn/src/span.rs
@@ -1,7 +1,7 @@
-//! Roll-out, moves, buffer cost and nearness to share over a span of the fleet stream.
+//! Waves, moves, idle instances and job time against shares over a time span of the fleet stream.
 //!
-//! Fed with the state before and after each record, in order. Times are those that the records'
-//! writers saw; a clock that is off shifts them by as much.
+//! The collector takes each record in order, with the state before and after it. Times are those in
+//! the records, by the clocks of their writers; a wrong clock shifts them by its error.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,51 +11,51 @@
 use pomelohitch_core::{Record, State};
 use serde::Serialize;
 
-/// What operators measure, over a span.
+/// The activity of the fleet over a time span.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Measured {
-    /// The time of the first record.
+    /// Time of the first record, in milliseconds since the Unix epoch.
     pub from_ms: u128,
-    /// The time of the last record.
+    /// Latest time of a record, in milliseconds since the Unix epoch.
     pub to_ms: u128,
-    /// Waves that ended, with how long they took.
+    /// Waves that ended.
     pub rollouts: Vec<Rollout>,
-    /// Instances that arrived in another pool.
+    /// Number of instances that became active in another pool.
     pub moves: u64,
-    /// Idle instances by pool: active above what the budgets of its services need.
+    /// Idle instances by pool: active ones beyond the availability budgets of its services.
     pub buffer: BTreeMap<PoolId, Buffer>,
-    /// Job time that each team had, against its share while it had work waiting.
+    /// Job time of each team, and what its share entitled it to while it had active jobs.
     pub shares: BTreeMap<TeamId, Share>,
 }
 
-/// One wave.
+/// A wave that ended.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Rollout {
     /// The pool.
     pub pool: PoolId,
-    /// How long it took.
+    /// Time from its start to its end, in milliseconds.
     pub took_ms: u128,
-    /// How many of its instances were lost.
+    /// Number of its instances that were lost.
     pub lost: u32,
 }
 
-/// The buffer of a pool.
+/// The idle instances of a pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Buffer {
-    /// Instance hours above the largest availability budget.
+    /// Hours of active instances beyond the largest availability budget in the pool.
     pub instance_hours: f64,
 }
 
-/// What a team had.
+/// The job time of a team.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct Share {
-    /// Running jobs times hours.
+    /// Hours of active jobs.
     pub job_hours: f64,
-    /// Its part by share of all job hours, among the teams that had work.
+    /// The team's part, by share, of the job hours of all teams with active jobs.
     pub owed_hours: f64,
 }
 
-/// Collects [`Measured`].
+/// Accumulates [`Measured`] from the records of the fleet stream.
 #[derive(Debug, Clone, Default)]
 pub struct Collector {
     measured: Measured,
@@ -63,7 +63,7 @@
 }
 
 impl Collector {
-    /// Takes over `record`, which turned `before` into `after`.
+    /// Adds `record`, which changed the state from `before` to `after`.
     pub fn add(&mut self, before: &State, record: &Record, after: &State) {
         let at = record.at;
         let last = *self.last.get_or_insert_with(|| {
@@ -78,7 +78,7 @@
         self.moves(before, after);
     }
 
-    /// What was measured.
+    /// Returns the result.
     #[must_use]
     pub fn measured(self) -> Measured {
         self.measured
@@ -134,7 +134,7 @@
     }
 
     fn moves(&mut self, before: &State, after: &State) {
-        // The parts of a state are shared between readers: the same fleet moved nothing.
+        // An unchanged fleet is shared between the two states, so no instance moved.
         if std::sync::Arc::ptr_eq(&before.fleet, &after.fleet) {
             return;
         }
--- a/crates/pomelohitch-burn/tests/burn.rs
+++ b/crates/pomelohitch-burn/tests/burn.rs
@@ -1,4 +1,4 @@
-//! Tests of service-level burn: counting, records, gaps, reports and pictures.
+//! Tests of service-level burn: counting, records, gaps, reports and plots.
 
 mod burn {
     mod counts;
--- a/crates/pomelohitch-burn/tests/burn/ledger.rs
+++ b/crates/pomelohitch-burn/tests/burn/ledger.rs
@@ -25,8 +25,8 @@
         .collect()
 }
 
-/// The answer to an append gets lost, and the entry instance appends the minute again. Counted
-/// twice, one bad minute would look like two.
+/// The response to an append is lost, so the entry instance appends the record again. Adding both
+/// would count its answers twice.
 #[test]
 fn a_record_that_stands_twice_counts_once() {
     let mut ledger = Ledger::default();
@@ -37,8 +37,8 @@
     assert_eq!(tally, Tally { good: 9, bad: 1 });
 }
 
-/// An entry instance is killed. Its last minute is lost with it; a report that didn't say so
-/// would show a quiet minute in place of the worst one.
+/// An entry instance is killed before it appends its last minute. Without a gap the report would
+/// show that minute, possibly a bad one, as a minute without answers.
 #[test]
 fn a_run_that_ended_without_its_last_record_is_a_gap() {
     let mut ledger = Ledger::default();
@@ -61,8 +61,8 @@
     assert_eq!(causes(&ledger, 10), []);
 }
 
-/// The log was down for longer than counts are kept, or a record was trimmed: the numbers of a
-/// run jump.
+/// The sequence numbers of a run have a gap when the log is down for longer than counts are kept,
+/// or when a record was trimmed.
 #[test]
 fn a_missing_record_and_a_silent_time_are_gaps() {
     let mut ledger = Ledger::default();
--- a/crates/pomelohitch-burn/tests/burn/report.rs
+++ b/crates/pomelohitch-burn/tests/burn/report.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// A day at 100 answers a minute, `bad` of them bad in each of the last `minutes`.
+/// A day with 100 answers a minute, of which `bad` are bad in each of the last `minutes`.
 fn day(minutes: u64, bad: u64) -> Ledger {
     let mut ledger = Ledger::default();
     let now = 24 * 60;
@@ -78,13 +78,14 @@
     "##);
 }
 
-/// Everything fails for ten minutes. Whoever is on call wants to hear of it while it goes on.
+/// All answers of the last ten minutes are bad.
 #[test]
 fn a_fast_burn_raises_an_alarm() {
     assert!(report(&day(10, 100)).is_burning());
 }
 
-/// The same ten minutes, an hour ago: the budget is smaller, but nobody has to get up.
+/// All answers were bad for ten minutes, an hour ago: the budget is smaller, but the short windows
+/// have no bad answers, so there is no alarm.
 #[test]
 fn a_burn_that_is_over_raises_none() {
     let mut ledger = Ledger::default();
