--- a/crates/pomelohitch-burn/src/ledger.rs
+++ b/crates/pomelohitch-burn/src/ledger.rs
@@ -11,7 +11,7 @@
 
 /// Age in minutes beyond which a run's newest record means that the run ended abruptly, unless the
 /// record is marked as its last.
-const LATEST_AFTER: Minute = 3;
+const RUN_TIMEOUT_MINUTES: Minute = 3;
 
 /// A time for which counts may be missing.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -40,7 +40,7 @@
 
 /// A service and a team that it answered.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Pair {
+pub struct ServiceTeam {
     /// The service.
     pub service: ServiceId,
     /// The team.
@@ -49,7 +49,7 @@
 
 #[derive(Debug, Clone, Default)]
 struct Run {
-    minutes: BTreeMap<u64, Minute>,
+    minute_by_seq: BTreeMap<u64, Minute>,
     has_ended: bool,
 }
 
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Ledger {
     runs: BTreeMap<(MemberId, Incarnation), Run>,
-    minutes: BTreeMap<Minute, BTreeMap<Pair, Tally>>,
+    tallies: BTreeMap<Minute, BTreeMap<ServiceTeam, Tally>>,
 }
 
 impl Ledger {
@@ -65,13 +65,17 @@
     pub fn add(&mut self, record: &Record) {
         let id = (record.member.clone(), record.incarnation);
         let run = self.runs.entry(id).or_default();
-        if run.minutes.insert(record.seq, record.minute).is_some() {
+        if run
+            .minute_by_seq
+            .insert(record.seq, record.minute)
+            .is_some()
+        {
             return;
         }
         run.has_ended |= record.last;
-        let pairs = self.minutes.entry(record.minute).or_default();
+        let pairs = self.tallies.entry(record.minute).or_default();
         for row in &record.rows {
-            let pair = Pair {
+            let pair = ServiceTeam {
                 service: row.service.clone(),
                 team: row.team.clone(),
             };
@@ -81,8 +85,8 @@
 
     /// Returns every service and team that have counts, sorted.
     #[must_use]
-    pub fn pairs(&self) -> Vec<Pair> {
-        let mut pairs: Vec<_> = self.minutes.values().flat_map(|m| m.keys()).collect();
+    pub fn service_teams(&self) -> Vec<ServiceTeam> {
+        let mut pairs: Vec<_> = self.tallies.values().flat_map(|m| m.keys()).collect();
         pairs.sort();
         pairs.dedup();
         pairs.into_iter().cloned().collect()
@@ -93,7 +97,7 @@
     #[must_use]
     pub fn tally(&self, service: &str, team: Option<&str>, from: Minute, to: Minute) -> Tally {
         let mut sum = Tally::default();
-        for (pair, tally) in self.minutes.range(from..=to).flat_map(|(_, pairs)| pairs) {
+        for (pair, tally) in self.tallies.range(from..=to).flat_map(|(_, pairs)| pairs) {
             let is_team = team.is_none_or(|team| *pair.team == *team);
             if *pair.service == *service && is_team {
                 sum.add(*tally);
@@ -106,7 +110,7 @@
     /// first record is not a gap: nothing was counted yet, or its records were trimmed.
     #[must_use]
     pub fn gaps(&self, from: Minute, now: Minute) -> Vec<Gap> {
-        let mut gaps = self.silence(now);
+        let mut gaps = self.silent_gaps(now);
         for ((member, _), run) in &self.runs {
             gaps.extend(run.gaps(member, now));
         }
@@ -117,27 +121,27 @@
 
     /// Returns the first minute with a record.
     #[must_use]
-    pub fn first(&self) -> Option<Minute> {
-        self.minutes.first_key_value().map(|(minute, _)| *minute)
+    pub fn first_minute(&self) -> Option<Minute> {
+        self.tallies.first_key_value().map(|(minute, _)| *minute)
     }
 
-    fn silence(&self, now: Minute) -> Vec<Gap> {
-        let ends = now.saturating_sub(LATEST_AFTER);
-        let counted = self.minutes.keys().copied().chain([ends + 1]);
+    fn silent_gaps(&self, now: Minute) -> Vec<Gap> {
+        let last_expected = now.saturating_sub(RUN_TIMEOUT_MINUTES);
+        let counted = self.tallies.keys().copied().chain([last_expected + 1]);
         let mut gaps = Vec::new();
-        let mut before = None;
+        let mut previous = None;
         for minute in counted {
-            if let Some(before) = before
-                && minute > before + 1
+            if let Some(previous) = previous
+                && minute > previous + 1
             {
                 gaps.push(Gap {
-                    from: before + 1,
+                    from: previous + 1,
                     to: minute - 1,
                     member: None,
                     cause: Cause::Silence,
                 });
             }
-            before = Some(minute);
+            previous = Some(minute);
         }
         gaps
     }
@@ -152,16 +156,19 @@
             cause,
         };
         let mut gaps = Vec::new();
-        let pairs = self.minutes.iter().zip(self.minutes.iter().skip(1));
+        let pairs = self
+            .minute_by_seq
+            .iter()
+            .zip(self.minute_by_seq.iter().skip(1));
         for ((seq, minute), (next_seq, next_minute)) in pairs {
             if *next_seq > seq + 1 {
                 let to = (next_minute - 1).max(minute + 1);
                 gaps.push(gap(minute + 1, to, Cause::RecordMissing));
             }
         }
-        if let Some((_, newest)) = self.minutes.last_key_value()
+        if let Some((_, newest)) = self.minute_by_seq.last_key_value()
             && !self.has_ended
-            && newest + LATEST_AFTER < now
+            && newest + RUN_TIMEOUT_MINUTES < now
         {
             gaps.push(gap(newest + 1, newest + 1, Cause::EndedAbruptly));
         }
--- a/crates/pomelohitch-burn/src/report.rs
+++ b/crates/pomelohitch-burn/src/report.rs
@@ -21,31 +21,31 @@
 
 /// A condition that raises an alarm.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rule {
+pub struct AlarmRule {
     /// The long window, in minutes.
-    pub long: Minute,
+    pub long_minutes: Minute,
     /// The short window, in minutes.
-    pub short: Minute,
+    pub short_minutes: Minute,
     /// The rule holds if the burn rate exceeds this over both windows.
-    pub burn: f64,
+    pub threshold: f64,
 }
 
 /// The rules, each of which raises an alarm.
-pub const RULES: [Rule; 3] = [
-    Rule {
-        long: 60,
-        short: 5,
-        burn: 14.4,
+pub const ALARM_RULES: [AlarmRule; 3] = [
+    AlarmRule {
+        long_minutes: 60,
+        short_minutes: 5,
+        threshold: 14.4,
     },
-    Rule {
-        long: 6 * 60,
-        short: 30,
-        burn: 6.0,
+    AlarmRule {
+        long_minutes: 6 * 60,
+        short_minutes: 30,
+        threshold: 6.0,
     },
-    Rule {
-        long: 3 * 24 * 60,
-        short: 6 * 60,
-        burn: 1.0,
+    AlarmRule {
+        long_minutes: 3 * 24 * 60,
+        short_minutes: 6 * 60,
+        threshold: 1.0,
     },
 ];
 
@@ -100,7 +100,7 @@
         services: impl IntoIterator<Item = &'a Service>,
         now: Minute,
     ) -> Report {
-        let pairs = ledger.pairs();
+        let pairs = ledger.service_teams();
         let mut lines = Vec::new();
         let mut longest = 0;
         for service in services {
@@ -112,19 +112,19 @@
             let teams = pairs.iter().filter(|pair| pair.service == service.id);
             let teams = teams.map(|pair| Some(&*pair.team));
             for team in std::iter::once(None).chain(teams) {
-                let counted = Counted {
+                let input = LineInput {
                     ledger,
                     service: &service.id,
                     team,
                     now,
                     allowed: f64::from(1_000_000 - objective.good_ppm) / MILLION,
                 };
-                lines.push(counted.line(objective.good_ppm, window));
+                lines.push(input.line(objective.good_ppm, window));
             }
         }
         Report {
             now,
-            counted_since: ledger.first(),
+            counted_since: ledger.first_minute(),
             lines,
             gaps: ledger.gaps(now.saturating_sub(longest), now),
         }
@@ -138,7 +138,7 @@
 }
 
 /// The input of one line.
-struct Counted<'a> {
+struct LineInput<'a> {
     ledger: &'a Ledger,
     service: &'a ServiceId,
     team: Option<&'a str>,
@@ -146,31 +146,34 @@
     allowed: f64,
 }
 
-impl Counted<'_> {
+impl LineInput<'_> {
     fn line(&self, good_ppm: u32, window: Minute) -> Line {
         let answers = self.tally(window);
         let burns = WINDOWS.map(|minutes| Burn {
             minutes,
-            burn: self.burn(minutes),
+            burn: self.burn_rate(minutes),
         });
         Line {
             service: self.service.clone(),
             team: self.team.map(Into::into),
             good_ppm,
             answers,
-            budget_left: self.burn(window).map(|burn| 1.0 - burn),
+            budget_left: self.burn_rate(window).map(|burn| 1.0 - burn),
             burns: burns.into(),
-            alarm: RULES.iter().any(|rule| self.breaks(rule)),
+            alarm: ALARM_RULES.iter().any(|rule| self.is_met(rule)),
         }
     }
 
-    fn breaks(&self, rule: &Rule) -> bool {
-        let is_fast = |minutes| self.burn(minutes).is_some_and(|burn| burn > rule.burn);
-        is_fast(rule.long) && is_fast(rule.short)
+    fn is_met(&self, rule: &AlarmRule) -> bool {
+        let is_fast = |minutes| {
+            self.burn_rate(minutes)
+                .is_some_and(|burn| burn > rule.threshold)
+        };
+        is_fast(rule.long_minutes) && is_fast(rule.short_minutes)
     }
 
-    fn burn(&self, minutes: Minute) -> Option<f64> {
-        burn(self.tally(minutes), self.allowed)
+    fn burn_rate(&self, minutes: Minute) -> Option<f64> {
+        burn_rate(self.tally(minutes), self.allowed)
     }
 
     fn tally(&self, minutes: Minute) -> Tally {
@@ -182,7 +185,7 @@
 /// Returns the share of bad answers divided by `allowed`, the share that the objective allows;
 /// `None` if there are no answers.
 #[must_use]
-pub fn burn(tally: Tally, allowed: f64) -> Option<f64> {
+pub fn burn_rate(tally: Tally, allowed: f64) -> Option<f64> {
     // Counts stay far below 2^52, so the conversion is exact.
     #[expect(clippy::cast_precision_loss)]
     let share = |count: u64| count as f64 / tally.total() as f64;
--- a/crates/pomelohitch-burn/src/span.rs
+++ b/crates/pomelohitch-burn/src/span.rs
@@ -13,7 +13,7 @@
 
 /// The activity of the fleet over a time span.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
-pub struct Measured {
+pub struct FleetActivity {
     /// Time of the first record, in milliseconds since the Unix epoch.
     pub from_ms: u128,
     /// Latest time of a record, in milliseconds since the Unix epoch.
@@ -55,10 +55,10 @@
     pub owed_hours: f64,
 }
 
-/// Accumulates [`Measured`] from the records of the fleet stream.
+/// Accumulates [`FleetActivity`] from the records of the fleet stream.
 #[derive(Debug, Clone, Default)]
 pub struct Collector {
-    measured: Measured,
+    activity: FleetActivity,
     last: Option<Timestamp>,
 }
 
@@ -67,39 +67,39 @@
     pub fn add(&mut self, before: &State, record: &Record, after: &State) {
         let at = record.at;
         let last = *self.last.get_or_insert_with(|| {
-            self.measured.from_ms = at.as_millis();
+            self.activity.from_ms = at.as_millis();
             at
         });
-        let passed = at.saturating_sub(last);
+        let elapsed = at.saturating_sub(last);
         self.last = Some(last.max(at));
-        self.measured.to_ms = last.max(at).as_millis();
-        self.pass(before, passed);
-        self.rollouts(before, at, after);
-        self.moves(before, after);
+        self.activity.to_ms = last.max(at).as_millis();
+        self.add_elapsed(before, elapsed);
+        self.add_rollouts(before, at, after);
+        self.add_moves(before, after);
     }
 
     /// Returns the result.
     #[must_use]
-    pub fn measured(self) -> Measured {
-        self.measured
+    pub fn finish(self) -> FleetActivity {
+        self.activity
     }
 
-    fn pass(&mut self, state: &State, passed: Duration) {
-        if passed.is_zero() {
+    fn add_elapsed(&mut self, state: &State, elapsed: Duration) {
+        if elapsed.is_zero() {
             return;
         }
-        let hours = passed.as_secs_f64() / 3600.0;
+        let hours = elapsed.as_secs_f64() / 3600.0;
         for pool in state.config.pools.keys() {
             let services = state.config.services_of(pool);
             let needed = services.map(|s| s.min_available).max().unwrap_or(0);
             let idle = state.fleet.active_in(pool).saturating_sub(needed);
-            let buffer = self.measured.buffer.entry(pool.clone()).or_default();
+            let buffer = self.activity.buffer.entry(pool.clone()).or_default();
             buffer.instance_hours += f64::from(idle) * hours;
         }
-        self.shares(state, hours);
+        self.add_job_time(state, hours);
     }
 
-    fn shares(&mut self, state: &State, hours: f64) {
+    fn add_job_time(&mut self, state: &State, hours: f64) {
         let active: u32 = state.jobs.active.values().sum();
         let with_work: Vec<_> = state
             .config
@@ -109,22 +109,22 @@
             .collect();
         let shares: u32 = with_work.iter().map(|team| team.share).sum();
         for team in with_work {
-            let share = self.measured.shares.entry(team.id.clone()).or_default();
+            let share = self.activity.shares.entry(team.id.clone()).or_default();
             share.job_hours += f64::from(state.jobs.active_of(&team.id)) * hours;
-            let part = f64::from(team.share) / f64::from(shares);
-            share.owed_hours += f64::from(active) * part * hours;
+            let fraction = f64::from(team.share) / f64::from(shares);
+            share.owed_hours += f64::from(active) * fraction * hours;
         }
     }
 
-    fn rollouts(&mut self, before: &State, at: Timestamp, after: &State) {
+    fn add_rollouts(&mut self, before: &State, at: Timestamp, after: &State) {
         for (pool, wave) in &before.waves.by_pool {
-            let goes_on = after
+            let is_running = after
                 .waves
                 .by_pool
                 .get(pool)
-                .is_some_and(|now| now.since == wave.since);
-            if !goes_on {
-                self.measured.rollouts.push(Rollout {
+                .is_some_and(|current| current.since == wave.since);
+            if !is_running {
+                self.activity.rollouts.push(Rollout {
                     pool: pool.clone(),
                     took_ms: at.saturating_sub(wave.at).as_millis(),
                     lost: wave.lost,
@@ -133,16 +133,17 @@
         }
     }
 
-    fn moves(&mut self, before: &State, after: &State) {
+    fn add_moves(&mut self, before: &State, after: &State) {
         // An unchanged fleet is shared between the two states, so no instance moved.
         if std::sync::Arc::ptr_eq(&before.fleet, &after.fleet) {
             return;
         }
         for (id, instance) in &before.fleet.instances {
-            let now = after.fleet.instances.get(id);
-            let has_moved =
-                now.is_some_and(|now| now.pool != instance.pool && now.phase == Phase::Active);
-            self.measured.moves += u64::from(has_moved);
+            let current = after.fleet.instances.get(id);
+            let has_moved = current.is_some_and(|current| {
+                current.pool != instance.pool && current.phase == Phase::Active
+            });
+            self.activity.moves += u64::from(has_moved);
         }
     }
 }
--- a/crates/pomelohitch-burn/tests/burn/ledger.rs
+++ b/crates/pomelohitch-burn/tests/burn/ledger.rs
@@ -28,7 +28,7 @@
 /// The response to an append is lost, so the entry instance appends the record again. Adding both
 /// would count its answers twice.
 #[test]
-fn a_record_that_stands_twice_counts_once() {
+fn a_record_appended_twice_counts_once() {
     let mut ledger = Ledger::default();
     for _ in 0..2 {
         ledger.add(&record("a", 0, 5, 9, 1));
@@ -40,7 +40,7 @@
 /// An entry instance is killed before it appends its last minute. Without a gap the report would
 /// show that minute, possibly a bad one, as a minute without answers.
 #[test]
-fn a_run_that_ended_without_its_last_record_is_a_gap() {
+fn a_run_without_a_last_record_has_a_gap() {
     let mut ledger = Ledger::default();
     ledger.add(&record("a", 0, 5, 1, 0));
     for minute in 5..10 {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_run_that_shut_down_gracefully_is_none() {
+fn a_graceful_shutdown_is_not_a_gap() {
     let mut ledger = Ledger::default();
     let mut last = record("a", 0, 5, 1, 0);
     last.last = true;
@@ -64,7 +64,7 @@
 /// The sequence numbers of a run have a gap when the log is down for longer than counts are kept,
 /// or when a record was trimmed.
 #[test]
-fn a_missing_record_and_a_silent_time_are_gaps() {
+fn missing_records_and_silence_are_gaps() {
     let mut ledger = Ledger::default();
     ledger.add(&record("a", 0, 5, 1, 0));
     ledger.add(&record("a", 2, 9, 1, 0));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_record_reads_back_as_it_was_written() {
+fn a_record_decodes_to_what_was_encoded() {
     let record = record("a", 3, 5, 9, 1);
     let text = record.encode();
     insta::assert_snapshot!(text, @r##"
--- a/crates/pomelohitch-burn/tests/burn/report.rs
+++ b/crates/pomelohitch-burn/tests/burn/report.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn budget_left_and_burn_follow_from_the_counts() {
+fn budget_left_and_burn_rates_are_computed_from_the_counts() {
     let report = report(&day(6 * 60, 2));
     insta::assert_json_snapshot!(report.lines[0], @r##"
     {
@@ -87,7 +87,7 @@
 /// All answers were bad for ten minutes, an hour ago: the budget is smaller, but the short windows
 /// have no bad answers, so there is no alarm.
 #[test]
-fn a_burn_that_is_over_raises_none() {
+fn a_burn_that_has_ended_raises_no_alarm() {
     let mut ledger = Ledger::default();
     for minute in 1..=24 * 60_u64 {
         let bad = if (1370..1380).contains(&minute) {
@@ -110,9 +110,9 @@
 }
 
 #[test]
-fn the_picture_has_a_line_for_each_service() {
+fn the_plot_has_a_line_for_each_service() {
     let svg = plot::budget_left(&day(60, 50), [&service()], 24 * 60, 24 * 60);
-    let svg = svg.expect("it can be drawn");
+    let svg = svg.expect("the plot can be drawn");
     assert!(svg.contains("<polyline"), "{svg}");
     assert!(svg.contains("passes"), "{svg}");
 }
--- a/pomelohitch/src/entry.rs
+++ b/pomelohitch/src/entry.rs
@@ -62,7 +62,7 @@
 
 /// Entry instances, tried in order until one is reachable.
 #[derive(Debug, Clone, Default)]
-pub struct Entries {
+pub struct AdminClient {
     /// Addresses of their operators' ports, such as `http://127.0.0.1:80`.
     pub urls: Vec<Box<str>>,
     /// The operators' key.
@@ -73,14 +73,14 @@
 
 const UNAUTHORIZED: u16 = 401;
 
-impl Entries {
+impl AdminClient {
     /// Sends a GET for `path` to the entry instances in order until one is reachable, and decodes
     /// its response. `step` names the operation in errors.
     ///
     /// # Errors
     /// The error of the last entry instance that was tried.
     pub fn get<T: DeserializeOwned>(&self, step: &'static str, path: &str) -> Result<T> {
-        self.first(|url| {
+        self.try_each(|url| {
             let (_, body) = self.call(step, url, path, None)?;
             serde_json::from_str(&body).context(DecodeSnafu { step, entry: url })
         })
@@ -92,15 +92,15 @@
     /// # Errors
     /// The error of the last entry instance that was tried.
     pub fn post(&self, step: &'static str, path: &str, body: &str) -> Result<(u16, String)> {
-        self.first(|url| self.call(step, url, path, Some(body)))
+        self.try_each(|url| self.call(step, url, path, Some(body)))
     }
 
-    fn first<T>(&self, ask: impl Fn(&str) -> Result<T>) -> Result<T> {
+    fn try_each<T>(&self, call_one: impl Fn(&str) -> Result<T>) -> Result<T> {
         let mut last = Error::NoUrl;
         for url in &self.urls {
-            match ask(url.trim_end_matches('/')) {
+            match call_one(url.trim_end_matches('/')) {
                 Err(error @ Error::Transport { .. }) => last = error,
-                answered => return answered,
+                result => return result,
             }
         }
         Err(last)
@@ -123,14 +123,14 @@
             .into();
         let url = format!("{entry}{path}");
         let bearer = format!("Bearer {key}");
-        let answer = match body {
+        let response = match body {
             Some(body) => agent.post(&url).header("Authorization", bearer).send(body),
             None => agent.get(&url).header("Authorization", bearer).call(),
         };
-        let mut answer = answer.context(TransportSnafu { step, entry })?;
-        let text = answer.body_mut().read_to_string();
+        let mut response = response.context(TransportSnafu { step, entry })?;
+        let text = response.body_mut().read_to_string();
         let text = text.context(TransportSnafu { step, entry })?;
-        let status = answer.status().as_u16();
+        let status = response.status().as_u16();
         match status {
             UNAUTHORIZED => UnknownKeySnafu { step, entry }.fail(),
             _ if body.is_none() && status != 200 => StatusSnafu {
--- a/pomelohitch/src/history.rs
+++ b/pomelohitch/src/history.rs
@@ -27,9 +27,9 @@
                 state.skip(stored.offset);
                 continue;
             };
-            let was_there = state.config.files.contains_key(path);
+            let existed = state.config.files.contains_key(path);
             let _ = state.apply(stored.offset, &record);
-            if was_there && !state.config.files.contains_key(path) {
+            if existed && !state.config.files.contains_key(path) {
                 removed = Some(stored.offset);
             }
         }
--- a/pomelohitch/src/job.rs
+++ b/pomelohitch/src/job.rs
@@ -13,9 +13,9 @@
 use crate::output::Format;
 
 /// Maximum number of attempts of a submit or cancel whose outcome is unknown.
-const TRIES: u32 = 3;
+const MAX_ATTEMPTS: u32 = 3;
 /// Timeout of one call.
-const TIMEOUT: Duration = Duration::from_secs(10);
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Options and command of `pomelohitch job`.
 #[derive(Debug, Clone, Args)]
@@ -156,7 +156,7 @@
         }
     }
 
-    fn is_unclear(&self) -> bool {
+    fn is_retryable(&self) -> bool {
         match self {
             Error::Transport { .. } => true,
             Error::Refused { status, .. } => matches!(status, 502..=504),
@@ -166,7 +166,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Declared<'a> {
+struct JobRequest<'a> {
     class: &'a str,
     urgency: &'a str,
     cpu_milli: u64,
@@ -186,11 +186,11 @@
     state: Box<str>,
     worker: Option<Box<str>>,
     attempts: u32,
-    end: Option<End>,
+    end: Option<JobEnd>,
 }
 
 #[derive(Debug, Deserialize)]
-struct End {
+struct JobEnd {
     outcome: Box<str>,
     reason: Box<str>,
     ran: Box<str>,
@@ -213,22 +213,22 @@
 /// # Errors
 /// If the command failed; [`Error::exit`] tells a refusal from an unknown outcome.
 pub fn run(args: &JobArgs, format: Format, out: &mut impl Write) -> Result<()> {
-    let entry = Entry::new(args)?;
+    let client = EntryClient::new(args)?;
     let body = match &args.command {
-        JobCommand::Submit(submit) => entry.submit(submit)?,
-        JobCommand::List => entry.call("list jobs", "GET", "/v1/jobs", None, "")?,
-        JobCommand::Show { id } => entry.call("show job", "GET", &path_of(id), None, "")?,
+        JobCommand::Submit(submit) => client.submit(submit)?,
+        JobCommand::List => client.call("list jobs", "GET", "/v1/jobs", None, "")?,
+        JobCommand::Show { id } => client.call("show job", "GET", &path_of(id), None, "")?,
         JobCommand::Cancel { id } => {
-            entry.insist("cancel job", "DELETE", &path_of(id), None, "")?
+            client.call_with_retries("cancel job", "DELETE", &path_of(id), None, "")?
         }
     };
     if format == Format::Json {
         return writeln!(out, "{body}").context(PrintSnafu);
     }
     let jobs = if matches!(args.command, JobCommand::List) {
-        entry.decode::<JobList>(&body)?.jobs
+        client.decode::<JobList>(&body)?.jobs
     } else {
-        vec![entry.decode::<Job>(&body)?]
+        vec![client.decode::<Job>(&body)?]
     };
     print_table(&jobs, out).context(PrintSnafu)
 }
@@ -259,23 +259,23 @@
 }
 
 /// Client of one entry instance, with a team's key.
-struct Entry {
+struct EntryClient {
     agent: ureq::Agent,
     url: Box<str>,
     key: Box<str>,
 }
 
-impl Entry {
-    fn new(args: &JobArgs) -> Result<Entry> {
+impl EntryClient {
+    fn new(args: &JobArgs) -> Result<EntryClient> {
         for (flag, value) in [("--entry", &args.entry), ("--key", &args.key)] {
             if value.is_empty() {
                 return MissingSnafu { flag }.fail();
             }
         }
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(CALL_TIMEOUT))
             .http_status_as_error(false);
-        Ok(Entry {
+        Ok(EntryClient {
             agent: config.build().into(),
             url: args.entry.trim_end_matches('/').into(),
             key: args.key.clone(),
@@ -283,7 +283,7 @@
     }
 
     fn submit(&self, submit: &Submit) -> Result<String> {
-        let declared = Declared {
+        let job = JobRequest {
             class: &submit.class,
             urgency: if submit.urgent { "urgent" } else { "patient" },
             cpu_milli: submit.cpu_milli,
@@ -295,18 +295,18 @@
             group: submit.group.as_deref(),
         };
         let step = "submit job";
-        let body = serde_json::to_string(&declared).context(DecodeSnafu {
+        let body = serde_json::to_string(&job).context(DecodeSnafu {
             step,
             entry: self.url.clone(),
         })?;
         let random = uuid::Uuid::new_v4().to_string();
         let key = submit.idempotency_key.as_deref().unwrap_or(&random);
-        self.insist(step, "POST", "/v1/jobs", Some(key), &body)
+        self.call_with_retries(step, "POST", "/v1/jobs", Some(key), &body)
     }
 
     /// Calls, and retries if the outcome is unknown. Retries are safe: a submit keeps its
     /// idempotency key, and cancelling a cancelled job has no effect.
-    fn insist(
+    fn call_with_retries(
         &self,
         step: &'static str,
         method: &str,
@@ -314,10 +314,10 @@
         key: Option<&str>,
         body: &str,
     ) -> Result<String> {
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
             match self.call(step, method, path, key, body) {
-                Err(error) if error.is_unclear() && tries < TRIES => tries += 1,
+                Err(error) if error.is_retryable() && attempts < MAX_ATTEMPTS => attempts += 1,
                 result => return result,
             }
         }
@@ -341,24 +341,24 @@
             req = req.header("Idempotency-Key", key);
         }
         let req = req.body(body.to_owned()).map_err(ureq::Error::from);
-        let answer = req.and_then(|req| self.agent.run(req));
-        let mut answer = answer.context(TransportSnafu {
+        let response = req.and_then(|req| self.agent.run(req));
+        let mut response = response.context(TransportSnafu {
             step,
             entry: entry.clone(),
         })?;
-        let text = answer.body_mut().read_to_string();
+        let text = response.body_mut().read_to_string();
         let text = text.context(TransportSnafu {
             step,
             entry: entry.clone(),
         })?;
-        if answer.status().is_success() {
+        if response.status().is_success() {
             return Ok(text);
         }
         let problem: Problem = serde_json::from_str(&text).unwrap_or_default();
         RefusedSnafu {
             step,
             entry: entry.clone(),
-            status: answer.status().as_u16(),
+            status: response.status().as_u16(),
             title: problem.title,
             ran: problem.ran.unwrap_or_else(|| "unknown".into()),
         }
--- a/pomelohitch/src/keys.rs
+++ b/pomelohitch/src/keys.rs
@@ -8,7 +8,7 @@
 use pomelohitch_platform::Log;
 use serde::Serialize;
 
-use crate::entry::Entries;
+use crate::entry::AdminClient;
 use crate::exit::Exit;
 use crate::output::Output;
 use crate::propose::{self, explain, propose};
@@ -82,7 +82,7 @@
 /// Withdraws the key with `hash` permanently, even if a fleet file lists it.
 #[must_use]
 pub fn withdraw(log: &Arc<Log>, hash: KeyHash, options: &propose::Options) -> Withdrawn {
-    let mut follower = propose::follow(log);
+    let mut follower = propose::fleet_follower(log);
     if let Err(error) = propose::catch_up(&mut follower, options) {
         let reason = format!("{error}").into();
         return Withdrawn::NotInForce { reason };
@@ -105,7 +105,7 @@
 /// The answer of an entry instance to the request to refuse a key without waiting for the log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "at-once", rename_all = "kebab-case")]
-pub enum AtOnce {
+pub enum ImmediateRefusal {
     /// The entry instance refuses the key and notifies its peers.
     Refused,
     /// No entry instance is reachable, or it answered with an error.
@@ -117,46 +117,53 @@
 
 /// Asks an entry instance to refuse the key with `hash` immediately, which works without the log.
 #[must_use]
-pub fn refuse_at_once(entries: &Entries, hash: &str) -> AtOnce {
+pub fn refuse_immediately(client: &AdminClient, hash: &str) -> ImmediateRefusal {
     let body = serde_json::json!({ "hash": hash }).to_string();
-    match entries.post("withdraw key", "/v1/admin/keys/withdraw", &body) {
+    match client.post("withdraw key", "/v1/admin/keys/withdraw", &body) {
         // The entry instance refuses the key with each of these statuses; 503 and 504 are about
         // the append of the withdrawal to the log.
-        Ok((200 | 503 | 504, _)) => AtOnce::Refused,
-        Ok((status, body)) => AtOnce::Failed {
+        Ok((200 | 503 | 504, _)) => ImmediateRefusal::Refused,
+        Ok((status, body)) => ImmediateRefusal::Failed {
             reason: format!("status {status}: {body}").into(),
         },
-        Err(error) => AtOnce::Failed {
+        Err(error) => ImmediateRefusal::Failed {
             reason: error.to_string().into(),
         },
     }
 }
 
 #[derive(Serialize)]
-struct Both<'a> {
+struct WithdrawalReport<'a> {
     #[serde(flatten)]
     withdrawn: &'a Withdrawn,
     #[serde(flatten)]
-    at_once: Option<&'a AtOnce>,
+    immediate: Option<&'a ImmediateRefusal>,
 }
 
 /// Renders the outcome of a withdrawal, and the answer of an entry instance if one was asked.
 #[must_use]
-pub fn show_withdrawn(withdrawn: &Withdrawn, at_once: Option<&AtOnce>) -> Output {
-    let mut output = show_lasting(withdrawn);
-    let at_once_text = match at_once {
-        Some(AtOnce::Refused) => {
+pub fn show_withdrawn(withdrawn: &Withdrawn, immediate: Option<&ImmediateRefusal>) -> Output {
+    let mut output = show_log_outcome(withdrawn);
+    let immediate_text = match immediate {
+        Some(ImmediateRefusal::Refused) => {
             "refused at once by an entry instance, which tells the others\n".to_owned()
         }
-        Some(AtOnce::Failed { reason }) => format!("not refused at once: {reason}\n"),
+        Some(ImmediateRefusal::Failed { reason }) => format!("not refused at once: {reason}\n"),
         None => String::new(),
     };
-    output.text.insert_str(0, &at_once_text);
-    Output::new(output.exit, output.text, &Both { withdrawn, at_once })
+    output.text.insert_str(0, &immediate_text);
+    Output::new(
+        output.exit,
+        output.text,
+        &WithdrawalReport {
+            withdrawn,
+            immediate,
+        },
+    )
 }
 
-fn show_lasting(withdrawn: &Withdrawn) -> Output {
-    const AT_ONCE: &str = "With the log down, give --admin-url and the operators' key: an entry \
+fn show_log_outcome(withdrawn: &Withdrawn) -> Output {
+    const FALLBACK_HINT: &str = "With the log down, give --admin-url and the operators' key: an entry \
                            instance then refuses the key at once and tells the others.";
     let (exit, text) = match withdrawn {
         Withdrawn::InForce { offset } => (
@@ -165,11 +172,11 @@
         ),
         Withdrawn::NotInForce { reason } => (
             Exit::Unreachable,
-            format!("not withdrawn: {reason}\n{AT_ONCE}\n"),
+            format!("not withdrawn: {reason}\n{FALLBACK_HINT}\n"),
         ),
         Withdrawn::NotKnown { reason } => (
             Exit::NotKnown,
-            format!("not known: {reason}; withdraw it again, which is harmless\n{AT_ONCE}\n"),
+            format!("not known: {reason}; withdraw it again, which is harmless\n{FALLBACK_HINT}\n"),
         ),
     };
     Output::new(exit, text, withdrawn)
--- a/pomelohitch/src/maintain.rs
+++ b/pomelohitch/src/maintain.rs
@@ -83,7 +83,7 @@
 /// Proposes the order and reads the verdict on it.
 #[must_use]
 pub fn maintain(log: &Arc<Log>, command: &MaintainCommand, options: &propose::Options) -> Outcome {
-    let mut follower = propose::follow(log);
+    let mut follower = propose::fleet_follower(log);
     if let Err(error) = propose::catch_up(&mut follower, options) {
         let reason = error.to_string().into();
         return Outcome::Unreachable { reason };
--- a/pomelohitch/src/progress.rs
+++ b/pomelohitch/src/progress.rs
@@ -9,7 +9,7 @@
 use indicatif::ProgressBar;
 
 /// Time between two frames of the spinner.
-const TICK: Duration = Duration::from_millis(100);
+const FRAME_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A spinner with a line of text; it is cleared on drop.
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     pub fn start(text: &str) -> Progress {
         let bar = if std::io::stderr().is_terminal() {
             let bar = ProgressBar::new_spinner();
-            bar.enable_steady_tick(TICK);
+            bar.enable_steady_tick(FRAME_INTERVAL);
             bar
         } else {
             ProgressBar::hidden()
@@ -33,7 +33,7 @@
     }
 
     /// Replaces the message.
-    pub fn tell(&self, text: &str) {
+    pub fn set_text(&self, text: &str) {
         self.bar.set_message(text.to_owned());
     }
 }
--- a/pomelohitch/src/propose.rs
+++ b/pomelohitch/src/propose.rs
@@ -21,7 +21,7 @@
     /// How long to try to obtain a verdict.
     pub limit: Duration,
     /// Delay between two attempts.
-    pub again_after: Duration,
+    pub retry_interval: Duration,
     /// Name of the operator that is recorded with the proposal.
     pub by: Box<str>,
     /// The clock that measures the limit and the delays.
@@ -32,7 +32,7 @@
     fn default() -> Self {
         Options {
             limit: Duration::from_secs(30),
-            again_after: Duration::from_millis(200),
+            retry_interval: Duration::from_millis(200),
             by: "operator".into(),
             clock: Clock::default(),
         }
@@ -70,7 +70,7 @@
 
 /// Returns a follower of the fleet stream, from its start.
 #[must_use]
-pub fn follow(log: &Arc<Log>) -> Follower {
+pub fn fleet_follower(log: &Arc<Log>) -> Follower {
     Follower::new(log.clone(), State::default())
 }
 
@@ -89,7 +89,7 @@
             Ok(_) => return Ok(()),
             Err(error @ Error::Trimmed { .. }) => return Err(error),
             Err(error) if (options.clock.now)() >= deadline => return Err(error),
-            Err(_) => (options.clock.sleep)(options.again_after),
+            Err(_) => (options.clock.sleep)(options.retry_interval),
         }
     }
 }
@@ -106,20 +106,20 @@
             Ok(()) => return Ok(()),
             Err(error @ Error::Trimmed { .. }) => return Err(error),
             Err(error) if (options.clock.now)() >= deadline => return Err(error),
-            Err(_) => (options.clock.sleep)(options.again_after),
+            Err(_) => (options.clock.sleep)(options.retry_interval),
         }
     }
 }
 
 /// Whether an append of the record has taken effect so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Landed {
+enum AppendState {
     /// No append took effect.
-    No,
+    Absent,
     /// An append may have taken effect.
-    Maybe,
+    Uncertain,
     /// An append took effect.
-    Yes,
+    Acknowledged,
 }
 
 /// Appends `body` as a proposal and reads until the verdict is found or the limit has passed.
@@ -137,15 +137,15 @@
     };
     let data = [record.encode()];
     let deadline = deadline(options);
-    let mut landed = Landed::No;
+    let mut append_state = AppendState::Absent;
     loop {
         let mut last_error = None;
-        if landed != Landed::Yes {
+        if append_state != AppendState::Acknowledged {
             match (log.append)(FLEET_STREAM, &data) {
-                Ok(_) => landed = Landed::Yes,
+                Ok(_) => append_state = AppendState::Acknowledged,
                 Err(error) => {
                     if error.effect() == Effect::Unknown {
-                        landed = Landed::Maybe;
+                        append_state = AppendState::Uncertain;
                     }
                     last_error = Some(error);
                 }
@@ -157,9 +157,9 @@
             Err(error) => last_error = Some(error),
         }
         if (options.clock.now)() >= deadline {
-            return give_up(landed, record.id, last_error);
+            return outcome_at_deadline(append_state, record.id, last_error);
         }
-        (options.clock.sleep)(options.again_after);
+        (options.clock.sleep)(options.retry_interval);
     }
 }
 
@@ -170,7 +170,7 @@
 fn read_verdict(follower: &mut Follower, id: RecordId) -> Result<Option<Outcome>, Error> {
     loop {
         let Progress { applied, head, .. } = follower.poll(Duration::ZERO)?;
-        if let Some(outcome) = find(&applied, id) {
+        if let Some(outcome) = find_outcome(&applied, id) {
             return Ok(Some(outcome));
         }
         if follower.state().next >= head {
@@ -179,7 +179,7 @@
     }
 }
 
-fn find(applied: &[Applied], id: RecordId) -> Option<Outcome> {
+fn find_outcome(applied: &[Applied], id: RecordId) -> Option<Outcome> {
     let found = applied.iter().find(|a| a.id == Some(id))?;
     let offset = found.offset;
     Some(match found.verdict.clone()? {
@@ -191,9 +191,9 @@
     })
 }
 
-fn give_up(landed: Landed, id: RecordId, error: Option<Error>) -> Outcome {
-    match (landed, error) {
-        (Landed::No, Some(error)) => Outcome::NotAppended { error },
+fn outcome_at_deadline(append_state: AppendState, id: RecordId, error: Option<Error>) -> Outcome {
+    match (append_state, error) {
+        (AppendState::Absent, Some(error)) => Outcome::NotAppended { error },
         (_, error) => Outcome::NotKnown { id, error },
     }
 }
--- a/pomelohitch/src/publish.rs
+++ b/pomelohitch/src/publish.rs
@@ -96,7 +96,7 @@
         Ok(loaded) => loaded,
         Err(faults) => return Ok(Outcome::Faults { faults }),
     };
-    let mut follower = propose::follow(log);
+    let mut follower = propose::fleet_follower(log);
     if let Some(base) = options.base {
         lock = lock_at(&tree, &lock, &mut follower, base, &options.propose)?;
     }
@@ -107,18 +107,18 @@
         return Ok(Outcome::Faults { faults });
     }
     if plan.changes.is_empty() {
-        store(&diff_lock(&tree, &seen), root)?;
+        store(&lock_in_force(&tree, &seen), root)?;
         return Ok(Outcome::NoDifferences);
     }
-    if let Some(refused) = stale(&plan, log) {
+    if let Some(refused) = refuse_if_stale(&plan, log) {
         return Ok(refused);
     }
     let body = Body::Publish(plan.publish());
-    let decided = propose(log, &mut follower, body, &options.propose);
-    if let propose::Outcome::InForce { offset } = decided {
+    let proposed = propose(log, &mut follower, body, &options.propose);
+    if let propose::Outcome::InForce { offset } = proposed {
         store(&plan.lock_after(&tree, &seen.config, offset), root)?;
     }
-    Ok(outcome(decided, plan.changes, log))
+    Ok(outcome(proposed, plan.changes, log))
 }
 
 type Loaded = std::result::Result<(Tree, Lock), Vec<Fault>>;
@@ -148,7 +148,7 @@
     })
 }
 
-fn diff_lock(tree: &Tree, seen: &State) -> Lock {
+fn lock_in_force(tree: &Tree, seen: &State) -> Lock {
     pomelohitch_config::plan::lock_of(tree, &seen.config)
 }
 
@@ -158,7 +158,7 @@
 
 /// Returns the refusal of a plan with a stale change. Such a plan is not appended, since the fold
 /// would reject it.
-fn stale(plan: &Plan, log: &Log) -> Option<Outcome> {
+fn refuse_if_stale(plan: &Plan, log: &Log) -> Option<Outcome> {
     let change = plan.changes.iter().find(|change| change.is_stale())?;
     let rejection = Rejection::BaseChanged {
         path: change.path.clone(),
@@ -166,33 +166,33 @@
     };
     Some(Outcome::NotInForce {
         offset: None,
-        reason: reason(&rejection, log).into(),
+        reason: explain_with_removal(&rejection, log).into(),
         rejection: Some(rejection),
     })
 }
 
 /// Explains `rejection`, and adds the offset of a removal, which the state does not keep.
-fn reason(rejection: &Rejection, log: &Log) -> String {
-    let told = explain(rejection);
+fn explain_with_removal(rejection: &Rejection, log: &Log) -> String {
+    let explanation = explain(rejection);
     let Rejection::BaseChanged {
         path,
         version: None,
     } = rejection
     else {
-        return told;
+        return explanation;
     };
     match history::removed_at(log, path) {
-        Some(offset) => format!("{told} (removed at offset {offset})"),
-        None => told,
+        Some(offset) => format!("{explanation} (removed at offset {offset})"),
+        None => explanation,
     }
 }
 
-fn outcome(decided: propose::Outcome, changes: Vec<Change>, log: &Log) -> Outcome {
-    match decided {
+fn outcome(proposed: propose::Outcome, changes: Vec<Change>, log: &Log) -> Outcome {
+    match proposed {
         propose::Outcome::InForce { offset } => Outcome::InForce { offset, changes },
         propose::Outcome::Rejected { offset, rejection } => Outcome::NotInForce {
             offset: Some(offset),
-            reason: reason(&rejection, log).into(),
+            reason: explain_with_removal(&rejection, log).into(),
             rejection: Some(rejection),
         },
         propose::Outcome::NotAppended { error } => Outcome::NotInForce {
@@ -242,8 +242,8 @@
             .text
         }
         Outcome::InForce { offset, changes } => {
-            let shown = diff::changes(changes);
-            format!("{shown}in force since offset {offset}; commit pomelohitch.lock\n")
+            let changes_text = diff::changes(changes);
+            format!("{changes_text}in force since offset {offset}; commit pomelohitch.lock\n")
         }
         Outcome::NotInForce { offset, reason, .. } => {
             let at = offset.map_or_else(String::new, |offset| format!(" (offset {offset})"));
--- a/pomelohitch/src/report.rs
+++ b/pomelohitch/src/report.rs
@@ -6,7 +6,7 @@
 
 use clap::Subcommand;
 use pomelohitch_burn::report::{Line, Report};
-use pomelohitch_burn::span::{Collector, Measured};
+use pomelohitch_burn::span::{Collector, FleetActivity};
 use pomelohitch_burn::{BURN_STREAM, Ledger, Minute, Record, plot};
 use pomelohitch_core::config::Config;
 use pomelohitch_core::id::Timestamp;
@@ -77,7 +77,7 @@
 ///
 /// # Errors
 /// If the log can't be read.
-pub fn ledger(log: &Log) -> Result<Ledger> {
+pub fn read_ledger(log: &Log) -> Result<Ledger> {
     let mut ledger = Ledger::default();
     read_all(log, BURN_STREAM, |data| {
         // A record that does not decode, such as one of a newer version, is skipped; its missing
@@ -95,7 +95,7 @@
 ///
 /// # Errors
 /// If the log can't be read.
-pub fn measure(log: &Log, since: Timestamp) -> Result<Measured> {
+pub fn measure_fleet(log: &Log, since: Timestamp) -> Result<FleetActivity> {
     let mut state = State::default();
     let mut collector = Collector::default();
     loop {
@@ -112,10 +112,10 @@
             read => read.context(LogSnafu)?,
         };
         for stored in &batch.records {
-            add(&mut collector, &mut state, stored, since);
+            apply_record(&mut collector, &mut state, stored, since);
         }
         if batch.records.is_empty() || state.next >= batch.next {
-            return Ok(collector.measured());
+            return Ok(collector.finish());
         }
     }
 }
@@ -127,7 +127,7 @@
     }
 }
 
-fn add(collector: &mut Collector, state: &mut State, stored: &Stored, since: Timestamp) {
+fn apply_record(collector: &mut Collector, state: &mut State, stored: &Stored, since: Timestamp) {
     let Ok(record) = FleetRecord::decode(&stored.data) else {
         state.skip(stored.offset);
         return;
@@ -140,7 +140,7 @@
 }
 
 /// Calls `each` with every record of `stream`, from the oldest that the log still keeps.
-fn read_all(log: &Log, stream: &str, mut each: impl FnMut(&str)) -> Result<()> {
+fn read_all(log: &Log, stream: &str, mut on_record: impl FnMut(&str)) -> Result<()> {
     let mut from = 0;
     loop {
         let read = Read {
@@ -156,7 +156,7 @@
             other => other.context(LogSnafu)?,
         };
         for stored in &batch.records {
-            each(&stored.data);
+            on_record(&stored.data);
             from = stored.offset + 1;
         }
         if batch.records.is_empty() || from >= batch.next {
@@ -169,7 +169,13 @@
 ///
 /// # Errors
 /// If the plot can't be drawn or written.
-pub fn draw(path: &Path, ledger: &Ledger, config: &Config, now: Minute, hours: u64) -> Result<()> {
+pub fn write_plot(
+    path: &Path,
+    ledger: &Ledger,
+    config: &Config,
+    now: Minute,
+    hours: u64,
+) -> Result<()> {
     let services = config.services.values();
     let svg = plot::budget_left(ledger, services, now, hours * HOUR).context(PlotSnafu)?;
     std::fs::write(path, svg).context(WriteSnafu { path })
@@ -189,9 +195,9 @@
         burn_table(&report.lines)
     };
     for gap in &report.gaps {
-        let who = gap.member.as_deref().unwrap_or("every entry instance");
-        let (from, to, cause) = (clock(gap.from), clock(gap.to), gap.cause);
-        let _ = writeln!(text, "not counted: {who}, {from} to {to} ({cause:?})");
+        let member = gap.member.as_deref().unwrap_or("every entry instance");
+        let (from, to, cause) = (format_minute(gap.from), format_minute(gap.to), gap.cause);
+        let _ = writeln!(text, "not counted: {member}, {from} to {to} ({cause:?})");
     }
     Output::new(exit, text, report)
 }
@@ -234,7 +240,7 @@
 }
 
 /// Formats a minute as date and time in UTC.
-fn clock(minute: Minute) -> String {
+fn format_minute(minute: Minute) -> String {
     let (days, minute) = (minute / (24 * HOUR), minute % (24 * HOUR));
     let (year, day) = year_of(days);
     let (month, day) = month_of(year, day);
@@ -276,17 +282,17 @@
 
 /// Renders the activity of the fleet.
 #[must_use]
-pub fn show_fleet(measured: &Measured) -> Output {
-    let span = measured.to_ms.saturating_sub(measured.from_ms);
-    let mut text = format!("{}\nmoves  {}\n", span_text(span), measured.moves);
-    let rows: Vec<_> = measured.rollouts.iter().map(rollout_row).collect();
+pub fn show_fleet(activity: &FleetActivity) -> Output {
+    let span = activity.to_ms.saturating_sub(activity.from_ms);
+    let mut text = format!("{}\nmoves  {}\n", span_text(span), activity.moves);
+    let rows: Vec<_> = activity.rollouts.iter().map(rollout_row).collect();
     text += &table(&["ROLLED OUT", "TOOK", "LOST"], &rows);
-    let buffers = measured.buffer.iter();
+    let buffers = activity.buffer.iter();
     let rows: Vec<_> = buffers
         .map(|(pool, buffer)| vec![pool.to_string(), format!("{:.2}", buffer.instance_hours)])
         .collect();
     text += &table(&["POOL", "BUFFER (INSTANCE HOURS)"], &rows);
-    let shares = measured.shares.iter();
+    let shares = activity.shares.iter();
     let rows: Vec<_> = shares
         .map(|(team, share)| {
             vec![
@@ -297,7 +303,7 @@
         })
         .collect();
     text += &table(&["TEAM", "HAD (JOB HOURS)", "OWED BY SHARE"], &rows);
-    Output::new(Exit::Done, text, measured)
+    Output::new(Exit::Done, text, activity)
 }
 
 fn span_text(millis: u128) -> String {
--- a/pomelohitch/src/run.rs
+++ b/pomelohitch/src/run.rs
@@ -16,12 +16,12 @@
 use snafu::{OptionExt, ResultExt, Snafu};
 
 use crate::cli::{Cli, Command, Common, KeysCommand};
-use crate::entry::{self, Entries};
+use crate::entry::{self, AdminClient};
 use crate::exit::Exit;
 use crate::output::Output;
 use crate::progress::Progress;
 use crate::report::ReportCommand;
-use crate::status::Shown;
+use crate::status::StatusView;
 use crate::{check, diff, generate, job, keys, maintain, propose, publish, report, status};
 
 /// A command failed.
@@ -40,7 +40,7 @@
     #[snafu(display("read the key from standard input: {source}"))]
     ReadKey { source: std::io::Error },
     #[snafu(display("--hash isn't 64 hexadecimal digits; give the key itself on standard input"))]
-    NotAHash,
+    InvalidHash,
     #[snafu(display("the key is empty; give it on standard input, or its hash by --hash"))]
     EmptyKey,
     #[snafu(display("{source}"))]
@@ -59,7 +59,7 @@
     fn exit(&self) -> Exit {
         match self {
             Error::Job { source } => source.exit(),
-            Error::NoLog | Error::EmptyKey | Error::NotAHash => Exit::Usage,
+            Error::NoLog | Error::EmptyKey | Error::InvalidHash => Exit::Usage,
             Error::Entry { source } => match source {
                 entry::Error::NoUrl | entry::Error::NoKey => Exit::Usage,
                 entry::Error::Transport { .. } => Exit::Unreachable,
@@ -77,9 +77,9 @@
     }
 
     fn output(&self) -> Output {
-        let told = self.to_string();
-        let json = json!({ "error": told, "exit": self.exit() });
-        Output::new(self.exit(), format!("pomelohitch: {told}\n"), &json)
+        let message = self.to_string();
+        let json = json!({ "error": message, "exit": self.exit() });
+        Output::new(self.exit(), format!("pomelohitch: {message}\n"), &json)
     }
 }
 
@@ -105,24 +105,24 @@
     match &cli.command {
         Command::Check { tree } => check_tree(common, tree),
         Command::Diff { tree, rebase } => {
-            let config = in_force(common)?;
+            let config = read_config(common)?;
             let outcome = diff::diff(tree, &config, *rebase).context(DiffSnafu)?;
             Ok(diff::show(&outcome))
         }
         Command::Publish { tree, base } => {
             let options = publish::Options {
                 base: *base,
-                propose: proposing(common),
+                propose: propose_options(common),
             };
             let _progress = Progress::start("publishing: waiting for the log's verdict");
-            let outcome = publish::publish(tree, &log(common)?, &options);
+            let outcome = publish::publish(tree, &open_log(common)?, &options);
             Ok(publish::show(&outcome.context(PublishSnafu)?))
         }
         Command::Keys { command } => keys_command(common, command),
         Command::Status => show_status(common),
         Command::Maintain { command } => {
             let _progress = Progress::start("waiting for the log's verdict");
-            let outcome = maintain::maintain(&log(common)?, command, &proposing(common));
+            let outcome = maintain::maintain(&open_log(common)?, command, &propose_options(common));
             Ok(maintain::show(&outcome))
         }
         Command::Report { command } => show_report(common, command),
@@ -134,10 +134,10 @@
             let exit = Exit::Done;
             Ok(Output { text, json, exit })
         }
-        Command::Completions { shell } => Ok(plain(generate::completions(*shell))),
+        Command::Completions { shell } => Ok(text_output(generate::completions(*shell))),
         Command::Man { dir } => {
             generate::man_pages(dir).context(GenerateSnafu)?;
-            Ok(plain(format!("man pages are in {}\n", dir.display())))
+            Ok(text_output(format!("man pages are in {}\n", dir.display())))
         }
     }
 }
@@ -146,17 +146,17 @@
 /// instance and the time since it heard from its peers.
 fn show_status(common: &Common) -> Result<Output> {
     if common.admin_url.is_empty() {
-        let fleet = Status::of(&state(common)?);
-        return Ok(status::show(&Shown { entry: None, fleet }));
+        let fleet = Status::of(&read_state(common)?);
+        return Ok(status::show(&StatusView { entry: None, fleet }));
     }
-    let answer = entries(common).get("read status", "/v1/admin/status");
-    let NodeStatus { entry, fleet } = answer.context(EntrySnafu)?;
+    let response = admin_client(common).get("read status", "/v1/admin/status");
+    let NodeStatus { entry, fleet } = response.context(EntrySnafu)?;
     let entry = Some(entry);
-    Ok(status::show(&Shown { entry, fleet }))
+    Ok(status::show(&StatusView { entry, fleet }))
 }
 
 fn show_report(common: &Common, command: &ReportCommand) -> Result<Output> {
-    let log = log(common)?;
+    let log = open_log(common)?;
     let _progress = Progress::start("reading the log");
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -167,31 +167,31 @@
             svg,
             hours,
         } => {
-            let config = in_force(common)?;
-            let ledger = report::ledger(&log).context(ReportSnafu)?;
+            let config = read_config(common)?;
+            let ledger = report::read_ledger(&log).context(ReportSnafu)?;
             let minute = minute_of(now);
             let burn = Report::new(&ledger, config.services.values(), minute);
             if let Some(path) = svg {
-                report::draw(path, &ledger, &config, minute, *hours).context(ReportSnafu)?;
+                report::write_plot(path, &ledger, &config, minute, *hours).context(ReportSnafu)?;
             }
             Ok(report::show_burn(&burn, *fail_on_burn))
         }
         ReportCommand::Fleet { hours } => {
             let since = now.saturating_sub(Duration::from_secs(hours.saturating_mul(3600)));
-            let measured = report::measure(&log, since).context(ReportSnafu)?;
-            Ok(report::show_fleet(&measured))
+            let activity = report::measure_fleet(&log, since).context(ReportSnafu)?;
+            Ok(report::show_fleet(&activity))
         }
     }
 }
 
-fn plain(text: String) -> Output {
+fn text_output(text: String) -> Output {
     let json = json!({ "text": text });
     Output::new(Exit::Done, text, &json)
 }
 
 fn check_tree(common: &Common, tree: &Path) -> Result<Output> {
     let config = match common.log_url {
-        Some(_) => Some(in_force(common)?),
+        Some(_) => Some(read_config(common)?),
         None => None,
     };
     let outcome = check::check(tree, config.as_deref()).context(CheckSnafu)?;
@@ -204,57 +204,58 @@
         KeysCommand::Withdraw { hash } => {
             let hash = match hash {
                 Some(hash) if keys::is_hash(hash) => hash.to_ascii_lowercase().into(),
-                Some(_) => return NotAHashSnafu.fail(),
-                None => hash_of_input()?,
+                Some(_) => return InvalidHashSnafu.fail(),
+                None => read_key_hash()?,
             };
             let _progress = Progress::start("withdrawing: waiting for the log's verdict");
-            let log = log(common)?;
+            let log = open_log(common)?;
             // The entry instance goes first: the key may have leaked, and the log may be slow or
             // unreachable.
-            let is_asked = !common.admin_url.is_empty();
-            let at_once = is_asked.then(|| keys::refuse_at_once(&entries(common), &hash));
-            let withdrawn = keys::withdraw(&log, hash, &proposing(common));
-            Ok(keys::show_withdrawn(&withdrawn, at_once.as_ref()))
+            let has_admin_url = !common.admin_url.is_empty();
+            let immediate =
+                has_admin_url.then(|| keys::refuse_immediately(&admin_client(common), &hash));
+            let withdrawn = keys::withdraw(&log, hash, &propose_options(common));
+            Ok(keys::show_withdrawn(&withdrawn, immediate.as_ref()))
         }
     }
 }
 
-fn hash_of_input() -> Result<KeyHash> {
+fn read_key_hash() -> Result<KeyHash> {
     let mut text = String::new();
     std::io::stdin()
         .read_to_string(&mut text)
         .context(ReadKeySnafu)?;
     match text.trim() {
         "" => EmptyKeySnafu.fail(),
-        shown => Ok(key::hash(shown)),
+        trimmed => Ok(key::hash(trimmed)),
     }
 }
 
-fn log(common: &Common) -> Result<Arc<Log>> {
+fn open_log(common: &Common) -> Result<Arc<Log>> {
     let url = common.log_url.as_deref().context(NoLogSnafu)?;
     Ok(Arc::new(Log::http(url, common.timeout())))
 }
 
-fn in_force(common: &Common) -> Result<Arc<Config>> {
-    Ok(state(common)?.config)
+fn read_config(common: &Common) -> Result<Arc<Config>> {
+    Ok(read_state(common)?.config)
 }
 
-fn state(common: &Common) -> Result<State> {
+fn read_state(common: &Common) -> Result<State> {
     let _progress = Progress::start("reading what is in force");
-    let mut follower = propose::follow(&log(common)?);
-    propose::catch_up(&mut follower, &proposing(common)).context(LogSnafu)?;
+    let mut follower = propose::fleet_follower(&open_log(common)?);
+    propose::catch_up(&mut follower, &propose_options(common)).context(LogSnafu)?;
     Ok(follower.state().clone())
 }
 
-fn entries(common: &Common) -> Entries {
-    Entries {
+fn admin_client(common: &Common) -> AdminClient {
+    AdminClient {
         urls: common.admin_url.clone(),
         key: common.admin_key.clone(),
         timeout: common.timeout(),
     }
 }
 
-fn proposing(common: &Common) -> propose::Options {
+fn propose_options(common: &Common) -> propose::Options {
     propose::Options {
         limit: common.limit(),
         by: common.by.clone(),
--- a/pomelohitch/src/status.rs
+++ b/pomelohitch/src/status.rs
@@ -10,7 +10,7 @@
 
 /// The data of a status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Shown {
+pub struct StatusView {
     /// Status of the entry instance that was asked; `None` if the log was read instead.
     pub entry: Option<EntryStatus>,
     /// Status of the fleet.
@@ -19,8 +19,8 @@
 
 /// Renders a status.
 #[must_use]
-pub fn show(shown: &Shown) -> Output {
-    let fleet = &shown.fleet;
+pub fn show(view: &StatusView) -> Output {
+    let fleet = &view.fleet;
     let mut text = String::new();
     let planner = fleet.planner.as_deref().unwrap_or("nobody");
     let _ = writeln!(
@@ -28,10 +28,10 @@
         "offset {}, term {}, planned by {planner}",
         fleet.next, fleet.term
     );
-    if let Some(entry) = &shown.entry {
-        text += &of_entry(entry);
+    if let Some(entry) = &view.entry {
+        text += &entry_line(entry);
     }
-    section(&mut text, "members", members(shown));
+    section(&mut text, "members", members(view));
     section(&mut text, "pools", pools(&fleet.pools));
     section(&mut text, "waves", waves(fleet));
     section(&mut text, "teams", teams(&fleet.teams));
@@ -43,10 +43,10 @@
             fleet.quarantined.join(", ")
         );
     }
-    Output::new(Exit::Done, text, shown)
+    Output::new(Exit::Done, text, view)
 }
 
-fn of_entry(entry: &EntryStatus) -> String {
+fn entry_line(entry: &EntryStatus) -> String {
     let state = match (entry.ready, entry.leaving) {
         (_, true) => "leaving",
         (true, false) => "ready",
@@ -64,19 +64,19 @@
     }
 }
 
-fn rows(headings: &[&str], rows: &[Vec<String>]) -> Option<String> {
+fn non_empty_table(headings: &[&str], rows: &[Vec<String>]) -> Option<String> {
     (!rows.is_empty()).then(|| table(headings, rows))
 }
 
-fn members(shown: &Shown) -> Option<String> {
+fn members(view: &StatusView) -> Option<String> {
     let heard = |member: &str| {
-        let peers = shown.entry.iter().flat_map(|entry| &entry.peers);
+        let peers = view.entry.iter().flat_map(|entry| &entry.peers);
         let mut peers = peers.filter(|peer| &*peer.member == member);
         peers.next().map_or_else(String::new, |peer| {
             format!("{} ms ago, at {}", peer.heard_ms_ago, peer.next)
         })
     };
-    let lines = shown.fleet.members.iter().map(|member| {
+    let lines = view.fleet.members.iter().map(|member| {
         vec![
             member.member.to_string(),
             member.zone.to_string(),
@@ -86,14 +86,14 @@
         ]
     });
     let lines: Vec<_> = lines.collect();
-    rows(&["MEMBER", "ZONE", "SINCE", "ADDRESS", "HEARD"], &lines)
+    non_empty_table(&["MEMBER", "ZONE", "SINCE", "ADDRESS", "HEARD"], &lines)
 }
 
 fn pools(pools: &[PoolStatus]) -> Option<String> {
     let lines = pools.iter().map(|pool| {
         let services = pool.services.iter().map(|service| {
-            let (id, least, spare) = (&service.service, service.min_available, service.spare);
-            format!("{id} needs {least}, spare {spare}")
+            let (id, min, spare) = (&service.service, service.min_available, service.spare);
+            format!("{id} needs {min}, spare {spare}")
         });
         vec![
             pool.pool.to_string(),
@@ -109,7 +109,7 @@
     let headings = [
         "POOL", "ACTIVE", "DRAINING", "DRAINED", "FAILED", "MOVING", "SERVICES",
     ];
-    rows(&headings, &lines)
+    non_empty_table(&headings, &lines)
 }
 
 fn waves(fleet: &Status) -> Option<String> {
@@ -123,7 +123,7 @@
         ]
     });
     let lines: Vec<_> = lines.collect();
-    rows(&["POOL", "SINCE", "LEFT", "OUT", "LOST"], &lines)
+    non_empty_table(&["POOL", "SINCE", "LEFT", "OUT", "LOST"], &lines)
 }
 
 fn teams(teams: &[TeamStatus]) -> Option<String> {
@@ -142,7 +142,7 @@
     let headings = [
         "TEAM", "SHARE", "LIMIT", "REQUESTS", "JOBS", "WAITING", "KEYS",
     ];
-    rows(&headings, &lines)
+    non_empty_table(&headings, &lines)
 }
 
 fn waiting(fleet: &Status) -> Option<String> {
@@ -150,5 +150,5 @@
     let lines: Vec<_> = lines
         .map(|waiting| vec![waiting.what.to_string(), waiting.why.to_string()])
         .collect();
-    rows(&["WHAT", "WHY"], &lines)
+    non_empty_table(&["WHAT", "WHY"], &lines)
 }
--- a/pomelohitch/tests/cli.rs
+++ b/pomelohitch/tests/cli.rs
@@ -2,7 +2,7 @@
 
 mod cli {
     mod binary;
-    mod log;
+    mod memory_log;
     mod propose;
     mod publish;
     mod views;
--- a/pomelohitch/tests/cli/binary.rs
+++ b/pomelohitch/tests/cli/binary.rs
@@ -21,11 +21,11 @@
 }
 
 #[test]
-fn what_is_missing_on_the_command_line_is_named_and_exits_with_2() {
+fn a_missing_flag_is_named_and_exits_with_2() {
     let output = pomelohitch(&["publish", "."]).output().expect("it runs");
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains("--log-url"), "{told}");
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(message.contains("--log-url"), "{message}");
 }
 
 /// The log's address is wrong, or the log is down: the message and the exit code say that nothing
@@ -46,8 +46,8 @@
     ];
     let output = pomelohitch(&args).output().expect("it runs");
     assert_eq!(output.status.code(), Some(4));
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(told.contains("nothing was published"), "{told}");
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
+    assert!(message.contains("nothing was published"), "{message}");
 }
 
 #[test]
@@ -63,7 +63,7 @@
 /// An operator passes a leaked key as `--hash`. Withdrawing that text as a hash would succeed and
 /// leave the key working. The error message must not contain the key.
 #[test]
-fn a_key_in_place_of_its_hash_is_not_withdrawn_as_if_it_were_one() {
+fn a_key_passed_as_a_hash_is_refused() {
     let args = [
         "--log-url",
         "http://127.0.0.1:9",
@@ -74,9 +74,9 @@
     ];
     let output = pomelohitch(&args).output().expect("it runs");
     assert_eq!(output.status.code(), Some(2));
-    let told = String::from_utf8_lossy(&output.stderr).into_owned();
+    let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
-        told.contains("hexadecimal") && !told.contains("secret"),
-        "{told}"
+        message.contains("hexadecimal") && !message.contains("secret"),
+        "{message}"
     );
 }
--- a/pomelohitch/tests/cli/log.rs
+++ b/pomelohitch/tests/cli/memory_log.rs
@@ -15,9 +15,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// The append takes effect and its response is lost.
-    AnswerLost,
+    ResponseLost,
     /// The append has no effect; the error is that of a lost response.
-    Lost,
+    RequestLost,
 }
 
 /// The records of the log, and the faults to inject.
@@ -25,31 +25,33 @@
 pub struct Store {
     pub records: Vec<Box<str>>,
     /// Faults of the next appends, in order.
-    pub on_append: VecDeque<Fault>,
+    pub append_faults: VecDeque<Fault>,
     pub appends_down: bool,
     pub reads_down: bool,
     /// Records of another writer that are appended just before those of the next append.
-    pub race: Vec<Box<str>>,
+    pub concurrent_records: Vec<Box<str>>,
 }
 
 /// Why locking the store cannot fail.
-pub const WHOLE: &str = "no test panics while it holds the store";
+pub const NOT_POISONED: &str = "no test panics while it holds the store";
 
-pub type Shared = Arc<Mutex<Store>>;
+pub type SharedStore = Arc<Mutex<Store>>;
 
-pub fn shared() -> (Shared, Arc<Log>) {
-    let store = Shared::default();
+pub fn memory_log() -> (SharedStore, Arc<Log>) {
+    let store = SharedStore::default();
     let (appending, reading) = (store.clone(), store.clone());
     let log = Log {
-        append: Box::new(move |_, records| append(&mut appending.lock().expect(WHOLE), records)),
+        append: Box::new(move |_, records| {
+            append(&mut appending.lock().expect(NOT_POISONED), records)
+        }),
         read: Box::new(move |read| {
-            let store = reading.lock().expect(WHOLE);
+            let store = reading.lock().expect(NOT_POISONED);
             if store.reads_down {
                 return Err(error("read", Effect::None));
             }
             let next = store.records.len() as u64;
-            let wanted = (read.from..next).take(read.max);
-            let records = wanted.map(|offset| Stored {
+            let offsets = (read.from..next).take(read.max);
+            let records = offsets.map(|offset| Stored {
                 offset,
                 data: store.records[usize::try_from(offset).expect("tests are small")].clone(),
             });
@@ -67,12 +69,12 @@
     if store.appends_down {
         return Err(error("append", Effect::None));
     }
-    let race = std::mem::take(&mut store.race);
-    store.records.extend(race);
+    let concurrent_records = std::mem::take(&mut store.concurrent_records);
+    store.records.extend(concurrent_records);
     let first = store.records.len() as u64;
-    match store.on_append.pop_front() {
-        Some(Fault::Lost) => return Err(error("append", Effect::Unknown)),
-        Some(Fault::AnswerLost) => {
+    match store.append_faults.pop_front() {
+        Some(Fault::RequestLost) => return Err(error("append", Effect::Unknown)),
+        Some(Fault::ResponseLost) => {
             store.records.extend(records.iter().cloned());
             return Err(error("append", Effect::Unknown));
         }
@@ -97,13 +99,13 @@
 /// Options with a virtual clock, on which sleeping only advances the time.
 pub fn virtual_time() -> Options {
     let start = Instant::now();
-    let passed = Rc::new(Cell::new(Duration::ZERO));
-    let sleeping = passed.clone();
+    let elapsed = Rc::new(Cell::new(Duration::ZERO));
+    let elapsed_by_sleep = elapsed.clone();
     Options {
         limit: Duration::from_secs(5),
         clock: Clock {
-            now: Box::new(move || start + passed.get()),
-            sleep: Box::new(move |time| sleeping.set(sleeping.get() + time)),
+            now: Box::new(move || start + elapsed.get()),
+            sleep: Box::new(move |time| elapsed_by_sleep.set(elapsed_by_sleep.get() + time)),
         },
         ..Options::default()
     }
--- a/pomelohitch/tests/cli/propose.rs
+++ b/pomelohitch/tests/cli/propose.rs
@@ -1,8 +1,8 @@
-use pomelohitch::propose::{Outcome, catch_up, follow, propose};
+use pomelohitch::propose::{Outcome, catch_up, fleet_follower, propose};
 use pomelohitch_core::Body;
 use pomelohitch_core::record::WithdrawKey;
 
-use super::log::{Fault, WHOLE, shared, virtual_time};
+use super::memory_log::{Fault, NOT_POISONED, memory_log, virtual_time};
 
 fn withdraw() -> Body {
     Body::WithdrawKey(WithdrawKey {
@@ -13,25 +13,26 @@
 /// The log stores the record and the response is lost. Reporting a failure would be wrong: the
 /// change is in force.
 #[test]
-fn an_answer_lost_after_taking_effect_is_found_out_by_reading() {
-    let (store, log) = shared();
-    store.lock().expect(WHOLE).on_append = [Fault::AnswerLost].into();
-    let mut follower = follow(&log);
+fn an_append_whose_response_is_lost_is_found_by_reading() {
+    let (store, log) = memory_log();
+    store.lock().expect(NOT_POISONED).append_faults = [Fault::ResponseLost].into();
+    let mut follower = fleet_follower(&log);
     let outcome = propose(&log, &mut follower, withdraw(), &virtual_time());
     assert!(
         matches!(outcome, Outcome::InForce { offset: 0 }),
         "{outcome:?}"
     );
-    assert_eq!(store.lock().expect(WHOLE).records.len(), 1);
+    assert_eq!(store.lock().expect(NOT_POISONED).records.len(), 1);
 }
 
 /// A lost request can't be told from a lost response, so the record is appended again with the same
 /// id until it is read.
 #[test]
-fn an_append_that_got_lost_is_sent_again_with_the_same_id() {
-    let (store, log) = shared();
-    store.lock().expect(WHOLE).on_append = [Fault::Lost, Fault::Lost, Fault::AnswerLost].into();
-    let mut follower = follow(&log);
+fn a_lost_append_is_repeated_with_the_same_id() {
+    let (store, log) = memory_log();
+    store.lock().expect(NOT_POISONED).append_faults =
+        [Fault::RequestLost, Fault::RequestLost, Fault::ResponseLost].into();
+    let mut follower = fleet_follower(&log);
     let outcome = propose(&log, &mut follower, withdraw(), &virtual_time());
     assert!(
         matches!(outcome, Outcome::InForce { offset: 0 }),
@@ -41,16 +42,16 @@
 
 /// The log refuses every append until the limit, so the change can't come into force later.
 #[test]
-fn a_log_that_refuses_for_longer_than_the_limit_leaves_nothing_behind() {
-    let (store, log) = shared();
-    store.lock().expect(WHOLE).appends_down = true;
-    let mut follower = follow(&log);
+fn an_append_refused_until_the_limit_is_not_in_force() {
+    let (store, log) = memory_log();
+    store.lock().expect(NOT_POISONED).appends_down = true;
+    let mut follower = fleet_follower(&log);
     let outcome = propose(&log, &mut follower, withdraw(), &virtual_time());
     assert!(
         matches!(outcome, Outcome::NotAppended { .. }),
         "{outcome:?}"
     );
-    store.lock().expect(WHOLE).appends_down = false;
+    store.lock().expect(NOT_POISONED).appends_down = false;
     catch_up(&mut follower, &virtual_time()).expect("the log is back");
     assert!(follower.state().withdrawn.is_empty());
 }
@@ -59,18 +60,18 @@
 /// nor "not in force" would be certain.
 #[test]
 fn an_unknown_append_followed_by_an_outage_is_not_known() {
-    let (store, log) = shared();
+    let (store, log) = memory_log();
     {
-        let mut store = store.lock().expect(WHOLE);
-        store.on_append = [Fault::AnswerLost].into();
+        let mut store = store.lock().expect(NOT_POISONED);
+        store.append_faults = [Fault::ResponseLost].into();
         store.reads_down = true;
     }
-    let mut follower = follow(&log);
+    let mut follower = fleet_follower(&log);
     let mut options = virtual_time();
-    let downs = store.clone();
+    let store_in_sleep = store.clone();
     let sleep = options.clock.sleep;
     options.clock.sleep = Box::new(move |time| {
-        downs.lock().expect(WHOLE).appends_down = true;
+        store_in_sleep.lock().expect(NOT_POISONED).appends_down = true;
         sleep(time);
     });
     let outcome = propose(&log, &mut follower, withdraw(), &options);
--- a/pomelohitch/tests/cli/publish.rs
+++ b/pomelohitch/tests/cli/publish.rs
@@ -8,7 +8,7 @@
 use pomelohitch_core::{Body, Record};
 use pomelohitch_platform::Log;
 
-use super::log::{Fault, Store, WHOLE, shared, virtual_time};
+use super::memory_log::{Fault, NOT_POISONED, Store, memory_log, virtual_time};
 
 const SALES: &str = "[pool.sales]\n[service.passes]\npool = \"sales\"\nmin_available = 2\n";
 
@@ -47,9 +47,9 @@
 }
 
 #[test]
-fn a_tree_comes_into_force_and_again_it_has_no_differences() {
+fn publishing_a_tree_again_has_no_differences() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    let (_, log) = shared();
+    let (_, log) = memory_log();
     write(root.path(), "a", SALES);
     assert_eq!(offset(&publish_now(root.path(), &log)), 0);
     assert_eq!(publish_now(root.path(), &log), Outcome::NoDifferences);
@@ -62,7 +62,7 @@
 #[test]
 fn a_fault_in_one_file_publishes_nothing() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    let (store, log) = shared();
+    let (store, log) = memory_log();
     write(root.path(), "a", SALES);
     write(
         root.path(),
@@ -71,7 +71,7 @@
     );
     let outcome = publish_now(root.path(), &log);
     assert_eq!(show(&outcome).exit, Exit::Refused);
-    assert!(store.lock().expect(WHOLE).records.is_empty());
+    assert!(store.lock().expect(NOT_POISONED).records.is_empty());
 }
 
 /// Two operators publish from the same base version. The second publish would undo the first one's
@@ -80,7 +80,7 @@
 fn the_loser_of_a_race_is_told_which_offset_beat_it() {
     let (ann, ben) = (tempfile::tempdir(), tempfile::tempdir());
     let (ann, ben) = (ann.expect("a directory"), ben.expect("a directory"));
-    let (store, log) = shared();
+    let (store, log) = memory_log();
     write(ann.path(), "a", SALES);
     publish_now(ann.path(), &log);
     let lock = Lock::load(ann.path()).expect("it was written");
@@ -89,12 +89,12 @@
     write(ann.path(), "a", &SALES.replace('2', "3"));
     write(ben.path(), "a", &SALES.replace('2', "4"));
     assert_eq!(offset(&publish_now(ann.path(), &log)), 1);
-    let lost = show(&publish_now(ben.path(), &log));
-    insta::assert_snapshot!(lost.render(Format::Table), @r##"
+    let refused = show(&publish_now(ben.path(), &log));
+    insta::assert_snapshot!(refused.render(Format::Table), @r##"
     not in force: a/pomelohitch.toml was changed at offset 1 since you started; run `pomelohitch diff`, take that change over, then `pomelohitch diff --rebase`
     "##);
-    assert_eq!(lost.exit, Exit::Refused);
-    assert_eq!(store.lock().expect(WHOLE).records.len(), 2);
+    assert_eq!(refused.exit, Exit::Refused);
+    assert_eq!(store.lock().expect(NOT_POISONED).records.len(), 2);
 }
 
 /// Another operator's record is appended between the comparison and the append. Nothing was stale
@@ -102,16 +102,16 @@
 #[test]
 fn a_race_that_is_lost_inside_the_log_is_not_in_force() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    let (store, log) = shared();
+    let (store, log) = memory_log();
     write(root.path(), "a", SALES);
     let tree = Tree::load(root.path()).expect("the tree is right");
     let nothing = pomelohitch_core::Config::default();
     let theirs = Plan::new(&tree, &Lock::default(), &nothing).publish();
-    store.lock().expect(WHOLE).race = vec![encode(Body::Publish(theirs))];
+    store.lock().expect(NOT_POISONED).concurrent_records = vec![encode(Body::Publish(theirs))];
     write(root.path(), "a", &SALES.replace('2', "9"));
-    let lost = show(&publish_now(root.path(), &log));
-    assert_eq!(lost.exit, Exit::Refused);
-    insta::assert_snapshot!(lost.render(Format::Json), @r##"
+    let refused = show(&publish_now(root.path(), &log));
+    assert_eq!(refused.exit, Exit::Refused);
+    insta::assert_snapshot!(refused.render(Format::Json), @r##"
     {
       "offset": 1,
       "outcome": "not-in-force",
@@ -124,14 +124,17 @@
       }
     }
     "##);
-    assert_eq!(Lock::load(root.path()).expect("none"), Lock::default());
+    assert_eq!(
+        Lock::load(root.path()).expect("a missing lock is read as an empty one"),
+        Lock::default()
+    );
 }
 
 #[test]
-fn a_lost_answer_ends_as_in_force_with_its_lock() {
+fn a_publish_whose_response_is_lost_is_in_force_and_stores_the_lock() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    let (store, log) = shared();
-    store.lock().expect(WHOLE).on_append = [Fault::AnswerLost].into();
+    let (store, log) = memory_log();
+    store.lock().expect(NOT_POISONED).append_faults = [Fault::ResponseLost].into();
     write(root.path(), "a", SALES);
     assert_eq!(offset(&publish_now(root.path(), &log)), 0);
     let lock = Lock::load(root.path()).expect("it was written");
@@ -141,24 +144,24 @@
 /// An append takes effect and the log is down until the limit, so the outcome is "not known".
 /// Publishing again when the log is back finds the record.
 #[test]
-fn publishing_again_after_not_known_finds_the_record_that_had_landed() {
+fn publishing_again_after_an_unknown_outcome_finds_the_record() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    let (store, log) = shared();
+    let (store, log) = memory_log();
     write(root.path(), "a", SALES);
     let mut options = options();
-    let downs = store.clone();
+    let store_in_sleep = store.clone();
     let sleep = options.propose.clock.sleep;
     options.propose.clock.sleep = Box::new(move |time| {
-        downs.lock().expect(WHOLE).appends_down = true;
+        store_in_sleep.lock().expect(NOT_POISONED).appends_down = true;
         sleep(time);
     });
-    store.lock().expect(WHOLE).on_append = [Fault::AnswerLost].into();
+    store.lock().expect(NOT_POISONED).append_faults = [Fault::ResponseLost].into();
     let reading = pomelohitch_platform::Log {
         append: {
             let (store, log) = (store.clone(), log.clone());
             Box::new(move |stream, records| {
                 let appended = (log.append)(stream, records);
-                store.lock().expect(WHOLE).reads_down = true;
+                store.lock().expect(NOT_POISONED).reads_down = true;
                 appended
             })
         },
@@ -172,8 +175,8 @@
     assert_eq!(shown.exit, Exit::NotKnown);
     assert!(shown.text.contains("publish"), "{}", shown.text);
 
-    let records = store.lock().expect(WHOLE).records.clone();
-    *store.lock().expect(WHOLE) = Store {
+    let records = store.lock().expect(NOT_POISONED).records.clone();
+    *store.lock().expect(NOT_POISONED) = Store {
         records,
         ..Store::default()
     };
@@ -183,20 +186,21 @@
 #[test]
 fn a_log_that_is_down_from_the_start_publishes_nothing() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    let (store, log) = shared();
-    store.lock().expect(WHOLE).reads_down = true;
+    let (store, log) = memory_log();
+    store.lock().expect(NOT_POISONED).reads_down = true;
     write(root.path(), "a", SALES);
-    let told = publish(root.path(), &log, &options()).expect_err("it is down");
-    assert!(told.to_string().contains("nothing was published"), "{told}");
-    assert!(store.lock().expect(WHOLE).records.is_empty());
+    let error = publish(root.path(), &log, &options()).expect_err("the log is down");
+    let message = error.to_string();
+    assert!(message.contains("nothing was published"), "{message}");
+    assert!(store.lock().expect(NOT_POISONED).records.is_empty());
 }
 
 /// A checkout without a lock, or with an outdated one, must not overwrite newer changes, unless
 /// `--base` gives the offset from which the operator started.
 #[test]
-fn a_base_given_by_offset_stands_in_for_the_lock() {
+fn a_base_offset_replaces_the_lock() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    let (_, log) = shared();
+    let (_, log) = memory_log();
     write(root.path(), "a", SALES);
     publish_now(root.path(), &log);
     write(root.path(), "a", &SALES.replace('2', "3"));
@@ -207,21 +211,21 @@
     for (base, is_in_force) in [(None, false), (Some(0), false), (Some(1), true)] {
         let options = Options { base, ..options() };
         let outcome = publish(fresh.path(), &log, &options).expect("the log works");
-        let came = matches!(outcome, Outcome::InForce { .. });
-        assert_eq!(came, is_in_force, "base {base:?}: {outcome:?}");
+        let was_published = matches!(outcome, Outcome::InForce { .. });
+        assert_eq!(was_published, is_in_force, "base {base:?}: {outcome:?}");
     }
 }
 
 #[test]
-fn a_rebase_takes_the_versions_in_force_over_after_showing_the_differences() {
+fn a_rebase_stores_the_versions_in_force_in_the_lock() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    let (_, log) = shared();
+    let (_, log) = memory_log();
     write(root.path(), "a", SALES);
     publish_now(root.path(), &log);
-    fs::remove_file(root.path().join("pomelohitch.lock")).expect("it is there");
+    fs::remove_file(root.path().join("pomelohitch.lock")).expect("it exists");
     write(root.path(), "a", &SALES.replace('2', "4"));
 
-    let mut follower = propose::follow(&log);
+    let mut follower = propose::fleet_follower(&log);
     propose::catch_up(&mut follower, &virtual_time()).expect("the log works");
     let config = follower.state().config.clone();
     let shown = diff::diff(root.path(), &config, true).expect("the tree is right");
@@ -235,10 +239,10 @@
 }
 
 #[test]
-fn a_file_that_left_the_tree_is_removed_and_another_trees_file_stays() {
+fn a_file_missing_from_the_tree_is_removed_and_files_of_other_trees_stay() {
     let (ann, ben) = (tempfile::tempdir(), tempfile::tempdir());
     let (ann, ben) = (ann.expect("a directory"), ben.expect("a directory"));
-    let (_, log) = shared();
+    let (_, log) = memory_log();
     write(ann.path(), "a", SALES);
     write(ann.path(), "old", "[pool.old]\n");
     publish_now(ann.path(), &log);
@@ -248,10 +252,10 @@
         "[service.seats]\npool = \"sales\"\nmin_available = 1\n",
     );
     publish_now(ben.path(), &log);
-    fs::remove_dir_all(ann.path().join("old")).expect("it is there");
+    fs::remove_dir_all(ann.path().join("old")).expect("it exists");
     publish_now(ann.path(), &log);
 
-    let mut follower = propose::follow(&log);
+    let mut follower = propose::fleet_follower(&log);
     propose::catch_up(&mut follower, &virtual_time()).expect("the log works");
     let files = &follower.state().config.files;
     let paths: Vec<_> = files.keys().map(|path| &**path).collect();
@@ -259,7 +263,7 @@
 }
 
 #[test]
-fn a_check_beside_what_is_in_force_sees_the_other_trees() {
+fn a_check_against_the_files_in_force_includes_other_trees() {
     let root = tempfile::tempdir().expect("a temporary directory");
     write(
         root.path(),
@@ -273,10 +277,10 @@
     "##);
 
     let theirs = tempfile::tempdir().expect("a temporary directory");
-    let (_, log) = shared();
+    let (_, log) = memory_log();
     write(theirs.path(), "a", SALES);
     publish_now(theirs.path(), &log);
-    let mut follower = propose::follow(&log);
+    let mut follower = propose::fleet_follower(&log);
     propose::catch_up(&mut follower, &virtual_time()).expect("the log works");
     let config = follower.state().config.clone();
     let beside = check::check(root.path(), Some(&config)).expect("the tree can be read");
@@ -285,22 +289,22 @@
 
 /// Ann removes a file while Ben edits it. Ben's publish is refused, with the offset of the removal.
 #[test]
-fn the_loser_to_a_removal_is_told_which_offset_removed_the_file() {
+fn a_publish_refused_after_a_removal_names_its_offset() {
     let (ann, ben) = (tempfile::tempdir(), tempfile::tempdir());
     let (ann, ben) = (ann.expect("a directory"), ben.expect("a directory"));
-    let (_, log) = shared();
+    let (_, log) = memory_log();
     write(ann.path(), "a", SALES);
     write(ann.path(), "b", "[pool.other]\n");
     publish_now(ann.path(), &log);
     let lock = Lock::load(ann.path()).expect("it was written");
     lock.store(ben.path()).expect("it can be written");
-    fs::remove_dir_all(ann.path().join("b")).expect("it is there");
+    fs::remove_dir_all(ann.path().join("b")).expect("it exists");
     let removed = offset(&publish_now(ann.path(), &log));
 
     write(ben.path(), "a", SALES);
     write(ben.path(), "b", "[pool.other]\nfloor = 3\n");
-    let lost = show(&publish_now(ben.path(), &log));
-    assert_eq!(lost.exit, Exit::Refused);
-    let told = format!("removed at offset {removed}");
-    assert!(lost.text.contains(&told), "{}", lost.text);
+    let refused = show(&publish_now(ben.path(), &log));
+    assert_eq!(refused.exit, Exit::Refused);
+    let expected = format!("removed at offset {removed}");
+    assert!(refused.text.contains(&expected), "{}", refused.text);
 }
--- a/pomelohitch/tests/cli/views.rs
+++ b/pomelohitch/tests/cli/views.rs
@@ -6,10 +6,10 @@
 
 use pomelohitch::maintain::{self, MaintainCommand, maintain};
 use pomelohitch::output::Format;
-use pomelohitch::status::{self, Shown};
+use pomelohitch::status::{self, StatusView};
 use pomelohitch::{Exit, keys, propose, report};
 use pomelohitch_burn::counts::Tally;
-use pomelohitch_burn::record::{BURN_STREAM, Record as Counted, Row};
+use pomelohitch_burn::record::{BURN_STREAM, Record as BurnRecord, Row};
 use pomelohitch_burn::{Ledger, Report};
 use pomelohitch_config::parse::parse;
 use pomelohitch_core::record::{
@@ -19,7 +19,7 @@
 use pomelohitch_core::{Body, Record, State};
 use pomelohitch_platform::Log;
 
-use super::log::{WHOLE, shared, virtual_time};
+use super::memory_log::{NOT_POISONED, memory_log, virtual_time};
 
 const FILE: &str = "[team.kiosks]\nshare = 3\nlimit = 40\n[team.hotels]\nshare = 1\nlimit = 10\n\
                     [pool.sales]\n[pool.tools]\nspare = true\n\
@@ -43,7 +43,7 @@
 
 /// A fleet with the file above, one entry instance, which is the planner, and two runners.
 fn fleet() -> Arc<Log> {
-    let (_, log) = shared();
+    let (_, log) = memory_log();
     let file = parse("f", FILE).expect("the file is right").file;
     let change = FileChange {
         base: None,
@@ -78,7 +78,7 @@
 }
 
 fn state(log: &Arc<Log>) -> State {
-    let mut follower = propose::follow(log);
+    let mut follower = propose::fleet_follower(log);
     propose::catch_up(&mut follower, &virtual_time()).expect("the log works");
     follower.state().clone()
 }
@@ -86,7 +86,7 @@
 /// A wave that can't drain any instance must show why, as operators can't tell it from a stuck
 /// system otherwise.
 #[test]
-fn status_tells_what_waits_and_why() {
+fn status_shows_what_waits_and_why() {
     let log = fleet();
     let wave = MaintainCommand::Wave {
         pool: "sales".into(),
@@ -95,7 +95,7 @@
     };
     let ordered = maintain::show(&maintain(&log, &wave, &virtual_time()));
     assert_eq!(ordered.exit, Exit::Done);
-    let shown = Shown {
+    let shown = StatusView {
         entry: None,
         fleet: Status::of(&state(&log)),
     };
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_pause_is_what_a_wave_waits_for_and_a_resume_takes_it_back() {
+fn a_wave_waits_while_maintenance_is_paused() {
     let log = fleet();
     let why = |log| {
         let waiting = Status::of(&state(log)).waiting;
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_order_for_a_pool_that_nobody_declared_is_refused() {
+fn an_order_for_an_undeclared_pool_is_refused() {
     let pause = MaintainCommand::Pause {
         pool: Some("gone".into()),
     };
@@ -171,10 +171,10 @@
 }
 
 /// 2028-02-29 01:00 UTC, in minutes since the Unix epoch.
-const NIGHT: u64 = 30_589_980;
+const START_MINUTE: u64 = 30_589_980;
 
-fn counted(seq: u64, minute: u64, good: u64, bad: u64) -> Counted {
-    Counted {
+fn burn_record(seq: u64, minute: u64, good: u64, bad: u64) -> BurnRecord {
+    BurnRecord {
         member: "entry-1".into(),
         incarnation: 1,
         seq,
@@ -191,16 +191,16 @@
 /// All answers of ten minutes are bad, and one record is missing. `--fail-on-burn` must set the
 /// exit code, and the report must show the gap.
 #[test]
-fn a_burn_fails_the_report_that_was_asked_to_and_shows_its_gap() {
+fn a_fast_burn_sets_the_exit_code_and_gaps_are_shown() {
     let mut ledger = Ledger::default();
     for minute in 0..60 {
         if minute != 20 {
             let bad = if minute >= 50 { 100 } else { 0 };
-            ledger.add(&counted(minute, NIGHT + minute, 100 - bad, bad));
+            ledger.add(&burn_record(minute, START_MINUTE + minute, 100 - bad, bad));
         }
     }
     let config = state(&fleet()).config;
-    let burn = Report::new(&ledger, config.services.values(), NIGHT + 60);
+    let burn = Report::new(&ledger, config.services.values(), START_MINUTE + 60);
     let shown = report::show_burn(&burn, true);
     assert_eq!(shown.exit, Exit::Burning);
     assert_eq!(report::show_burn(&burn, false).exit, Exit::Done);
@@ -216,22 +216,25 @@
 /// Counts are read from their stream of the log; records that do not decode are skipped.
 #[test]
 fn counts_are_read_from_their_stream() {
-    let (store, log) = shared();
-    let records = [counted(0, 5, 9, 1).encode(), "from a newer version".into()];
+    let (store, log) = memory_log();
+    let records = [
+        burn_record(0, 5, 9, 1).encode(),
+        "from a newer version".into(),
+    ];
     (log.append)(BURN_STREAM, &records).expect("the log works");
-    let ledger = report::ledger(&log).expect("the log works");
+    let ledger = report::read_ledger(&log).expect("the log works");
     assert_eq!(
         ledger.tally("passes", None, 0, 9),
         Tally { good: 9, bad: 1 }
     );
-    store.lock().expect(WHOLE).reads_down = true;
-    assert!(report::ledger(&log).is_err());
+    store.lock().expect(NOT_POISONED).reads_down = true;
+    assert!(report::read_ledger(&log).is_err());
 }
 
 #[test]
-fn the_fleet_is_measured_over_the_span_of_its_records() {
-    let measured = report::measure(&fleet(), Duration::ZERO).expect("the log works");
-    insta::assert_snapshot!(report::show_fleet(&measured).text, @r##"
+fn fleet_activity_is_measured_over_the_span_of_the_records() {
+    let activity = report::measure_fleet(&fleet(), Duration::ZERO).expect("the log works");
+    insta::assert_snapshot!(report::show_fleet(&activity).text, @r##"
     over 0.17 hours of records
     moves  0
     ROLLED OUT  TOOK  LOST
--- a/pomelohitch/tests/job.rs
+++ b/pomelohitch/tests/job.rs
@@ -21,11 +21,13 @@
     answer: impl Fn(&Request, usize) -> Answer + Send + Sync + 'static,
 ) -> (Server, Arc<Mutex<Vec<String>>>) {
     let keys = Arc::new(Mutex::new(Vec::new()));
-    let noted = keys.clone();
+    let recorded = keys.clone();
     let handler = move |req: &Request| {
-        let mut noted = noted.lock().expect("no holder panics");
-        noted.push(req.header("idempotency-key").unwrap_or("-").to_owned());
-        answer(req, noted.len())
+        let mut recorded = recorded
+            .lock()
+            .expect("no test panics while it holds the keys");
+        recorded.push(req.header("idempotency-key").unwrap_or("-").to_owned());
+        answer(req, recorded.len())
     };
     let server = Server::start(&Options::default(), Box::new(handler));
     (server, keys)
@@ -37,7 +39,7 @@
     let args = Cli::parse_from(fixed.iter().chain(args)).args;
     let mut out = Vec::new();
     let result = job::run(&args, Format::Table, &mut out);
-    (result, String::from_utf8(out).expect("text"))
+    (result, String::from_utf8(out).expect("the output is UTF-8"))
 }
 
 fn view(state: &str) -> serde_json::Value {
@@ -68,7 +70,7 @@
 /// The response to a submit is lost. The command retries with the same idempotency key, so that
 /// only one job is created and the caller gets its id.
 #[test]
-fn a_submit_whose_answer_is_lost_is_repeated_with_the_same_key() {
+fn a_submit_whose_response_is_lost_is_repeated_with_the_same_key() {
     let (server, keys) = entry(|_, count| {
         if count == 1 {
             Answer::Close
@@ -79,7 +81,10 @@
     let (result, out) = run(&server, &SUBMIT);
     result.expect("the second try is answered");
     assert!(out.contains("0123456789abcdef"));
-    let keys = keys.lock().expect("no holder panics").clone();
+    let keys = keys
+        .lock()
+        .expect("no test panics while it holds the keys")
+        .clone();
     assert_eq!(keys.len(), 2);
     assert_eq!(keys[0], keys[1]);
 }
@@ -87,15 +92,15 @@
 /// A script that takes an unknown outcome for a refusal submits the job twice; one that takes a
 /// refusal for an unknown outcome may not submit it at all.
 #[test]
-fn exit_codes_tell_refused_from_unknown() {
+fn exit_codes_distinguish_refused_from_unknown() {
     let refuse = |ran: &'static str, status| {
         move |_: &Request, _| Answer::json(status, &json!({"title": "no", "ran": ran}))
     };
     let code = |(result, _): (job::Result<()>, String)| result.expect_err("refused").exit();
     let (refusing, _) = entry(refuse("no", 422));
     assert_eq!(code(run(&refusing, &SUBMIT)), Exit::Refused);
-    let (unsure, _) = entry(refuse("unknown", 504));
-    assert_eq!(code(run(&unsure, &SUBMIT)), Exit::NotKnown);
+    let (uncertain, _) = entry(refuse("unknown", 504));
+    assert_eq!(code(run(&uncertain, &SUBMIT)), Exit::NotKnown);
 }
 
 #[test]
