--- a/crates/pomelohitch-burn/src/plot.rs
+++ b/crates/pomelohitch-burn/src/plot.rs
@@ -10,7 +10,7 @@
 
 /// The plot can't be drawn.
 #[derive(Debug, Snafu)]
-#[snafu(display("draw the budget left: {message}"))]
+#[snafu(display("draw the plot of the error budget: {message}"))]
 pub struct Error {
     message: Box<str>,
 }
--- a/pomelohitch/src/cli.rs
+++ b/pomelohitch/src/cli.rs
@@ -109,7 +109,7 @@
     Publish {
         /// Directory of the fleet files
         tree: PathBuf,
-        /// Compare with the versions in force at this offset instead of those in the lock
+        /// Base the changes on the versions in force at this offset instead of those in the lock
         #[arg(long, value_name = "OFFSET")]
         base: Option<Offset>,
     },
--- a/pomelohitch/src/job.rs
+++ b/pomelohitch/src/job.rs
@@ -125,7 +125,7 @@
         ran: Box<str>,
     },
     /// The JSON of a request or response can't be encoded or decoded.
-    #[snafu(display("{step} at {entry}: unreadable answer: {source}"))]
+    #[snafu(display("{step} at {entry}: cannot decode the response: {source}"))]
     Decode {
         /// The operation that failed.
         step: &'static str,
--- a/pomelohitch/src/run.rs
+++ b/pomelohitch/src/run.rs
@@ -27,7 +27,7 @@
 /// A command failed.
 #[derive(Debug, Snafu)]
 enum Error {
-    #[snafu(display("no log is named; give --log-url or POMELOHITCH_LOG_URL"))]
+    #[snafu(display("no log address is given; set --log-url or POMELOHITCH_LOG_URL"))]
     NoLog,
     #[snafu(display("{source}; nothing was changed"))]
     Log { source: pomelohitch_platform::Error },
@@ -241,7 +241,7 @@
 }
 
 fn read_state(common: &Common) -> Result<State> {
-    let _progress = Progress::start("reading what is in force");
+    let _progress = Progress::start("reading the state of the fleet");
     let mut follower = propose::fleet_follower(&open_log(common)?);
     propose::catch_up(&mut follower, &propose_options(common)).context(LogSnafu)?;
     Ok(follower.state().clone())
