--- a/crates/pomelohitch-burn/tests/burn/report.rs
+++ b/crates/pomelohitch-burn/tests/burn/report.rs
@@ -84,8 +84,8 @@
     assert!(report(&day(10, 100)).is_burning());
 }
 
-/// All answers were bad for ten minutes, an hour ago: the budget is smaller, but the short windows
-/// have no bad answers, so there is no alarm.
+/// All answers were bad for ten minutes, an hour ago: part of the budget is used, but no rule holds
+/// over both of its windows.
 #[test]
 fn a_burn_that_has_ended_raises_no_alarm() {
     let mut ledger = Ledger::default();
--- a/pomelohitch/src/propose.rs
+++ b/pomelohitch/src/propose.rs
@@ -2,7 +2,8 @@
 //!
 //! The response to an append can be lost after the append took effect. The record is then appended
 //! again with the same id, which the fold applies once, and the log is read until the verdict is
-//! found. The reported outcome is thus always a verdict that was read from the log.
+//! found. That a record is in force or rejected is thus always read from the log, never inferred from
+//! the response to an append.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
