--- a/crates/pomelohitch-emulator/src/arrivals.rs
+++ b/crates/pomelohitch-emulator/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! The jobs of a load, drawn from a seed.
+//! Random generation of a load's jobs from a seed.
 
 use std::time::Duration;
 
@@ -11,43 +11,43 @@
 use crate::fleet::faults::normal;
 use crate::load::{Load, Queue};
 
-/// Arrivals are drawn for spans of this length.
+/// Arrivals are generated in slices of this length; all jobs of a slice arrive at its start.
 const SLICE: Duration = Duration::from_millis(10);
-/// Most tasks of a step, in multiples of the mean.
-const MOST: f64 = 4.0;
-/// Memory that a task takes, MB.
+/// Upper limit of generated numbers as a multiple of their mean.
+const MAX_FACTOR: f64 = 4.0;
+/// Memory of a task in MB.
 const TASK_MEM_MB: u64 = 500;
 
-/// A job that a caller hands in.
+/// A job that a caller submits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When, after the first caller.
+    /// Arrival time after the start of arrivals.
     pub at: Duration,
-    /// Its id.
+    /// Id of the job.
     pub id: JobId,
-    /// Which queue, by its place in the load.
+    /// Index of the queue in the load.
     pub queue: usize,
-    /// Which workspace, by its place in the load.
+    /// Index of the workspace in the load.
     pub workspace: usize,
-    /// The job.
+    /// Specification of the job.
     pub draft: Draft,
 }
 
-/// All jobs of a load, in order of time.
+/// Generates all jobs of a load in order of arrival.
 #[must_use]
-pub fn draw(load: &Load, seed: u64) -> Vec<Arrival> {
+pub fn generate(load: &Load, seed: u64) -> Vec<Arrival> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
     let slices = Duration::from_secs_f64(load.seconds).as_millis() / SLICE.as_millis();
     for slice in 0..u32::try_from(slices).unwrap_or(u32::MAX) {
         let at = SLICE * slice;
-        for (place, queue) in load.queues.iter().enumerate() {
-            let rate = queue.per_s * rise(load, place, at);
+        for (index, queue) in load.queues.iter().enumerate() {
+            let rate = queue.per_s * rate_factor(load, index, at);
             for workspace in senders(load, rate, at, &mut rng) {
                 arrivals.push(Arrival {
                     at,
                     id: rng.random(),
-                    queue: place,
+                    queue: index,
                     workspace,
                     draft: job(queue, &mut rng),
                 });
@@ -57,8 +57,8 @@
     arrivals
 }
 
-/// What a queue sends now, in multiples of its mean.
-fn rise(load: &Load, queue: usize, at: Duration) -> f64 {
+/// Arrival rate of a queue at a time, as a multiple of its mean.
+fn rate_factor(load: &Load, queue: usize, at: Duration) -> f64 {
     let Some(turns) = load.turns else {
         return 1.0;
     };
@@ -66,17 +66,17 @@
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
-        reason = "a number of turns"
+        reason = "a small number of bursts"
     )]
-    let turn = passed as usize % load.queues.len();
-    if turn == queue {
+    let bursting_queue = passed as usize % load.queues.len();
+    if bursting_queue == queue {
         turns.height
     } else {
         turns.rest
     }
 }
 
-/// The workspaces that send a job within a slice, each as often as it does.
+/// Workspaces that submit jobs within a slice, repeated for each of their jobs.
 fn senders(load: &Load, rate: f64, at: Duration, rng: &mut ChaCha8Rng) -> Vec<usize> {
     let expected = rate * SLICE.as_secs_f64();
     if load.workspaces.is_empty() {
@@ -84,16 +84,16 @@
     }
     let parts: f64 = load.workspaces.iter().map(|w| w.part).sum();
     let mut senders = Vec::new();
-    for (place, workspace) in load.workspaces.iter().enumerate() {
-        let pressing = workspace.presses.filter(|span| span.holds(at));
-        let times = pressing.map_or(1.0, |span| span.strength);
-        let count = poisson(expected * workspace.part / parts * times, rng);
-        senders.extend(std::iter::repeat_n(place, count));
+    for (index, workspace) in load.workspaces.iter().enumerate() {
+        let overload = workspace.presses.filter(|span| span.contains(at));
+        let factor = overload.map_or(1.0, |span| span.strength);
+        let count = poisson(expected * workspace.part / parts * factor, rng);
+        senders.extend(std::iter::repeat_n(index, count));
     }
     senders
 }
 
-/// How many of events come that come independently of each other.
+/// Draws a Poisson-distributed number with the given mean.
 fn poisson(expected: f64, rng: &mut ChaCha8Rng) -> usize {
     let limit = (-expected).exp();
     let mut product: f64 = rng.random_range(0.0..1.0);
@@ -106,17 +106,22 @@
 }
 
 fn job(queue: &Queue, rng: &mut ChaCha8Rng) -> Draft {
-    let steps = whole(vary(queue.steps, queue.spread, rng)).max(1);
-    let steps = (0..steps).map(|place| {
-        let before = place.checked_sub(1);
+    let steps = round_to_u64(draw_around_mean(queue.steps, queue.spread, rng)).max(1);
+    let steps = (0..steps).map(|index| {
+        let before = index.checked_sub(1);
         StepSpec {
-            count: u32::try_from(whole(vary(queue.tasks, queue.spread, rng)).max(1)).unwrap_or(1),
+            count: u32::try_from(
+                round_to_u64(draw_around_mean(queue.tasks, queue.spread, rng)).max(1),
+            )
+            .unwrap_or(1),
             need: Resources {
-                cpu: whole(vary(queue.cpu, queue.spread, rng)).max(1),
+                cpu: round_to_u64(draw_around_mean(queue.cpu, queue.spread, rng)).max(1),
                 mem_mb: TASK_MEM_MB,
                 gpu: 0,
             },
-            estimate: Duration::from_secs_f64(vary(queue.work_ms, queue.spread, rng) / 1000.0),
+            estimate: Duration::from_secs_f64(
+                draw_around_mean(queue.work_ms, queue.spread, rng) / 1000.0,
+            ),
             after: before
                 .map(|b| u16::try_from(b).unwrap_or(u16::MAX))
                 .into_iter()
@@ -131,17 +136,17 @@
     }
 }
 
-/// A number around a mean.
-fn vary(mean: f64, spread: f64, rng: &mut ChaCha8Rng) -> f64 {
+/// Draws a log-normal number with the given mean, limited to [`MAX_FACTOR`] times the mean.
+fn draw_around_mean(mean: f64, spread: f64, rng: &mut ChaCha8Rng) -> f64 {
     let factor = (normal(rng) * spread - spread * spread / 2.0).exp();
-    mean * factor.min(MOST)
+    mean * factor.min(MAX_FACTOR)
 }
 
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
-    reason = "small numbers above 0"
+    reason = "numbers are positive and small"
 )]
-fn whole(number: f64) -> u64 {
+fn round_to_u64(number: f64) -> u64 {
     number.round() as u64
 }
--- a/crates/pomelohitch-emulator/src/fleet/faults.rs
+++ b/crates/pomelohitch-emulator/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that strike at random, and how long tasks really take.
+//! Random faults, and the actual durations of tasks.
 
 use std::time::Duration;
 
@@ -7,99 +7,102 @@
 use rand::rngs::ChaCha8Rng;
 use rand::{RngExt, SeedableRng};
 
-use super::ORDER_WITHIN;
+use super::ORDER_TIMEOUT;
 
-/// An order that is left unanswered is carried out so much later, if at all in time.
-const LATE: std::ops::Range<f64> = 2.0..12.0;
+/// Delay in seconds after which an unanswered order is executed.
+const LATE_DELAY_S: std::ops::Range<f64> = 2.0..12.0;
 
-/// Faults that strike at random.
+/// Random faults.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Faults {
-    /// The part of orders and looks that get no answer; orders are carried out seconds later.
+    /// Fraction of orders and polls that get no answer; the orders are executed seconds later.
     pub orders_lost: f64,
-    /// How long orders take to arrive. Longer than their timeout, and they count as unanswered.
+    /// Network delay of orders. It has an effect only if it exceeds their timeout: then they count
+    /// as unanswered.
     pub orders_late: Duration,
-    /// How far the durations of tasks lie from their estimates: the standard deviation of the
-    /// logarithm. Each task takes the same time wherever and whenever it runs.
+    /// Deviation of actual durations of tasks from their estimates: the standard deviation of the
+    /// logarithm. A task takes the same time in every run.
     pub unevenness: f64,
-    /// Decides durations.
+    /// Seed of the durations.
     pub seed: u64,
 }
 
 impl Faults {
-    /// How long a task takes whose step was estimated so.
+    /// Actual duration of a task for the estimate of its step.
     #[must_use]
     pub fn duration(&self, task: TaskId, estimate: Duration) -> Duration {
         if self.unevenness <= 0.0 {
             return estimate;
         }
-        let place = u64::from(task.step) << 32 | u64::from(task.index);
-        let seed = self.seed ^ task.job.rotate_left(17) ^ place.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+        let position = u64::from(task.step) << 32 | u64::from(task.index);
+        let seed =
+            self.seed ^ task.job.rotate_left(17) ^ position.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         estimate.mul_f64((normal(&mut rng) * self.unevenness).exp())
     }
 }
 
-/// A standard normal number: the sum of twelve uniform ones is near enough for durations.
+/// Draws an approximately standard normal number as the sum of twelve uniform ones, which is precise
+/// enough for durations.
 pub(crate) fn normal(rng: &mut ChaCha8Rng) -> f64 {
     let sum: f64 = (0..12).map(|_| rng.random_range(0.0..1.0)).sum();
     sum - 6.0
 }
 
-/// What is to happen to an order that got no answer.
+/// A scheduled event of an order without an answer.
 #[derive(Debug)]
 pub(super) struct Delayed {
     pub(super) at: Steady,
     pub(super) target: Target,
     pub(super) order: Order,
     pub(super) epoch: u64,
-    /// Else it is taken for lost then.
-    pub(super) is_carried_out: bool,
+    /// Whether the order is executed at `at`; otherwise the scheduler's call times out then.
+    pub(super) is_executed: bool,
 }
 
-/// Decides which faults strike.
+/// Random number generator of the faults.
 #[derive(Debug)]
-pub(super) struct Luck {
+pub(super) struct FaultRng {
     rng: ChaCha8Rng,
 }
 
-impl Luck {
-    pub(super) fn new(seed: u64) -> Luck {
-        Luck {
+impl FaultRng {
+    pub(super) fn new(seed: u64) -> FaultRng {
+        FaultRng {
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    pub(super) fn strikes(&mut self, part: f64) -> bool {
-        part > 0.0 && self.rng.random_range(0.0..1.0) < part
+    pub(super) fn occurs(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.random_range(0.0..1.0) < probability
     }
 
-    /// An order that is left unanswered: taken for lost soon, and carried out later.
-    pub(super) fn late(
+    /// Events of an unanswered order: the timeout, and the execution after a random delay.
+    pub(super) fn unanswered_with_random_delay(
         &mut self,
         target: &Target,
         order: &Order,
         epoch: u64,
         now: Steady,
     ) -> [Delayed; 2] {
-        let late = Duration::from_secs_f64(self.rng.random_range(LATE));
-        Luck::unanswered(target, order, epoch, now, late)
+        let delay = Duration::from_secs_f64(self.rng.random_range(LATE_DELAY_S));
+        FaultRng::unanswered(target, order, epoch, now, delay)
     }
 
-    /// An order that counts as lost soon, and is carried out after `late`.
+    /// Events of an unanswered order: the timeout, and the execution after `delay`.
     pub(super) fn unanswered(
         target: &Target,
         order: &Order,
         epoch: u64,
         now: Steady,
-        late: Duration,
+        delay: Duration,
     ) -> [Delayed; 2] {
-        [(ORDER_WITHIN, false), (late, true)].map(|(after, is_carried_out)| Delayed {
+        [(ORDER_TIMEOUT, false), (delay, true)].map(|(after, is_executed)| Delayed {
             at: now + after,
             target: target.clone(),
             order: order.clone(),
             epoch,
-            is_carried_out,
+            is_executed,
         })
     }
 }
--- a/pomelohitchd/src/peers.rs
+++ b/pomelohitchd/src/peers.rs
@@ -11,8 +11,9 @@
 use crate::node::{Node, PeerSeen};
 use crate::permits;
 
-/// How much bad news of one kind a heartbeat carries at the most; the log carries the rest.
-const NEWS_PER_BEAT: usize = 200;
+/// Maximum number of withdrawn keys, and of leaving instances, in a heartbeat. The log carries the
+/// rest.
+const MAX_PER_HEARTBEAT: usize = 200;
 
 /// Starts the links on `listener`.
 ///
@@ -28,14 +29,15 @@
     Links::start(listener, settings, move || handlers(&node))
 }
 
-/// Where the other entry instances reach this one.
+/// The address at which the other entry instances reach this one.
 #[must_use]
 pub fn advertised(node: &Node, bound: SocketAddr) -> SocketAddr {
     let ip = node.settings.peer_advertise.unwrap_or(bound.ip());
     SocketAddr::new(ip, bound.port())
 }
 
-/// Keeps links to the members of the state in force; returns the epoch that is followed.
+/// Sets the peers to the other members of the current state if the epoch isn't `followed`; returns
+/// the epoch of that state.
 #[must_use]
 pub fn follow_members(node: &Node, links: &Links, followed: Option<Offset>) -> Option<Offset> {
     let state = node.state.load();
@@ -54,7 +56,7 @@
             addr: member.peer_addr,
         })
         .collect();
-    // The thread only ends at shutdown.
+    // The send fails only during shutdown, when the links' thread has ended.
     let _ = links.commands.send(Command::Peers(peers));
     epoch
 }
@@ -72,22 +74,22 @@
 }
 
 fn own_beat(node: &Node) -> Heartbeat {
-    let news = node.bad_news.load();
+    let withdrawals = node.known_withdrawals.load();
     Heartbeat {
         member: node.settings.member.clone(),
         incarnation: node.incarnation.load(Ordering::Acquire),
         next: node.state.load().next,
         leaving: node.is_leaving(),
-        withdrawn_keys: news
+        withdrawn_keys: withdrawals
             .withdrawn_keys
             .iter()
-            .take(NEWS_PER_BEAT)
+            .take(MAX_PER_HEARTBEAT)
             .cloned()
             .collect(),
         leaving_instances: node
-            .sees_leaving()
+            .own_sightings()
             .into_iter()
-            .take(NEWS_PER_BEAT)
+            .take(MAX_PER_HEARTBEAT)
             .collect(),
         ..Heartbeat::default()
     }
@@ -96,7 +98,7 @@
 fn on_beat(node: &Node, heard: Heard) {
     let Heard { beat, said_after } = heard;
     node.add_withdrawn(&beat.withdrawn_keys);
-    node.saw_leaving(&beat.member, beat.leaving_instances.into_iter().collect());
+    node.record_leaving(&beat.member, beat.leaving_instances.into_iter().collect());
     let seen = PeerSeen {
         incarnation: beat.incarnation,
         next: beat.next,
@@ -104,5 +106,5 @@
         at: Instant::now(),
         said_after,
     };
-    node.saw_peer(beat.member, seen);
+    node.record_peer(beat.member, seen);
 }
--- a/pomelohitchd/tests/batch/drains.rs
+++ b/pomelohitchd/tests/batch/drains.rs
@@ -2,12 +2,12 @@
 
 use pomelohitch_core::state::jobs::Outcome;
 
-use crate::site::{Platform, job, wait_until};
+use crate::support::{Platform, job, wait_until};
 
-/// A worker is taken away while a job runs on it that must not run twice. The job is checkpointed
-/// and goes on elsewhere from where it was; nothing new goes to the worker.
+/// A worker drains while a non-idempotent job runs on it. The job is checkpointed and resumed on
+/// another worker, and the draining worker gets nothing new.
 #[test]
-fn a_job_on_a_leaving_worker_goes_on_elsewhere() {
+fn a_job_on_a_leaving_worker_resumes_on_another_worker() {
     let platform = Platform::start(8);
     let entry = platform.planner(100);
     entry.adopt("worker-0");
@@ -31,15 +31,15 @@
     assert_eq!((runs.started, runs.most_at_once), (2, 1));
 }
 
-/// A peer saw a worker leave, and the log doesn't tell yet. Bad news is enough to give it nothing
-/// new.
+/// A peer has seen that a worker leaves, and the log has no record of it yet. The peer's
+/// notification is enough to place nothing new on the worker.
 #[test]
-fn a_worker_that_a_peer_saw_leaving_gets_nothing_new() {
+fn a_worker_that_a_peer_reports_as_leaving_gets_nothing_new() {
     let platform = Platform::start(8);
     let entry = platform.planner(100);
     entry.end_of(&entry.submit(&job("print", true, "run=10")));
     let seen = ["worker-0".into()].into();
-    entry.node.saw_leaving(&"entry-2".into(), seen);
+    entry.node.record_leaving(&"entry-2".into(), seen);
     let id = entry.submit(&job("print", true, "run=60000"));
     entry.wait_for(&id, "running");
     assert_eq!(entry.show(&id).worker.as_deref(), Some("worker-1"));
--- a/pomelohitchd/tests/front/answers.rs
+++ b/pomelohitchd/tests/front/answers.rs
@@ -1,4 +1,4 @@
-//! What callers get back, and that it is true.
+//! Answers that callers get for complete, truncated, late and refused requests.
 
 use std::net::TcpListener;
 
@@ -9,7 +9,7 @@
 use crate::runner::{Runner, ok};
 
 #[test]
-fn the_whole_answer_comes_back() {
+fn the_complete_answer_is_returned() {
     let runner = Runner::start(|_| {
         Some(
             b"HTTP/1.1 201 Created\r\nContent-Length: 9\r\nX-Pass: 7\r\nConnection: keep-alive\r\n\r\nday pass!"
@@ -26,7 +26,7 @@
 
     day pass!
     ");
-    let seen = runner.seen.lock().unwrap()[0].clone();
+    let seen = runner.received.lock().unwrap()[0].clone();
     assert_eq!(seen.lines[0], "PUT /day?who=family HTTP/1.1");
     assert_eq!(seen.header("X-Desk"), Some("4"));
     assert_eq!(seen.header("Request-Team"), Some("valley"));
@@ -37,8 +37,8 @@
     assert!(left <= 10_000);
 }
 
-/// The runner's process dies in the middle of an answer. Half a booking that looks whole would
-/// leave the caller with a pass it can't use, so the caller is told that the answer was lost.
+/// A runner that dies while it sends an answer leaves a truncated response. Passed on as complete,
+/// it would give the caller an invalid booking; the caller gets 502 with `ran: unknown` instead.
 #[test]
 fn half_answers_are_never_passed_on() {
     for cut in [
@@ -53,8 +53,8 @@
             let is_first = seen.header("X-Cut").is_some();
             (!is_first).then(|| ok("whole"))
         });
-        let cutter = cutting(cut);
-        let entry = Entry::start(&[cutter], Limits::default());
+        let truncating = truncating_runner(cut);
+        let entry = Entry::start(&[truncating], Limits::default());
         let answer = entry.call("POST", "/s/passes/", &[]);
         assert_eq!(status(&answer), 502, "{answer}");
         assert_eq!(problem(&answer)["ran"], "unknown");
@@ -64,7 +64,7 @@
 }
 
 /// A runner that reads a request, writes `bytes` and closes.
-fn cutting(bytes: &'static [u8]) -> std::net::SocketAddr {
+fn truncating_runner(bytes: &'static [u8]) -> std::net::SocketAddr {
     use std::io::{Read, Write};
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -77,7 +77,8 @@
     addr
 }
 
-/// Nothing listens at the runner's address any more. No byte can have left, so "not run" is true.
+/// Nothing listens at the runner's address. No byte of the request was sent, so that `ran: no` is
+/// correct.
 #[test]
 fn a_runner_that_cannot_be_reached_did_not_run_it() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -90,8 +91,8 @@
     assert!(answer.contains("Retry-After: "), "{answer}");
 }
 
-/// The runner answers 503 itself. Unless it says that it didn't start the request, that is the
-/// endpoint's own answer and goes back as it is.
+/// A 503 from the runner is the endpoint's own answer and is returned unchanged, unless its header
+/// `Request-Ran: no` says that the request was not started.
 #[test]
 fn only_the_runners_own_word_makes_a_refusal_not_run() {
     let runner = Runner::start(|seen| {
@@ -110,12 +111,12 @@
     assert_eq!(problem(&refused)["ran"], "no");
 }
 
-/// The runner takes a request and never answers. The caller waits no longer than it said, and
-/// isn't told "not run": the runner may have done it.
+/// The runner accepts a request and never answers. The caller gets 504 at its own timeout, with
+/// `ran: unknown`, since the runner may have executed the request.
 #[test]
 fn a_late_answer_is_unknown() {
     let runner = Runner::start(|_| {
-        std::thread::sleep(crate::entry::PATIENCE);
+        std::thread::sleep(crate::entry::WAIT_TIMEOUT);
         None
     });
     let entry = Entry::start(&[runner.addr], Limits::default());
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn the_words_for_ran_are_stable() {
+fn the_serialized_values_of_ran_are_stable() {
     let words = serde_json::to_string(&[Ran::No, Ran::Unknown]).unwrap();
     insta::assert_snapshot!(words, @r#"["no","unknown"]"#);
 }
--- a/pomelohitchd/tests/processes/jobs.rs
+++ b/pomelohitchd/tests/processes/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs while the platform loses answers and the planner dies; keys that are sent twice.
+//! Jobs while the platform loses answers and the planner dies, and repeated idempotency keys.
 
 use std::time::Duration;
 
@@ -25,13 +25,13 @@
     }
 }
 
-/// Hands a job in at one entry instance after the other until one says that it was taken in.
-fn hand_in(fleet: &Fleet, index: usize) -> Done {
+/// Submits a job at one entry instance after the other until one accepts it.
+fn submit_until_accepted(fleet: &Fleet, index: usize) -> Done {
     let agent = caller::agent();
     let job = job(index);
-    let mut tries = index..;
-    let handed = wait_for("a job is taken in", || {
-        let entry = &fleet.entries[tries.next()? % fleet.entries.len()];
+    let mut attempts = index..;
+    let handed = wait_for("a job is accepted", || {
+        let entry = &fleet.entries[attempts.next()? % fleet.entries.len()];
         let handed = jobs::submit(&agent, entry.callers, &job);
         matches!(handed, Handed::Accepted(_)).then_some(handed)
     });
@@ -57,19 +57,20 @@
     }
 }
 
-/// Workers start tasks and the answers are lost, the log goes away for a moment, and the planner
-/// dies in the midst of it. A settlement that mustn't run twice is started once at the most, and
-/// every job that was taken in comes to an end.
+/// Workers start tasks whose answers are lost, the log has an outage, and the planner dies. A
+/// non-idempotent job is started at most once, and every accepted job ends.
 #[test]
 fn lost_answers_and_a_dead_planner_neither_double_nor_lose_a_job() {
     let mut fleet = Fleet::start(3, 1);
     let planner = fleet.planner();
-    let mut all: Vec<Done> = (0..10).map(|index| hand_in(&fleet, index)).collect();
+    let mut all: Vec<Done> = (0..10)
+        .map(|index| submit_until_accepted(&fleet, index))
+        .collect();
     fleet.workers.set_faults(workers::Faults {
         lose_starts: 5,
         ..workers::Faults::default()
     });
-    all.extend((10..20).map(|index| hand_in(&fleet, index)));
+    all.extend((10..20).map(|index| submit_until_accepted(&fleet, index)));
     wait_until("answers are lost", || {
         fleet.workers.faults().lose_starts < 5
     });
@@ -80,36 +81,36 @@
         ..CallFaults::default()
     };
     fleet.log.set_faults(log::Faults { calls, keep: None });
-    wait_until("both noticed that the log is down", || {
+    wait_until("both entry instances failed to read the log", || {
         let metrics = fleet.entries.iter().map(Daemon::metrics);
         let mut metrics = metrics.map(Option::unwrap_or_default);
         metrics.all(|text| text.contains("log_read_errors "))
     });
     fleet.log.set_faults(log::Faults::default());
-    all.extend((20..30).map(|index| hand_in(&fleet, index)));
+    all.extend((20..30).map(|index| submit_until_accepted(&fleet, index)));
     wait_ended(&fleet, &mut all);
     let tally = jobs::Tally::count(&all, &fleet.workers.ledger());
     assert!(tally.is_clean(), "{tally:?}");
     assert_eq!(tally.ended + tally.unknown, 30, "{tally:?}");
 }
 
-/// A caller whose answer got lost hands the same job in again at every entry instance, all at the
-/// same moment. It is one job, and it runs once.
+/// A caller that got no answer submits the same job again, at every entry instance at the same
+/// moment. All submits return one job, which runs once.
 #[test]
 fn a_job_handed_in_everywhere_at_once_runs_once() {
     let fleet = Fleet::start(3, 1);
     let job = job(1);
     let ids = std::thread::scope(|scope| {
-        let handing_in: Vec<_> = (0..9)
+        let submits: Vec<_> = (0..9)
             .map(|index| {
                 let entry = fleet.entries[index % 3].callers;
                 let job = &job;
                 scope.spawn(move || jobs::submit(&caller::agent(), entry, job))
             })
             .collect();
-        let handed = handing_in
+        let handed = submits
             .into_iter()
-            .map(|one| one.join().expect("no panic"));
+            .map(|one| one.join().expect("no thread panics"));
         handed.collect::<Vec<_>>()
     });
     assert!(matches!(ids[0], Handed::Accepted(_)), "{ids:?}");
--- a/pomelohitchd/tests/processes/waves.rs
+++ b/pomelohitchd/tests/processes/waves.rs
@@ -10,12 +10,12 @@
 
 use crate::support::{Fleet, under_load, wait_until};
 
-/// Runners of the service.
+/// Number of runners of the service.
 const RUNNERS: usize = 6;
-/// So many of them have to stay active.
+/// Number of runners that must stay active.
 const MIN_AVAILABLE: u32 = 4;
 
-/// A fleet whose service may miss two of its six runners.
+/// A fleet whose service tolerates two of its six runners being down.
 fn fleet() -> Fleet {
     let fleet = Fleet::start(3, RUNNERS);
     let base = fleet.state().config.files[PATH].version;
@@ -55,9 +55,9 @@
     });
 }
 
-/// Every instance was rebooted once, with nothing running on it, and no record in the log left the
-/// service fewer active instances than its budget.
-fn check(fleet: &Fleet) {
+/// Checks that every instance was rebooted once, with nothing running on it, and that no record in
+/// the log left the service fewer active instances than its budget.
+fn check_wave(fleet: &Fleet) {
     let mut rebooted = reboots(fleet);
     rebooted.sort();
     let all: Vec<_> = fleet.state().fleet.instances.keys().cloned().collect();
@@ -80,30 +80,29 @@
     }
 }
 
-/// The planner dies while it maintains instances. Another one goes on where it stopped: nothing is
-/// rebooted twice or left out, the budget holds, and callers notice no more than the dead entry
-/// instance.
+/// The planner is killed during a wave. The next one continues it: no instance is rebooted twice or
+/// left out, the budget holds, and the only effect on callers is that of the dead entry instance.
 #[test]
-fn when_the_planner_dies_in_a_wave_another_ends_it_and_no_budget_breaks() {
+fn when_the_planner_dies_in_a_wave_another_finishes_it_within_the_budget() {
     let mut fleet = fleet();
     let planner = fleet.planner();
     let entries = Mutex::new(fleet.addresses());
     let calls = under_load(&entries, || {
         start_wave(&fleet);
         fleet.entries[planner].signal(Signal::KILL);
-        entries.lock().expect("no panic").remove(planner);
+        entries.lock().expect("no thread panics").remove(planner);
         fleet.entries.remove(planner);
         wait_end(&fleet);
     });
-    check(&fleet);
+    check_wave(&fleet);
     let tally = fleet.count(&calls);
     assert!(tally.is_clean(), "{tally:?}");
 }
 
-/// The planner is paused in the middle of a wave and wakes after another one has ended it. What it
-/// was about to ask of the platform is out of date; it asks for nothing any more.
+/// The planner is paused during a wave and resumes after another one has finished it. Its pending
+/// requests to the platform are outdated and must not be sent.
 #[test]
-fn a_planner_that_wakes_after_its_wave_was_ended_by_another_does_no_harm() {
+fn a_planner_that_resumes_after_its_wave_has_ended_sends_no_orders() {
     let mut fleet = fleet();
     let planner = fleet.planner();
     start_wave(&fleet);
@@ -116,5 +115,5 @@
     fleet.wait_ready();
     wait_end(&fleet);
     assert_eq!(fleet.instances.ledger(), before);
-    check(&fleet);
+    check_wave(&fleet);
 }
