--- a/pomelohitch/src/entry.rs
+++ b/pomelohitch/src/entry.rs
@@ -46,7 +46,7 @@
         body: Box<str>,
     },
     /// The response body does not decode as the expected type.
-    #[snafu(display("{step} at {entry}: cannot decode the response: {source}; the entry instance may run another version"))]
+    #[snafu(display("{step} at {entry}: cannot decode the response (other version?): {source}"))]
     Decode {
         /// The operation that failed.
         step: &'static str,
--- a/pomelohitch/src/propose.rs
+++ b/pomelohitch/src/propose.rs
@@ -1,9 +1,9 @@
 //! Appends a record to the fleet stream and reads the verdict on it.
 //!
 //! The response to an append can be lost after the append took effect. The record is then
-//! appended again with the same id, which the fold applies once, and the log is read until the verdict is
-//! found. That a record is in force or rejected is thus always read from the log, never inferred from
-//! the response to an append.
+//! appended again with the same id, which the fold applies once, and the log is read until the
+//! verdict is found. That a record is in force or rejected is thus always read from the log, never
+//! inferred from the response to an append.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
