--- a/pomelohitch/src/job.rs
+++ b/pomelohitch/src/job.rs
@@ -1,6 +1,6 @@
-//! `pomelohitch job`: hand in, read and cancel batch jobs.
+//! `pomelohitch job`: submits, lists, shows and cancels batch jobs.
 //!
-//! Talks to the callers' port of any entry instance with a team's key.
+//! The requests go to the callers' port of an entry instance and carry a team's key.
 
 use std::io::Write;
 use std::time::Duration;
@@ -12,12 +12,12 @@
 use crate::exit::Exit;
 use crate::output::Format;
 
-/// How often a submit or cancel without a clear answer is tried again with the same key.
-const TRIES: u32 = 3;
-/// How long one call may take.
-const TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of attempts of a submit or cancel whose outcome is unknown.
+const MAX_ATTEMPTS: u32 = 3;
+/// Timeout of one call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Batch jobs.
+/// Options and command of `pomelohitch job`.
 #[derive(Debug, Clone, Args)]
 pub struct JobArgs {
     /// Callers' port of an entry instance, <http://IP:PORT>
@@ -32,112 +32,112 @@
         default_value = ""
     )]
     pub key: Box<str>,
-    /// What to do
+    /// The command to run
     #[command(subcommand)]
     pub command: JobCommand,
 }
 
-/// What to do with jobs.
+/// Commands for jobs.
 #[derive(Debug, Clone, Subcommand)]
 pub enum JobCommand {
-    /// Hand in a job; returns once it is durable
+    /// Submit a job; returns once it is durable
     Submit(Submit),
-    /// List the team's jobs, the newest first
+    /// List the team's jobs, newest first
     List,
     /// Show one job
     Show {
-        /// Its id
+        /// Id of the job
         id: Box<str>,
     },
     /// Cancel a job
     Cancel {
-        /// Its id
+        /// Id of the job
         id: Box<str>,
     },
 }
 
-/// A job to hand in.
+/// A job to submit.
 #[derive(Debug, Clone, Args)]
 pub struct Submit {
-    /// Jobs of one class behave alike
+    /// Class of the job; jobs of one class are expected to behave alike
     #[arg(long)]
     pub class: Box<str>,
-    /// Thousandths of a processor
+    /// Processors, in thousandths
     #[arg(long)]
     pub cpu_milli: u64,
-    /// Memory in mebibytes
+    /// Memory, in mebibytes
     #[arg(long)]
     pub memory_mib: u64,
-    /// Whole accelerators
+    /// Number of accelerators
     #[arg(long, default_value_t = 0)]
     pub accelerators: u64,
-    /// How long it runs, milliseconds
+    /// Expected run time, in milliseconds
     #[arg(long)]
     pub run_ms: u64,
-    /// Start it within seconds
+    /// Start the job within seconds
     #[arg(long)]
     pub urgent: bool,
-    /// Running it twice does no harm
+    /// The job may safely run more than once
     #[arg(long)]
     pub idempotent: bool,
     /// Spread jobs of this group over availability zones and racks
     #[arg(long)]
     pub group: Option<Box<str>>,
-    /// Submits with the same key are one job; a random one if left out
+    /// Submits with the same key create one job; random if omitted
     #[arg(long)]
     pub idempotency_key: Option<Box<str>>,
-    /// What the worker is to run
+    /// Command that the worker runs
     pub command: Box<str>,
 }
 
-/// It couldn't be done.
+/// A job command failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// A setting is missing.
+    /// A required flag is missing.
     #[snafu(display("{flag} is missing"))]
     Missing {
-        /// The flag to give.
+        /// Name of the flag.
         flag: &'static str,
     },
-    /// The entry instance couldn't be reached, or its answer didn't arrive.
+    /// The entry instance is unreachable, or its response did not arrive in time.
     #[snafu(display("{step} at {entry}: {source}"))]
     Transport {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The entry instance.
+        /// Address of the entry instance.
         entry: Box<str>,
-        /// What the HTTP client said.
+        /// The HTTP client's error.
         #[snafu(source(from(ureq::Error, Box::new)))]
         source: Box<ureq::Error>,
     },
-    /// The entry instance refused.
+    /// The entry instance answers with an error status.
     #[snafu(display("{step} at {entry}: {status} {title} (ran: {ran})"))]
     Refused {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The entry instance.
+        /// Address of the entry instance.
         entry: Box<str>,
         /// The HTTP status.
         status: u16,
-        /// What it said.
+        /// Title of the problem in the response.
         title: Box<str>,
-        /// `no` or `unknown`.
+        /// Whether the request took effect: `no` or `unknown`.
         ran: Box<str>,
     },
-    /// The answer wasn't what was expected.
-    #[snafu(display("{step} at {entry}: unreadable answer: {source}"))]
+    /// The JSON of a request or response can't be encoded or decoded.
+    #[snafu(display("{step} at {entry}: cannot decode the response: {source}"))]
     Decode {
-        /// What was being done.
+        /// The operation that failed.
         step: &'static str,
-        /// The entry instance.
+        /// Address of the entry instance.
         entry: Box<str>,
-        /// What the decoder said.
+        /// The JSON library's error.
         source: serde_json::Error,
     },
-    /// The result couldn't be printed.
+    /// The result can't be written to the output.
     #[snafu(display("print the result: {source}"))]
     Print {
-        /// What the system said.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
@@ -146,7 +146,7 @@
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Whether it certainly wasn't done.
+    /// The exit code: [`Exit::Refused`] only if the request certainly had no effect.
     #[must_use]
     pub fn exit(&self) -> Exit {
         match self {
@@ -156,7 +156,7 @@
         }
     }
 
-    fn is_unclear(&self) -> bool {
+    fn is_retryable(&self) -> bool {
         match self {
             Error::Transport { .. } => true,
             Error::Refused { status, .. } => matches!(status, 502..=504),
@@ -166,7 +166,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Declared<'a> {
+struct JobRequest<'a> {
     class: &'a str,
     urgency: &'a str,
     cpu_milli: u64,
@@ -186,11 +186,11 @@
     state: Box<str>,
     worker: Option<Box<str>>,
     attempts: u32,
-    end: Option<End>,
+    end: Option<JobEnd>,
 }
 
 #[derive(Debug, Deserialize)]
-struct End {
+struct JobEnd {
     outcome: Box<str>,
     reason: Box<str>,
     ran: Box<str>,
@@ -208,27 +208,27 @@
     ran: Option<Box<str>>,
 }
 
-/// Does what `args` say and prints the result to `out` in `format`.
+/// Runs the command in `args` and prints the result to `out` in `format`.
 ///
 /// # Errors
-/// If it couldn't be done; [`Error::exit`] tells whether that is certain.
+/// If the command failed; [`Error::exit`] tells a refusal from an unknown outcome.
 pub fn run(args: &JobArgs, format: Format, out: &mut impl Write) -> Result<()> {
-    let entry = Entry::new(args)?;
+    let client = EntryClient::new(args)?;
     let body = match &args.command {
-        JobCommand::Submit(submit) => entry.submit(submit)?,
-        JobCommand::List => entry.call("list jobs", "GET", "/v1/jobs", None, "")?,
-        JobCommand::Show { id } => entry.call("show job", "GET", &path_of(id), None, "")?,
+        JobCommand::Submit(submit) => client.submit(submit)?,
+        JobCommand::List => client.call("list jobs", "GET", "/v1/jobs", None, "")?,
+        JobCommand::Show { id } => client.call("show job", "GET", &path_of(id), None, "")?,
         JobCommand::Cancel { id } => {
-            entry.insist("cancel job", "DELETE", &path_of(id), None, "")?
+            client.call_with_retries("cancel job", "DELETE", &path_of(id), None, "")?
         }
     };
     if format == Format::Json {
         return writeln!(out, "{body}").context(PrintSnafu);
     }
     let jobs = if matches!(args.command, JobCommand::List) {
-        entry.decode::<JobList>(&body)?.jobs
+        client.decode::<JobList>(&body)?.jobs
     } else {
-        vec![entry.decode::<Job>(&body)?]
+        vec![client.decode::<Job>(&body)?]
     };
     print_table(&jobs, out).context(PrintSnafu)
 }
@@ -258,24 +258,24 @@
     Ok(())
 }
 
-/// An entry instance, asked with a team's key.
-struct Entry {
+/// Client of one entry instance, with a team's key.
+struct EntryClient {
     agent: ureq::Agent,
     url: Box<str>,
     key: Box<str>,
 }
 
-impl Entry {
-    fn new(args: &JobArgs) -> Result<Entry> {
+impl EntryClient {
+    fn new(args: &JobArgs) -> Result<EntryClient> {
         for (flag, value) in [("--entry", &args.entry), ("--key", &args.key)] {
             if value.is_empty() {
                 return MissingSnafu { flag }.fail();
             }
         }
         let config = ureq::Agent::config_builder()
-            .timeout_global(Some(TIMEOUT))
+            .timeout_global(Some(CALL_TIMEOUT))
             .http_status_as_error(false);
-        Ok(Entry {
+        Ok(EntryClient {
             agent: config.build().into(),
             url: args.entry.trim_end_matches('/').into(),
             key: args.key.clone(),
@@ -283,7 +283,7 @@
     }
 
     fn submit(&self, submit: &Submit) -> Result<String> {
-        let declared = Declared {
+        let job = JobRequest {
             class: &submit.class,
             urgency: if submit.urgent { "urgent" } else { "patient" },
             cpu_milli: submit.cpu_milli,
@@ -295,18 +295,18 @@
             group: submit.group.as_deref(),
         };
         let step = "submit job";
-        let body = serde_json::to_string(&declared).context(DecodeSnafu {
+        let body = serde_json::to_string(&job).context(DecodeSnafu {
             step,
             entry: self.url.clone(),
         })?;
         let random = uuid::Uuid::new_v4().to_string();
         let key = submit.idempotency_key.as_deref().unwrap_or(&random);
-        self.insist(step, "POST", "/v1/jobs", Some(key), &body)
+        self.call_with_retries(step, "POST", "/v1/jobs", Some(key), &body)
     }
 
-    /// Asks again when the answer is lost or unclear. A submit keeps its key, and a cancel of a
-    /// cancelled job does nothing, so that neither happens twice.
-    fn insist(
+    /// Calls, and retries if the outcome is unknown. Retries are safe: a submit keeps its
+    /// idempotency key, and cancelling a cancelled job has no effect.
+    fn call_with_retries(
         &self,
         step: &'static str,
         method: &str,
@@ -314,10 +314,10 @@
         key: Option<&str>,
         body: &str,
     ) -> Result<String> {
-        let mut tries = 1;
+        let mut attempts = 1;
         loop {
             match self.call(step, method, path, key, body) {
-                Err(error) if error.is_unclear() && tries < TRIES => tries += 1,
+                Err(error) if error.is_retryable() && attempts < MAX_ATTEMPTS => attempts += 1,
                 result => return result,
             }
         }
@@ -341,24 +341,24 @@
             req = req.header("Idempotency-Key", key);
         }
         let req = req.body(body.to_owned()).map_err(ureq::Error::from);
-        let answer = req.and_then(|req| self.agent.run(req));
-        let mut answer = answer.context(TransportSnafu {
+        let response = req.and_then(|req| self.agent.run(req));
+        let mut response = response.context(TransportSnafu {
             step,
             entry: entry.clone(),
         })?;
-        let text = answer.body_mut().read_to_string();
+        let text = response.body_mut().read_to_string();
         let text = text.context(TransportSnafu {
             step,
             entry: entry.clone(),
         })?;
-        if answer.status().is_success() {
+        if response.status().is_success() {
             return Ok(text);
         }
         let problem: Problem = serde_json::from_str(&text).unwrap_or_default();
         RefusedSnafu {
             step,
             entry: entry.clone(),
-            status: answer.status().as_u16(),
+            status: response.status().as_u16(),
             title: problem.title,
             ran: problem.ran.unwrap_or_else(|| "unknown".into()),
         }
--- a/pomelohitch/tests/cli/log.rs
+++ b/pomelohitch/tests/cli/memory_log.rs
@@ -1,4 +1,4 @@
-//! A log in memory with faults, and virtual time.
+//! A log in memory that injects faults, and a virtual clock.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -11,44 +11,47 @@
 use pomelohitch_platform::log::{Appended, Batch, Stored};
 use pomelohitch_platform::{Effect, Error, Log};
 
-/// What the next call does instead of working.
+/// Fault of an append.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It takes effect and its answer is lost.
-    AnswerLost,
-    /// It has no effect, and nobody can tell.
-    Lost,
+    /// The append takes effect and its response is lost.
+    ResponseLost,
+    /// The append has no effect; the error is that of a lost response.
+    RequestLost,
 }
 
-/// What the log keeps and which faults come.
+/// The records of the log, and the faults to inject.
 #[derive(Debug, Default)]
 pub struct Store {
     pub records: Vec<Box<str>>,
-    pub on_append: VecDeque<Fault>,
+    /// Faults of the next appends, in order.
+    pub append_faults: VecDeque<Fault>,
     pub appends_down: bool,
     pub reads_down: bool,
-    /// Appended by somebody else just before the next append lands.
-    pub race: Vec<Box<str>>,
+    /// Records of another writer that are appended just before those of the next append.
+    pub concurrent_records: Vec<Box<str>>,
 }
 
-/// No test panics while it holds the store.
-pub const WHOLE: &str = "the store is whole";
+/// Why locking the store cannot fail.
+pub const NOT_POISONED: &str = "no test panics while it holds the store";
 
-pub type Shared = Arc<Mutex<Store>>;
+pub type SharedStore = Arc<Mutex<Store>>;
 
-pub fn shared() -> (Shared, Arc<Log>) {
-    let store = Shared::default();
+pub fn memory_log() -> (SharedStore, Arc<Log>) {
+    let store = SharedStore::default();
     let (appending, reading) = (store.clone(), store.clone());
     let log = Log {
-        append: Box::new(move |_, records| append(&mut appending.lock().expect(WHOLE), records)),
+        append: Box::new(move |_, records| {
+            append(&mut appending.lock().expect(NOT_POISONED), records)
+        }),
         read: Box::new(move |read| {
-            let store = reading.lock().expect(WHOLE);
+            let store = reading.lock().expect(NOT_POISONED);
             if store.reads_down {
                 return Err(error("read", Effect::None));
             }
             let next = store.records.len() as u64;
-            let wanted = (read.from..next).take(read.max);
-            let records = wanted.map(|offset| Stored {
+            let offsets = (read.from..next).take(read.max);
+            let records = offsets.map(|offset| Stored {
                 offset,
                 data: store.records[usize::try_from(offset).expect("tests are small")].clone(),
             });
@@ -66,12 +69,12 @@
     if store.appends_down {
         return Err(error("append", Effect::None));
     }
-    let race = std::mem::take(&mut store.race);
-    store.records.extend(race);
+    let concurrent_records = std::mem::take(&mut store.concurrent_records);
+    store.records.extend(concurrent_records);
     let first = store.records.len() as u64;
-    match store.on_append.pop_front() {
-        Some(Fault::Lost) => return Err(error("append", Effect::Unknown)),
-        Some(Fault::AnswerLost) => {
+    match store.append_faults.pop_front() {
+        Some(Fault::RequestLost) => return Err(error("append", Effect::Unknown)),
+        Some(Fault::ResponseLost) => {
             store.records.extend(records.iter().cloned());
             return Err(error("append", Effect::Unknown));
         }
@@ -93,16 +96,16 @@
     }
 }
 
-/// Options whose waits pass in no time.
+/// Options with a virtual clock, on which sleeping only advances the time.
 pub fn virtual_time() -> Options {
     let start = Instant::now();
-    let passed = Rc::new(Cell::new(Duration::ZERO));
-    let sleeping = passed.clone();
+    let elapsed = Rc::new(Cell::new(Duration::ZERO));
+    let elapsed_by_sleep = elapsed.clone();
     Options {
         limit: Duration::from_secs(5),
         clock: Clock {
-            now: Box::new(move || start + passed.get()),
-            sleep: Box::new(move |time| sleeping.set(sleeping.get() + time)),
+            now: Box::new(move || start + elapsed.get()),
+            sleep: Box::new(move |time| elapsed_by_sleep.set(elapsed_by_sleep.get() + time)),
         },
         ..Options::default()
     }
