--- a/crates/pomelohitch-emulator/tests/loads.rs
+++ b/crates/pomelohitch-emulator/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Plays of the loads that lie beside the crate.
+//! Plays of the load files in `loads/`.
 
 use std::path::{Path, PathBuf};
 
@@ -17,12 +17,12 @@
 }
 
 fn load(name: &str) -> Load {
-    load::read(&path(name)).expect("the load is sound")
+    load::read(&path(name)).expect("load file is valid")
 }
 
 fn without(names: &str) -> Settings {
     Settings {
-        policy: policies::without(names).expect("they are mechanisms"),
+        policy: policies::without(names).expect("names are known mechanisms"),
         ..Settings::default()
     }
 }
@@ -30,13 +30,13 @@
 fn mean(outcomes: &[Outcome], figure: &str) -> f64 {
     let all = differences(outcomes, outcomes);
     let found = all.iter().find(|d: &&Difference| d.figure == figure);
-    found.expect("there is such a figure").after
+    found.expect("figure name is listed in FIGURES").after
 }
 
-/// Moves that waited for their record while the log was away were made when it came back, and ended
-/// what had been started on their instances meanwhile.
+/// Guards, among others, against moves whose records are appended late after an outage of the log:
+/// they ended the runs that had started on their instances meanwhile.
 #[test]
-fn no_load_breaks_a_promise() {
+fn no_load_violates_an_invariant() {
     for name in [
         "turns.toml",
         "orders-lost.toml",
@@ -47,103 +47,109 @@
         "crashes.toml",
     ] {
         for outcome in play_all(&load(name), &Settings::default(), &SEEDS) {
-            assert!(outcome.broken.is_empty(), "{name}: {:?}", outcome.broken);
+            assert!(
+                outcome.violations.is_empty(),
+                "{name}: {:?}",
+                outcome.violations
+            );
         }
     }
 }
 
-/// Queues in turn ask for more than their pools hold. Almost all callers are to be served in time.
+/// During its burst each queue needs more than the capacity of its pool. Almost all jobs have to
+/// complete in time.
 #[test]
-fn turns_are_served_in_time() {
+fn bursts_are_served_in_time() {
     let outcomes = play_all(&load("turns.toml"), &Settings::default(), &SEEDS);
     assert!(mean(&outcomes, "in time") > 0.97);
     assert!(mean(&outcomes, "of no use") < 0.005);
 }
 
-/// Some jobs crash the endpoints that start them, others crash by themselves, and room shrinks. No
-/// sound job is to be given up, and callers are to be surely better off than without isolation.
+/// Some jobs crash their endpoints, other endpoints crash at random, and capacity shrinks. Healthy
+/// jobs must not be given up, and the worth has to be significantly higher than without isolation.
 #[test]
-fn sound_jobs_are_served_beside_jobs_that_crash_endpoints() {
+fn healthy_jobs_are_served_beside_jobs_that_crash_endpoints() {
     let seeds: Vec<u64> = (1..=12).collect();
     let crashes = load("crashes.toml");
-    let mixed = play_all(&crashes, &without("isolation"), &seeds);
-    let apart = play_all(&crashes, &Settings::default(), &seeds);
-    assert!(mean(&apart, "given up") < 0.5);
-    let gains = differences(&mixed, &apart);
+    let without_isolation = play_all(&crashes, &without("isolation"), &seeds);
+    let with_isolation = play_all(&crashes, &Settings::default(), &seeds);
+    assert!(mean(&with_isolation, "given up") < 0.5);
+    let gains = differences(&without_isolation, &with_isolation);
     let worth = gains.iter().find(|d| d.figure == "worth");
     assert!(
-        worth.is_some_and(|d| d.is_sure() && d.difference > 0.0),
+        worth.is_some_and(|d| d.is_significant() && d.difference > 0.0),
         "{worth:?}"
     );
 }
 
-/// One order in eighteen gets no answer. With eleven tasks a job, half of all jobs lose one.
+/// One order in eighteen gets no answer. With eleven tasks per job, half of all jobs lose one.
 #[test]
-fn callers_are_served_in_time_where_orders_are_lost() {
+fn jobs_complete_in_time_while_orders_are_lost() {
     let outcomes = play_all(&load("orders-lost.toml"), &Settings::default(), &SEEDS);
     assert!(mean(&outcomes, "in time") > 0.93);
 }
 
-/// One workspace sends six times its usual. The worst served of the others is to be surely better off
-/// than where nobody is put off, and nobody is to wait for ever.
+/// One workspace submits six times its usual number of jobs. The worth of the worst of the others
+/// has to be significantly higher than without deferral, and almost no job may end too late to be
+/// of use.
 #[test]
-fn a_workspace_that_presses_does_not_take_the_others_service() {
+fn an_overloading_workspace_does_not_degrade_the_others() {
     let seeds: Vec<u64> = (1..=20).collect();
-    let pressed = load("one-presses.toml");
-    let equal = play_all(&pressed, &without("deferral"), &seeds);
-    let shared = play_all(&pressed, &Settings::default(), &seeds);
-    let gains = differences(&equal, &shared);
+    let overload = load("one-presses.toml");
+    let without_deferral = play_all(&overload, &without("deferral"), &seeds);
+    let with_deferral = play_all(&overload, &Settings::default(), &seeds);
+    let gains = differences(&without_deferral, &with_deferral);
     let worst = gains.iter().find(|d| d.figure == "worst workspace");
     assert!(
-        worst.is_some_and(|d| d.is_sure() && d.difference > 0.0),
+        worst.is_some_and(|d| d.is_significant() && d.difference > 0.0),
         "{worst:?}"
     );
-    assert!(mean(&shared, "of no use") < 0.005);
+    assert!(mean(&with_deferral, "of no use") < 0.005);
 }
 
 #[test]
-fn the_same_seed_is_the_same_play() {
+fn the_same_seed_gives_the_same_outcome() {
     let load = load("steady.toml");
     let settings = Settings::default();
     assert_eq!(play(&load, &settings, 7), play(&load, &settings, 7));
 }
 
 #[test]
-fn a_load_that_cannot_be_played_is_refused_with_the_fix() {
-    let text = std::fs::read_to_string(path("steady.toml")).expect("it is there");
-    let told = |text: String| {
-        let error = load::parse(&text, "a.toml").expect_err("it is refused");
+fn an_invalid_load_is_refused_with_the_allowed_values() {
+    let text = std::fs::read_to_string(path("steady.toml")).expect("load file exists");
+    let error_text = |text: String| {
+        let error = load::parse(&text, "a.toml").expect_err("invalid load is refused");
         error.to_string()
     };
     insta::assert_snapshot!(
-        told(text.replace("seconds = 24.0", "seconds = 0.0")),
+        error_text(text.replace("seconds = 24.0", "seconds = 0.0")),
         @"a.toml: seconds: 1 to 600"
     );
     insta::assert_snapshot!(
-        told(text.replace("service = \"only\"", "service = \"other\"")),
+        error_text(text.replace("service = \"only\"", "service = \"other\"")),
         @"a.toml: queues.service: the name of a service"
     );
-    assert!(told(text.replace("seconds =", "secs =")).contains("unknown field `secs`"));
+    assert!(error_text(text.replace("seconds =", "secs =")).contains("unknown field `secs`"));
 }
 
 #[test]
-fn mechanisms_are_named() {
+fn mechanisms_and_parameters_are_found_by_name() {
     assert!(policies::without("nothing-like-it").is_none());
-    let policy = policies::without("promotion,late-after=2").expect("both are known");
+    let policy = policies::without("promotion,late-after=2").expect("both names are known");
     assert!(!policy.promotes_expiring);
     assert!((policy.late_factor - 2.0).abs() < f64::EPSILON);
 }
 
-/// The log takes a quarter of a second for an append. With one at a time each record waits for up to
-/// two of them, and most jobs of a turn are late by that.
+/// An append to the log takes a quarter of a second. With one append in flight at a time each
+/// record waits for up to two appends, which makes most jobs of a burst late.
 #[test]
-fn more_callers_are_served_in_time_with_appends_side_by_side() {
-    let together = load("log-slow.toml");
-    let one_by_one = Load {
+fn concurrent_appends_let_more_jobs_complete_in_time() {
+    let concurrent = load("log-slow.toml");
+    let serial = Load {
         appends_at_once: 1,
-        ..together.clone()
+        ..concurrent.clone()
     };
-    let before = play_all(&one_by_one, &Settings::default(), &SEEDS);
-    let after = play_all(&together, &Settings::default(), &SEEDS);
+    let before = play_all(&serial, &Settings::default(), &SEEDS);
+    let after = play_all(&concurrent, &Settings::default(), &SEEDS);
     assert!(mean(&after, "in time") > mean(&before, "in time") + 0.04);
 }
--- a/crates/pomelohitch-sched/tests/cell/leaders.rs
+++ b/crates/pomelohitch-sched/tests/cell/leaders.rs
@@ -15,107 +15,106 @@
 const ID: &str = "00000000000000a1";
 
 #[test]
-fn a_new_leader_goes_on_with_what_runs() {
+fn a_new_leader_keeps_tasks_running() {
     let mut fleet = Fleet::new(2);
     fleet.submit(ID, job(vec![step(4, 1000, 1_000)]));
-    fleet.pass(30);
+    fleet.advance(30);
     fleet.change_leader();
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     assert_eq!(fleet.starts.len(), 4);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
-/// A leader ends between writing a start and ordering it. The next one knows the start from the
-/// record, looks, finds nothing and starts the task; without the look it would wait for ever.
+/// A leader ends between recording a start and sending it. The next one has to poll the endpoint
+/// to find that the run doesn't exist; otherwise the task would never start.
 #[test]
-fn a_recorded_start_that_was_never_ordered_is_made_good() {
+fn a_recorded_start_that_was_never_sent_is_repeated() {
     let mut fleet = Fleet::new(2);
     fleet.endpoint("e0").is_silent = true;
     fleet.endpoint("e1").is_silent = true;
     fleet.submit(ID, job(vec![step(2, 1000, 200)]));
-    fleet.pass(30);
+    fleet.advance(30);
     fleet.change_leader();
     fleet.endpoint("e0").is_silent = false;
     fleet.endpoint("e1").is_silent = false;
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
-/// The leader changes while an endpoint is silent that runs a task. The new leader never read the
-/// endpoint's clock, so that it has to wait out the longest lease that may be in force.
+/// The leader changes while an endpoint that runs a task doesn't answer. The new leader doesn't
+/// know the endpoint's clock, so it has to wait for the longest lease that may be in force.
 #[test]
 fn a_new_leader_waits_for_leases_that_it_does_not_know() {
     let mut fleet = Fleet::new(2);
     fleet.submit(ID, job(vec![step(1, 500, 30_000)]));
-    fleet.pass(20);
+    fleet.advance(20);
     let (_, _, at) = fleet.starts[0].clone();
     fleet.endpoint(&at).is_silent = true;
     fleet.change_leader();
-    fleet.pass(900);
+    fleet.advance(900);
     assert_eq!(fleet.starts.len(), 1);
-    fleet.pass(300);
+    fleet.advance(300);
     assert_eq!(fleet.starts.len(), 2);
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
-/// Everything is accepted and durable, then all entry instances lose power before anything runs.
+/// All entry instances lose power after a job was accepted and before any of its tasks runs.
 #[test]
 fn an_accepted_job_outlives_every_leader() {
     let mut fleet = Fleet::new(2);
     let call = fleet.submit(ID, job(vec![step(3, 1000, 100)]));
-    fleet.pass(2);
+    fleet.advance(2);
     assert_eq!(fleet.replies.get(&call), Some(&Answer::Accepted));
     fleet.change_leader();
     fleet.change_leader();
-    fleet.pass(200);
+    fleet.advance(200);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
-/// Everybody loses power in the middle of a turn. The pool needs instances that have been off for
-/// long; a new leader that leaves them alone for seconds, as if they had just been switched off,
-/// makes callers wait for the whole of the turn.
+/// All members lose power during a burst of demand. Guards against a new leader that waits seconds
+/// before it switches on instances that have long been off, as if they had just been switched off.
 #[test]
-fn a_new_leader_switches_on_what_has_been_off_for_long() {
+fn a_new_leader_switches_on_instances_that_have_long_been_off() {
     let mut fleet = spare_fleet();
-    fleet.pass(1_000);
+    fleet.advance(1_000);
     fleet.change_leader();
-    fleet.pass(1);
+    fleet.advance(1);
     fleet.cell.former_leader_ended();
-    ask_for_much(&mut fleet);
-    fleet.pass(120);
+    submit_burst(&mut fleet);
+    fleet.advance(120);
     assert!(!fleet.operations.is_empty());
-    fleet.assert_sound();
+    fleet.assert_invariants();
 }
 
-/// The former leader has just ordered an instance off. An order of the new one for it could meet
-/// the former one's, which may still be on its way.
+/// Guards against an operation on an instance that the former leader has just operated on: the
+/// former leader's request may still be in flight.
 #[test]
-fn a_new_leader_leaves_alone_what_the_former_one_has_just_ordered() {
+fn a_new_leader_does_not_repeat_recent_operations_of_the_former_one() {
     let mut fleet = spare_fleet();
-    ask_for_much(&mut fleet);
+    submit_burst(&mut fleet);
     while fleet.operations.is_empty() {
-        fleet.pass(1);
+        fleet.advance(1);
     }
     let ordered: Vec<_> = fleet.operations.iter().map(|(id, _)| id.clone()).collect();
     fleet.change_leader();
     fleet.cell.former_leader_ended();
     let before = fleet.operations.len();
-    fleet.pass(300);
+    fleet.advance(300);
     let again = fleet.operations[before..].iter();
     assert_eq!(again.filter(|(id, _)| ordered.contains(id)).count(), 0);
 }
 
-/// How many operations a new leader decides for instances that the former one has just ordered, with
-/// its time of day this much ahead.
-fn ordered_again(ahead_ms: i64, knows_fleet_time: bool, steps: u32) -> usize {
+/// Number of operations that a new leader decides for instances that the former one has just
+/// operated on. The new leader's wall clock is `ahead_ms` ahead.
+fn count_repeated_operations(ahead_ms: i64, knows_fleet_time: bool, steps: u32) -> usize {
     let mut fleet = spare_fleet();
     fleet.loses_operations = true;
-    ask_for_much(&mut fleet);
+    submit_burst(&mut fleet);
     while fleet.operations.is_empty() {
-        fleet.pass(1);
+        fleet.advance(1);
     }
     let ordered: Vec<_> = fleet.operations.iter().map(|(id, _)| id.clone()).collect();
     fleet.knows_fleet_time = knows_fleet_time;
@@ -123,26 +122,34 @@
     fleet.change_leader();
     fleet.cell.former_leader_ended();
     let before = fleet.operations.len();
-    fleet.pass(steps);
+    fleet.advance(steps);
     let again = fleet.operations[before..].iter();
     again.filter(|(id, _)| ordered.contains(id)).count()
 }
 
-/// Guards against two holders of an instance within its lease because their clocks differ.
+/// Guards against two leaders that operate on an instance within the operation gap because their
+/// wall clocks differ.
 #[test]
-fn holders_stay_apart_whatever_the_time_of_day() {
+fn the_operation_gap_holds_whatever_the_time_of_day() {
     for ahead_ms in [-10_000, -3_000, 0, 3_000, 10_000] {
-        assert_eq!(ordered_again(ahead_ms, true, 300), 0, "{ahead_ms}");
         assert_eq!(
-            ordered_again(ahead_ms, false, 300),
+            count_repeated_operations(ahead_ms, true, 300),
             0,
-            "all killed, {ahead_ms}"
+            "{ahead_ms}"
+        );
+        assert_eq!(
+            count_repeated_operations(ahead_ms, false, 300),
+            0,
+            "all members killed, {ahead_ms}"
         );
     }
-    assert!(ordered_again(0, true, 800) > 0, "later it does");
+    assert!(
+        count_repeated_operations(0, true, 800) > 0,
+        "operations are repeated after the gap"
+    );
 }
 
-/// Guards against forgetting jobs, or taking new ones for late, when the time of day jumps.
+/// Guards against dropping jobs, or treating new ones as late, when the wall clock jumps.
 #[test]
 fn a_jump_of_the_time_of_day_changes_nothing() {
     let settings = Settings {
@@ -151,46 +158,49 @@
     };
     let mut fleet = Fleet::with(2, settings);
     fleet.submit(ID, job(vec![step(4, 500, 50)]));
-    fleet.pass(100);
+    fleet.advance(100);
     for jump_ms in [10_000, -20_000, 10_000] {
         let before = fleet.cell.fleet_ms();
         fleet.now.unix_ms = fleet.now.unix_ms.saturating_add_signed(jump_ms);
-        fleet.pass(20);
+        fleet.advance(20);
         assert_eq!(fleet.cell.fleet_ms() - before, 200);
         assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     }
     fleet.now.unix_ms += 9_000;
     let before = fleet.cell.fleet_ms();
     fleet.change_leader();
-    fleet.pass(10);
+    fleet.advance(10);
     assert_eq!(fleet.cell.fleet_ms() - before, 100);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
 }
 
-/// Guards against a time that runs ahead with each job that comes.
+/// Guards against a fleet time that advances with each submitted job.
 #[test]
-fn the_fleets_time_passes_as_the_steady_clock_does() {
+fn fleet_time_advances_with_the_monotonic_clock() {
     let mut fleet = Fleet::new(2);
     let before = fleet.cell.fleet_ms();
     for id in 1..=20_u64 {
         fleet.submit(&format!("{id:016x}"), job(vec![step(1, 500, 50)]));
-        fleet.pass(10);
+        fleet.advance(10);
     }
     assert_eq!(fleet.cell.fleet_ms() - before, 2_000);
     fleet.knows_fleet_time = false;
     fleet.now.unix_ms -= 60_000;
     let before = fleet.cell.fleet_ms();
     fleet.change_leader();
-    fleet.pass(1);
+    fleet.advance(1);
     let passed = fleet.cell.fleet_ms().abs_diff(before);
-    assert!(passed < 1_000, "no earlier than what is recorded: {passed}");
+    assert!(
+        passed < 1_000,
+        "fleet time is {passed} ms off the recorded time"
+    );
 }
 
-/// Guards against a repetition that begins by another time than that of day.
+/// Guards against repetitions that are scheduled by another clock than the wall clock.
 #[test]
 fn repetitions_are_due_by_the_time_of_day() {
     let mut fleet = Fleet::new(1);
-    fleet.pass(100);
+    fleet.advance(100);
     let repeat = Repeat {
         first_due_ms: fleet.now.unix_ms + 10_000,
         interval: Duration::from_secs(5),
@@ -201,14 +211,14 @@
         ..job(vec![step(1, 500, 50)])
     };
     fleet.submit(ID, draft);
-    fleet.pass(500);
+    fleet.advance(500);
     assert!(fleet.starts.is_empty());
     fleet.now.unix_ms += 5_000;
-    fleet.pass(20);
+    fleet.advance(20);
     assert_eq!(fleet.starts.len(), 1);
 }
 
-/// One instance at work, and four in a pool that is off.
+/// A fleet of one running instance and four in a pool that is switched off.
 fn spare_fleet() -> Fleet {
     let mut fleet = Fleet::new(1);
     for index in 0..4 {
@@ -223,25 +233,28 @@
     for instance in fleet.instances.values_mut() {
         if &*instance.pool == "issuing" {
             let endpoint = instance.endpoint.take();
-            fleet.endpoints.remove(&endpoint.expect("one lives there"));
+            fleet
+                .endpoints
+                .remove(&endpoint.expect("each instance has an endpoint"));
         }
     }
     fleet.cfg = Arc::new(cfg);
     fleet.cell.configure(fleet.cfg.clone());
     fleet.cell.endpoint_unlisted(&"i0".into());
-    fleet.carries_out = true;
-    fleet.list();
-    fleet.pass(250);
+    fleet.applies_operations = true;
+    fleet.list_endpoints();
+    fleet.advance(250);
     fleet
 }
 
-fn ask_for_much(fleet: &mut Fleet) {
+fn submit_burst(fleet: &mut Fleet) {
     for id in 1..=8_u64 {
         fleet.submit(&format!("{id:016x}"), job(vec![step(6, 1000, 3_000)]));
     }
 }
 
-/// Guards against a successor that reads what ended jobs were given, for seconds over a slow link.
+/// Guards against a new leader that spends seconds on a slow link reading the specifications of
+/// ended jobs.
 #[test]
 fn an_ended_job_leaves_one_short_record() {
     let mut fleet = Fleet::new(2);
@@ -253,7 +266,7 @@
             ..job(vec![step(4, 500, 50)])
         },
     );
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     let of_job = fleet.log.iter().filter(|(key, _)| key.ends_with(ID));
     let sizes: Vec<_> = of_job
@@ -265,22 +278,22 @@
     );
 }
 
-/// Guards against a job that a successor doesn't know any more, or runs again.
+/// Guards against ended jobs that a new leader doesn't know or runs again.
 #[test]
 fn a_successor_knows_jobs_that_have_ended() {
     let mut fleet = Fleet::new(2);
     fleet.submit(ID, job(vec![step(4, 500, 50)]));
-    fleet.pass(100);
+    fleet.advance(100);
     fleet.change_leader();
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.state(ID), Answer::State(JobState::Completed));
     let again = fleet.submit(ID, job(vec![step(4, 500, 50)]));
     let other = fleet.call_with(&format!("/q/{ID}"), Some("other"), Verb::Read);
-    fleet.pass(100);
+    fleet.advance(100);
     assert_eq!(fleet.replies[&again], Answer::Accepted);
     assert_eq!(fleet.replies[&other], Answer::NoKey);
     assert_eq!(fleet.starts.len(), 4);
-    fleet.pass(20_000);
+    fleet.advance(20_000);
     assert_eq!(fleet.state(ID), Answer::Gone);
     assert!(!fleet.log.keys().any(|key| key.ends_with(ID)));
 }
--- a/pomelohitch/src/report.rs
+++ b/pomelohitch/src/report.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch report`: service-level burn, and what the fleet did over a span.
+//! `pomelohitch report`: service-level burn, and activity of the fleet over a time span.
 
 use std::fmt::Write as _;
 use std::path::{Path, PathBuf};
@@ -6,7 +6,7 @@
 
 use clap::Subcommand;
 use pomelohitch_burn::report::{Line, Report};
-use pomelohitch_burn::span::{Collector, Measured};
+use pomelohitch_burn::span::{Collector, FleetActivity};
 use pomelohitch_burn::{BURN_STREAM, Ledger, Minute, Record, plot};
 use pomelohitch_core::config::Config;
 use pomelohitch_core::id::Timestamp;
@@ -19,50 +19,50 @@
 use crate::exit::Exit;
 use crate::output::{Output, table};
 
-/// What to report.
+/// Reports.
 #[derive(Debug, Clone, Subcommand)]
 pub enum ReportCommand {
-    /// Budget left and burn of every service that has an objective, by team
+    /// Error budget left and burn rate of every service that has an objective, by team
     Burn {
-        /// Exit with 5 if a service burns its budget too fast
+        /// Exit with 5 if a service burns its error budget too fast
         #[arg(long)]
         fail_on_burn: bool,
-        /// Draw the budget left over time to this file
+        /// Write a plot of the error budget left over time to this file
         #[arg(long, value_name = "FILE")]
         svg: Option<PathBuf>,
-        /// How many hours the picture shows
+        /// Time span of the plot, in hours
         #[arg(long, default_value_t = 72)]
         hours: u64,
     },
-    /// Roll-out, moves, buffer cost and nearness to share over the last hours
+    /// Maintenance waves, moves, idle instances and job time against shares over the last hours
     Fleet {
-        /// How many hours
+        /// Time span, in hours
         #[arg(long, default_value_t = 24)]
         hours: u64,
     },
 }
 
-/// The report couldn't be made.
+/// The report failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The log can't be read.
     #[snafu(display("{source}; nothing was changed"))]
     Log {
-        /// What it said.
+        /// The error of the log.
         source: LogError,
     },
-    /// The picture can't be drawn.
+    /// The plot can't be drawn.
     #[snafu(display("{source}"))]
     Plot {
-        /// Why not.
+        /// The error of the plot.
         source: plot::Error,
     },
-    /// The picture can't be written.
+    /// The plot can't be written.
     #[snafu(display("write {}: {source}; check the path", path.display()))]
     Write {
-        /// Where.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
@@ -70,17 +70,18 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Minutes of an hour.
+/// Minutes in an hour.
 const HOUR: Minute = 60;
 
-/// Reads the counts of all entry instances that the platform still keeps.
+/// Reads the counts of all entry instances, as far as the log still keeps them.
 ///
 /// # Errors
 /// If the log can't be read.
-pub fn ledger(log: &Log) -> Result<Ledger> {
+pub fn read_ledger(log: &Log) -> Result<Ledger> {
     let mut ledger = Ledger::default();
     read_all(log, BURN_STREAM, |data| {
-        // A record of a newer version is passed over; its number then shows as a gap.
+        // A record that does not decode, such as one of a newer version, is skipped; its missing
+        // sequence number shows as a gap.
         if let Ok(record) = Record::decode(data) {
             ledger.add(&record);
         }
@@ -88,14 +89,13 @@
     Ok(ledger)
 }
 
-/// Measures the fleet stream from the time `since` on.
+/// Measures the activity of the fleet from the time `since` on.
 ///
-/// What was trimmed can't be measured any more: the span then begins where the newest whole
-/// snapshot ends.
+/// If records were trimmed, the span begins at the newest complete snapshot.
 ///
 /// # Errors
 /// If the log can't be read.
-pub fn measure(log: &Log, since: Timestamp) -> Result<Measured> {
+pub fn measure_fleet(log: &Log, since: Timestamp) -> Result<FleetActivity> {
     let mut state = State::default();
     let mut collector = Collector::default();
     loop {
@@ -112,10 +112,10 @@
             read => read.context(LogSnafu)?,
         };
         for stored in &batch.records {
-            add(&mut collector, &mut state, stored, since);
+            apply_record(&mut collector, &mut state, stored, since);
         }
         if batch.records.is_empty() || state.next >= batch.next {
-            return Ok(collector.measured());
+            return Ok(collector.finish());
         }
     }
 }
@@ -127,7 +127,7 @@
     }
 }
 
-fn add(collector: &mut Collector, state: &mut State, stored: &Stored, since: Timestamp) {
+fn apply_record(collector: &mut Collector, state: &mut State, stored: &Stored, since: Timestamp) {
     let Ok(record) = FleetRecord::decode(&stored.data) else {
         state.skip(stored.offset);
         return;
@@ -139,8 +139,8 @@
     }
 }
 
-/// Starts at the oldest record that is kept: what was trimmed can't be reported any more.
-fn read_all(log: &Log, stream: &str, mut each: impl FnMut(&str)) -> Result<()> {
+/// Calls `each` with every record of `stream`, from the oldest that the log still keeps.
+fn read_all(log: &Log, stream: &str, mut on_record: impl FnMut(&str)) -> Result<()> {
     let mut from = 0;
     loop {
         let read = Read {
@@ -156,7 +156,7 @@
             other => other.context(LogSnafu)?,
         };
         for stored in &batch.records {
-            each(&stored.data);
+            on_record(&stored.data);
             from = stored.offset + 1;
         }
         if batch.records.is_empty() || from >= batch.next {
@@ -165,17 +165,23 @@
     }
 }
 
-/// Draws the budget left over the last `hours` to `path`.
+/// Writes a plot of the error budget left over the last `hours` to `path`.
 ///
 /// # Errors
-/// If it can't be drawn or written.
-pub fn draw(path: &Path, ledger: &Ledger, config: &Config, now: Minute, hours: u64) -> Result<()> {
+/// If the plot can't be drawn or written.
+pub fn write_plot(
+    path: &Path,
+    ledger: &Ledger,
+    config: &Config,
+    now: Minute,
+    hours: u64,
+) -> Result<()> {
     let services = config.services.values();
     let svg = plot::budget_left(ledger, services, now, hours * HOUR).context(PlotSnafu)?;
     std::fs::write(path, svg).context(WriteSnafu { path })
 }
 
-/// Shows the burn.
+/// Renders the burn report; the exit code is 5 if `fail_on_burn` and a service raises an alarm.
 #[must_use]
 pub fn show_burn(report: &Report, fail_on_burn: bool) -> Output {
     let exit = if fail_on_burn && report.is_burning() {
@@ -189,9 +195,9 @@
         burn_table(&report.lines)
     };
     for gap in &report.gaps {
-        let who = gap.member.as_deref().unwrap_or("every entry instance");
-        let (from, to, cause) = (clock(gap.from), clock(gap.to), gap.cause);
-        let _ = writeln!(text, "not counted: {who}, {from} to {to} ({cause:?})");
+        let member = gap.member.as_deref().unwrap_or("every entry instance");
+        let (from, to, cause) = (format_minute(gap.from), format_minute(gap.to), gap.cause);
+        let _ = writeln!(text, "not counted: {member}, {from} to {to} ({cause:?})");
     }
     Output::new(exit, text, report)
 }
@@ -233,8 +239,8 @@
     row
 }
 
-/// A minute as date and time, UTC.
-fn clock(minute: Minute) -> String {
+/// Formats a minute as date and time in UTC.
+fn format_minute(minute: Minute) -> String {
     let (days, minute) = (minute / (24 * HOUR), minute % (24 * HOUR));
     let (year, day) = year_of(days);
     let (month, day) = month_of(year, day);
@@ -242,7 +248,7 @@
     format!("{year}-{month:02}-{day:02} {hour:02}:{minute:02} UTC")
 }
 
-/// The year of a day since the Unix epoch, and the day in it from 0.
+/// Returns the year of a day since the Unix epoch, and the day of that year from 0.
 fn year_of(mut days: u64) -> (u64, u64) {
     let mut year = 1970;
     loop {
@@ -255,7 +261,7 @@
     }
 }
 
-/// The month of a day of a year, and the day in it, both from 1.
+/// Returns the month of day `day` (from 0) of a year and the day of that month, both from 1.
 fn month_of(year: u64, mut day: u64) -> (usize, u64) {
     let february = if is_leap(year) { 29 } else { 28 };
     let lengths = [31, february, 31, 30, 31, 30, 31, 31, 30, 31, 30, 31];
@@ -274,19 +280,19 @@
     year.is_multiple_of(4) && (!year.is_multiple_of(100) || year.is_multiple_of(400))
 }
 
-/// Shows what the fleet did.
+/// Renders the activity of the fleet.
 #[must_use]
-pub fn show_fleet(measured: &Measured) -> Output {
-    let span = measured.to_ms.saturating_sub(measured.from_ms);
-    let mut text = format!("{}\nmoves  {}\n", span_text(span), measured.moves);
-    let rows: Vec<_> = measured.rollouts.iter().map(rollout_row).collect();
+pub fn show_fleet(activity: &FleetActivity) -> Output {
+    let span = activity.to_ms.saturating_sub(activity.from_ms);
+    let mut text = format!("{}\nmoves  {}\n", span_text(span), activity.moves);
+    let rows: Vec<_> = activity.rollouts.iter().map(rollout_row).collect();
     text += &table(&["ROLLED OUT", "TOOK", "LOST"], &rows);
-    let buffers = measured.buffer.iter();
+    let buffers = activity.buffer.iter();
     let rows: Vec<_> = buffers
         .map(|(pool, buffer)| vec![pool.to_string(), format!("{:.2}", buffer.instance_hours)])
         .collect();
     text += &table(&["POOL", "BUFFER (INSTANCE HOURS)"], &rows);
-    let shares = measured.shares.iter();
+    let shares = activity.shares.iter();
     let rows: Vec<_> = shares
         .map(|(team, share)| {
             vec![
@@ -297,7 +303,7 @@
         })
         .collect();
     text += &table(&["TEAM", "HAD (JOB HOURS)", "OWED BY SHARE"], &rows);
-    Output::new(Exit::Done, text, measured)
+    Output::new(Exit::Done, text, activity)
 }
 
 fn span_text(millis: u128) -> String {
--- a/pomelohitchd/src/front.rs
+++ b/pomelohitchd/src/front.rs
@@ -1,12 +1,13 @@
 //! The callers' port.
 //!
-//! * [`limits`]: what one caller, and all of them together, may take up.
+//! * [`limits`]: limits per request, per connection and over all connections.
 //! * [`connection`]: reads requests from one connection and writes their answers.
-//! * [`exchange`]: one request from its head to its answer.
+//! * [`exchange`]: handles one request from its head to its answer.
 //!
-//! The server inside `rouille` bounds neither heads, bodies, connections nor slow senders, so
-//! that a few callers could use up the memory of an entry instance. Connections are therefore
-//! accepted here, within limits; `rouille` gives the requests and responses.
+//! The server of `rouille` limits neither the size of heads and bodies, nor the number of
+//! connections, nor slow senders, so a few callers could exhaust the memory of an entry instance.
+//! Connections are therefore accepted here, within limits; only the request and response types
+//! are those of `rouille`.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -26,29 +27,29 @@
 pub use limits::Limits;
 
 use exchange::Exchange;
-use limits::{Gauge, Guard};
+use limits::{Budget, BudgetGuard};
 
-/// How often the end of a graceful shutdown is looked for.
-const TICK: Duration = Duration::from_millis(10);
-/// Stack of a connection's thread, bytes.
-const STACK: usize = 512 * 1024;
-/// After an accept that failed, which mostly means that descriptors have run out.
-const ACCEPT_AGAIN_AFTER: Duration = Duration::from_millis(50);
+/// Polling interval during a graceful shutdown.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Stack size of a connection's thread, in bytes.
+const STACK_BYTES: usize = 512 * 1024;
+/// Delay after a failed accept, most often caused by a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// One request as it was read, whole.
+/// One complete request.
 #[derive(Debug)]
 pub struct Incoming {
-    /// Its head.
+    /// Request line and headers.
     pub head: Head,
-    /// Its body.
+    /// Body; empty if the request has none.
     pub body: Vec<u8>,
-    /// Who sent it.
+    /// Address of the caller.
     pub peer: SocketAddr,
-    /// When its head was complete.
+    /// Time at which its head was complete.
     pub arrived: Instant,
 }
 
-/// Whose requests are served, and how.
+/// The service behind the port.
 pub struct Service {
     /// Whether the process shuts down.
     pub is_leaving: Box<dyn Fn() -> bool + Send + Sync>,
@@ -56,13 +57,13 @@
     pub answer: Box<dyn Fn(Incoming) -> Response + Send + Sync>,
 }
 
-/// What the connections share.
+/// State shared by the connections.
 pub struct Front {
     service: Service,
-    /// What callers may take up.
+    /// Limits on connections, sizes and times.
     pub limits: Limits,
-    connections: Gauge,
-    body_bytes: Gauge,
+    connections: Budget,
+    body_bytes: Budget,
 }
 
 impl Front {
@@ -87,15 +88,15 @@
     serve_with(service, listener, limits);
 }
 
-/// Serves `service` within `limits` until it leaves and the last answer is written.
+/// Serves `service` within `limits` until it shuts down and the last answer is written.
 pub fn serve_with(service: Service, listener: &TcpListener, limits: Limits) {
     let front = front(service, limits);
     match listener.try_clone() {
         Ok(listener) => accept_in_background(&front, listener),
-        Err(error) => warn!(%error, "callers can't be accepted"),
+        Err(error) => warn!(%error, "could not start accepting callers"),
     }
     while !front.is_leaving() {
-        std::thread::sleep(front.limits.leaving_tick);
+        std::thread::sleep(front.limits.shutdown_check_interval);
     }
     shut_down(&front, listener);
 }
@@ -108,23 +109,23 @@
 fn front(service: Service, limits: Limits) -> Arc<Front> {
     Arc::new(Front {
         service,
-        connections: Gauge::new(limits.connections),
-        body_bytes: Gauge::new(limits.body_bytes_together),
+        connections: Budget::new(limits.connections),
+        body_bytes: Budget::new(limits.total_body_bytes),
         limits,
     })
 }
 
-/// The balancer notices only after a while that this entry instance leaves. For that long new
-/// connections are still served; afterwards they are told to go elsewhere until the last request
-/// in flight has its answer.
+/// The balancer takes a while to notice that this entry instance shuts down. During
+/// `shutdown_grace` new connections are still served; afterwards they are refused until the last
+/// request in flight has its answer.
 fn shut_down(front: &Front, listener: &TcpListener) {
-    std::thread::sleep(front.limits.leaving_grace);
+    std::thread::sleep(front.limits.shutdown_grace);
     while front.connections.used() > 0 {
-        std::thread::sleep(TICK);
+        std::thread::sleep(POLL_INTERVAL);
     }
-    // Wakes the accepting thread, which then sees that the port is closed.
+    // Wakes the accepting thread, which then sees that the shutdown is over.
     if let Ok(addr) = listener.local_addr() {
-        let _ = TcpStream::connect_timeout(&addr, TICK);
+        let _ = TcpStream::connect_timeout(&addr, POLL_INTERVAL);
     }
 }
 
@@ -135,7 +136,7 @@
         .name("accept".into())
         .spawn(accepting);
     if let Err(error) = started {
-        warn!(%error, "callers can't be accepted");
+        warn!(%error, "could not start accepting callers");
     }
 }
 
@@ -146,13 +147,13 @@
         if leaving_since.is_none() && front.is_leaving() {
             leaving_since = Some(Instant::now());
         }
-        let is_over = leaving_since.is_some_and(|at| at.elapsed() >= front.limits.leaving_grace);
+        let is_over = leaving_since.is_some_and(|at| at.elapsed() >= front.limits.shutdown_grace);
         if is_over && front.connections.used() == 0 {
             return;
         }
         let Ok((stream, peer)) = accepted else {
             metrics::counter!("caller_accept_errors").increment(1);
-            std::thread::sleep(ACCEPT_AGAIN_AFTER);
+            std::thread::sleep(ACCEPT_RETRY_DELAY);
             continue;
         };
         match front.connections.take(1) {
@@ -162,7 +163,7 @@
     }
 }
 
-fn start(front: &Arc<Front>, stream: TcpStream, peer: std::net::SocketAddr, guard: Guard) {
+fn start(front: &Arc<Front>, stream: TcpStream, peer: std::net::SocketAddr, guard: BudgetGuard) {
     let front = front.clone();
     let serving = move || {
         connection::serve(&front, &stream, peer);
@@ -170,7 +171,7 @@
     };
     let started = std::thread::Builder::new()
         .name("caller".into())
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(serving);
     if started.is_err() {
         // The connection is dropped, and with it the guard: the caller sees it close unanswered.
@@ -178,7 +179,8 @@
     }
 }
 
-/// The answer fits into the empty send buffer of a new connection, so that this never waits.
+/// Refuses a connection. The answer fits into the empty send buffer of a new connection, so the
+/// write never blocks.
 fn refuse(mut stream: &TcpStream) {
     metrics::counter!("callers_refused").increment(1);
     let answer = connection::refusal("no room for another connection");
--- a/pomelohitchd/src/reader.rs
+++ b/pomelohitchd/src/reader.rs
@@ -1,4 +1,4 @@
-//! Follows the log and puts each new state in force.
+//! Reads the log and publishes each new state to the other threads.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -11,35 +11,35 @@
 
 use crate::node::Node;
 
-/// How long one read waits for something new.
+/// Time that one read waits for new records.
 const READ_WAIT: Duration = Duration::from_secs(1);
-/// How long to wait after a read that failed.
+/// Delay after a failed read.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Reads for ever. While the log can't be read, what is in force stays in force.
+/// Reads the log forever. While it can't be read, the last state stays current.
 pub fn run(node: &Arc<Node>) {
     let mut follower = Follower::new(node.log.clone(), State::default());
-    load_first(node, &mut follower);
+    load_snapshot(node, &mut follower);
     let mut is_down = false;
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         match follower.poll(READ_WAIT) {
             Ok(progress) => {
                 if is_down {
-                    info!(next = follower.state().next, "the log can be read again");
+                    info!(next = follower.state().next, "log is readable again");
                 }
                 is_down = false;
                 node.log_is_down.store(false, Ordering::Release);
                 let is_at_head = follower.state().next >= progress.head;
-                take_over(node, &follower, progress);
-                // A reader that is behind, after a pause say, knows only old news yet.
+                publish(node, &follower, progress);
+                // A reader that is behind, for example after a pause, has an outdated state.
                 if is_at_head {
-                    node.read_log(begun);
+                    node.record_log_read(started);
                 }
             }
             Err(error) => {
                 if !is_down {
-                    warn!(%error, "the log can't be read; what is in force stays in force");
+                    warn!(%error, "could not read the log; keeping the current state");
                 }
                 is_down = true;
                 node.log_is_down.store(true, Ordering::Release);
@@ -50,32 +50,32 @@
     }
 }
 
-/// A joiner starts from the newest snapshot; without one it reads the log from its beginning,
-/// which fails loudly if that was trimmed.
-fn load_first(node: &Node, follower: &mut Follower) {
+/// Starts from the newest snapshot. Without one the log is read from its beginning, which fails
+/// with an error if the beginning was trimmed.
+fn load_snapshot(node: &Node, follower: &mut Follower) {
     match follower.load_snapshot() {
         Ok(true) => {
             info!(next = follower.state().next, "started from a snapshot");
-            node.put_in_force(follower.state().clone(), Vec::new());
+            node.publish_state(follower.state().clone(), Vec::new());
         }
         Ok(false) => {}
-        Err(error) => warn!(%error, "no snapshot could be read; reading the log instead"),
+        Err(error) => warn!(%error, "could not load a snapshot; reading the log instead"),
     }
 }
 
-fn take_over(node: &Node, follower: &Follower, progress: Progress) {
+fn publish(node: &Node, follower: &Follower, progress: Progress) {
     node.head.store(progress.head, Ordering::Release);
     node.first_kept.store(progress.first, Ordering::Release);
     if progress.has_loaded {
         metrics::counter!("snapshots_loaded").increment(1);
         warn!(
             next = follower.state().next,
-            "records were trimmed before they were read; took over a snapshot"
+            "records were trimmed before they were read; loaded a snapshot"
         );
     }
     if progress.applied.is_empty() && !progress.has_loaded {
         return;
     }
     metrics::counter!("log_records_read").increment(progress.applied.len() as u64);
-    node.put_in_force(follower.state().clone(), progress.applied);
+    node.publish_state(follower.state().clone(), progress.applied);
 }
