--- a/crates/pomelohitch-peer/examples/beat_cost.rs
+++ b/crates/pomelohitch-peer/examples/beat_cost.rs
@@ -76,13 +76,13 @@
         ..Settings::default()
     };
     let links = Links::start(listener, settings, move || Handlers {
-        own_beat: Box::new(|| Heartbeat {
+        own_heartbeat: Box::new(|| Heartbeat {
             member: id.into(),
             incarnation: 1,
             next: 2,
             ..Heartbeat::default()
         }),
-        on_beat: Box::new(move |_| {
+        on_heartbeat: Box::new(move |_| {
             heartbeats.fetch_add(1, Ordering::AcqRel);
         }),
         on_error: Box::new(|peer, error| eprintln!("{peer}: {error}")),
--- a/crates/pomelohitch-peer/src/lib.rs
+++ b/crates/pomelohitch-peer/src/lib.rs
@@ -17,5 +17,5 @@
 pub mod message;
 pub mod permits;
 
-pub use links::{Call, Command, Commands, Handlers, Heard, Links, Peer, Settings};
+pub use links::{Call, Command, Commands, Handlers, Links, Peer, ReceivedHeartbeat, Settings};
 pub use message::Heartbeat;
--- a/crates/pomelohitch-peer/src/links.rs
+++ b/crates/pomelohitch-peer/src/links.rs
@@ -31,7 +31,7 @@
 pub mod outgoing;
 
 pub use clock::Clock;
-pub use handlers::{Call, Handlers, Heard, OnAnswer, OnError};
+pub use handlers::{Call, Handlers, OnAnswer, OnError, ReceivedHeartbeat};
 use incoming::accept;
 pub use outgoing::is_heartbeat_due;
 use outgoing::run_link;
@@ -183,10 +183,10 @@
         self.last_heartbeats
             .borrow_mut()
             .insert(heartbeat.member.clone(), last);
-        let said_after = self.clock.time_of(heartbeat.echo);
-        (self.handlers.on_beat)(Heard {
-            beat: heartbeat,
-            said_after,
+        let sent_after = self.clock.time_of(heartbeat.echo);
+        (self.handlers.on_heartbeat)(ReceivedHeartbeat {
+            heartbeat,
+            sent_after,
         });
     }
 
@@ -202,7 +202,7 @@
         Heartbeat {
             clock: self.clock.now(),
             echo: last_heartbeats.get(member).map_or(0, |last| last.clock),
-            ..(self.handlers.own_beat)()
+            ..(self.handlers.own_heartbeat)()
         }
     }
 }
--- a/crates/pomelohitch-peer/src/links/handlers.rs
+++ b/crates/pomelohitch-peer/src/links/handlers.rs
@@ -41,13 +41,13 @@
 
 /// A heartbeat received from a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Heard {
+pub struct ReceivedHeartbeat {
     /// The heartbeat.
-    pub beat: Heartbeat,
+    pub heartbeat: Heartbeat,
     /// The peer sent it after this time, at which our clock had the echoed value; `None` if it
     /// echoes no value of our clock. The arrival time is no bound, because the heartbeat may have
     /// waited in a socket buffer.
-    pub said_after: Option<Instant>,
+    pub sent_after: Option<Instant>,
 }
 
 /// Receives the error of a failed link, with the peer's id.
@@ -56,9 +56,9 @@
 /// Callbacks into the process. They run on the links' thread and must not block.
 pub struct Handlers {
     /// Returns the heartbeat to send; the links set its `clock` and `echo`.
-    pub own_beat: Box<dyn Fn() -> Heartbeat>,
+    pub own_heartbeat: Box<dyn Fn() -> Heartbeat>,
     /// Handles a heartbeat received from a peer.
-    pub on_beat: Box<dyn Fn(Heard)>,
+    pub on_heartbeat: Box<dyn Fn(ReceivedHeartbeat)>,
     /// Answers a peer that regards this member as the home of the resources.
     pub on_batch: Box<dyn Fn(Batch) -> Replies>,
     /// Answers a peer that regards this member as the home of the key.
@@ -71,8 +71,8 @@
     /// Handlers that send empty heartbeats, grant nothing and ignore all input.
     fn default() -> Self {
         Handlers {
-            own_beat: Box::new(Heartbeat::default),
-            on_beat: Box::new(|_| {}),
+            own_heartbeat: Box::new(Heartbeat::default),
+            on_heartbeat: Box::new(|_| {}),
             on_batch: Box::new(|_| Replies::default()),
             on_claim: Box::new(|_| Verdict::Unknown),
             on_error: Box::new(|_, _| {}),
--- a/crates/pomelohitch-peer/tests/links.rs
+++ b/crates/pomelohitch-peer/tests/links.rs
@@ -57,13 +57,13 @@
 fn handlers(member: &'static str, tx: &Sender<Event>) -> Handlers {
     let (heartbeats, errors) = (tx.clone(), tx.clone());
     Handlers {
-        own_beat: Box::new(move || heartbeat_of(member)),
-        on_beat: Box::new(move |heard| {
+        own_heartbeat: Box::new(move || heartbeat_of(member)),
+        on_heartbeat: Box::new(move |received| {
             // The links set these two fields; the tests of the clock cover them.
             let heartbeat = Heartbeat {
                 clock: 0,
                 echo: 0,
-                ..heard.beat
+                ..received.heartbeat
             };
             let _ = heartbeats.send(Event::Received(heartbeat));
         }),
--- a/pomelohitchd/src/freshness.rs
+++ b/pomelohitchd/src/freshness.rs
@@ -63,8 +63,8 @@
     let own = node.incarnation.load(Ordering::Acquire);
     let is_recent = |at| now.saturating_duration_since(at) <= BOUND;
     // Not the arrival time: after a pause, old heartbeats arrive all at once.
-    let said_after = |id: &str| peers.get(id).and_then(|seen| seen.said_after);
-    let is_recent = |id: &str| said_after(id).is_some_and(is_recent);
+    let sent_after = |id: &str| peers.get(id).and_then(|seen| seen.sent_after);
+    let is_recent = |id: &str| sent_after(id).is_some_and(is_recent);
     let is_self = |id: &str, incarnation| id == &*node.settings.member && incarnation == own;
     let members = state.members.by_id.iter();
     let heard = members
--- a/pomelohitchd/src/node.rs
+++ b/pomelohitchd/src/node.rs
@@ -73,7 +73,7 @@
     /// Time at which the heartbeat arrived. It may have been sent earlier and waited in a buffer.
     pub at: Instant,
     /// The heartbeat was sent after this time; `None` if that isn't known.
-    pub said_after: Option<Instant>,
+    pub sent_after: Option<Instant>,
 }
 
 /// Withdrawn keys and leaving instances that may not be in the log yet. Acting on them before the
--- a/pomelohitchd/src/peers.rs
+++ b/pomelohitchd/src/peers.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use pomelohitch_core::id::Offset;
-use pomelohitch_peer::{Command, Handlers, Heard, Heartbeat, Links, Peer, Settings};
+use pomelohitch_peer::{Command, Handlers, Heartbeat, Links, Peer, ReceivedHeartbeat, Settings};
 
 use crate::node::{Node, PeerSeen};
 use crate::permits;
@@ -65,15 +65,15 @@
     let (own, seen) = (node.clone(), node.clone());
     let (asked, claimed) = (node.clone(), node.clone());
     Handlers {
-        own_beat: Box::new(move || own_beat(&own)),
-        on_beat: Box::new(move |heard| on_beat(&seen, heard)),
+        own_heartbeat: Box::new(move || own_heartbeat(&own)),
+        on_heartbeat: Box::new(move |received| on_heartbeat(&seen, received)),
         on_batch: Box::new(move |batch| permits::on_batch(&asked, batch)),
         on_claim: Box::new(move |claim| permits::keys::on_claim(&claimed, &claim)),
         on_error: Box::new(|_, _| metrics::counter!("peer_link_errors").increment(1)),
     }
 }
 
-fn own_beat(node: &Node) -> Heartbeat {
+fn own_heartbeat(node: &Node) -> Heartbeat {
     let withdrawals = node.known_withdrawals.load();
     Heartbeat {
         member: node.settings.member.clone(),
@@ -95,16 +95,22 @@
     }
 }
 
-fn on_beat(node: &Node, heard: Heard) {
-    let Heard { beat, said_after } = heard;
-    node.add_withdrawn(&beat.withdrawn_keys);
-    node.record_leaving(&beat.member, beat.leaving_instances.into_iter().collect());
+fn on_heartbeat(node: &Node, received: ReceivedHeartbeat) {
+    let ReceivedHeartbeat {
+        heartbeat,
+        sent_after,
+    } = received;
+    node.add_withdrawn(&heartbeat.withdrawn_keys);
+    node.record_leaving(
+        &heartbeat.member,
+        heartbeat.leaving_instances.into_iter().collect(),
+    );
     let seen = PeerSeen {
-        incarnation: beat.incarnation,
-        next: beat.next,
-        leaving: beat.leaving,
+        incarnation: heartbeat.incarnation,
+        next: heartbeat.next,
+        leaving: heartbeat.leaving,
         at: Instant::now(),
-        said_after,
+        sent_after,
     };
-    node.record_peer(beat.member, seen);
+    node.record_peer(heartbeat.member, seen);
 }
--- a/pomelohitchd/tests/liveness.rs
+++ b/pomelohitchd/tests/liveness.rs
@@ -52,7 +52,7 @@
             next: 0,
             leaving: false,
             at: self.now,
-            said_after: None,
+            sent_after: None,
         };
         self.peers.insert(id.into(), seen);
     }
