--- a/crates/pomelohitch-config/src/parse/values.rs
+++ b/crates/pomelohitch-config/src/parse/values.rs
@@ -1,4 +1,4 @@
-//! The checked values of one table.
+//! Checked values of one table of a fleet file.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,17 +11,17 @@
 
 /// Length of a key hash in hexadecimal digits.
 const KEY_HASH_DIGITS: usize = 64;
-/// Parts in a million of one percent.
+/// Parts per million in one percent.
 const PPM_PER_PERCENT: u32 = 10_000;
-/// Decimals of a percentage that still make a whole part in a million.
+/// Most decimals of a percentage that is a whole number of parts per million.
 const PERCENT_DECIMALS: usize = 4;
 
-/// A value that a field doesn't allow.
+/// A value that the field doesn't allow.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) struct Wrong {
-    /// The value, as it stands in the file.
-    pub(super) shown: Box<str>,
-    /// Where it stands, if it isn't at the field itself.
+pub(super) struct InvalidValue {
+    /// The value as shown in the fault.
+    pub(super) display: Box<str>,
+    /// Byte offset of the value; `None` if only the field's own offset is known.
     pub(super) at: Option<usize>,
 }
 
@@ -35,53 +35,53 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-struct Read {
+struct Entry {
     value: Value,
     at: usize,
 }
 
-/// The values of one table by field. A field that is wrong or missing reads as zero or empty:
-/// its fault was noted, and the whole file is then refused.
+/// The values of one table by field. A field that is invalid or missing reads as zero or empty; the
+/// parser has recorded its fault by then and rejects the whole file.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Values {
-    by_name: BTreeMap<&'static str, Read>,
+    by_name: BTreeMap<&'static str, Entry>,
 }
 
 impl Values {
-    /// Takes over a value of the file.
+    /// Checks a value of the file and stores it.
     pub(super) fn read(
         &mut self,
         field: &'static Field,
         value: &Spanned<DeValue<'_>>,
-    ) -> Result<(), Wrong> {
+    ) -> Result<(), InvalidValue> {
         let at = value.span().start;
-        let value = check(field.kind, value.get_ref()).map_err(|wrong| Wrong {
-            shown: wrong.shown,
-            at: wrong.at.or(Some(at)),
+        let value = check(field.kind, value.get_ref()).map_err(|invalid| InvalidValue {
+            display: invalid.display,
+            at: invalid.at.or(Some(at)),
         })?;
-        self.by_name.insert(field.name, Read { value, at });
+        self.by_name.insert(field.name, Entry { value, at });
         Ok(())
     }
 
-    /// Takes over the default of a field that isn't given.
+    /// Stores the default of a field that the file doesn't set.
     pub(super) fn set_default(&mut self, field: &'static Field, default: &str) {
-        let value = DeValue::parse(default).expect("defaults of the tables are TOML");
+        let value = DeValue::parse(default).expect("defaults in `spec` are valid TOML");
         let value = check(field.kind, value.get_ref())
-            .expect("defaults of the tables are of their field's kind");
-        self.by_name.insert(field.name, Read { value, at: 0 });
+            .expect("defaults in `spec` are valid for their field");
+        self.by_name.insert(field.name, Entry { value, at: 0 });
     }
 
-    /// Where the value of a field stands.
+    /// Byte offset of a field's value; 0 for a default, `None` if the field has no value.
     pub(super) fn at(&self, name: &str) -> Option<usize> {
-        self.by_name.get(name).map(|read| read.at)
+        self.by_name.get(name).map(|entry| entry.at)
     }
 
     pub(super) fn integer(&self, name: &str) -> u32 {
-        u32::try_from(self.long(name)).expect("ranges of the tables end below 2^32")
+        u32::try_from(self.integer_u64(name)).expect("all ranges in `spec` end below 2^32")
     }
 
     pub(super) fn millis(&self, name: &str) -> Duration {
-        Duration::from_millis(self.long(name))
+        Duration::from_millis(self.integer_u64(name))
     }
 
     pub(super) fn boolean(&self, name: &str) -> bool {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Each hash with where it stands.
+    /// Each key hash with its byte offset.
     pub(super) fn keys(&self, name: &str) -> impl Iterator<Item = (KeyHash, usize)> + use<> {
         let keys = match self.get(name) {
             Some(Value::Keys(keys)) => keys.clone(),
@@ -111,7 +111,7 @@
         keys.into_iter()
     }
 
-    fn long(&self, name: &str) -> u64 {
+    fn integer_u64(&self, name: &str) -> u64 {
         match self.get(name) {
             Some(Value::Integer(number)) => *number,
             _ => 0,
@@ -119,11 +119,11 @@
     }
 
     fn get(&self, name: &str) -> Option<&Value> {
-        self.by_name.get(name).map(|read| &read.value)
+        self.by_name.get(name).map(|entry| &entry.value)
     }
 }
 
-fn check(kind: Kind, value: &DeValue<'_>) -> Result<Value, Wrong> {
+fn check(kind: Kind, value: &DeValue<'_>) -> Result<Value, InvalidValue> {
     let checked = match (kind, value) {
         (Kind::Integer { low, high }, DeValue::Integer(number)) => {
             u64::from_str_radix(number.as_str(), number.radix())
@@ -140,22 +140,22 @@
         (Kind::Percent, DeValue::Float(number)) => percent(number.as_str()),
         _ => None,
     };
-    checked.ok_or_else(|| Wrong {
-        shown: shown(value),
+    checked.ok_or_else(|| InvalidValue {
+        display: display_text(value),
         at: None,
     })
 }
 
-fn check_keys(value: &DeValue<'_>) -> Result<Value, Wrong> {
+fn check_keys(value: &DeValue<'_>) -> Result<Value, InvalidValue> {
     let mut keys = Vec::new();
     for item in value.as_array().into_iter().flatten() {
         let at = item.span().start;
         let text = item.get_ref().as_str().unwrap_or_default();
         let is_hash = text.len() == KEY_HASH_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
         if !is_hash {
-            // The text may be a key that was pasted in place of its hash: it isn't shown.
-            return Err(Wrong {
-                shown: "[...] with an entry that isn't a hash".into(),
+            // The text may be a secret key pasted instead of its hash, so the fault omits it.
+            return Err(InvalidValue {
+                display: "[...] with an entry that isn't a hash".into(),
                 at: Some(at),
             });
         }
@@ -164,7 +164,7 @@
     Ok(Value::Keys(keys))
 }
 
-/// Reads the digits themselves: a float would turn 99.9 into a little less.
+/// Parses the decimal digits directly: as a float, 99.9 would be slightly too small.
 fn percent(text: &str) -> Option<Value> {
     let (whole, decimals) = text.split_once('.').unwrap_or((text, ""));
     if decimals.len() > PERCENT_DECIMALS {
@@ -179,7 +179,7 @@
         .then_some(Value::Ppm(ppm))
 }
 
-fn shown(value: &DeValue<'_>) -> Box<str> {
+fn display_text(value: &DeValue<'_>) -> Box<str> {
     match value {
         DeValue::String(text) => format!("{:?}", text.as_ref()).into(),
         DeValue::Integer(number) => number.as_str().into(),
--- a/crates/pomelohitch-peer/src/links.rs
+++ b/crates/pomelohitch-peer/src/links.rs
@@ -1,13 +1,13 @@
-//! The thread of the links: it answers peers, and keeps one outgoing link to each.
+//! The links' thread: answers requests of peers and maintains one outgoing link to each peer.
 //!
-//! A connection can go silent for good while new ones work, because something between the two
-//! ends lost track of it. Nothing arrives then, not even an error. Each call therefore has a time
-//! limit of its own, and a link whose call ran out of time is dropped and made anew.
+//! A connection can stop delivering data without an error while new connections work, for example
+//! when a device on the path drops its state for it. Every request therefore has a timeout. When a
+//! heartbeat times out, the link is closed and connected again.
 //!
-//! * [`handlers`]: what the thread asks of the process, and calls that the process makes.
-//! * [`clock`]: tells when a heartbeat was said, not when it arrived.
-//! * [`outgoing`]: the link to a peer, its heartbeats and calls.
-//! * `incoming`: answers peers.
+//! * [`handlers`]: callbacks into the process, and calls that the process makes to peers.
+//! * [`clock`]: bounds the time at which a heartbeat was sent, independent of its arrival.
+//! * [`outgoing`]: the link to a peer, with its heartbeats and calls.
+//! * `incoming`: answers the requests of peers.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -31,56 +31,56 @@
 pub mod outgoing;
 
 pub use clock::Clock;
-pub use handlers::{Call, Handlers, Heard, OnAnswer, OnError};
+pub use handlers::{Call, Handlers, OnAnswer, OnError, ReceivedHeartbeat};
 use incoming::accept;
-pub use outgoing::is_due;
-use outgoing::keep_link;
+pub use outgoing::is_heartbeat_due;
+use outgoing::run_link;
 
-/// A link couldn't be used.
+/// A link failed or the links couldn't be started.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum Error {
-    /// The peer can't be reached.
+    /// The TCP connection to the peer failed.
     #[snafu(display("connect to {peer}: {source}"))]
     Connect {
         /// The peer's address.
         peer: SocketAddr,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The peer didn't answer within the time limit: the link is taken for silent.
-    #[snafu(display("heartbeat to {peer}: no answer in time"))]
-    Silent {
+    /// The peer didn't accept a connection or answer a heartbeat within the timeout.
+    #[snafu(display("connection or heartbeat to {peer} timed out"))]
+    Timeout {
         /// The peer's address.
         peer: SocketAddr,
     },
-    /// The peer's answer is malformed, or the connection broke.
+    /// The answer to a heartbeat is malformed, or the connection was lost.
     #[snafu(display("heartbeat to {peer}: {source}"))]
     Rpc {
         /// The peer's address.
         peer: SocketAddr,
-        /// What the codec said.
+        /// The RPC error.
         source: capnp::Error,
     },
-    /// The links' thread couldn't be started.
+    /// The listener can't be used, or the links' thread can't be started.
     #[snafu(display("start the links on {listen}: {source}"))]
     Start {
         /// The address to listen on.
         listen: SocketAddr,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
 }
 
-/// The result of this module.
+/// Result of starting or using a link.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// Times of the links.
+/// Timing of the links.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// How often a heartbeat is sent on each link.
+    /// Interval between heartbeats on a link.
     pub interval: Duration,
-    /// How long a call may take before its link counts as silent.
+    /// Timeout of each connection attempt, heartbeat and call.
     pub timeout: Duration,
 }
 
@@ -93,37 +93,38 @@
     }
 }
 
-/// A member to keep a link to.
+/// A member to which a link is maintained.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Peer {
-    /// Its id.
+    /// Id of the member.
     pub member: MemberId,
-    /// Where it listens.
+    /// Address on which its links listen.
     pub addr: SocketAddr,
 }
 
-/// What the process may ask of the thread.
+/// A command to the links' thread.
 #[derive(Debug)]
 pub enum Command {
-    /// Keep links to exactly these peers.
+    /// Maintain links to exactly these peers; links to all others are closed.
     Peers(Vec<Peer>),
-    /// Call a peer.
+    /// Send a call to a peer. It fails if there is no link to the peer.
     Call(MemberId, Call),
 }
 
-/// Where commands go.
+/// Channel to the links' thread.
 pub type Commands = mpsc::UnboundedSender<Command>;
 
-/// The running links. Dropping it closes the channel, which ends the thread.
+/// The running links. Dropping the value closes its command channel; the thread ends when no clone
+/// of the sender is left.
 #[derive(Debug)]
 pub struct Links {
-    /// Where commands go.
+    /// Channel to the links' thread.
     pub commands: Commands,
     thread: JoinHandle<()>,
 }
 
 impl Links {
-    /// Starts the thread, which accepts peers on `listener`.
+    /// Starts the links' thread, which accepts connections of peers on `listener`.
     ///
     /// # Errors
     /// If the listener can't be used or the thread can't be started.
@@ -149,7 +150,7 @@
                     settings,
                     handlers: handlers(),
                     clock: Clock::new(rand::random(), Instant::now()),
-                    known: RefCell::default(),
+                    last_heartbeats: RefCell::default(),
                 });
                 LocalSet::new().block_on(&runtime, run(cx, listener, rx));
             })
@@ -157,10 +158,11 @@
         Ok(Links { commands, thread })
     }
 
-    /// Closes the channel and waits for the thread to end.
+    /// Drops the command channel and waits for the thread, which ends once no clone of the sender
+    /// is left.
     pub fn stop(self) {
         drop(self.commands);
-        // The thread only ends by itself or by a panic that was already printed.
+        // An error means that the thread panicked, which the panic hook has already reported.
         let _ = self.thread.join();
     }
 }
@@ -169,40 +171,45 @@
     settings: Settings,
     handlers: Handlers,
     clock: Clock,
-    known: RefCell<BTreeMap<MemberId, Known>>,
+    last_heartbeats: RefCell<BTreeMap<MemberId, LastHeartbeat>>,
 }
 
 impl Context {
-    fn heard(&self, beat: Heartbeat) {
-        let known = Known {
-            at: Instant::now(),
-            clock: beat.clock,
+    fn record_heartbeat(&self, heartbeat: Heartbeat) {
+        let last = LastHeartbeat {
+            received_at: Instant::now(),
+            clock: heartbeat.clock,
         };
-        self.known.borrow_mut().insert(beat.member.clone(), known);
-        let said_after = self.clock.time_of(beat.echo);
-        (self.handlers.on_beat)(Heard { beat, said_after });
+        self.last_heartbeats
+            .borrow_mut()
+            .insert(heartbeat.member.clone(), last);
+        let sent_after = self.clock.time_of(heartbeat.echo);
+        (self.handlers.on_heartbeat)(ReceivedHeartbeat {
+            heartbeat,
+            sent_after,
+        });
     }
 
-    fn heard_ago(&self, member: &MemberId) -> Option<Duration> {
-        self.known
+    fn since_heartbeat(&self, member: &MemberId) -> Option<Duration> {
+        self.last_heartbeats
             .borrow()
             .get(member)
-            .map(|known| known.at.elapsed())
+            .map(|last| last.received_at.elapsed())
     }
 
-    fn beat_to(&self, member: &MemberId) -> Heartbeat {
-        let known = self.known.borrow();
+    fn heartbeat_to(&self, member: &MemberId) -> Heartbeat {
+        let last_heartbeats = self.last_heartbeats.borrow();
         Heartbeat {
             clock: self.clock.now(),
-            echo: known.get(member).map_or(0, |known| known.clock),
-            ..(self.handlers.own_beat)()
+            echo: last_heartbeats.get(member).map_or(0, |last| last.clock),
+            ..(self.handlers.own_heartbeat)()
         }
     }
 }
 
-/// What was last heard of a peer, over either of the two links to it.
-struct Known {
-    at: Instant,
+/// The last heartbeat received from a peer, as a request on its link or as an answer on ours.
+struct LastHeartbeat {
+    received_at: Instant,
     clock: u64,
 }
 
@@ -215,29 +222,29 @@
     let mut links = BTreeMap::new();
     while let Some(command) = commands.recv().await {
         match command {
-            Command::Peers(peers) => keep_links(&cx, &mut links, peers),
-            Command::Call(member, call) => pass_on(&links, &member, call),
+            Command::Peers(peers) => update_links(&cx, &mut links, peers),
+            Command::Call(member, call) => forward_call(&links, &member, call),
         }
     }
     accepting.abort();
-    for kept in links.into_values() {
-        kept.task.abort();
+    for link in links.into_values() {
+        link.task.abort();
     }
 }
 
-/// A link that is kept to a peer.
-struct Kept {
+/// The task that maintains the link to a peer.
+struct LinkTask {
     addr: SocketAddr,
     calls: mpsc::UnboundedSender<Call>,
     task: AbortHandle,
 }
 
-type KeptLinks = BTreeMap<MemberId, Kept>;
+type LinkTasks = BTreeMap<MemberId, LinkTask>;
 
-fn pass_on(links: &KeptLinks, member: &MemberId, call: Call) {
+fn forward_call(links: &LinkTasks, member: &MemberId, call: Call) {
     match links.get(member) {
-        Some(kept) => {
-            if let Err(mpsc::error::SendError(call)) = kept.calls.send(call) {
+        Some(link) => {
+            if let Err(mpsc::error::SendError(call)) = link.calls.send(call) {
                 call.fail();
             }
         }
@@ -245,22 +252,22 @@
     }
 }
 
-fn keep_links(cx: &Rc<Context>, links: &mut KeptLinks, peers: Vec<Peer>) {
-    links.retain(|member, kept| {
-        let is_kept = peers
+fn update_links(cx: &Rc<Context>, links: &mut LinkTasks, peers: Vec<Peer>) {
+    links.retain(|member, link| {
+        let is_wanted = peers
             .iter()
-            .any(|peer| peer.member == *member && peer.addr == kept.addr);
-        if !is_kept {
-            kept.task.abort();
+            .any(|peer| peer.member == *member && peer.addr == link.addr);
+        if !is_wanted {
+            link.task.abort();
         }
-        is_kept
+        is_wanted
     });
     for peer in peers {
         links.entry(peer.member.clone()).or_insert_with(|| {
             let addr = peer.addr;
             let (calls, rx) = mpsc::unbounded_channel();
-            let task = tokio::task::spawn_local(keep_link(cx.clone(), peer, rx));
-            Kept {
+            let task = tokio::task::spawn_local(run_link(cx.clone(), peer, rx));
+            LinkTask {
                 addr,
                 calls,
                 task: task.abort_handle(),
@@ -276,8 +283,8 @@
     stream: tokio::net::TcpStream,
     side: rpc_twoparty_capnp::Side,
 ) -> Box<dyn capnp_rpc::VatNetwork<rpc_twoparty_capnp::Side>> {
-    // Heartbeats are small and wait for one another; without this they are held back to be sent
-    // together, which delays them by tens of milliseconds. Failing to set it only costs time.
+    // Nagle's algorithm would delay these small requests and answers by tens of milliseconds. An
+    // error is ignored because it only costs this delay.
     let _ = stream.set_nodelay(true);
     let (reader, writer) = stream.into_split();
     Box::new(twoparty::VatNetwork::new(
