--- a/crates/pomelohitch-emulator/src/fleet/endpoint.rs
+++ b/crates/pomelohitch-emulator/src/fleet/endpoint.rs
@@ -1,7 +1,7 @@
-//! An endpoint that does what the platform says of endpoints.
+//! An emulated endpoint that follows the platform's contract for endpoints.
 //!
-//! Runs hold a lease, a lower epoch is refused, ends stay listed until they are acknowledged, and
-//! a stopped run can't come later.
+//! Runs end when the lease expires, calls with a lower epoch are refused, completions stay listed
+//! until they are acknowledged, and a run that was stopped before it arrived can't start later.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,63 +11,64 @@
 use pomelohitch_sched::order::{Order, Outcome, PollFailure, PollOrder, Refusal};
 use pomelohitch_sched::{Resources, Steady, TaskId};
 
-/// One endpoint, with the faults that it has.
+/// One endpoint and its faults.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "independent faults")]
 pub struct Endpoint {
-    /// What the platform's list says of it.
+    /// The endpoint's entry in the platform's list.
     pub report: Report,
-    /// It answers nothing and takes nothing.
+    /// Neither receives nor answers calls.
     pub is_silent: bool,
-    /// Orders are carried out, but their answers are lost.
+    /// Executes orders, but their answers are lost.
     pub loses_answers: bool,
     /// Every run fails.
     pub fails: bool,
     /// Starts are refused as malformed.
-    pub refuses: bool,
+    pub refuses_starts: bool,
     /// Runs make no progress.
-    pub stands_still: bool,
-    /// Runs take so many times as long.
+    pub is_stalled: bool,
+    /// Factor by which runs take longer.
     pub slowness: f64,
-    /// How long a run that is stopped goes on.
+    /// Time from a stop order to the end of the run.
     pub stop_grace: Duration,
-    /// When its room changed, and what it was before each.
+    /// Times of capacity changes, each with the capacity before it.
     pub(super) resized: Vec<(Steady, Resources)>,
     pub(super) clock: Duration,
     pub(super) epoch: u64,
     pub(super) lease: Duration,
     pub(super) runs: BTreeMap<(TaskId, u32), Run>,
     pub(super) ended: Vec<Ended>,
-    next_end: u64,
-    /// Ends up to this one were listed when the lease ran out. Noted after that they don't count
-    /// as noted, by the platform's rules.
-    lapsed_end: u64,
-    over: BTreeMap<TaskId, u32>,
-    /// How each run ended, in order.
+    next_completion: u64,
+    /// Number of the last completion that was listed when the lease expired. By the platform's
+    /// contract, acknowledging completions up to this one after the expiry doesn't count.
+    last_lapsed: u64,
+    /// Highest ended or stopped run number of each task; a start needs a higher one.
+    last_ended_runs: BTreeMap<TaskId, u32>,
+    /// End reasons of all runs, in order.
     pub(super) history: Vec<EndReason>,
 }
 
-/// One run of a task.
+/// A run of a task.
 #[derive(Debug)]
 pub(super) struct Run {
-    whole: Duration,
-    left: Duration,
-    pub(super) room: Resources,
+    duration: Duration,
+    remaining: Duration,
+    pub(super) resources: Resources,
     is_lasting: bool,
-    /// When it ends by a stop, on the endpoint's clock.
+    /// When a stop ends the run, on the endpoint's clock.
     stops_at: Option<Duration>,
 }
 
 impl Endpoint {
-    /// An endpoint that runs nothing.
+    /// An idle endpoint without faults.
     pub(super) fn new(report: Report) -> Endpoint {
         Endpoint {
             report,
             is_silent: false,
             loses_answers: false,
             fails: false,
-            refuses: false,
-            stands_still: false,
+            refuses_starts: false,
+            is_stalled: false,
             slowness: 1.0,
             stop_grace: Duration::ZERO,
             resized: Vec::new(),
@@ -76,53 +77,53 @@
             lease: Duration::ZERO,
             runs: BTreeMap::new(),
             ended: Vec::new(),
-            next_end: 1,
-            lapsed_end: 0,
-            over: BTreeMap::new(),
+            next_completion: 1,
+            last_lapsed: 0,
+            last_ended_runs: BTreeMap::new(),
             history: Vec::new(),
         }
     }
 
-    /// What runs there.
+    /// Tasks of the current runs.
     #[must_use]
     pub fn running(&self) -> Vec<TaskId> {
         self.runs.keys().map(|(task, _)| *task).collect()
     }
 
-    /// What runs there and wasn't told to stop.
+    /// Number of runs that have no stop order.
     #[must_use]
-    pub fn staying(&self) -> usize {
+    pub fn runs_without_stop(&self) -> usize {
         let runs = self.runs.values();
         runs.filter(|run| run.stops_at.is_none()).count()
     }
 
-    /// How many ends are listed.
+    /// Number of completions that are not acknowledged.
     #[must_use]
     pub fn unacknowledged(&self) -> usize {
         self.ended.len()
     }
 
-    fn end(&mut self, key: (TaskId, u32), how: EndReason) {
+    fn end(&mut self, key: (TaskId, u32), reason: EndReason) {
         self.runs.remove(&key);
         let (task, run) = key;
-        let over = self.over.entry(task).or_default();
-        *over = (*over).max(run);
-        self.history.push(how);
+        let last_run = self.last_ended_runs.entry(task).or_default();
+        *last_run = (*last_run).max(run);
+        self.history.push(reason);
         self.ended.push(Ended {
-            number: self.next_end,
+            number: self.next_completion,
             task,
             run,
-            how,
+            how: reason,
             checkpoint: Box::default(),
         });
-        self.next_end += 1;
+        self.next_completion += 1;
     }
 
-    /// Lets time pass: leases run out, runs end.
-    pub(super) fn pass(&mut self, time: Duration) {
+    /// Advances the endpoint's clock: the lease may expire, and runs complete.
+    pub(super) fn advance(&mut self, time: Duration) {
         self.clock += time;
         if self.clock > self.lease {
-            self.lapsed_end = self.next_end - 1;
+            self.last_lapsed = self.next_completion - 1;
             let lapsed: Vec<_> = self.runs.keys().copied().collect();
             for key in lapsed {
                 self.end(key, EndReason::Lapsed);
@@ -136,39 +137,39 @@
         for key in stopped {
             self.end(key, EndReason::Stopped);
         }
-        let how = if self.fails {
+        let reason = if self.fails {
             EndReason::Failed
         } else {
             EndReason::Done
         };
-        let mut over = Vec::new();
+        let mut finished = Vec::new();
         for (key, run) in &mut self.runs {
-            if !self.stands_still {
-                run.left = run.left.saturating_sub(time.div_f64(self.slowness));
+            if !self.is_stalled {
+                run.remaining = run.remaining.saturating_sub(time.div_f64(self.slowness));
             }
-            if run.left.is_zero() && (!run.is_lasting || self.fails) {
-                over.push(*key);
+            if run.remaining.is_zero() && (!run.is_lasting || self.fails) {
+                finished.push(*key);
             }
         }
-        for key in over {
-            self.end(key, how);
+        for key in finished {
+            self.end(key, reason);
         }
     }
 
-    /// Forgets ends up to `noted`, and returns the tasks that count as done by that.
+    /// Drops completions up to number `noted`; returns the tasks that count as done.
     pub(super) fn acknowledge(&mut self, noted: u64) -> Vec<TaskId> {
         let (old, listed) = std::mem::take(&mut self.ended)
             .into_iter()
             .partition(|e| e.number <= noted);
         self.ended = listed;
         let old: Vec<Ended> = old;
-        let counts = |e: &Ended| e.how == EndReason::Done && e.number > self.lapsed_end;
+        let counts = |e: &Ended| e.how == EndReason::Done && e.number > self.last_lapsed;
         let done = old.into_iter().filter(counts);
         done.map(|e| e.task).collect()
     }
 
-    /// Carries out an order; a run that it starts takes `whole`.
-    pub(super) fn take(&mut self, order: &Order, epoch: u64, whole: Duration) -> Outcome {
+    /// Executes an order; a run that it starts takes `duration`.
+    pub(super) fn execute(&mut self, order: &Order, epoch: u64, duration: Duration) -> Outcome {
         if epoch < self.epoch {
             return Outcome::Refused(Refusal::Fenced);
         }
@@ -182,7 +183,7 @@
                 ..
             } => {
                 let step = &spec.steps[usize::from(task.step)];
-                self.start((*task, *run), *deadline, step, whole)
+                self.start((*task, *run), *deadline, step, duration)
             }
             Order::Stop { task, run } => {
                 self.stop((*task, *run));
@@ -197,22 +198,26 @@
         key: (TaskId, u32),
         deadline: Duration,
         step: &StepSpec,
-        whole: Duration,
+        duration: Duration,
     ) -> Outcome {
-        if self.refuses {
+        if self.refuses_starts {
             return Outcome::Refused(Refusal::Malformed);
         }
         if deadline < self.clock {
             return Outcome::Refused(Refusal::Late);
         }
-        if self.over.get(&key.0).is_some_and(|&over| over >= key.1) {
+        if self
+            .last_ended_runs
+            .get(&key.0)
+            .is_some_and(|&last_run| last_run >= key.1)
+        {
             return Outcome::Refused(Refusal::OldRun);
         }
         self.lease = self.lease.max(deadline);
         let run = Run {
-            whole,
-            left: whole,
-            room: step.task_resources(),
+            duration,
+            remaining: duration,
+            resources: step.task_resources(),
             is_lasting: step.is_lasting,
             stops_at: None,
         };
@@ -221,8 +226,8 @@
     }
 
     fn stop(&mut self, key: (TaskId, u32)) {
-        let over = self.over.entry(key.0).or_default();
-        *over = (*over).max(key.1);
+        let last_run = self.last_ended_runs.entry(key.0).or_default();
+        *last_run = (*last_run).max(key.1);
         let stops_at = self.clock + self.stop_grace;
         if let Some(running) = self.runs.get_mut(&key) {
             running.stops_at.get_or_insert(stops_at);
@@ -232,13 +237,13 @@
         }
     }
 
-    /// Answers a look.
-    pub(super) fn look(&mut self, look: &PollOrder) -> Result<PollReply, PollFailure> {
-        if look.epoch < self.epoch {
+    /// Answers a poll.
+    pub(super) fn poll(&mut self, poll: &PollOrder) -> Result<PollReply, PollFailure> {
+        if poll.epoch < self.epoch {
             return Err(PollFailure::Fenced);
         }
-        self.epoch = look.epoch;
-        self.lease = self.lease.max(look.lease.unwrap_or_default());
+        self.epoch = poll.epoch;
+        self.lease = self.lease.max(poll.lease.unwrap_or_default());
         Ok(PollReply {
             born: self.report.born,
             clock: self.clock,
@@ -248,15 +253,15 @@
                 .map(|(key, run)| running(key, run))
                 .collect(),
             ended: self.ended.clone(),
-            lease_requested: look.lease.is_some(),
+            lease_requested: poll.lease.is_some(),
             ..PollReply::default()
         })
     }
 }
 
 fn running(key: &(TaskId, u32), run: &Run) -> Running {
-    let whole = run.whole.as_millis().max(1);
-    let done = 100 - run.left.as_millis() * 100 / whole;
+    let duration = run.duration.as_millis().max(1);
+    let done = 100 - run.remaining.as_millis() * 100 / duration;
     Running {
         task: key.0,
         number: key.1,
@@ -264,7 +269,7 @@
         percent: if run.is_lasting {
             100
         } else {
-            u32::try_from(done).expect("it is a percentage")
+            u32::try_from(done).expect("a percentage fits u32")
         },
         load: 0,
     }
--- a/pomelohitch/src/publish.rs
+++ b/pomelohitch/src/publish.rs
@@ -1,4 +1,4 @@
-//! `pomelohitch publish`: puts a tree of fleet files in force, all of it or nothing.
+//! `pomelohitch publish`: puts a tree of fleet files in force, either all of them or none.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -15,34 +15,34 @@
 use crate::propose::{self, explain, propose};
 use crate::{check, diff, history};
 
-/// How to publish.
+/// Options of a publish.
 #[derive(Debug, Default)]
 pub struct Options {
-    /// The operator started from what was in force at this offset, whatever the lock says.
+    /// Offset whose versions in force replace those in the lock as the base of the changes.
     pub base: Option<Offset>,
-    /// How the proposal is made.
+    /// Options of the proposal.
     pub propose: propose::Options,
 }
 
-/// The publish couldn't begin; nothing was appended.
+/// The publish failed. Nothing was appended, unless it is the lock that can't be written.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// The tree can't be read.
     #[snafu(display("{source}"))]
     Tree {
-        /// Why not.
+        /// The error of the tree.
         source: pomelohitch_config::tree::Error,
     },
-    /// The lock can't be read, or couldn't be written after the publish came into force.
+    /// The lock can't be read before the append, or can't be written after it.
     #[snafu(display("{source}"))]
     Lock {
-        /// Why not.
+        /// The error of the lock.
         source: pomelohitch_config::lock::Error,
     },
-    /// What is in force can't be read.
+    /// The files in force can't be read from the log.
     #[snafu(display("{source}; nothing was published: try again when the log is back"))]
     Log {
-        /// What the log said.
+        /// The error of the log.
         source: pomelohitch_platform::Error,
     },
 }
@@ -50,38 +50,38 @@
 /// The result of this module.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// What became of a publish.
+/// The outcome of a publish.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The tree is already what is in force.
+    /// The tree equals the files in force; nothing was appended.
     NoDifferences,
     /// The files have faults; nothing was appended.
     Faults {
-        /// All of them.
+        /// All faults.
         faults: Vec<Fault>,
     },
     /// All changes are in force.
     InForce {
-        /// Since this offset.
+        /// Offset of the record.
         offset: Offset,
-        /// The changes.
+        /// The changes that were published.
         changes: Vec<Change>,
     },
     /// No change is in force.
     NotInForce {
-        /// Where the rejected record stands, if it was appended.
+        /// Offset of the rejected record, if it was appended.
         offset: Option<Offset>,
-        /// The rule that rejects it, unless the log refused the append.
+        /// Why the fold rejects the record; `None` if the log refused the append.
         rejection: Option<Rejection>,
         /// Why, and what to do.
         reason: Box<str>,
     },
     /// The changes may or may not come into force.
     NotKnown {
-        /// The id of the record that may have landed.
+        /// Id of the record that may have been appended.
         record: RecordId,
-        /// Why it isn't known.
+        /// Why the outcome is unknown.
         reason: Box<str>,
     },
 }
@@ -89,13 +89,14 @@
 /// Publishes the tree at `root`.
 ///
 /// # Errors
-/// If it couldn't begin; nothing was appended then.
+/// If the tree, the lock or the log can't be read, in which case nothing was appended, or if the
+/// lock can't be written.
 pub fn publish(root: &Path, log: &Arc<Log>, options: &Options) -> Result<Outcome> {
     let (tree, mut lock) = match load(root)? {
         Ok(loaded) => loaded,
         Err(faults) => return Ok(Outcome::Faults { faults }),
     };
-    let mut follower = propose::follow(log);
+    let mut follower = propose::fleet_follower(log);
     if let Some(base) = options.base {
         lock = lock_at(&tree, &lock, &mut follower, base, &options.propose)?;
     }
@@ -106,18 +107,18 @@
         return Ok(Outcome::Faults { faults });
     }
     if plan.changes.is_empty() {
-        store(&diff_lock(&tree, &seen), root)?;
+        store(&lock_in_force(&tree, &seen), root)?;
         return Ok(Outcome::NoDifferences);
     }
-    if let Some(refused) = stale(&plan, log) {
+    if let Some(refused) = refuse_if_stale(&plan, log) {
         return Ok(refused);
     }
     let body = Body::Publish(plan.publish());
-    let decided = propose(log, &mut follower, body, &options.propose);
-    if let propose::Outcome::InForce { offset } = decided {
+    let proposed = propose(log, &mut follower, body, &options.propose);
+    if let propose::Outcome::InForce { offset } = proposed {
         store(&plan.lock_after(&tree, &seen.config, offset), root)?;
     }
-    Ok(outcome(decided, plan.changes, log))
+    Ok(outcome(proposed, plan.changes, log))
 }
 
 type Loaded = std::result::Result<(Tree, Lock), Vec<Fault>>;
@@ -130,7 +131,7 @@
     }
 }
 
-/// The versions that were in force when `base` was the last offset.
+/// Returns a lock with the versions that were in force when `base` was the newest offset.
 fn lock_at(
     tree: &Tree,
     lock: &Lock,
@@ -147,7 +148,7 @@
     })
 }
 
-fn diff_lock(tree: &Tree, seen: &State) -> Lock {
+fn lock_in_force(tree: &Tree, seen: &State) -> Lock {
     pomelohitch_config::plan::lock_of(tree, &seen.config)
 }
 
@@ -155,8 +156,9 @@
     lock.store(root).context(LockSnafu)
 }
 
-/// A lost race that is already seen isn't appended: it would be rejected by every reader.
-fn stale(plan: &Plan, log: &Log) -> Option<Outcome> {
+/// Returns the refusal of a plan with a stale change. Such a plan is not appended, since the fold
+/// would reject it.
+fn refuse_if_stale(plan: &Plan, log: &Log) -> Option<Outcome> {
     let change = plan.changes.iter().find(|change| change.is_stale())?;
     let rejection = Rejection::BaseChanged {
         path: change.path.clone(),
@@ -164,33 +166,33 @@
     };
     Some(Outcome::NotInForce {
         offset: None,
-        reason: reason(&rejection, log).into(),
+        reason: explain_with_removal(&rejection, log).into(),
         rejection: Some(rejection),
     })
 }
 
-/// The state doesn't know where a file was removed; the operator is told all the same.
-fn reason(rejection: &Rejection, log: &Log) -> String {
-    let told = explain(rejection);
+/// Explains `rejection`, and adds the offset of a removal, which the state does not keep.
+fn explain_with_removal(rejection: &Rejection, log: &Log) -> String {
+    let explanation = explain(rejection);
     let Rejection::BaseChanged {
         path,
         version: None,
     } = rejection
     else {
-        return told;
+        return explanation;
     };
     match history::removed_at(log, path) {
-        Some(offset) => format!("{told} (removed at offset {offset})"),
-        None => told,
+        Some(offset) => format!("{explanation} (removed at offset {offset})"),
+        None => explanation,
     }
 }
 
-fn outcome(decided: propose::Outcome, changes: Vec<Change>, log: &Log) -> Outcome {
-    match decided {
+fn outcome(proposed: propose::Outcome, changes: Vec<Change>, log: &Log) -> Outcome {
+    match proposed {
         propose::Outcome::InForce { offset } => Outcome::InForce { offset, changes },
         propose::Outcome::Rejected { offset, rejection } => Outcome::NotInForce {
             offset: Some(offset),
-            reason: reason(&rejection, log).into(),
+            reason: explain_with_removal(&rejection, log).into(),
             rejection: Some(rejection),
         },
         propose::Outcome::NotAppended { error } => Outcome::NotInForce {
@@ -208,7 +210,7 @@
     }
 }
 
-/// Shows what became of a publish.
+/// Renders the outcome of a publish.
 #[must_use]
 pub fn show(outcome: &Outcome) -> Output {
     Output::new(exit(outcome), text(outcome), outcome)
@@ -240,8 +242,8 @@
             .text
         }
         Outcome::InForce { offset, changes } => {
-            let shown = diff::changes(changes);
-            format!("{shown}in force since offset {offset}; commit pomelohitch.lock\n")
+            let changes_text = diff::changes(changes);
+            format!("{changes_text}in force since offset {offset}; commit pomelohitch.lock\n")
         }
         Outcome::NotInForce { offset, reason, .. } => {
             let at = offset.map_or_else(String::new, |offset| format!(" (offset {offset})"));
--- a/pomelohitchd/examples/capacity/platform.rs
+++ b/pomelohitchd/examples/capacity/platform.rs
@@ -1,4 +1,4 @@
-//! What a planner reads from the platform, and what it makes of it, at a size.
+//! Size of what a planner reads from the platform, and the cost of processing it.
 
 use std::collections::BTreeMap;
 use std::hint::black_box;
@@ -12,17 +12,17 @@
 use pomelohitch_platform::instances::{List, Listed, ListedState};
 use pomelohitch_platform::{Log, snapshots, workers};
 
-use crate::fleet::{Fleet, LETTER, Size, instance};
+use crate::fleet::{DESIGN_SIZE, Fleet, Size, instance};
 
-/// How many looks are timed.
-const LOOKS: u32 = 20;
+/// Number of timed planning passes.
+const PASSES: u32 = 20;
 
-/// Bytes of the platform's list of instances, KiB.
+/// Size of the platform's list of instances, in KiB.
 pub fn instance_list(size: &Size) -> f64 {
     kib(&serde_json::to_string(&list(size)).expect("a list is JSON"))
 }
 
-/// Bytes of the platform's list of workers, KiB.
+/// Size of the platform's list of workers, in KiB.
 pub fn worker_list(size: &Size) -> f64 {
     let workers = (0..size.instances).map(|n| workers::Listed {
         id: instance(n),
@@ -42,14 +42,14 @@
     kib(&serde_json::to_string(&list).expect("a list is JSON"))
 }
 
-/// A look of the planner of pools and waves, from the list's text to its decisions when nothing
-/// is due, milliseconds.
-pub fn maintenance_look(size: &Size) -> f64 {
+/// Time of a planning pass of the planner of pools and waves that finds nothing to do, from the
+/// encoded list to its decisions, in milliseconds.
+pub fn maintenance_pass(size: &Size) -> f64 {
     let state = Fleet::new(size).state;
     let text = serde_json::to_string(&list(size)).expect("a list is JSON");
     let mut planner = Planner::new(Options::default());
     let start = Instant::now();
-    for look in 0..LOOKS {
+    for pass in 0..PASSES {
         let list: List = serde_json::from_str(&text).expect("it was just written");
         let listed: BTreeMap<_, _> = list
             .instances
@@ -57,27 +57,27 @@
             .map(|i| (i.id.clone(), i))
             .collect();
         let seen = Observation {
-            now: Duration::from_millis(500) * look,
+            now: Duration::from_millis(500) * pass,
             listed: Some(listed),
             applied_by_all: state.next,
             ..Observation::default()
         };
         black_box(planner.plan(&state, &seen));
     }
-    start.elapsed().as_secs_f64() * 1e3 / f64::from(LOOKS)
+    start.elapsed().as_secs_f64() * 1e3 / f64::from(PASSES)
 }
 
-/// Writes a snapshot of the size to design for to the log at `url`, which is empty.
+/// Writes a snapshot of the design size to the empty log at `url`.
 pub fn fill(url: &str) {
     let log = Log::http(url, Duration::from_secs(20));
     // Without jobs: a stand-in of the workers would end them all at once.
-    let state = Fleet::new(&LETTER).state;
-    // A reader that starts from the snapshot never reads these, but the log's head has to be
-    // where the snapshot ends.
-    let filler = vec![Box::from("-"); FILL];
+    let state = Fleet::new(&DESIGN_SIZE).state;
+    // Readers start from the snapshot and never read these records, but the head of the log must be
+    // at the offset at which the snapshot ends.
+    let filler = vec![Box::from("-"); FILL_BATCH];
     let mut next = 0;
     while next < state.next {
-        let some = FILL.min(usize::try_from(state.next - next).unwrap_or(FILL));
+        let some = FILL_BATCH.min(usize::try_from(state.next - next).unwrap_or(FILL_BATCH));
         let appended = (log.append)(FLEET_STREAM, &filler[..some]).expect("the log is up");
         next = appended.next;
     }
@@ -85,8 +85,8 @@
     println!("wrote a snapshot that ends at offset {next}");
 }
 
-/// How many records are appended at once.
-const FILL: usize = 1000;
+/// Number of records in one append.
+const FILL_BATCH: usize = 1000;
 
 fn list(size: &Size) -> List {
     let fleet = Fleet::new(size).state.fleet;
--- a/pomelohitchd/src/admin/change.rs
+++ b/pomelohitchd/src/admin/change.rs
@@ -1,4 +1,4 @@
-//! What operators may change here.
+//! Changes by operators: withdrawing keys, maintenance orders and draining this entry instance.
 
 use std::io::Read as _;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,10 +16,10 @@
 use crate::node::{Node, ProposeError};
 use crate::withdraw;
 
-/// Largest body of a request.
-const BODY_BYTES: u64 = 16 * 1024;
-/// How long a proposal may take.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
+/// Largest body of a request, in bytes.
+const MAX_BODY_BYTES: u64 = 16 * 1024;
+/// Timeout of one proposal.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Length of a key hash in hexadecimal digits.
 const KEY_HASH_DIGITS: usize = 64;
 
@@ -28,46 +28,46 @@
     hash: KeyHash,
 }
 
-/// How far a withdrawal has come.
+/// Progress of a withdrawal.
 #[derive(Debug, Serialize)]
 struct Withdrawn {
-    /// Its place in the log; `None` if it couldn't be appended yet. It is tried until it can.
+    /// Its offset in the log; `None` if it couldn't be appended yet. The append is retried.
     offset: Option<Offset>,
-    /// How many entry instances there are.
+    /// Number of entry instances.
     members: usize,
-    /// How many of them refuse the key now, or within a heartbeat.
+    /// Number of entry instances that refuse the key now or within a heartbeat.
     reached: usize,
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Debug, Serialize)]
 #[serde(tag = "outcome", rename_all = "kebab-case")]
 enum Outcome {
-    /// It is in force everywhere once each entry instance has read so far.
+    /// It was accepted; each entry instance applies it when it reads the record.
     InForce {
-        /// Its place in the log.
+        /// Its offset in the log.
         offset: Offset,
     },
-    /// The state in force doesn't allow it.
+    /// The fold rejected it.
     NotInForce {
-        /// The rule.
+        /// The rule that it violates.
         rejection: Rejection,
     },
-    /// The log refused it.
+    /// The log refused the append.
     LogRefused {
-        /// What to do.
+        /// Advice for the operator.
         fix: &'static str,
     },
-    /// It may or may not come into force.
+    /// It may or may not take effect.
     NotKnown {
-        /// What to do.
+        /// Advice for the operator.
         fix: &'static str,
     },
 }
 
-/// Refuses a key at once, here and by the peers that the links reach, also with the log down.
+/// Withdraws a key at once, here and at the peers that can be reached, even while the log is down.
 pub(super) fn withdraw_key(node: &Node, req: &Request) -> Response {
-    let Some(Withdraw { hash }) = read(req) else {
+    let Some(Withdraw { hash }) = parse_body(req) else {
         return bad_request("send {\"hash\": HASH}, the key's hash, never the key");
     };
     let is_hash = hash.len() == KEY_HASH_DIGITS && hash.bytes().all(|b| b.is_ascii_hexdigit());
@@ -92,7 +92,7 @@
 
 /// Starts, pauses or resumes maintenance.
 pub(super) fn maintain(node: &Node, req: &Request) -> Response {
-    let Some(order) = read::<MaintainOrder>(req) else {
+    let Some(order) = parse_body::<MaintainOrder>(req) else {
         return bad_request("send an order as docs/ADMIN.md describes it");
     };
     info!(?order, "an operator ordered maintenance");
@@ -103,25 +103,25 @@
     )
 }
 
-/// Begins the graceful shutdown of this entry instance, as SIGTERM does. A second signal would
-/// cut it short, so only the first request raises one.
-pub(super) fn drain(drain_asked: &AtomicBool) -> Response {
-    if drain_asked.swap(true, Ordering::AcqRel) {
+/// Starts the graceful shutdown of this entry instance, as SIGTERM does. A second signal would
+/// abort it, so only the first request raises one.
+pub(super) fn drain(drain_requested: &AtomicBool) -> Response {
+    if drain_requested.swap(true, Ordering::AcqRel) {
         return Response::text("draining already\n").with_status_code(202);
     }
     info!("an operator drains this entry instance");
     match signal_hook::low_level::raise(SIGTERM) {
         Ok(()) => Response::text("draining\n").with_status_code(202),
         Err(error) => {
-            warn!(%error, "the drain couldn't be started");
-            drain_asked.store(false, Ordering::Release);
+            warn!(%error, "could not raise SIGTERM for the drain");
+            drain_requested.store(false, Ordering::Release);
             Response::text("send SIGTERM to the process\n").with_status_code(500)
         }
     }
 }
 
 fn propose(node: &Node, body: Body, fix: &'static str) -> Response {
-    let (status, outcome) = match node.propose(body, PROPOSE_LIMIT) {
+    let (status, outcome) = match node.propose(body, PROPOSE_TIMEOUT) {
         Ok(decided) => match decided.verdict {
             Verdict::Rejected(rejection) => (409, Outcome::NotInForce { rejection }),
             Verdict::Accepted | Verdict::Repeat(_) => {
@@ -135,10 +135,10 @@
     Response::json(&outcome).with_status_code(status)
 }
 
-fn read<T: DeserializeOwned>(req: &Request) -> Option<T> {
+fn parse_body<T: DeserializeOwned>(req: &Request) -> Option<T> {
     let mut buf = Vec::new();
     let body = req.data()?;
-    body.take(BODY_BYTES).read_to_end(&mut buf).ok()?;
+    body.take(MAX_BODY_BYTES).read_to_end(&mut buf).ok()?;
     serde_json::from_slice(&buf).ok()
 }
 
--- a/pomelohitchd/src/front/connection.rs
+++ b/pomelohitchd/src/front/connection.rs
@@ -12,13 +12,13 @@
 use super::exchange;
 use super::{Front, Incoming};
 
-/// Bytes read at a time.
-const CHUNK: usize = 8 * 1024;
-/// After a refusal, what the caller still sends is read and dropped for so long, and so much.
+/// Size of one read, in bytes.
+const READ_BYTES: usize = 8 * 1024;
+/// Limits in time and bytes on reading and discarding what the caller still sends after a refusal.
 const LINGER: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 1024 * 1024;
-/// When to come back after a refusal for lack of room.
-const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// `Retry-After` of a refusal for lack of memory or connections.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why no request was read.
 #[derive(Debug, Snafu)]
@@ -32,14 +32,14 @@
     /// The bytes can't become a request.
     #[snafu(display("{source}"))]
     Unreadable { source: head::Error },
-    /// All bodies together take too much memory.
+    /// The bodies of all connections exceed their memory limit.
     #[snafu(display("no room for the body"))]
-    NoRoom,
+    BodyBudgetExhausted,
 }
 
 type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// A connection, and what was read from it beyond the last request.
+/// A connection, with the bytes read beyond its last request.
 struct Connection<'a> {
     front: &'a Front,
     stream: &'a TcpStream,
@@ -48,9 +48,9 @@
 
 /// Serves the requests of one connection, one after another.
 pub fn serve(front: &Front, stream: &TcpStream, peer: SocketAddr) {
-    // Answers are written whole; without this they'd wait for the caller's acknowledgements.
+    // Each answer is one write, so Nagle's algorithm would only delay it.
     let _ = stream.set_nodelay(true);
-    let _ = stream.set_write_timeout(Some(front.limits.write_within));
+    let _ = stream.set_write_timeout(Some(front.limits.write_timeout));
     let mut connection = Connection {
         front,
         stream,
@@ -67,8 +67,8 @@
             Err(error) => return self.refuse(&error),
         };
         let arrived = Instant::now();
-        let Some(_room) = self.front.body_bytes.take(head.body_length) else {
-            return self.refuse(&Error::NoRoom);
+        let Some(_guard) = self.front.body_bytes.take(head.body_length) else {
+            return self.refuse(&Error::BodyBudgetExhausted);
         };
         let body = match self.read_body(&head) {
             Ok(body) => body,
@@ -88,7 +88,7 @@
     fn read_head(&mut self) -> Result<Head> {
         let limits = &self.front.limits;
         self.wait_for_request()?;
-        let deadline = Instant::now() + limits.head_within;
+        let deadline = Instant::now() + limits.head_timeout;
         loop {
             let parsed = head::parse(&self.buf, &limits.request);
             if let Some(head) = parsed.map_err(|source| Error::Unreadable { source })? {
@@ -99,22 +99,22 @@
         }
     }
 
-    /// Waits for the first byte of a request. A shutdown ends the wait once callers had the time
-    /// to hear of it.
+    /// Waits for the first byte of a request. A shutdown ends the wait after `shutdown_grace`, so
+    /// that callers have time to notice it.
     fn wait_for_request(&mut self) -> Result<()> {
         let limits = &self.front.limits;
-        let mut deadline = Instant::now() + limits.idle;
+        let mut deadline = Instant::now() + limits.idle_timeout;
         let mut is_leaving = false;
         while self.buf.is_empty() {
             if !is_leaving && self.front.is_leaving() {
                 is_leaving = true;
-                deadline = deadline.min(Instant::now() + limits.leaving_grace);
+                deadline = deadline.min(Instant::now() + limits.shutdown_grace);
             }
             let now = Instant::now();
             if now >= deadline {
                 return EndedSnafu.fail();
             }
-            match self.read_until(deadline.min(now + limits.idle_tick)) {
+            match self.read_until(deadline.min(now + limits.idle_check_interval)) {
                 Ok(()) | Err(Error::Slow) => {}
                 Err(error) => return Err(error),
             }
@@ -124,10 +124,10 @@
 
     fn read_body(&mut self, head: &Head) -> Result<Vec<u8>> {
         if head.expects_continue && self.buf.len() < head.body_length {
-            let go_on = (&mut &*self.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
-            go_on.map_err(|_| Error::Ended)?;
+            let sent = (&mut &*self.stream).write_all(b"HTTP/1.1 100 Continue\r\n\r\n");
+            sent.map_err(|_| Error::Ended)?;
         }
-        let deadline = Instant::now() + self.front.limits.body_within;
+        let deadline = Instant::now() + self.front.limits.body_timeout;
         while self.buf.len() < head.body_length {
             self.read_until(deadline)?;
         }
@@ -135,15 +135,15 @@
         Ok(std::mem::replace(&mut self.buf, rest))
     }
 
-    /// Reads some bytes. A time limit for each read alone would let a caller that sends one byte
-    /// now and then hold its connection for ever.
+    /// Reads some bytes before `deadline`, which covers the whole head or body: a timeout per read
+    /// would let a caller that sends single bytes hold its connection forever.
     fn read_until(&mut self, deadline: Instant) -> Result<()> {
         let left = deadline.saturating_duration_since(Instant::now());
         if left.is_zero() {
             return SlowSnafu.fail();
         }
         let _ = self.stream.set_read_timeout(Some(left));
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_BYTES];
         match (&mut &*self.stream).read(&mut chunk) {
             Ok(0) => EndedSnafu.fail(),
             Ok(count) => {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Tells the caller what was wrong, if it can be told, and ends the connection.
+    /// Answers with a problem document, if the caller is still connected, and ends the connection.
     fn refuse(&mut self, error: &Error) -> bool {
         let detail = error.to_string();
         let problem = match error {
@@ -167,8 +167,8 @@
             Error::Unreadable { source } => {
                 Problem::not_run(Kind::BadRequest(source.status()), detail)
             }
-            Error::NoRoom => {
-                Problem::not_run(Kind::EntryFull, detail).retry_after(FULL_RETRY_AFTER)
+            Error::BodyBudgetExhausted => {
+                Problem::not_run(Kind::EntryFull, detail).retry_after(OVERLOAD_RETRY_AFTER)
             }
         };
         metrics::counter!("requests_unreadable").increment(1);
@@ -178,8 +178,8 @@
         false
     }
 
-    /// Closing a connection while bytes of the caller are still unread resets it, and the reset
-    /// may overtake the answer: the caller would see a broken connection and no reason.
+    /// Lingering close: reads and discards what the caller still sends. Closing a connection with
+    /// unread bytes resets it, and the reset may overtake the answer.
     fn linger(&mut self) {
         let _ = self.stream.shutdown(Shutdown::Write);
         let deadline = Instant::now() + LINGER;
@@ -201,19 +201,20 @@
     }
 }
 
-/// The bytes that refuse a new connection for lack of room.
+/// The answer that refuses a connection because a limit is reached, as bytes.
 #[must_use]
 pub fn refusal(detail: &str) -> Vec<u8> {
-    let problem = Problem::not_run(Kind::EntryFull, detail).retry_after(FULL_RETRY_AFTER);
+    let problem = Problem::not_run(Kind::EntryFull, detail).retry_after(OVERLOAD_RETRY_AFTER);
     encode(exchange::problem_response(&problem), true, false).unwrap_or_default()
 }
 
-/// Headers that are written by [`encode`] itself.
+/// Headers that [`encode`] sets itself.
 const FRAMING: [&str; 3] = ["connection", "content-length", "transfer-encoding"];
 
 /// The answer as bytes; `None` if its body can't be read.
 ///
-/// The body is in memory already, so its length is always stated and a cut answer shows.
+/// The body is in memory, so `Content-Length` is always known and callers detect a truncated
+/// answer.
 fn encode(response: Response, is_last: bool, is_head: bool) -> Option<Vec<u8>> {
     let status = response.status_code;
     let (mut reader, _) = response.data.into_reader_and_size();
@@ -224,13 +225,13 @@
     let _ = write!(bytes, "HTTP/1.1 {status} {}\r\n", reason(status));
     for (name, value) in &response.headers {
         let is_framing = FRAMING.iter().any(|f| name.eq_ignore_ascii_case(f));
-        // A line break inside a value would begin a header of its own.
+        // A line break in a value would start another header.
         if !is_framing && !value.contains(['\r', '\n']) {
             let _ = write!(bytes, "{name}: {value}\r\n");
         }
     }
     let has_length = !matches!(status, 100..=199 | 204 | 304);
-    // To HEAD only headers are sent, and no length is better than a wrong one.
+    // An answer to HEAD has no body, and no length is better than a wrong one.
     if has_length && !is_head {
         let _ = write!(bytes, "Content-Length: {}\r\n", body.len());
     }
--- a/pomelohitchd/src/front/limits.rs
+++ b/pomelohitchd/src/front/limits.rs
@@ -1,4 +1,4 @@
-//! What one caller, and all of them together, may take up.
+//! Limits of the callers' port, per request, per connection and over all connections.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -6,32 +6,32 @@
 
 use pomelohitch_route::head;
 
-/// Sizes and times of the callers' port.
+/// Limits on sizes and times at the callers' port.
 ///
-/// An entry instance is small: at these defaults its callers together hold no more than about
-/// 64 MiB of bodies, 8 MiB of heads and the stacks of 512 threads.
+/// With the defaults, all callers together use at most about 64 MiB for bodies, 8 MiB for heads
+/// and the stacks of 512 threads, so that a small instance suffices.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Sizes of one request.
+    /// Limits on the head and body of one request, in bytes.
     pub request: head::Limits,
-    /// Most connections at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Most bytes of bodies held at once, over all connections.
-    pub body_bytes_together: usize,
-    /// How long a head may take from its first byte.
-    pub head_within: Duration,
-    /// How long a body may take.
-    pub body_within: Duration,
-    /// How long writing an answer may take.
-    pub write_within: Duration,
-    /// How long a connection may be idle between requests.
-    pub idle: Duration,
-    /// How often an idle connection looks whether the process shuts down.
-    pub idle_tick: Duration,
-    /// How often the accepting side looks whether the process shuts down.
-    pub leaving_tick: Duration,
-    /// How long new connections are served after a graceful shutdown began.
-    pub leaving_grace: Duration,
+    /// Maximum number of body bytes in memory, over all connections.
+    pub total_body_bytes: usize,
+    /// Timeout for reading a head, from its first byte.
+    pub head_timeout: Duration,
+    /// Timeout for reading a body.
+    pub body_timeout: Duration,
+    /// Timeout for a blocking write of an answer.
+    pub write_timeout: Duration,
+    /// A connection is closed after this time without a request.
+    pub idle_timeout: Duration,
+    /// Interval at which an idle connection checks for a shutdown.
+    pub idle_check_interval: Duration,
+    /// Interval at which the serving thread checks for a shutdown.
+    pub shutdown_check_interval: Duration,
+    /// New connections are still served for this long after a graceful shutdown begins.
+    pub shutdown_grace: Duration,
 }
 
 impl Default for Limits {
@@ -39,63 +39,63 @@
         Limits {
             request: head::Limits::default(),
             connections: 512,
-            body_bytes_together: 64 * 1024 * 1024,
-            head_within: Duration::from_secs(5),
-            body_within: Duration::from_secs(20),
-            write_within: Duration::from_secs(20),
-            idle: Duration::from_secs(30),
-            idle_tick: Duration::from_millis(250),
-            leaving_tick: Duration::from_millis(10),
-            leaving_grace: Duration::from_secs(1),
+            total_body_bytes: 64 * 1024 * 1024,
+            head_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(20),
+            write_timeout: Duration::from_secs(20),
+            idle_timeout: Duration::from_secs(30),
+            idle_check_interval: Duration::from_millis(250),
+            shutdown_check_interval: Duration::from_millis(10),
+            shutdown_grace: Duration::from_secs(1),
         }
     }
 }
 
-/// Counts something of which only so much may be in use.
+/// A limited amount (of connections or bytes) and how much of it is in use.
 #[derive(Debug)]
-pub struct Gauge {
+pub struct Budget {
     used: Arc<AtomicUsize>,
-    most: usize,
+    max: usize,
 }
 
-/// Gives its part back when dropped, also by a panic.
+/// Returns its amount when dropped, also during a panic.
 #[derive(Debug)]
-pub struct Guard {
+pub struct BudgetGuard {
     used: Arc<AtomicUsize>,
     amount: usize,
 }
 
-impl Gauge {
-    /// A gauge of which `most` may be in use.
+impl Budget {
+    /// A budget of which at most `max` may be in use.
     #[must_use]
-    pub fn new(most: usize) -> Gauge {
-        Gauge {
+    pub fn new(max: usize) -> Budget {
+        Budget {
             used: Arc::default(),
-            most,
+            max,
         }
     }
 
-    /// How much is in use.
+    /// The amount in use.
     #[must_use]
     pub fn used(&self) -> usize {
         self.used.load(Ordering::Acquire)
     }
 
-    /// Takes `amount`, if so much is left.
+    /// Takes `amount`; `None` if less than that is left.
     #[must_use]
-    pub fn take(&self, amount: usize) -> Option<Guard> {
-        let add = |used: usize| used.checked_add(amount).filter(|&sum| sum <= self.most);
+    pub fn take(&self, amount: usize) -> Option<BudgetGuard> {
+        let add = |used: usize| used.checked_add(amount).filter(|&sum| sum <= self.max);
         self.used
             .fetch_update(Ordering::AcqRel, Ordering::Acquire, add)
             .ok()?;
-        Some(Guard {
+        Some(BudgetGuard {
             used: self.used.clone(),
             amount,
         })
     }
 }
 
-impl Drop for Guard {
+impl Drop for BudgetGuard {
     fn drop(&mut self) {
         self.used.fetch_sub(self.amount, Ordering::AcqRel);
     }
--- a/pomelohitchd/src/peers.rs
+++ b/pomelohitchd/src/peers.rs
@@ -6,13 +6,14 @@
 use std::time::{Duration, Instant};
 
 use pomelohitch_core::id::Offset;
-use pomelohitch_peer::{Command, Handlers, Heard, Heartbeat, Links, Peer, Settings};
+use pomelohitch_peer::{Command, Handlers, Heartbeat, Links, Peer, ReceivedHeartbeat, Settings};
 
 use crate::node::{Node, PeerSeen};
 use crate::permits;
 
-/// How much bad news of one kind a heartbeat carries at the most; the log carries the rest.
-const NEWS_PER_BEAT: usize = 200;
+/// Maximum number of withdrawn keys, and of leaving instances, in a heartbeat. The log carries the
+/// rest.
+const MAX_PER_HEARTBEAT: usize = 200;
 
 /// Starts the links on `listener`.
 ///
@@ -28,14 +29,15 @@
     Links::start(listener, settings, move || handlers(&node))
 }
 
-/// Where the other entry instances reach this one.
+/// The address at which the other entry instances reach this one.
 #[must_use]
 pub fn advertised(node: &Node, bound: SocketAddr) -> SocketAddr {
     let ip = node.settings.peer_advertise.unwrap_or(bound.ip());
     SocketAddr::new(ip, bound.port())
 }
 
-/// Keeps links to the members of the state in force; returns the epoch that is followed.
+/// Sets the peers to the other members of the current state if the epoch isn't `followed`; returns
+/// the epoch of that state.
 #[must_use]
 pub fn follow_members(node: &Node, links: &Links, followed: Option<Offset>) -> Option<Offset> {
     let state = node.state.load();
@@ -54,7 +56,7 @@
             addr: member.peer_addr,
         })
         .collect();
-    // The thread only ends at shutdown.
+    // The send fails only during shutdown, when the links' thread has ended.
     let _ = links.commands.send(Command::Peers(peers));
     epoch
 }
@@ -63,46 +65,52 @@
     let (own, seen) = (node.clone(), node.clone());
     let (asked, claimed) = (node.clone(), node.clone());
     Handlers {
-        own_beat: Box::new(move || own_beat(&own)),
-        on_beat: Box::new(move |heard| on_beat(&seen, heard)),
+        own_heartbeat: Box::new(move || own_heartbeat(&own)),
+        on_heartbeat: Box::new(move |received| on_heartbeat(&seen, received)),
         on_batch: Box::new(move |batch| permits::on_batch(&asked, batch)),
         on_claim: Box::new(move |claim| permits::keys::on_claim(&claimed, &claim)),
         on_error: Box::new(|_, _| metrics::counter!("peer_link_errors").increment(1)),
     }
 }
 
-fn own_beat(node: &Node) -> Heartbeat {
-    let news = node.bad_news.load();
+fn own_heartbeat(node: &Node) -> Heartbeat {
+    let withdrawals = node.known_withdrawals.load();
     Heartbeat {
         member: node.settings.member.clone(),
         incarnation: node.incarnation.load(Ordering::Acquire),
         next: node.state.load().next,
         leaving: node.is_leaving(),
-        withdrawn_keys: news
+        withdrawn_keys: withdrawals
             .withdrawn_keys
             .iter()
-            .take(NEWS_PER_BEAT)
+            .take(MAX_PER_HEARTBEAT)
             .cloned()
             .collect(),
         leaving_instances: node
-            .sees_leaving()
+            .own_sightings()
             .into_iter()
-            .take(NEWS_PER_BEAT)
+            .take(MAX_PER_HEARTBEAT)
             .collect(),
         ..Heartbeat::default()
     }
 }
 
-fn on_beat(node: &Node, heard: Heard) {
-    let Heard { beat, said_after } = heard;
-    node.add_withdrawn(&beat.withdrawn_keys);
-    node.saw_leaving(&beat.member, beat.leaving_instances.into_iter().collect());
+fn on_heartbeat(node: &Node, received: ReceivedHeartbeat) {
+    let ReceivedHeartbeat {
+        heartbeat,
+        sent_after,
+    } = received;
+    node.add_withdrawn(&heartbeat.withdrawn_keys);
+    node.record_leaving(
+        &heartbeat.member,
+        heartbeat.leaving_instances.into_iter().collect(),
+    );
     let seen = PeerSeen {
-        incarnation: beat.incarnation,
-        next: beat.next,
-        leaving: beat.leaving,
+        incarnation: heartbeat.incarnation,
+        next: heartbeat.next,
+        leaving: heartbeat.leaving,
         at: Instant::now(),
-        said_after,
+        sent_after,
     };
-    node.saw_peer(beat.member, seen);
+    node.record_peer(heartbeat.member, seen);
 }
--- a/pomelohitchd/tests/front/bad_input.rs
+++ b/pomelohitchd/tests/front/bad_input.rs
@@ -1,4 +1,4 @@
-//! Requests that can't be served get a clear refusal, and the entry goes on for others.
+//! Invalid requests are refused with a status, and the entry instance keeps serving others.
 
 use std::io::{Read, Write};
 use std::time::Duration;
@@ -15,14 +15,14 @@
             head_bytes: 2048,
             body_bytes: 4096,
         },
-        head_within: Duration::from_millis(200),
-        body_within: Duration::from_millis(200),
+        head_timeout: Duration::from_millis(200),
+        body_timeout: Duration::from_millis(200),
         ..Limits::default()
     }
 }
 
 /// Sends `bytes`, expects the status and `ran: no`, and that the next caller is served.
-fn is_refused(bytes: &[u8], expected: u16) {
+fn assert_refused(bytes: &[u8], expected: u16) {
     let runner = Runner::answering("pass");
     let entry = Entry::start(&[runner.addr], limits());
     let answer = entry.send(bytes);
@@ -37,62 +37,62 @@
     format!("{line}\r\nHost: entry\r\n{headers}\r\n").into_bytes()
 }
 
-/// A client with a bug sends headers without end. If they were all kept, one client could use up
-/// the memory of the entry instance and every caller would lose its answer.
+/// An endless request head must not be buffered: one faulty client could exhaust the memory of the
+/// entry instance.
 #[test]
-fn a_head_without_end_is_refused_at_the_limit() {
+fn an_endless_request_head_is_refused_at_the_limit() {
     let mut bytes = b"GET /s/passes/ HTTP/1.1\r\nHost: entry\r\n".to_vec();
     bytes.extend(b"X-Filler: ".iter());
     bytes.extend(std::iter::repeat_n(b'a', 100_000));
-    is_refused(&bytes, 431);
+    assert_refused(&bytes, 431);
 }
 
 #[test]
 fn too_many_headers_are_refused() {
     let headers = "a: 1\r\n".repeat(head::MAX_HEADERS + 1);
-    is_refused(&request("GET /s/passes/ HTTP/1.1", &headers), 431);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", &headers), 431);
 }
 
-/// A client announces a body of gigabytes. It is refused before memory is set aside for it.
+/// A body above the limit is refused by its declared length, before memory is allocated for it.
 #[test]
 fn a_body_beyond_the_limit_is_refused_before_it_is_read() {
     let headers = format!("Authorization: Bearer {KEY}\r\nContent-Length: 5000\r\n");
-    is_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
+    assert_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
     let headers = format!("Content-Length: {}\r\n", "9".repeat(40));
-    is_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
+    assert_refused(&request("POST /s/passes/ HTTP/1.1", &headers), 413);
 }
 
-/// A request states its length twice, so that two readers see different requests in the same
-/// bytes. One that was hidden in the body of another would run under that one's key.
+/// Conflicting body lengths let two parsers split the same bytes into different requests (request
+/// smuggling). A request hidden in another one's body would run under that one's key.
 #[test]
-fn two_statements_of_the_length_are_refused() {
+fn conflicting_body_lengths_are_refused() {
     let line = "POST /s/passes/ HTTP/1.1";
     let both = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n";
-    is_refused(&request(line, both), 400);
+    assert_refused(&request(line, both), 400);
     let twice = "Content-Length: 5\r\nContent-Length: 6\r\n";
-    is_refused(&request(line, twice), 400);
-    is_refused(&request(line, "Content-Length: +5\r\n"), 400);
-    is_refused(&request(line, "Transfer-Encoding: chunked\r\n"), 411);
+    assert_refused(&request(line, twice), 400);
+    assert_refused(&request(line, "Content-Length: +5\r\n"), 400);
+    assert_refused(&request(line, "Transfer-Encoding: chunked\r\n"), 411);
 }
 
 #[test]
 fn bytes_that_are_not_http_are_refused() {
-    is_refused(b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400);
-    is_refused(b"GET http://else/where HTTP/1.1\r\nHost: x\r\n\r\n", 400);
-    is_refused(b"GET /s/passes/ HTTP/1.1\r\n\r\n", 400);
-    is_refused(&request("GET /s/passes/ HTTP/1.1", "Name : x\r\n"), 400);
-    is_refused(&request("POST /s/passes/ HTTP/1.1", "Expect: tea\r\n"), 417);
+    assert_refused(b"\x16\x03\x01\x02\x00\x01\x00\r\n\r\n", 400);
+    assert_refused(b"GET http://else/where HTTP/1.1\r\nHost: x\r\n\r\n", 400);
+    assert_refused(b"GET /s/passes/ HTTP/1.1\r\n\r\n", 400);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", "Name : x\r\n"), 400);
+    assert_refused(&request("POST /s/passes/ HTTP/1.1", "Expect: tea\r\n"), 417);
 }
 
-/// A client sends its head or body a byte at a time, or stops in the middle. It holds a connection
-/// and a thread, and with enough of them nobody else would get one.
+/// A client sends its head or body slowly, or stops half-way. It occupies a connection and a
+/// thread; enough such clients would leave none for others.
 #[test]
-fn slow_senders_are_told_so_and_cut() {
-    is_refused(b"GET /s/passes/ HTTP/1.1\r\nHost: en", 408);
+fn slow_senders_get_408_and_are_disconnected() {
+    assert_refused(b"GET /s/passes/ HTTP/1.1\r\nHost: en", 408);
     let headers = format!("Authorization: Bearer {KEY}\r\nContent-Length: 5\r\n");
     let mut bytes = request("POST /s/passes/ HTTP/1.1", &headers);
     bytes.extend(b"ab");
-    is_refused(&bytes, 408);
+    assert_refused(&bytes, 408);
 }
 
 #[test]
@@ -108,15 +108,15 @@
 #[test]
 fn a_missing_or_wrong_key_is_refused() {
     let headers = "Connection: close\r\n";
-    is_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
     let headers = "Connection: close\r\nAuthorization: Bearer guessed\r\n";
-    is_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
     let headers = "Connection: close\r\nAuthorization: Basic Zm9v\r\n";
-    is_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
+    assert_refused(&request("GET /s/passes/ HTTP/1.1", headers), 401);
 }
 
-/// An operator withdraws a key that leaked, while its user has a connection open. Both the record
-/// and the word of a peer are enough to refuse it, on the open connection too.
+/// A key is withdrawn while its user has a connection open. Either the record or a peer's
+/// notification is enough to refuse it, also on the open connection.
 #[test]
 fn a_withdrawn_key_is_refused_on_open_connections_too() {
     let runner = Runner::answering("pass");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn terms_that_make_no_sense_are_refused() {
+fn invalid_request_headers_are_refused() {
     let entry = Entry::start(&[], limits());
     for header in [
         "Request-Idempotent: maybe",
@@ -159,10 +159,10 @@
     }
 }
 
-/// Clients open connections and send nothing. Beyond the limit a new one is refused at once, in
-/// words, and a place that comes free is given to the next.
+/// Idle clients use up the limit of connections. A new connection gets 503 at once, and one that
+/// closes makes a slot available for the next.
 #[test]
-fn connections_beyond_the_limit_are_refused_in_words() {
+fn connections_beyond_the_limit_get_503() {
     let runner = Runner::answering("pass");
     let limits = Limits {
         connections: 2,
@@ -185,18 +185,18 @@
     assert!(answer.contains("Retry-After: "), "{answer}");
     assert_eq!(problem(&answer)["ran"], "no");
     drop(held);
-    crate::entry::wait_until("a place is free", || {
+    crate::entry::wait_until("a connection slot is free", || {
         let answer = entry.call("GET", "/s/passes/", &[]);
         answer.ends_with("pass")
     });
 }
 
-/// Many clients send large bodies at once. Together they may only take so much memory.
+/// All request bodies that are being received share one memory limit.
 #[test]
-fn bodies_together_are_bounded() {
+fn the_total_size_of_request_bodies_is_limited() {
     let limits = Limits {
-        body_bytes_together: 4096,
-        body_within: Duration::from_secs(20),
+        total_body_bytes: 4096,
+        body_timeout: Duration::from_secs(20),
         ..limits()
     };
     let runner = Runner::answering("pass");
@@ -206,9 +206,9 @@
     let mut first = entry.connect();
     let waiting = request(line, &format!("{headers}Expect: 100-continue\r\n"));
     first.write_all(&waiting).unwrap();
-    let mut go_on = [0; 25];
-    first.read_exact(&mut go_on).unwrap();
-    assert_eq!(&go_on, b"HTTP/1.1 100 Continue\r\n\r\n");
+    let mut interim = [0; 25];
+    first.read_exact(&mut interim).unwrap();
+    assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
     let second = entry.send(&[&request(line, &headers)[..], &[b'x'; 4096][..]].concat());
     assert_eq!(status(&second), 503);
     assert_eq!(problem(&second)["step"], "accept");
--- a/pomelohitchd/tests/processes/burn.rs
+++ b/pomelohitchd/tests/processes/burn.rs
@@ -1,4 +1,4 @@
-//! Counts of answers outlive the entry instance that counted them.
+//! An entry instance stores its counts of answers when it shuts down.
 
 use pomelohitch_burn::Record;
 use pomelohitch_burn::record::BURN_STREAM;
@@ -6,7 +6,7 @@
 use pomelohitch_standin::caller::Outcome;
 use pomelohitch_standin::config::{self, SERVICE};
 
-use crate::support::{CAP, Fleet, wait_until};
+use crate::support::{Fleet, WAIT_TIMEOUT, wait_until};
 
 fn records(fleet: &Fleet) -> Vec<Record> {
     let read = Read {
@@ -23,8 +23,8 @@
         .collect()
 }
 
-/// An entry instance is replaced within the minute. If its counts went with it, the report would
-/// show less than callers saw, and the run would look as if it had been killed.
+/// An entry instance shuts down before the current minute ends. If its counts were lost, the report
+/// would show fewer answers than callers saw, and the process would seem to have been killed.
 #[test]
 fn an_entry_instance_that_shuts_down_leaves_its_counts_and_a_last_record() {
     let mut fleet = Fleet::start(1, 1);
@@ -32,25 +32,25 @@
     let base = state.config.files[config::PATH].version;
     let mut file = config::small();
     file.services[0].objective = Some(pomelohitch_core::Objective {
-        within: CAP,
+        within: WAIT_TIMEOUT,
         good_ppm: 999_000,
-        window: CAP,
+        window: WAIT_TIMEOUT,
     });
     config::publish(&fleet.client, file, Some(base)).expect("the log is up");
     wait_until("the objective is in force", || {
         let state = fleet.state();
         state.config.services[SERVICE].objective.is_some()
     });
-    // Before its permits have come it refuses, which counts as bad.
-    let mut whole = 0;
+    // Requests are refused until the first permits arrive, which counts as bad.
+    let mut answered = 0;
     wait_until("three requests were answered", || {
-        whole += u64::from(fleet.ask(0) == Outcome::Whole);
-        whole == 3
+        answered += u64::from(fleet.probe(0) == Outcome::Whole);
+        answered == 3
     });
     fleet.entries[0].terminate();
-    assert_eq!(fleet.entries[0].wait(CAP), Some(0));
+    assert_eq!(fleet.entries[0].wait(WAIT_TIMEOUT), Some(0));
     let records = records(&fleet);
-    let last = records.last().expect("it left its counts");
+    let last = records.last().expect("the shutdown wrote a record");
     assert!(last.last);
     let rows = records.iter().flat_map(|record| &record.rows);
     let good: u64 = rows.map(|row| row.tally.good).sum();
