--- a/crates/pomelohitch-standin/examples/load.rs
+++ b/crates/pomelohitch-standin/examples/load.rs
@@ -13,7 +13,7 @@
 use clap::Parser;
 use hdrhistogram::Histogram;
 use pomelohitch_platform::instances::{Listed, ListedState};
-use pomelohitch_standin::caller::{Done, Outcome};
+use pomelohitch_standin::caller::{FinishedCall, Outcome};
 use pomelohitch_standin::config::{self, POOL, TEAMS};
 use pomelohitch_standin::daemon::{self, Daemon};
 use pomelohitch_standin::load::{self, Load};
@@ -55,7 +55,7 @@
     name: &'static str,
     entries: Mutex<Vec<SocketAddr>>,
     latencies: Histogram<u64>,
-    whole: u64,
+    complete: u64,
     other: u64,
 }
 
@@ -66,18 +66,18 @@
             name,
             entries: Mutex::new(entries),
             latencies: latencies.expect("three digits are allowed"),
-            whole: 0,
+            complete: 0,
             other: 0,
         }
     }
 
-    fn add(&mut self, calls: &[Done]) {
+    fn add(&mut self, calls: &[FinishedCall]) {
         for done in calls {
-            if done.outcome != Outcome::Whole {
+            if done.outcome != Outcome::Complete {
                 self.other += 1;
                 continue;
             }
-            self.whole += 1;
+            self.complete += 1;
             let micros = u64::try_from(done.latency.as_micros()).unwrap_or(u64::MAX);
             self.latencies.saturating_record(micros);
         }
@@ -91,10 +91,13 @@
         let added_p50 = p50 - micros(direct, 0.5);
         let added_p99 = p99 - micros(direct, 0.99);
         let Target {
-            name, whole, other, ..
+            name,
+            complete,
+            other,
+            ..
         } = self;
         println!(
-            "| {name} | {whole} | {other} | {p50:.2} | {p99:.2} | {added_p50:.2} | {added_p99:.2} |"
+            "| {name} | {complete} | {other} | {p50:.2} | {p99:.2} | {added_p50:.2} | {added_p99:.2} |"
         );
     }
 }
--- a/crates/pomelohitch-standin/examples/local_fleet/batch.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/batch.rs
@@ -7,7 +7,7 @@
 
 use pomelohitch_standin::caller;
 use pomelohitch_standin::config::TEAMS;
-use pomelohitch_standin::jobs::{self, Done, Handed, Job};
+use pomelohitch_standin::jobs::{self, Job, Submission, SubmittedJob};
 
 /// Interval between two submissions.
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(250);
@@ -25,7 +25,11 @@
 
 /// Submits jobs for `time` or until `stop` is set.
 #[must_use]
-pub fn run(time: Duration, entries: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool) -> Vec<Done> {
+pub fn run(
+    time: Duration,
+    entries: &Mutex<Vec<SocketAddr>>,
+    stop: &AtomicBool,
+) -> Vec<SubmittedJob> {
     let start = Instant::now();
     let agent = caller::agent();
     let mut all = Vec::new();
@@ -44,7 +48,7 @@
     agent: &ureq::Agent,
     entries: &Mutex<Vec<SocketAddr>>,
     index: usize,
-) -> Done {
+) -> SubmittedJob {
     let job = Job {
         idempotency_key: format!("job-{index}").into(),
         key: TEAMS[index % TEAMS.len()].1.into(),
@@ -53,19 +57,19 @@
         declared: DECLARED_RUN_TIME,
         command: COMMANDS[index % COMMANDS.len()].into(),
     };
-    let mut handed = Handed::NotRun("no entry instance is ready".into());
+    let mut submission = Submission::NotRun("no entry instance is ready".into());
     for attempt in 0..MAX_ATTEMPTS {
         let Some(entry) = pick_entry(entries, index + attempt) else {
             break;
         };
-        handed = jobs::submit(agent, entry, &job);
-        if !matches!(handed, Handed::Unknown(_)) {
+        submission = jobs::submit(agent, entry, &job);
+        if !matches!(submission, Submission::Unknown(_)) {
             break;
         }
     }
-    Done {
+    SubmittedJob {
         job,
-        handed,
+        submission,
         last: None,
     }
 }
@@ -76,11 +80,11 @@
 }
 
 /// Polls each accepted job until it has ended, [`END_TIMEOUT`] has passed or `stop` is set.
-pub fn wait_ended(all: &mut [Done], entries: &[SocketAddr], stop: &AtomicBool) {
+pub fn wait_ended(all: &mut [SubmittedJob], entries: &[SocketAddr], stop: &AtomicBool) {
     let start = Instant::now();
     let agent = caller::agent();
     for (index, done) in all.iter_mut().enumerate() {
-        let Handed::Accepted(id) = &done.handed else {
+        let Submission::Accepted(id) = &done.submission else {
             continue;
         };
         let entry = entries[index % entries.len()];
--- a/crates/pomelohitch-standin/examples/local_fleet/report.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/report.rs
@@ -6,8 +6,8 @@
 
 use hdrhistogram::Histogram;
 use pomelohitch_standin::Tally;
-use pomelohitch_standin::caller::{Done, Outcome as Seen};
-use pomelohitch_standin::jobs::{self, Handed};
+use pomelohitch_standin::caller::{FinishedCall, Outcome as Seen};
+use pomelohitch_standin::jobs::{self, Submission};
 
 use crate::fleet::Fleet;
 use crate::run::Outcome;
@@ -40,9 +40,10 @@
     );
     for idempotent in [true, false] {
         for patient in [false, true] {
-            let is_kind =
-                |done: &&Done| done.call.idempotent == idempotent && done.call.patient == patient;
-            let calls: Vec<&Done> = outcome.calls.iter().filter(is_kind).collect();
+            let is_kind = |done: &&FinishedCall| {
+                done.call.idempotent == idempotent && done.call.patient == patient
+            };
+            let calls: Vec<&FinishedCall> = outcome.calls.iter().filter(is_kind).collect();
             let name = format!(
                 "{}idempotent {}",
                 if idempotent { "" } else { "non-" },
@@ -65,7 +66,7 @@
         println!("\n$ pomelohitch {}\n{}", args.join(" "), fleet.query(args));
     }
     let is_clean = total.is_clean() && jobs.is_clean();
-    if is_clean && total.whole > 0 && jobs.ended > 0 && exit == Some(0) {
+    if is_clean && total.complete > 0 && jobs.ended > 0 && exit == Some(0) {
         ExitCode::SUCCESS
     } else {
         println!("logs of the entry instances: {}", fleet.log_dir.display());
@@ -73,11 +74,11 @@
     }
 }
 
-fn row(name: &str, tally: &Tally, calls: &[&Done]) {
+fn row(name: &str, tally: &Tally, calls: &[&FinishedCall]) {
     // An auto-resizing histogram would clamp to its initial, tiny range in `saturating_record`.
     let mut latencies =
         Histogram::<u64>::new_with_max(MAX_LATENCY_MICROS, 3).expect("three digits are allowed");
-    for done in calls.iter().filter(|done| done.outcome == Seen::Whole) {
+    for done in calls.iter().filter(|done| done.outcome == Seen::Complete) {
         let micros = u64::try_from(done.latency.as_micros()).unwrap_or(u64::MAX);
         latencies.saturating_record(micros);
     }
@@ -86,7 +87,7 @@
     println!(
         "{name:22} {:>6} {:>6} {:>15} {:>8} {:>5} {:>8} {:>13} {:>6} {:>9} {:>8.1} {:>8.1}",
         tally.sent,
-        tally.whole,
+        tally.complete,
         tally.refused,
         tally.unknown,
         tally.lost,
@@ -100,11 +101,11 @@
 }
 
 /// Prints the reasons of incomplete requests, the most frequent first.
-fn print_reasons(calls: &[Done]) {
+fn print_reasons(calls: &[FinishedCall]) {
     let mut reasons = BTreeMap::<String, usize>::new();
     for done in calls {
         let (kind, text) = match &done.outcome {
-            Seen::Whole => continue,
+            Seen::Complete => continue,
             Seen::NotRun(text) => ("not run", text),
             Seen::Unknown(text) => ("unknown", text),
             Seen::Wrong(text) => ("wrong", text),
@@ -119,7 +120,7 @@
     }
 }
 
-fn print_jobs(tally: &jobs::Tally, all: &[jobs::Done]) {
+fn print_jobs(tally: &jobs::Tally, all: &[jobs::SubmittedJob]) {
     println!(
         "{:22} {:>6} {:>6} {:>15} {:>8} {:>5} {:>8}",
         "jobs", "sent", "ended", "refused not run", "unknown", "lost", "doubled"
@@ -130,11 +131,11 @@
     );
     let mut reasons = BTreeMap::<String, usize>::new();
     for done in all {
-        let reason = match (&done.handed, &done.last) {
-            (Handed::NotRun(text), _) => format!("not run: {text}"),
-            (Handed::Unknown(text), _) => format!("unknown: {text}"),
-            (Handed::Accepted(_), None) => "taken in, then not found".to_owned(),
-            (Handed::Accepted(_), Some(view)) => match &view.end {
+        let reason = match (&done.submission, &done.last) {
+            (Submission::NotRun(text), _) => format!("not run: {text}"),
+            (Submission::Unknown(text), _) => format!("unknown: {text}"),
+            (Submission::Accepted(_), None) => "taken in, then not found".to_owned(),
+            (Submission::Accepted(_), Some(view)) => match &view.end {
                 Some(end) => format!("ended: {:?}, {:?}", end.outcome, end.reason),
                 None => format!("not ended: {}", view.state),
             },
--- a/crates/pomelohitch-standin/examples/local_fleet/run.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/run.rs
@@ -5,7 +5,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use pomelohitch_standin::caller::Done;
+use pomelohitch_standin::caller::FinishedCall;
 use pomelohitch_standin::config::TEAMS;
 use pomelohitch_standin::jobs;
 use pomelohitch_standin::load::{self, Load};
@@ -25,9 +25,9 @@
 #[derive(Debug)]
 pub struct Outcome {
     /// Every request with its outcome.
-    pub calls: Vec<Done>,
+    pub calls: Vec<FinishedCall>,
     /// Every job with its outcome.
-    pub jobs: Vec<jobs::Done>,
+    pub jobs: Vec<jobs::SubmittedJob>,
     /// Exit code of the replaced entry instance; `None` if it didn't exit in time.
     pub replaced_exit: Option<i32>,
 }
--- a/crates/pomelohitch-standin/src/caller.rs
+++ b/crates/pomelohitch-standin/src/caller.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// The complete answer of the runner to this request.
-    Whole,
+    Complete,
     /// The answer says that the request didn't run, or the connection was refused.
     NotRun(Box<str>),
     /// The answer says that the request may have run, or the connection broke.
@@ -66,7 +66,7 @@
 
 /// A request with its outcome.
 #[derive(Debug, Clone)]
-pub struct Done {
+pub struct FinishedCall {
     /// The request.
     pub call: Call,
     /// Its outcome.
@@ -144,7 +144,7 @@
     }
     let expected = runner::answer_body(&call.id, sent, call.min_answer_len);
     if status == 200 && body == expected {
-        Outcome::Whole
+        Outcome::Complete
     } else {
         Outcome::Wrong(text())
     }
--- a/crates/pomelohitch-standin/src/jobs.rs
+++ b/crates/pomelohitch-standin/src/jobs.rs
@@ -30,7 +30,7 @@
 
 /// Result of the submission of a job, as its caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Handed {
+pub enum Submission {
     /// It was accepted under this id.
     Accepted(Box<str>),
     /// It was refused, with the answer that it wasn't accepted.
@@ -57,7 +57,7 @@
 
 /// Submits `job` to the entry instance at `entry`.
 #[must_use]
-pub fn submit(agent: &ureq::Agent, entry: SocketAddr, job: &Job) -> Handed {
+pub fn submit(agent: &ureq::Agent, entry: SocketAddr, job: &Job) -> Submission {
     let body = serde_json::json!({
         "class": "settlement",
         "urgency": if job.urgent { "urgent" } else { "patient" },
@@ -78,7 +78,7 @@
     let answer = req.send(body.to_string());
     let mut answer = match answer {
         Ok(answer) => answer,
-        Err(error) => return Handed::Unknown(error.to_string().into()),
+        Err(error) => return Submission::Unknown(error.to_string().into()),
     };
     let body = answer.body_mut().read_to_vec().unwrap_or_default();
     let text =
@@ -86,13 +86,13 @@
     if answer.status().is_success() {
         let view = serde_json::from_slice::<View>(&body);
         return view.map_or_else(
-            |_| Handed::Unknown(text()),
-            |view| Handed::Accepted(view.id),
+            |_| Submission::Unknown(text()),
+            |view| Submission::Accepted(view.id),
         );
     }
     match serde_json::from_slice::<Problem>(&body) {
-        Ok(problem) if &*problem.ran == "no" => Handed::NotRun(text()),
-        _ => Handed::Unknown(text()),
+        Ok(problem) if &*problem.ran == "no" => Submission::NotRun(text()),
+        _ => Submission::Unknown(text()),
     }
 }
 
@@ -111,11 +111,11 @@
 
 /// A job with the result of its submission and its last known state.
 #[derive(Debug, Clone)]
-pub struct Done {
+pub struct SubmittedJob {
     /// The job.
     pub job: Job,
     /// Result of its submission.
-    pub handed: Handed,
+    pub submission: Submission,
     /// Its state at the end of the run; only queried if it was accepted.
     pub last: Option<View>,
 }
@@ -140,7 +140,7 @@
 impl Tally {
     /// Counts `jobs` against the workers' ledger.
     #[must_use]
-    pub fn count<'a>(jobs: impl IntoIterator<Item = &'a Done>, ledger: &Ledger) -> Tally {
+    pub fn count<'a>(jobs: impl IntoIterator<Item = &'a SubmittedJob>, ledger: &Ledger) -> Tally {
         let mut tally = Tally::default();
         for done in jobs {
             tally.add(done, ledger);
@@ -154,15 +154,15 @@
         self.lost + self.doubled == 0
     }
 
-    fn add(&mut self, done: &Done, ledger: &Ledger) {
+    fn add(&mut self, done: &SubmittedJob, ledger: &Ledger) {
         self.sent += 1;
-        let id = match &done.handed {
-            Handed::Accepted(id) => id,
-            Handed::NotRun(_) => {
+        let id = match &done.submission {
+            Submission::Accepted(id) => id,
+            Submission::NotRun(_) => {
                 self.refused += 1;
                 return;
             }
-            Handed::Unknown(_) => {
+            Submission::Unknown(_) => {
                 self.unknown += 1;
                 return;
             }
--- a/crates/pomelohitch-standin/src/load.rs
+++ b/crates/pomelohitch-standin/src/load.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
 
-use crate::caller::{self, Call, Done, Outcome};
+use crate::caller::{self, Call, FinishedCall, Outcome};
 
 /// Settings of a load.
 #[derive(Debug, Clone)]
@@ -85,7 +85,7 @@
 /// Latencies count from the scheduled time of a request, so that a stall also shows in the requests
 /// that it delays (no coordinated omission).
 #[must_use]
-pub fn run(load: &Load, entries: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool) -> Vec<Done> {
+pub fn run(load: &Load, entries: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool) -> Vec<FinishedCall> {
     let schedule = schedule(load);
     let next = AtomicUsize::new(0);
     let done = Mutex::new(Vec::with_capacity(schedule.len()));
@@ -114,7 +114,7 @@
     agent: &ureq::Agent,
     start: Instant,
     stop: &AtomicBool,
-) -> Option<Done> {
+) -> Option<FinishedCall> {
     let index = next.fetch_add(1, Ordering::Relaxed);
     let (at, call) = schedule.get(index)?;
     let due = start + *at;
@@ -130,7 +130,7 @@
         || Outcome::NotRun("no entry instance is ready".into()),
         |entry| caller::send(agent, entry, call),
     );
-    Some(Done {
+    Some(FinishedCall {
         call: call.clone(),
         outcome,
         latency: due.elapsed(),
--- a/crates/pomelohitch-standin/src/tally.rs
+++ b/crates/pomelohitch-standin/src/tally.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::caller::{Done, Outcome};
+use crate::caller::{FinishedCall, Outcome};
 use crate::runner::{Ledger, Runs};
 
 /// Numbers of requests by outcome.
@@ -11,7 +11,7 @@
     /// Requests that were sent.
     pub sent: u64,
     /// Requests with a complete answer.
-    pub whole: u64,
+    pub complete: u64,
     /// Requests that were refused as not run and did not run.
     pub refused: u64,
     /// Requests whose outcome is reported as unknown.
@@ -31,7 +31,10 @@
 impl Tally {
     /// Counts `calls` against the runners' ledgers.
     #[must_use]
-    pub fn count<'a>(calls: impl IntoIterator<Item = &'a Done>, ledgers: &[Ledger]) -> Tally {
+    pub fn count<'a>(
+        calls: impl IntoIterator<Item = &'a FinishedCall>,
+        ledgers: &[Ledger],
+    ) -> Tally {
         let runs = merge(ledgers);
         let mut tally = Tally::default();
         for done in calls {
@@ -47,11 +50,11 @@
         self.false_not_run + self.wrong + self.lost + self.doubled == 0
     }
 
-    fn add(&mut self, done: &Done, ran: &Runs) {
+    fn add(&mut self, done: &FinishedCall, ran: &Runs) {
         self.sent += 1;
         let counter = match &done.outcome {
-            Outcome::Whole if ran.finished == 0 => &mut self.lost,
-            Outcome::Whole => &mut self.whole,
+            Outcome::Complete if ran.finished == 0 => &mut self.lost,
+            Outcome::Complete => &mut self.complete,
             Outcome::NotRun(_) if ran.started > 0 => &mut self.false_not_run,
             Outcome::NotRun(_) => &mut self.refused,
             Outcome::Unknown(_) => &mut self.unknown,
--- a/pomelohitchd/tests/fleet/relays.rs
+++ b/pomelohitchd/tests/fleet/relays.rs
@@ -125,7 +125,7 @@
 fn poll_until_relayed(dispatcher: &mut Dispatcher, rx: &Receiver<Event>, endpoint: &Recorder) {
     for _ in 0..100 {
         let _ = poll(dispatcher, rx, endpoint.addr);
-        if endpoint.peers() > 1 {
+        if endpoint.connection_count() > 1 {
             return;
         }
         std::thread::sleep(Duration::from_millis(20));
--- a/pomelohitchd/tests/processes/admin.rs
+++ b/pomelohitchd/tests/processes/admin.rs
@@ -34,7 +34,7 @@
         key: key.into(),
         ..Call::default()
     };
-    caller::send(&caller::agent(), fleet.entries[entry].callers, &call) == Outcome::Whole
+    caller::send(&caller::agent(), fleet.entries[entry].callers, &call) == Outcome::Complete
 }
 
 /// A key is withdrawn while the log is down, so that nothing can be published. It must still be
--- a/pomelohitchd/tests/processes/burn.rs
+++ b/pomelohitchd/tests/processes/burn.rs
@@ -44,7 +44,7 @@
     // Requests are refused until the first permits arrive, which counts as bad.
     let mut answered = 0;
     wait_until("three requests were answered", || {
-        answered += u64::from(fleet.probe(0) == Outcome::Whole);
+        answered += u64::from(fleet.probe(0) == Outcome::Complete);
         answered == 3
     });
     fleet.entries[0].terminate();
--- a/pomelohitchd/tests/processes/combined_faults.rs
+++ b/pomelohitchd/tests/processes/combined_faults.rs
@@ -105,7 +105,7 @@
         fleet.wait_finished(REQUESTS_PER_STEP);
     });
     let tally = fleet.count(&calls);
-    assert!(tally.is_clean() && tally.whole > 0, "{seed}: {tally:?}");
+    assert!(tally.is_clean() && tally.complete > 0, "{seed}: {tally:?}");
     assert!(fleet.entries[ALWAYS_UP].is_ready());
 }
 
--- a/pomelohitchd/tests/processes/jobs.rs
+++ b/pomelohitchd/tests/processes/jobs.rs
@@ -4,7 +4,7 @@
 
 use pomelohitch_standin::caller;
 use pomelohitch_standin::config::TEAMS;
-use pomelohitch_standin::jobs::{self, Done, Handed, Job};
+use pomelohitch_standin::jobs::{self, Job, Submission, SubmittedJob};
 use pomelohitch_standin::{CallFaults, Daemon, log, workers};
 use rustix::process::Signal;
 
@@ -26,27 +26,27 @@
 }
 
 /// Submits a job at one entry instance after the other until one accepts it.
-fn submit_until_accepted(fleet: &Fleet, index: usize) -> Done {
+fn submit_until_accepted(fleet: &Fleet, index: usize) -> SubmittedJob {
     let agent = caller::agent();
     let job = job(index);
     let mut attempts = index..;
-    let handed = wait_for("a job is accepted", || {
+    let submission = wait_for("a job is accepted", || {
         let entry = &fleet.entries[attempts.next()? % fleet.entries.len()];
-        let handed = jobs::submit(&agent, entry.callers, &job);
-        matches!(handed, Handed::Accepted(_)).then_some(handed)
+        let submission = jobs::submit(&agent, entry.callers, &job);
+        matches!(submission, Submission::Accepted(_)).then_some(submission)
     });
-    Done {
+    SubmittedJob {
         job,
-        handed,
+        submission,
         last: None,
     }
 }
 
 /// Waits until every job has ended, asking `fleet`'s entry instances in turn.
-fn wait_ended(fleet: &Fleet, all: &mut [Done]) {
+fn wait_ended(fleet: &Fleet, all: &mut [SubmittedJob]) {
     let agent = caller::agent();
     for (index, done) in all.iter_mut().enumerate() {
-        let Handed::Accepted(id) = &done.handed else {
+        let Submission::Accepted(id) = &done.submission else {
             continue;
         };
         let entry = fleet.entries[index % fleet.entries.len()].callers;
@@ -63,7 +63,7 @@
 fn lost_answers_and_a_dead_planner_neither_double_nor_lose_a_job() {
     let mut fleet = Fleet::start(3, 1);
     let planner = fleet.planner();
-    let mut all: Vec<Done> = (0..10)
+    let mut all: Vec<SubmittedJob> = (0..10)
         .map(|index| submit_until_accepted(&fleet, index))
         .collect();
     fleet.workers.set_faults(workers::Faults {
@@ -108,16 +108,19 @@
                 scope.spawn(move || jobs::submit(&caller::agent(), entry, job))
             })
             .collect();
-        let handed = submits
+        let submission = submits
             .into_iter()
             .map(|one| one.join().expect("no thread panics"));
-        handed.collect::<Vec<_>>()
+        submission.collect::<Vec<_>>()
     });
-    assert!(matches!(ids[0], Handed::Accepted(_)), "{ids:?}");
-    assert!(ids.iter().all(|handed| *handed == ids[0]), "{ids:?}");
-    let mut all = [Done {
+    assert!(matches!(ids[0], Submission::Accepted(_)), "{ids:?}");
+    assert!(
+        ids.iter().all(|submission| *submission == ids[0]),
+        "{ids:?}"
+    );
+    let mut all = [SubmittedJob {
         job,
-        handed: ids[0].clone(),
+        submission: ids[0].clone(),
         last: None,
     }];
     wait_ended(&fleet, &mut all);
--- a/pomelohitchd/tests/processes/limit_split.rs
+++ b/pomelohitchd/tests/processes/limit_split.rs
@@ -28,7 +28,7 @@
     wait_until("jobs have the whole limit", || {
         limit_of_jobs(&fleet) == LIMIT
     });
-    assert_eq!(fleet.probe(0), Outcome::Whole);
+    assert_eq!(fleet.probe(0), Outcome::Complete);
     wait_until("requests have a part", || limit_of_jobs(&fleet) < LIMIT);
 }
 
--- a/pomelohitchd/tests/processes/log.rs
+++ b/pomelohitchd/tests/processes/log.rs
@@ -29,7 +29,7 @@
     wait_until("every entry instance failed to read for seconds", errors);
     for (index, entry) in fleet.entries.iter().enumerate() {
         assert!(entry.is_ready());
-        assert_eq!(fleet.probe(index), Outcome::Whole);
+        assert_eq!(fleet.probe(index), Outcome::Complete);
         assert_eq!(
             entry.state().expect("the entry instance is ready").config,
             before.config
@@ -72,14 +72,14 @@
     let errors = || fleet.entries.iter().all(|entry| read_errors(entry) >= 3);
     wait_until("every entry instance failed to read", errors);
     for index in 0..fleet.entries.len() {
-        assert_eq!(fleet.probe(index), Outcome::Whole);
+        assert_eq!(fleet.probe(index), Outcome::Complete);
     }
     let mut file = config::small();
     file.services[0].queue = 78;
     config::publish(&fleet.client, file, Some(base))
         .expect("the client's timeout is longer than the delay");
     for index in 0..fleet.entries.len() {
-        assert_eq!(fleet.probe(index), Outcome::Whole);
+        assert_eq!(fleet.probe(index), Outcome::Complete);
     }
     fleet.log.set_faults(log::Faults::default());
     wait_in_force(&fleet, 78);
@@ -107,7 +107,7 @@
     assert_eq!(state.members.by_id.len(), 1);
     assert_eq!(state.members.by_id["entry-0"].incarnation, joins[0].0);
     assert!(joins.iter().all(|(_, id)| *id == joins[0].1), "{joins:?}");
-    assert_eq!(fleet.probe(0), Outcome::Whole);
+    assert_eq!(fleet.probe(0), Outcome::Complete);
 }
 
 /// The log has trimmed the record that holds the configuration, and all entry instances are
@@ -136,8 +136,8 @@
     fleet.start_entry();
     fleet.start_entry();
     wait_until("both serve", || {
-        let is_whole = |entry| fleet.probe(entry) == Outcome::Whole;
-        fleet.entries.iter().all(Daemon::is_ready) && is_whole(0) && is_whole(1)
+        let is_complete = |entry| fleet.probe(entry) == Outcome::Complete;
+        fleet.entries.iter().all(Daemon::is_ready) && is_complete(0) && is_complete(1)
     });
     for entry in &fleet.entries {
         let state = entry.state().expect("the entry instance is ready");
--- a/pomelohitchd/tests/processes/planner.rs
+++ b/pomelohitchd/tests/processes/planner.rs
@@ -20,8 +20,8 @@
             && !members.by_id.contains_key(&dead.member)
             && members.planner.is_some()
     });
-    assert_eq!(fleet.probe(0), Outcome::Whole);
-    assert_eq!(fleet.probe(1), Outcome::Whole);
+    assert_eq!(fleet.probe(0), Outcome::Complete);
+    assert_eq!(fleet.probe(1), Outcome::Complete);
 }
 
 /// The planner is paused until the others remove it, and resumes with outdated state. Its decisions
@@ -58,7 +58,7 @@
         })
     });
     wait_until("it serves requests", || {
-        paused.is_ready() && fleet.probe(planner) == Outcome::Whole
+        paused.is_ready() && fleet.probe(planner) == Outcome::Complete
     });
     let after = fleet.state();
     assert_eq!(after.config, before.config);
--- a/pomelohitchd/tests/processes/publish.rs
+++ b/pomelohitchd/tests/processes/publish.rs
@@ -73,10 +73,10 @@
 fn a_withdrawn_key_stops_at_every_entry_instance() {
     let fleet = Fleet::start(3, 1);
     let base = fleet.state().config.files[PATH].version;
-    assert!((0..3).all(|entry| fleet.probe(entry) == Outcome::Whole));
+    assert!((0..3).all(|entry| fleet.probe(entry) == Outcome::Complete));
     config::publish(&fleet.client, without_key(), Some(base)).expect("the log is up");
     for entry in 0..3 {
-        wait_until("it is refused", || fleet.probe(entry) != Outcome::Whole);
+        wait_until("it is refused", || fleet.probe(entry) != Outcome::Complete);
         let refused = fleet.probe(entry);
         assert!(
             matches!(&refused, Outcome::NotRun(text) if text.starts_with("401")),
@@ -86,7 +86,7 @@
         other.key = config::TEAMS[1].1.into();
         let entry = fleet.entries[entry].callers;
         let outcome = caller::send(&caller::agent(), entry, &other);
-        assert_eq!(outcome, Outcome::Whole);
+        assert_eq!(outcome, Outcome::Complete);
     }
 }
 
@@ -102,7 +102,7 @@
     let since = Instant::now();
     config::publish(&fleet.client, without_key(), Some(base)).expect("the log is up");
     for entry in 0..2 {
-        wait_until("it is refused", || fleet.probe(entry) != Outcome::Whole);
+        wait_until("it is refused", || fleet.probe(entry) != Outcome::Complete);
     }
     wait_until("the freshness bound has passed", || since.elapsed() > BOUND);
     let outcomes = std::thread::scope(|scope| {
@@ -115,7 +115,7 @@
             .map(|one| one.join().expect("no thread panics"));
         outcomes.collect::<Vec<_>>()
     });
-    assert!(!outcomes.contains(&Outcome::Whole), "{outcomes:?}");
+    assert!(!outcomes.contains(&Outcome::Complete), "{outcomes:?}");
     wait_until(
         "it is refused",
         || matches!(fleet.probe(2), Outcome::NotRun(text) if text.starts_with("401")),
--- a/pomelohitchd/tests/processes/runners.rs
+++ b/pomelohitchd/tests/processes/runners.rs
@@ -5,7 +5,7 @@
 
 use pomelohitch_core::record::{Body, DrainPurpose, FleetDecision, FleetStep};
 use pomelohitch_core::state::Phase;
-use pomelohitch_standin::caller::{self, Call, Done};
+use pomelohitch_standin::caller::{self, Call, FinishedCall};
 use pomelohitch_standin::runner::{Faults, Mode};
 use pomelohitch_standin::{CallFaults, Runner, config, instances, log};
 
@@ -39,7 +39,7 @@
     });
     let tally = fleet.count(&calls);
     assert!(tally.is_clean(), "{tally:?}");
-    assert!(tally.whole > 0 && tally.unknown > 0, "{tally:?}");
+    assert!(tally.complete > 0 && tally.unknown > 0, "{tally:?}");
 }
 
 /// Once an instance drains, its runner gets no new work from any entry instance, and the requests
@@ -113,7 +113,7 @@
                 let entry = fleet.entries[index % 3].callers;
                 scope.spawn(move || {
                     let outcome = caller::send(&caller::agent(), entry, &call);
-                    Done {
+                    FinishedCall {
                         call,
                         outcome,
                         latency: Duration::ZERO,
@@ -132,7 +132,7 @@
     let started: u64 = purchases.map(|(_, runs)| runs.started).sum();
     assert_eq!(started, 1, "{outcomes:?}");
     let tally = fleet.count(&outcomes);
-    assert!(tally.is_clean() && tally.whole == 1, "{tally:?}");
+    assert!(tally.is_clean() && tally.complete == 1, "{tally:?}");
 }
 
 /// The platform removes an instance while the log is down, so that no record can say so and the
--- a/pomelohitchd/tests/processes/shutdown.rs
+++ b/pomelohitchd/tests/processes/shutdown.rs
@@ -28,7 +28,7 @@
     assert_eq!(tally.unknown, 0, "{:?}", unknown(&calls));
 }
 
-fn unknown(calls: &[caller::Done]) -> Vec<&Outcome> {
+fn unknown(calls: &[caller::FinishedCall]) -> Vec<&Outcome> {
     let outcomes = calls.iter().map(|done| &done.outcome);
     outcomes
         .filter(|outcome| matches!(outcome, Outcome::Unknown(_)))
--- a/pomelohitchd/tests/processes/support.rs
+++ b/pomelohitchd/tests/processes/support.rs
@@ -9,7 +9,7 @@
 use pomelohitch_core::State;
 use pomelohitch_core::record::job::Resources;
 use pomelohitch_platform::instances::{Listed, ListedState};
-use pomelohitch_standin::caller::{self, Call, Done, Outcome};
+use pomelohitch_standin::caller::{self, Call, FinishedCall, Outcome};
 use pomelohitch_standin::config::{self, POOL, TEAMS};
 use pomelohitch_standin::daemon::{self, Daemon};
 use pomelohitch_standin::load::{self, Load};
@@ -179,7 +179,7 @@
     }
 
     /// Compares the outcomes of `calls` with the runners' ledgers.
-    pub fn count(&self, calls: &[Done]) -> Tally {
+    pub fn count(&self, calls: &[FinishedCall]) -> Tally {
         Tally::count(calls, &self.ledgers())
     }
 
@@ -198,7 +198,7 @@
 }
 
 /// Sends load through `entries` while `during` runs; returns the calls with their outcomes.
-pub fn under_load(entries: &Mutex<Vec<SocketAddr>>, during: impl FnOnce()) -> Vec<Done> {
+pub fn under_load(entries: &Mutex<Vec<SocketAddr>>, during: impl FnOnce()) -> Vec<FinishedCall> {
     let stop = AtomicBool::new(false);
     let load = Load {
         rate: 60.0,
