--- a/crates/pomelohitch-standin/examples/local_fleet/batch.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/batch.rs
@@ -1,4 +1,4 @@
-//! The jobs that are handed in beside the requests.
+//! The batch jobs that are submitted during the load.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -7,75 +7,84 @@
 
 use pomelohitch_standin::caller;
 use pomelohitch_standin::config::TEAMS;
-use pomelohitch_standin::jobs::{self, Done, Handed, Job};
+use pomelohitch_standin::jobs::{self, Job, Submission, SubmittedJob};
 
-/// One job is handed in every so often.
-const EVERY: Duration = Duration::from_millis(250);
-/// How often a job whose hand-in is unknown is handed in, each time at another entry instance.
-const TRIES: usize = 5;
-/// How long the jobs may take to end once the load is over.
-const END_LIMIT: Duration = Duration::from_mins(1);
-/// How often waiting loops look.
-const TICK: Duration = Duration::from_millis(200);
-/// What the jobs truly do, in turn; all are declared alike, so that some are far off.
+/// Interval between two submissions.
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of attempts to submit a job while the result is unknown, each at another entry
+/// instance.
+const MAX_ATTEMPTS: usize = 5;
+/// Time limit for all jobs to end after the load.
+const END_TIMEOUT: Duration = Duration::from_mins(1);
+/// Polling interval of waiting loops.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
+/// Commands of the jobs, in turn. All jobs declare the same sizes, so that some are far off.
 const COMMANDS: [&str; 4] = ["run=50", "run=200", "run=800 memory=160", "run=2000"];
-/// How long each is declared to run.
-const DECLARED: Duration = Duration::from_millis(200);
+/// Declared run time of each job.
+const DECLARED_RUN_TIME: Duration = Duration::from_millis(200);
 
-/// Hands jobs in for `time` or until `stop` is set.
+/// Submits jobs for `time` or until `stop` is set.
 #[must_use]
-pub fn run(time: Duration, entries: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool) -> Vec<Done> {
+pub fn run(
+    time: Duration,
+    entries: &Mutex<Vec<SocketAddr>>,
+    stop: &AtomicBool,
+) -> Vec<SubmittedJob> {
     let start = Instant::now();
     let agent = caller::agent();
     let mut all = Vec::new();
     for index in 0.. {
-        let due = start + EVERY * index;
+        let due = start + SUBMIT_INTERVAL * index;
         if due >= start + time || stop.load(Ordering::Acquire) {
             break;
         }
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        all.push(hand_in(&agent, entries, index as usize));
+        all.push(submit_with_retries(&agent, entries, index as usize));
     }
     all
 }
 
-fn hand_in(agent: &ureq::Agent, entries: &Mutex<Vec<SocketAddr>>, index: usize) -> Done {
+fn submit_with_retries(
+    agent: &ureq::Agent,
+    entries: &Mutex<Vec<SocketAddr>>,
+    index: usize,
+) -> SubmittedJob {
     let job = Job {
         idempotency_key: format!("job-{index}").into(),
         key: TEAMS[index % TEAMS.len()].1.into(),
         urgent: index.is_multiple_of(4),
         idempotent: index.is_multiple_of(2),
-        declared: DECLARED,
+        declared: DECLARED_RUN_TIME,
         command: COMMANDS[index % COMMANDS.len()].into(),
     };
-    let mut handed = Handed::NotRun("no entry instance is ready".into());
-    for attempt in 0..TRIES {
-        let Some(entry) = pick(entries, index + attempt) else {
+    let mut submission = Submission::NotRun("no entry instance is ready".into());
+    for attempt in 0..MAX_ATTEMPTS {
+        let Some(entry) = pick_entry(entries, index + attempt) else {
             break;
         };
-        handed = jobs::submit(agent, entry, &job);
-        if !matches!(handed, Handed::Unknown(_)) {
+        submission = jobs::submit(agent, entry, &job);
+        if !matches!(submission, Submission::Unknown(_)) {
             break;
         }
     }
-    Done {
+    SubmittedJob {
         job,
-        handed,
+        submission,
         last: None,
     }
 }
 
-fn pick(entries: &Mutex<Vec<SocketAddr>>, index: usize) -> Option<SocketAddr> {
+fn pick_entry(entries: &Mutex<Vec<SocketAddr>>, index: usize) -> Option<SocketAddr> {
     let entries = entries.lock().unwrap_or_else(PoisonError::into_inner);
     entries.get(index % entries.len().max(1)).copied()
 }
 
-/// Asks for each job that was taken in until it has ended, or for so long that it never will.
-pub fn wait_ended(all: &mut [Done], entries: &[SocketAddr], stop: &AtomicBool) {
+/// Polls each accepted job until it has ended, [`END_TIMEOUT`] has passed or `stop` is set.
+pub fn wait_ended(all: &mut [SubmittedJob], entries: &[SocketAddr], stop: &AtomicBool) {
     let start = Instant::now();
     let agent = caller::agent();
     for (index, done) in all.iter_mut().enumerate() {
-        let Handed::Accepted(id) = &done.handed else {
+        let Submission::Accepted(id) = &done.submission else {
             continue;
         };
         let entry = entries[index % entries.len()];
@@ -85,11 +94,11 @@
                 .last
                 .as_ref()
                 .is_some_and(|view| &*view.state == "ended");
-            let is_late = start.elapsed() > END_LIMIT || stop.load(Ordering::Acquire);
-            if has_ended || is_late {
+            let is_overdue = start.elapsed() > END_TIMEOUT || stop.load(Ordering::Acquire);
+            if has_ended || is_overdue {
                 break;
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 }
--- a/crates/pomelohitch-standin/src/tally.rs
+++ b/crates/pomelohitch-standin/src/tally.rs
@@ -1,37 +1,40 @@
-//! Counts what callers saw against what the runners' ledgers say.
+//! Compares the outcomes that callers saw with the runners' ledgers.
 
 use std::collections::BTreeMap;
 
-use crate::caller::{Done, Outcome};
+use crate::caller::{FinishedCall, Outcome};
 use crate::runner::{Ledger, Runs};
 
-/// The counts.
+/// Numbers of requests by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Tally {
     /// Requests that were sent.
     pub sent: u64,
-    /// Their whole answer came.
-    pub whole: u64,
-    /// They were refused as not run, which is true.
+    /// Requests with a complete answer.
+    pub complete: u64,
+    /// Requests that were refused as not run and did not run.
     pub refused: u64,
-    /// What became of them is unknown, and was said so.
+    /// Requests whose outcome is reported as unknown.
     pub unknown: u64,
-    /// They were refused as not run, but ran.
+    /// Requests that were refused as not run, but ran.
     pub false_not_run: u64,
-    /// Answers that belong to nobody's request.
+    /// Requests with an answer that isn't the runner's to this request.
     pub wrong: u64,
-    /// An answer came but no runner finished the request, or nothing came at all.
+    /// Requests with an answer though no runner finished them, or without any answer.
     pub lost: u64,
-    /// Sent as non-idempotent, and started more than once.
+    /// Non-idempotent requests that were started more than once.
     pub doubled: u64,
-    /// Sent as idempotent, and started more than once.
+    /// Idempotent requests that were started more than once.
     pub repeated: u64,
 }
 
 impl Tally {
     /// Counts `calls` against the runners' ledgers.
     #[must_use]
-    pub fn count<'a>(calls: impl IntoIterator<Item = &'a Done>, ledgers: &[Ledger]) -> Tally {
+    pub fn count<'a>(
+        calls: impl IntoIterator<Item = &'a FinishedCall>,
+        ledgers: &[Ledger],
+    ) -> Tally {
         let runs = merge(ledgers);
         let mut tally = Tally::default();
         for done in calls {
@@ -41,17 +44,17 @@
         tally
     }
 
-    /// Whether every promise to the callers was kept.
+    /// Whether no request was lost, doubled, answered wrongly or falsely refused as not run.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.false_not_run + self.wrong + self.lost + self.doubled == 0
     }
 
-    fn add(&mut self, done: &Done, ran: &Runs) {
+    fn add(&mut self, done: &FinishedCall, ran: &Runs) {
         self.sent += 1;
         let counter = match &done.outcome {
-            Outcome::Whole if ran.finished == 0 => &mut self.lost,
-            Outcome::Whole => &mut self.whole,
+            Outcome::Complete if ran.finished == 0 => &mut self.lost,
+            Outcome::Complete => &mut self.complete,
             Outcome::NotRun(_) if ran.started > 0 => &mut self.false_not_run,
             Outcome::NotRun(_) => &mut self.refused,
             Outcome::Unknown(_) => &mut self.unknown,
@@ -70,7 +73,7 @@
     }
 }
 
-/// What all runners did with each request.
+/// Sums the runs of each request over all runners.
 fn merge(ledgers: &[Ledger]) -> BTreeMap<&str, Runs> {
     let mut all = BTreeMap::<&str, Runs>::new();
     for (id, runs) in ledgers.iter().flat_map(|ledger| &ledger.runs) {
