--- a/crates/pomelohitch-burn/tests/burn/report.rs
+++ b/crates/pomelohitch-burn/tests/burn/report.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// A day at 100 answers a minute, `bad` of them bad in each of the last `minutes`.
+/// A day with 100 answers a minute, of which `bad` are bad in each of the last `minutes`.
 fn day(minutes: u64, bad: u64) -> Ledger {
     let mut ledger = Ledger::default();
     let now = 24 * 60;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn budget_left_and_burn_follow_from_the_counts() {
+fn budget_left_and_burn_rates_are_computed_from_the_counts() {
     let report = report(&day(6 * 60, 2));
     insta::assert_json_snapshot!(report.lines[0], @r##"
     {
@@ -78,15 +78,16 @@
     "##);
 }
 
-/// Everything fails for ten minutes. Whoever is on call wants to hear of it while it goes on.
+/// All answers of the last ten minutes are bad.
 #[test]
 fn a_fast_burn_raises_an_alarm() {
     assert!(report(&day(10, 100)).is_burning());
 }
 
-/// The same ten minutes, an hour ago: the budget is smaller, but nobody has to get up.
+/// All answers were bad for ten minutes, an hour ago: part of the budget is used, but no rule holds
+/// over both of its windows.
 #[test]
-fn a_burn_that_is_over_raises_none() {
+fn a_burn_that_has_ended_raises_no_alarm() {
     let mut ledger = Ledger::default();
     for minute in 1..=24 * 60_u64 {
         let bad = if (1370..1380).contains(&minute) {
@@ -109,9 +110,9 @@
 }
 
 #[test]
-fn the_picture_has_a_line_for_each_service() {
+fn the_plot_has_a_line_for_each_service() {
     let svg = plot::budget_left(&day(60, 50), [&service()], 24 * 60, 24 * 60);
-    let svg = svg.expect("it can be drawn");
+    let svg = svg.expect("the plot can be drawn");
     assert!(svg.contains("<polyline"), "{svg}");
     assert!(svg.contains("passes"), "{svg}");
 }
