--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -94,15 +94,18 @@
     pub start_send_timeout: Duration,
     /// Maximum time for which an endpoint holds a poll until a run ends.
     pub poll_wait: Duration,
-    /// The same where tasks run that end by themselves. A lost poll hides their ends until it
-    /// expires, and the next steps of their jobs wait.
+    /// The limit instead of `poll_wait` where tasks run that end by themselves. A lost poll hides
+    /// their ends until it expires, and the next steps of their jobs wait.
     pub poll_wait_for_ends: Duration,
-    /// The same where tasks have a latency target. Their latency is known only from polls.
+    /// The limit instead of `poll_wait` where tasks have a latency target, since their latency is
+    /// known only from polls, and where lasting tasks run while some of them start or have to move.
     pub poll_wait_for_latency: Duration,
     /// Minimum time between two polls of an endpoint, so that runs that end close together are
     /// reported by one poll.
     pub min_poll_interval: Duration,
-    /// The same after a failed poll, or while ends can't be acknowledged.
+    /// Delay of the next poll while ends can't be acknowledged, and unit of the delay after failed
+    /// polls, which grows with their number. The first failed poll is repeated at once unless the
+    /// link is congested.
     pub poll_retry_delay: Duration,
     /// Maximum age of the endpoint entries and operator requests read from the store. With older
     /// ones nothing is started: capacity may have shrunk, endpoints may be draining, zones may be
@@ -190,7 +193,7 @@
     pub records: Vec<Record>,
     /// Actions to carry out once the records are durable.
     pub actions: Vec<Action>,
-    /// Job states that the records hold.
+    /// Job states in the records, shown to callers once these are durable.
     job_states: Vec<(JobId, JobState)>,
     /// Endpoint, its incarnation, and the number of the last end that the records cover.
     last_ends: Vec<(EndpointId, u64, u64)>,
@@ -226,7 +229,7 @@
     ready_jobs: BTreeMap<ServiceName, BTreeSet<JobId>>,
     /// Jobs of which no task has started, by queue. Repeating jobs aren't counted.
     queued_jobs: BTreeMap<QueueName, BTreeSet<JobId>>,
-    /// Next occurrences by due time.
+    /// The next occurrence of each job, by due time.
     due_occurrences: BTreeSet<Due>,
     /// Ended jobs by end, to be dropped after the retention.
     ended_jobs: BTreeSet<Due>,
@@ -255,6 +258,7 @@
     unsaved_specs: BTreeSet<JobId>,
     /// Jobs whose records are to be deleted, and whether they are archived.
     dropped_jobs: BTreeMap<JobId, bool>,
+    /// Records of waves and operations for the next batch.
     extra_records: Vec<Record>,
     /// Endpoints that have reported ends since the last batch.
     new_ends: BTreeSet<EndpointId>,
@@ -262,7 +266,7 @@
     endpoints_as_of: Steady,
     /// Time as of which the requests of operators are known.
     operators_as_of: Steady,
-    /// Time since which nothing starts because one of these two is too old.
+    /// Time since which nothing starts because `endpoints_as_of` or `operators_as_of` is too old.
     held_back_since: Option<Steady>,
     loss_counts: LossCounts,
     /// Number of jobs given up since the last call of [`Cell::take_given_up`].
--- a/crates/pomelohitch-sched/src/cell/accounting.rs
+++ b/crates/pomelohitch-sched/src/cell/accounting.rs
@@ -25,7 +25,8 @@
                 job: id,
             });
         }
-        // The former leader's stop may not have arrived. Setting this time makes it be sent again.
+        // The former leader's stop may not have arrived. With this time set, the stop is sent again
+        // if a poll lists the run.
         for run in progress.runs_mut().filter(|r| r.is_leaving) {
             run.view.stop_sent_at = Some(self.now.steady);
         }
@@ -246,7 +247,7 @@
         });
     }
 
-    /// Orders a stop of a run, at most once per `AGAIN_AFTER`.
+    /// Orders a stop of a run, at most once per `RESEND_INTERVAL`.
     pub(super) fn stop(&mut self, task: TaskId, run: RunNumber, why: &'static str) {
         const AGAIN_AFTER: Duration = Duration::from_millis(700);
         let now = self.now.steady;
--- a/crates/pomelohitch-sched/src/cell/advice.rs
+++ b/crates/pomelohitch-sched/src/cell/advice.rs
@@ -18,6 +18,7 @@
 /// The policy's answer about a step, or a query that isn't answered yet.
 #[derive(Debug, Clone, Default)]
 pub struct Advice {
+    /// Time of the last query or answer; zero before the first query.
     asked_at: Steady,
     /// Tickets by endpoint, with the incarnation they were issued for.
     tickets: BTreeMap<EndpointId, (u64, Box<str>)>,
--- a/crates/pomelohitch-sched/src/cell/archive.rs
+++ b/crates/pomelohitch-sched/src/cell/archive.rs
@@ -16,7 +16,7 @@
     Record { key, value: None }
 }
 
-/// The records that replace those of an ended job by a short one. With `is_fresh` none of its
+/// The records that replace those of an ended job by a short one. With `is_unsaved` none of its
 /// records is durable yet, so there are none to delete.
 pub(super) fn archive(job: &mut Job, is_fresh: bool) -> progress::Result<Vec<Record>> {
     let spec = Arc::make_mut(&mut job.spec);
--- a/crates/pomelohitch-sched/src/cell/calls.rs
+++ b/crates/pomelohitch-sched/src/cell/calls.rs
@@ -13,7 +13,8 @@
 use crate::order::{Action, Answer, CallId};
 use crate::progress::{JobState, Progress};
 
-/// Retry-After while there is no configuration. The first one is read seconds before callers come.
+/// Retry-After while there is no configuration. The first one is read seconds
+/// before callers send requests.
 const NO_CONFIG_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Retry-After while the log takes no records. Its outages last some seconds.
 const LOG_RETRY_AFTER: Duration = Duration::from_secs(2);
@@ -193,7 +194,8 @@
         })
     }
 
-    /// Number of tasks of accepted jobs that are neither running nor done.
+    /// Number of tasks that are neither running nor done, over the jobs that have such a task in a
+    /// ready step. Tasks of their later steps are included.
     fn waiting_task_count(&self) -> usize {
         let ready = self.ready_jobs.values().flatten();
         let jobs = ready.filter_map(|id| self.jobs.get(id));
--- a/crates/pomelohitch-sched/src/cell/commits.rs
+++ b/crates/pomelohitch-sched/src/cell/commits.rs
@@ -81,7 +81,7 @@
     }
 
     /// Sets the deadline of a start by the endpoint's clock. Returns false if that clock isn't
-    /// known because the endpoint has restarted since the decision.
+    /// known because the endpoint is gone or has restarted since the decision.
     fn set_start_deadline(&mut self, action: &mut Action) -> bool {
         let Action::Order {
             target,
--- a/crates/pomelohitch-sched/src/cell/completions.rs
+++ b/crates/pomelohitch-sched/src/cell/completions.rs
@@ -79,7 +79,8 @@
         self.check_completion(task, step);
     }
 
-    /// Counts a failed or successful run of an endpoint. Runs that were stopped don't count.
+    /// Counts a failed or successful run of an endpoint. Runs that ended for another reason, such as
+    /// a stop, don't count.
     fn count_outcome(&mut self, how: EndReason, endpoint: &EndpointId) {
         let Some(endpoint) = self.endpoints.get_mut(endpoint) else {
             return;
@@ -196,7 +197,8 @@
         }
     }
 
-    /// Drops jobs whose retention has passed and which have no runs left.
+    /// Drops jobs whose retention has passed and which have no runs left. A job that still has runs
+    /// is kept for another retention period.
     pub(super) fn drop_expired_jobs(&mut self) {
         let keep = u64::try_from(self.settings.job_retention.as_millis()).unwrap_or(u64::MAX);
         while let Some(&due) = self.ended_jobs.first()
--- a/crates/pomelohitch-sched/src/cell/evict.rs
+++ b/crates/pomelohitch-sched/src/cell/evict.rs
@@ -16,8 +16,8 @@
 
 /// Percentage at which a lasting task works, as its endpoint reports it.
 const WORKING_PERCENT: u32 = 100;
-/// Maximum age of an endpoint's last answer for its tasks to count as working. Polls wait at most
-/// 0.3 s for an answer while lasting tasks have to move.
+/// Maximum age of an endpoint's last answer for its tasks to count as working. Endpoints hold polls
+/// for at most 0.3 s while lasting tasks have to move.
 const MAX_ANSWER_AGE: Duration = Duration::from_millis(700);
 /// Fillers slow down when the tail latency of a task on the same endpoint exceeds this part of its
 /// target.
@@ -84,7 +84,7 @@
     /// Moves lasting tasks away from an instance that is due for maintenance before the instance is
     /// reserved, to endpoints that aren't due. Tasks of a step move one after another, two seconds
     /// each: if they only began when their instance was reserved, moving the 24 tasks of one step
-    /// took longer than the wave.
+    /// would take longer than the wave.
     fn evict_early(&mut self, id: &EndpointId) {
         let Some(endpoint) = self.endpoints.get(id) else {
             return;
@@ -136,7 +136,8 @@
         })
     }
 
-    /// Whether the task could start on some endpoint now. Its present one isn't usable.
+    /// Whether the task could start on some endpoint now. Its present endpoint doesn't count, since
+    /// nothing may start there.
     fn fits_elsewhere(&self, task: TaskId, step: &StepSpec) -> bool {
         self.fits_on_any(task, step, |_| true)
     }
--- a/crates/pomelohitch-sched/src/cell/lifecycle.rs
+++ b/crates/pomelohitch-sched/src/cell/lifecycle.rs
@@ -131,8 +131,8 @@
         self.poll_soon(id);
     }
 
-    /// Removes an endpoint that has certainly ended, since its instance was taken down or runs
-    /// another endpoint. Its runs are lost.
+    /// Removes an endpoint that has certainly ended, since its instance was taken down, runs another
+    /// endpoint or is missing from the list. Its runs are lost.
     pub(super) fn endpoint_gone(&mut self, id: &EndpointId, why: &'static str) {
         let cause = self.end_cause(id);
         let losses = self.losses_at(id, cause, why);
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Gives up the runs of silent endpoints whose leases have certainly expired.
+    /// Gives up the runs of silent endpoints whose leases have certainly expired, and drops those of
+    /// these endpoints that aren't listed.
     pub(super) fn release_expired_leases(&mut self) {
         let now = self.now.steady;
         let unread_until = self.leader_since + self.settings.former_lease_expiry;
--- a/crates/pomelohitch-sched/src/cell/losses.rs
+++ b/crates/pomelohitch-sched/src/cell/losses.rs
@@ -209,7 +209,7 @@
         has_begun && self.step(task).is_some_and(goes_on)
     }
 
-    /// Jobs with runs at the endpoint that are unproven: they haven't worked for long enough to
+    /// Jobs with runs at the endpoint that are unproven: they haven't been running for long enough to
     /// rule out that they crash it.
     pub(super) fn unproven_jobs(&self, endpoint: &Endpoint) -> BTreeSet<JobId> {
         let unproven = endpoint.runs.keys().filter(|&&(task, number)| {
@@ -219,7 +219,7 @@
         unproven.map(|(task, _)| task.job).collect()
     }
 
-    /// Whether a run has worked for long enough to rule out that it crashes its endpoint.
+    /// Whether a run has been running for long enough to rule out that it crashes its endpoint.
     pub(super) fn is_proven(&self, task: TaskId, run: &Run, endpoint: &Endpoint) -> bool {
         let job = self.jobs.get(&task.job);
         let t = job.and_then(|j| j.progress.task(task));
--- a/crates/pomelohitch-sched/src/cell/orders.rs
+++ b/crates/pomelohitch-sched/src/cell/orders.rs
@@ -112,8 +112,8 @@
     }
 }
 
-/// Whether a start was refused for a lasting reason that is specific to its task. A start that came
-/// too late wasn't: then the leader or its link is slow, which concerns all tasks.
+/// Whether a start was refused for a lasting reason that is specific to its task. A start that
+/// arrived after its deadline isn't: the leader or its link is slow, which delays all tasks.
 fn is_task_specific(refusal: Refusal) -> bool {
     matches!(refusal, Refusal::Malformed | Refusal::OldRun)
 }
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -180,8 +180,8 @@
         urgency::order(&candidates, &room, self.fleet_ms(), &self.settings.policy)
     }
 
-    /// Capacity of a service's endpoints for tasks that end, the work left of those that run, and
-    /// the capacity that is on its way.
+    /// Capacity of a service's endpoints for tasks that end by themselves, the remaining work of
+    /// those that run, and the capacity of instances being moved to the pool.
     fn capacity_of(
         &self,
         service: &ServiceName,
--- a/crates/pomelohitch-sched/src/config.rs
+++ b/crates/pomelohitch-sched/src/config.rs
@@ -47,7 +47,7 @@
 /// Latency of the placement policy's answers, and validity of its tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AdviceSettings {
-    /// Time for each answer.
+    /// Time that every answer takes, whatever the number of endpoints.
     pub decide: Duration,
     /// Additional time for each endpoint in the question.
     pub per_endpoint: Duration,
--- a/crates/pomelohitch-sched/src/demand.rs
+++ b/crates/pomelohitch-sched/src/demand.rs
@@ -29,6 +29,7 @@
 /// A burst of a service is over when the largest arrival rate was this many times the present one,
 /// and above `BURST_PEAK`, thousandths of a core, which a few tasks do not reach.
 const BURST_END_RATIO: f64 = 4.0;
+/// Smallest arrival rate of a burst, thousandths of a core; a few tasks do not reach it.
 const BURST_PEAK: f64 = 30_000.0;
 /// Number of neighbouring buckets, on both sides together, averaged with a bucket: about the time
 /// for which jobs may wait.
--- a/crates/pomelohitch-sched/src/instances.rs
+++ b/crates/pomelohitch-sched/src/instances.rs
@@ -86,6 +86,7 @@
 /// An instance with an operation that is not known to be over.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct UnderWay {
+    /// When it was decided or, once the platform has accepted it, when the answer arrived.
     since: Steady,
     endpoint: Option<EndpointId>,
     is_answered: bool,
@@ -97,6 +98,7 @@
 pub struct Instances {
     list: BTreeMap<InstanceId, Instance>,
     listed_at: Option<Steady>,
+    /// When the request for the list that is in flight was sent.
     asked_at: Option<Steady>,
     waves: BTreeMap<u64, WaveState>,
     confirmed: BTreeMap<u64, Confirmed>,
@@ -170,8 +172,9 @@
         replaced
     }
 
-    /// Records that these instances are about to leave for good, because their endpoints drain. All
-    /// other instances of the list stay. Returns the changed records of waves that contain them.
+    /// Records that these instances are about to leave for good, because their endpoints drain.
+    /// Other instances of the newest list no longer count as leaving. Returns the changed records of
+    /// waves that contain them.
     ///
     /// # Errors
     ///
--- a/crates/pomelohitch-sched/src/place.rs
+++ b/crates/pomelohitch-sched/src/place.rs
@@ -202,9 +202,9 @@
         + u8::from(slot.lasting_runs == 0)
 }
 
-/// Lasting tasks of a step per endpoint, for each one that may be out of service. They leave an
-/// endpoint one after another, which takes about two seconds each, before its instance can be
-/// maintained.
+/// Other endpoints are preferred once an endpoint has this many lasting tasks of a step, per task of
+/// the step that may be out of service. Before its instance can be maintained, they leave the
+/// endpoint one after another, about two seconds each.
 const LASTING_PER_ENDPOINT: u32 = 2;
 
 /// Whether an endpoint is probably broken: more than half of several recent runs failed there.
--- a/crates/pomelohitch-sched/src/pools.rs
+++ b/crates/pomelohitch-sched/src/pools.rs
@@ -170,7 +170,8 @@
     }
 
     /// Order in which instances are taken, lowest first: idle surplus instances, which cost money;
-    /// then those that are switched off, those that are being emptied, and the least used.
+    /// those that are switched off; other surplus instances; and those that their pool needs. Within
+    /// the last two groups, those that are being emptied and then the least used go first.
     fn donor_rank(&self, entry: &PlanEntry<'_>) -> (u8, u64) {
         let instance = entry.candidate;
         let balance = self.balance(entry);
--- a/crates/pomelohitch-sched/src/suspicion.rs
+++ b/crates/pomelohitch-sched/src/suspicion.rs
@@ -1,9 +1,9 @@
 //! Detection of tasks that crash their endpoints.
 //!
 //! A crash ends all runs of an endpoint, and nothing shows which of them caused it. A run that had
-//! been running for a while is not blamed. Jobs of the other runs become suspects: their tasks are
-//! isolated from those of other jobs until they have been running for that while, so that a second
-//! crash shows which job is at fault.
+//! been running for `proven_after` is not blamed. Jobs of the other runs become suspects: their
+//! tasks are isolated from those of other jobs until they have been running for
+//! `proven_again_after`, so that a second crash shows which job is at fault.
 
 use std::time::Duration;
 
@@ -107,7 +107,7 @@
         is_only_cause || is_certain || self.lost >= limits.lost
     }
 
-    /// Whether a run of the task that has been running for `worked` is not blamed for a crash.
+    /// Whether a run of the task that has been running for `ran_for` is not blamed for a crash.
     #[must_use]
     pub fn is_proven(&self, worked: Duration, limits: &CrashLimits) -> bool {
         let needed = if self.lost == 0 {
--- a/crates/pomelohitch-sched/tests/cell/runs.rs
+++ b/crates/pomelohitch-sched/tests/cell/runs.rs
@@ -99,8 +99,8 @@
     fleet.assert_invariants();
 }
 
-/// As above, but the leader changes after the crash: the new one never had an answer of the
-/// endpoint.
+/// An instance crashes, and the leader changes before the tasks start elsewhere. Guards against a
+/// new leader that waits for leases to expire because it never had an answer of the endpoint.
 #[test]
 fn a_new_leader_learns_from_the_list_which_instances_are_down() {
     let mut fleet = Fleet::new(2);
@@ -168,7 +168,7 @@
 }
 
 /// Guards against restarting a task again and again that makes no progress on any endpoint: each
-/// restart would make another endpoint suspect.
+/// restart would keep new tasks away from another endpoint.
 #[test]
 fn a_task_that_stalls_everywhere_is_not_restarted_again_and_again() {
     let mut fleet = Fleet::new(4);
--- a/crates/pomelohitch-sched/tests/progress.rs
+++ b/crates/pomelohitch-sched/tests/progress.rs
@@ -5,6 +5,7 @@
 };
 use pomelohitch_sched::suspicion::Suspicion;
 
+/// Arbitrary values from which [`task`] builds a task that a record can hold.
 type RawTask = (bool, u8, u8, u8, Vec<(u8, u8, bool)>);
 
 fn task((is_done, last_run, failures, checkpoint, runs): &RawTask) -> Task {
@@ -110,7 +111,8 @@
     assert!(waiting <= 48, "{waiting}");
 }
 
-/// Guards against restoring a run whose endpoint is missing from the record.
+/// Guards against a panic while decoding a damaged record, such as one in which a run refers to an
+/// endpoint that the record doesn't list.
 #[test]
 fn arbitrary_bytes_are_decoded_or_refused() {
     pomelohitch_property::check(|bytes: &Vec<u8>| {
