--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -297,7 +297,7 @@
         records: &[(Box<str>, Box<[u8]>)],
     ) -> (Cell, Vec<progress::Error>) {
         let mut cell = Cell::new(settings, epoch, now);
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let mut specs = BTreeMap::new();
         let mut progresses = BTreeMap::new();
         let mut ended = Vec::new();
@@ -317,7 +317,7 @@
                     progresses.insert(id, progress);
                 }
                 Ok(Entry::Ended(job)) => ended.push(job),
-                Err(error) => faults.push(error),
+                Err(error) => errors.push(error),
             }
         }
         for job in ended {
@@ -338,7 +338,7 @@
         let recorded = cell.jobs.values();
         let newest = recorded.map(|j| j.spec.accepted_ms.max(j.progress.ended_ms));
         cell.leader_since_ms = cell.leader_since_ms.max(newest.max().unwrap_or(0));
-        (cell, faults)
+        (cell, errors)
     }
 
     fn new(settings: Settings, epoch: Epoch, now: Now) -> Cell {
@@ -514,13 +514,13 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let is_fresh = self.unsaved_specs.remove(&id);
+            let is_unsaved = self.unsaved_specs.remove(&id);
             batch.job_states.push((id, job.progress.state));
             if job.progress.state.is_final() && job.progress.runs(id).next().is_none() {
-                batch.records.extend(archive::archive(job, is_fresh)?);
+                batch.records.extend(archive::archive(job, is_unsaved)?);
                 continue;
             }
-            if is_fresh {
+            if is_unsaved {
                 let spec = progress::encode(progress::spec_key(id), &*job.spec)?;
                 batch.records.push(spec);
             }
--- a/crates/pomelohitch-sched/src/cell/accounting.rs
+++ b/crates/pomelohitch-sched/src/cell/accounting.rs
@@ -46,7 +46,7 @@
             },
         );
         for (task, run) in runs {
-            self.occupy(task, &run.endpoint, run.born, run.number);
+            self.allocate(task, &run.endpoint, run.born, run.number);
         }
         if is_new {
             self.begin_next(id);
@@ -151,14 +151,14 @@
     }
 
     /// Counts a run's resources as used at its endpoint and by its workspace.
-    pub(super) fn occupy(
+    pub(super) fn allocate(
         &mut self,
         task: TaskId,
         endpoint: &EndpointId,
         born: u64,
         number: RunNumber,
     ) {
-        let Some(room) = self.step(task).map(StepSpec::task_resources) else {
+        let Some(resources) = self.step(task).map(StepSpec::task_resources) else {
             return;
         };
         let need = self.step(task).map(|s| s.need).unwrap_or_default();
@@ -170,7 +170,7 @@
                 task,
                 number,
                 Allocation {
-                    resources: room,
+                    resources,
                     is_lasting,
                 },
             );
@@ -231,7 +231,7 @@
             resumed = !checkpoint.is_empty(), "start decided");
         self.dirty.insert(task.job);
         self.flow.start_decided();
-        self.occupy(task, endpoint, target.born, run);
+        self.allocate(task, endpoint, target.born, run);
         self.after_commit.push(Action::Order {
             target,
             order: Order::Start {
@@ -249,7 +249,7 @@
 
     /// Orders a stop of a run, at most once per `RESEND_INTERVAL`.
     pub(super) fn stop(&mut self, task: TaskId, run: RunNumber, why: &'static str) {
-        const AGAIN_AFTER: Duration = Duration::from_millis(700);
+        const RESEND_INTERVAL: Duration = Duration::from_millis(700);
         let now = self.now.steady;
         let Some(r) = self.run_mut(task, run) else {
             return;
@@ -257,7 +257,7 @@
         let is_recent = r
             .view
             .stop_sent_at
-            .is_some_and(|at| now.saturating_sub(at) < AGAIN_AFTER);
+            .is_some_and(|at| now.saturating_sub(at) < RESEND_INTERVAL);
         if is_recent {
             return;
         }
@@ -329,8 +329,8 @@
         let Some(at) = t.runs.iter().position(|r| r.number == run) else {
             return false;
         };
-        let gone = t.runs.remove(at);
-        if let Some(endpoint) = self.endpoints.get_mut(&gone.endpoint) {
+        let removed = t.runs.remove(at);
+        if let Some(endpoint) = self.endpoints.get_mut(&removed.endpoint) {
             endpoint.release(task, run);
         }
         if let Some(used) = workspace.and_then(|w| self.workspace_usage.get_mut(&w)) {
--- a/crates/pomelohitch-sched/src/cell/advice.rs
+++ b/crates/pomelohitch-sched/src/cell/advice.rs
@@ -41,15 +41,15 @@
         let now = self.now.steady;
         let advice = self.advice.entry(first).or_default();
         if now < advice.valid_until {
-            let is_good = |slot: &&Slot| {
+            let has_ticket = |slot: &&Slot| {
                 let born = self.endpoints.get(&slot.id).map(|e| e.born);
                 let ticket = advice.tickets.get(&slot.id);
                 ticket.is_some_and(|t| Some(t.0) == born)
             };
-            let good = slots.iter().filter(is_good).map(|slot| slot.id.clone());
-            let good: BTreeSet<EndpointId> = good.collect();
-            if !good.is_empty() {
-                return Some(Allowed::Only(good));
+            let with_ticket = slots.iter().filter(has_ticket).map(|slot| slot.id.clone());
+            let with_ticket: BTreeSet<EndpointId> = with_ticket.collect();
+            if !with_ticket.is_empty() {
+                return Some(Allowed::Only(with_ticket));
             }
         }
         let is_asked = advice.asked_at > Steady::ZERO;
--- a/crates/pomelohitch-sched/src/cell/archive.rs
+++ b/crates/pomelohitch-sched/src/cell/archive.rs
@@ -18,7 +18,7 @@
 
 /// The records that replace those of an ended job by a short one. With `is_unsaved` none of its
 /// records is durable yet, so there are none to delete.
-pub(super) fn archive(job: &mut Job, is_fresh: bool) -> progress::Result<Vec<Record>> {
+pub(super) fn archive(job: &mut Job, is_unsaved: bool) -> progress::Result<Vec<Record>> {
     let spec = Arc::make_mut(&mut job.spec);
     spec.text = Box::default();
     let id = spec.id;
@@ -29,7 +29,7 @@
         spec: spec.clone(),
     };
     let mut records = vec![progress::encode(progress::ended_key(id), &ended)?];
-    if !is_fresh && !job.is_archived {
+    if !is_unsaved && !job.is_archived {
         // Deleted after the new record is written, since the leader may fail between two appends.
         records.extend(job_keys(id).map(deletion));
     }
--- a/crates/pomelohitch-sched/src/cell/autoscaling.rs
+++ b/crates/pomelohitch-sched/src/cell/autoscaling.rs
@@ -22,7 +22,10 @@
 impl Cell {
     /// Moves empty instances to the pools that need them, and returns the endpoints to be emptied
     /// for further moves.
-    pub(super) fn autoscale(&mut self, is_due: &BTreeSet<InstanceId>) -> BTreeSet<EndpointId> {
+    pub(super) fn autoscale(
+        &mut self,
+        due_instances: &BTreeSet<InstanceId>,
+    ) -> BTreeSet<EndpointId> {
         self.demand.refresh(self.fleet_ms());
         if !self.may_operate() {
             return BTreeSet::new();
@@ -33,7 +36,7 @@
         }
         self.autoscaled_at = now;
         let pools = self.pools();
-        let candidates = self.move_candidates(is_due);
+        let candidates = self.move_candidates(due_instances);
         let plan = pools::plan(&pools, &candidates, &self.settings.policy.margins);
         let mut emptying = BTreeSet::new();
         for Move { instance, to } in plan.moves {
@@ -128,8 +131,8 @@
             let report = e.report.as_ref();
             report.is_some_and(|r| r.service == *service)
         });
-        let booked = of_service.flat_map(|e| e.runs.values());
-        let cpu: u64 = booked
+        let allocations = of_service.flat_map(|e| e.runs.values());
+        let cpu: u64 = allocations
             .filter(|b| b.is_lasting)
             .map(|b| b.resources.cpu)
             .sum();
@@ -138,22 +141,22 @@
 
     /// Every instance that is in a pool or on its way to one. Those due for maintenance are marked
     /// as not movable until it is done.
-    fn move_candidates(&self, is_due: &BTreeSet<InstanceId>) -> Vec<Candidate> {
+    fn move_candidates(&self, due_instances: &BTreeSet<InstanceId>) -> Vec<Candidate> {
         let list = self.instances.list().values();
-        let there = list.filter(|i| {
+        let in_pools = list.filter(|i| {
             matches!(i.state, InstanceState::Up | InstanceState::Moving)
                 || self.instances.is_under_way(&i.id)
         });
-        there.map(|i| self.candidate(i, is_due)).collect()
+        in_pools.map(|i| self.candidate(i, due_instances)).collect()
     }
 
-    fn candidate(&self, instance: &Instance, is_due: &BTreeSet<InstanceId>) -> Candidate {
+    fn candidate(&self, instance: &Instance, due_instances: &BTreeSet<InstanceId>) -> Candidate {
         let endpoint = instance.endpoint.as_ref();
         let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
         let has_lasting = endpoint.is_some_and(|e| e.lasting_runs > 0);
         let is_free = instance.state == InstanceState::Up
             && !self.instances.is_under_way(&instance.id)
-            && !is_due.contains(&instance.id);
+            && !due_instances.contains(&instance.id);
         let is_off = instance.endpoint.is_none() && self.is_switched_off(&instance.pool);
         let destination = self.instances.destination(&instance.id);
         let report = endpoint.and_then(|e| e.report.as_ref());
--- a/crates/pomelohitch-sched/src/cell/calls.rs
+++ b/crates/pomelohitch-sched/src/cell/calls.rs
@@ -178,8 +178,8 @@
     ///
     /// Jobs that would only wait for free endpoints are accepted, since pools grow.
     fn refuse_unservable(&self, draft: &Draft) -> Option<Answer> {
-        let lasts = draft.steps.iter().any(|s| s.is_lasting);
-        if lasts || draft.repeat.is_some() {
+        let has_lasting = draft.steps.iter().any(|s| s.is_lasting);
+        if has_lasting || draft.repeat.is_some() {
             return None;
         }
         let wait = self
--- a/crates/pomelohitch-sched/src/cell/commits.rs
+++ b/crates/pomelohitch-sched/src/cell/commits.rs
@@ -16,13 +16,13 @@
             }
         }
         let gap = self.poll_interval();
-        for (id, born, noted) in batch.last_ends {
+        for (id, born, last_end) in batch.last_ends {
             if let Some(endpoint) = self.endpoints.get_mut(&id)
                 && endpoint.born == born
             {
-                endpoint.last_durable = endpoint.last_durable.max(noted);
-                let heard_at = endpoint.answered_at.unwrap_or_default();
-                let due = heard_at + gap;
+                endpoint.last_durable = endpoint.last_durable.max(last_end);
+                let answered_at = endpoint.answered_at.unwrap_or_default();
+                let due = answered_at + gap;
                 endpoint.poll.expedite(due.max(self.now.steady));
             }
         }
@@ -152,10 +152,10 @@
                 ..
             } => {
                 let endpoint = self.endpoints.get(&target.id);
-                let is_taken_away =
+                let is_unavailable =
                     endpoint.is_some_and(|e| self.is_evacuated(e) || e.is_overcommitted());
                 is_old(*at)
-                    || is_taken_away
+                    || is_unavailable
                     || !self.has_current_entries()
                     || self.run(*task, *run).is_none()
             }
--- a/crates/pomelohitch-sched/src/cell/evacuate.rs
+++ b/crates/pomelohitch-sched/src/cell/evacuate.rs
@@ -55,12 +55,12 @@
     /// Whether the endpoint's zone is evacuated, so that nothing may start on it.
     pub(super) fn is_evacuated(&self, endpoint: &Endpoint) -> bool {
         let report = endpoint.report.as_ref();
-        report.is_some_and(|r| self.evacuations.cover(&r.zone))
+        report.is_some_and(|r| self.evacuations.contains(&r.zone))
     }
 
     /// Whether the instance's zone is evacuated.
     pub(super) fn is_instance_evacuated(&self, instance: &Instance) -> bool {
-        self.evacuations.cover(&instance.zone)
+        self.evacuations.contains(&instance.zone)
     }
 
     /// Refuses a new job while every zone that has instances or endpoints is evacuated.
--- a/crates/pomelohitch-sched/src/cell/evict.rs
+++ b/crates/pomelohitch-sched/src/cell/evict.rs
@@ -120,8 +120,8 @@
             .iter()
             .enumerate()
             .filter(|(index, _)| *index != task.index as usize);
-        let away = others.filter(|(_, t)| !self.is_working(t)).count();
-        u32::try_from(away).unwrap_or(u32::MAX)
+        let down = others.filter(|(_, t)| !self.is_working(t)).count();
+        u32::try_from(down).unwrap_or(u32::MAX)
     }
 
     /// Whether a lasting task certainly works: its endpoint reported so recently. The tasks of a
@@ -131,8 +131,8 @@
         let now = self.now.steady;
         task.runs.iter().any(|r| {
             let endpoint = self.endpoints.get(&r.endpoint);
-            let is_heard = endpoint.is_some_and(|e| e.has_answered_within(now, MAX_ANSWER_AGE));
-            is_heard && r.view.percent >= WORKING_PERCENT && !is_ending(r)
+            let has_answered = endpoint.is_some_and(|e| e.has_answered_within(now, MAX_ANSWER_AGE));
+            has_answered && r.view.percent >= WORKING_PERCENT && !is_ending(r)
         })
     }
 
--- a/crates/pomelohitch-sched/src/cell/gangs.rs
+++ b/crates/pomelohitch-sched/src/cell/gangs.rs
@@ -22,8 +22,8 @@
     ) -> bool {
         let step = &spec.steps[usize::from(first.step)];
         let waiting = self.waiting_tasks(first);
-        let is_whole = waiting.len() == step.count as usize;
-        if step.is_gang && !is_whole {
+        let is_complete = waiting.len() == step.count as usize;
+        if step.is_gang && !is_complete {
             return true;
         }
         let need = step.need.times(waiting.len() as u64);
@@ -93,14 +93,14 @@
         waiting: &[TaskId],
         slots: &[&Slot],
     ) -> Option<Vec<EndpointId>> {
-        let room = step.task_resources();
+        let resources = step.task_resources();
         let mut siblings = self.siblings(first);
         let mut places = Vec::with_capacity(waiting.len());
         for &slot in slots {
             let mut slot = slot.clone();
             let count = siblings.entry(slot.id.clone()).or_default();
             while places.len() < waiting.len() && slot.may_take(step, *count) {
-                slot.free = slot.free.saturating_sub(&room);
+                slot.free = slot.free.saturating_sub(&resources);
                 *count += 1;
                 places.push(slot.id.clone());
             }
--- a/crates/pomelohitch-sched/src/cell/isolation.rs
+++ b/crates/pomelohitch-sched/src/cell/isolation.rs
@@ -22,7 +22,7 @@
 
 /// Younger incarnations are avoided: their instance may be one that crashes repeatedly by itself,
 /// and its next crash would count against the job.
-const YOUNG: Duration = Duration::from_secs(10);
+const MIN_AGE: Duration = Duration::from_secs(10);
 
 /// The service on whose endpoints suspected jobs start, and whether other jobs compete for them.
 pub(super) struct ServiceLoad<'a> {
@@ -240,7 +240,7 @@
         Rank {
             has_unproven: self.has_unproven(endpoint),
             has_lasting: endpoint.lasting_runs > 0,
-            is_young: age.is_none_or(|age| age < YOUNG),
+            is_young: age.is_none_or(|age| age < MIN_AGE),
             runs: endpoint.runs.len(),
         }
     }
--- a/crates/pomelohitch-sched/src/cell/lifecycle.rs
+++ b/crates/pomelohitch-sched/src/cell/lifecycle.rs
@@ -114,14 +114,14 @@
         };
         warn!(endpoint = %id, born, before = endpoint.born, runs = endpoint.runs.len(),
             "endpoint restarted");
-        let mut fresh = Endpoint::new(born);
-        fresh.report = endpoint.report.take();
-        fresh.is_listed = endpoint.is_listed;
-        fresh.runs = std::mem::take(&mut endpoint.runs);
-        fresh.used = endpoint.used;
-        fresh.lasting_runs = endpoint.lasting_runs;
-        fresh.poll = endpoint.poll;
-        *endpoint = fresh;
+        let mut restarted = Endpoint::new(born);
+        restarted.report = endpoint.report.take();
+        restarted.is_listed = endpoint.is_listed;
+        restarted.runs = std::mem::take(&mut endpoint.runs);
+        restarted.used = endpoint.used;
+        restarted.lasting_runs = endpoint.lasting_runs;
+        restarted.poll = endpoint.poll;
+        *endpoint = restarted;
         for (task, run, loss) in losses {
             if let Some(r) = self.run_mut(task, run) {
                 r.born = born;
@@ -151,11 +151,13 @@
     pub(super) fn release_expired_leases(&mut self) {
         let now = self.now.steady;
         let unread_until = self.leader_since + self.settings.former_lease_expiry;
-        let fresh = self.settings.max_silence;
+        let max_silence = self.settings.max_silence;
         let lapsed: Vec<_> = self
             .endpoints
             .iter()
-            .filter(|(_, e)| !e.is_polled_within(now, fresh) && e.is_lapsed(now, unread_until))
+            .filter(|(_, e)| {
+                !e.is_polled_within(now, max_silence) && e.is_lapsed(now, unread_until)
+            })
             .map(|(id, e)| (id.clone(), e.is_listed))
             .collect();
         for (id, is_listed) in lapsed {
--- a/crates/pomelohitch-sched/src/cell/losses.rs
+++ b/crates/pomelohitch-sched/src/cell/losses.rs
@@ -121,8 +121,8 @@
     }
 
     /// Clears the suspicion of a task that has run for `cleared_after`.
-    pub(super) fn clear_suspicion(&mut self, task: TaskId, worked: Duration) {
-        if worked < self.settings.policy.crashes.cleared_after {
+    pub(super) fn clear_suspicion(&mut self, task: TaskId, ran_for: Duration) {
+        if ran_for < self.settings.policy.crashes.cleared_after {
             return;
         }
         if let Some(t) = self.task_mut(task)
@@ -175,7 +175,7 @@
         let Some(endpoint) = self.endpoints.get(id) else {
             return Vec::new();
         };
-        let beside = endpoint.runs.len().saturating_sub(1);
+        let other_runs = endpoint.runs.len().saturating_sub(1);
         let unproven = self.unproven_jobs(endpoint);
         let lost = endpoint.runs.keys().filter_map(|&(task, number)| {
             let run = self.run(task, number)?;
@@ -188,9 +188,9 @@
                 cause,
                 why,
                 born: endpoint.born,
-                ran_for: worked(run, endpoint),
-                other_runs: beside,
-                was_running: self.was_at_work(task, run, endpoint),
+                ran_for: ran_for(run, endpoint),
+                other_runs,
+                was_running: self.was_running(task, run, endpoint),
                 is_proven: self.is_proven(task, run, endpoint),
                 is_sole: unproven.iter().all(|job| *job == task.job),
             };
@@ -201,12 +201,13 @@
 
     /// Whether a run has begun and, by the estimate of its duration, can't have ended by itself
     /// since its endpoint last answered.
-    fn was_at_work(&self, task: TaskId, run: &Run, endpoint: &Endpoint) -> bool {
-        let heard_at = endpoint.answered_at.unwrap_or_default();
-        let unheard = self.now.steady.saturating_sub(heard_at);
+    fn was_running(&self, task: TaskId, run: &Run, endpoint: &Endpoint) -> bool {
+        let answered_at = endpoint.answered_at.unwrap_or_default();
+        let silent_for = self.now.steady.saturating_sub(answered_at);
         let has_begun = matches!(run.view.phase, Phase::Taken { .. });
-        let goes_on = |s: &StepSpec| s.is_lasting || worked(run, endpoint) + unheard < s.estimate;
-        has_begun && self.step(task).is_some_and(goes_on)
+        let must_still_run =
+            |s: &StepSpec| s.is_lasting || ran_for(run, endpoint) + silent_for < s.estimate;
+        has_begun && self.step(task).is_some_and(must_still_run)
     }
 
     /// Jobs with runs at the endpoint that are unproven: they haven't been running for long enough to
@@ -224,8 +225,9 @@
         let job = self.jobs.get(&task.job);
         let t = job.and_then(|j| j.progress.task(task));
         t.is_some_and(|t| {
-            let worked = worked(run, endpoint);
-            t.suspicion.is_proven(worked, &self.settings.policy.crashes)
+            let ran_for = ran_for(run, endpoint);
+            t.suspicion
+                .is_proven(ran_for, &self.settings.policy.crashes)
         })
     }
 
@@ -245,11 +247,11 @@
     run.view.phase == Phase::Ordered && run.view.sent_at.is_none()
 }
 
-/// Time from the first to the last answer of the endpoint in which the run was seen.
-fn worked(run: &Run, endpoint: &Endpoint) -> Duration {
-    let (seen, heard) = (run.view.seen_at, endpoint.answered_at);
-    let worked = seen
-        .zip(heard)
-        .map(|(seen, heard)| heard.saturating_sub(seen));
-    worked.unwrap_or_default()
+/// Time from the first answer of the endpoint that listed the run to its last answer.
+fn ran_for(run: &Run, endpoint: &Endpoint) -> Duration {
+    let (seen_at, answered_at) = (run.view.seen_at, endpoint.answered_at);
+    let duration = seen_at
+        .zip(answered_at)
+        .map(|(seen_at, answered_at)| answered_at.saturating_sub(seen_at));
+    duration.unwrap_or_default()
 }
--- a/crates/pomelohitch-sched/src/cell/operations.rs
+++ b/crates/pomelohitch-sched/src/cell/operations.rs
@@ -126,15 +126,15 @@
     pub(super) fn manage_instances(&mut self) {
         let now = self.now.steady;
         let is_busy = self.instances.has_open_wave() || self.instances.has_under_way();
-        let every = if self.has_silent() {
+        let interval = if self.has_silent() {
             LIST_INTERVAL_SILENT
         } else if is_busy {
             LIST_INTERVAL_BUSY
         } else {
             LIST_INTERVAL_IDLE
         };
-        let every = every.max(self.min_list_interval());
-        if self.instances.wants_list(now, every) {
+        let interval = interval.max(self.min_list_interval());
+        if self.instances.wants_list(now, interval) {
             self.outbox.push(Action::ListInstances);
         }
         self.instances.forget_unanswered(now);
@@ -144,20 +144,24 @@
         for wave in remaining {
             self.advance_wave(&wave, &mut reserved);
         }
-        let is_due = self.instances.due_for_maintenance();
-        reserved.extend(self.autoscale(&is_due));
+        let due_instances = self.instances.due_for_maintenance();
+        reserved.extend(self.autoscale(&due_instances));
         // An endpoint whose instance is being operated on may still appear free in the lists; a
         // start on it would be lost.
         reserved.extend(self.instances.endpoints_under_way());
-        let due: BTreeSet<_> = is_due
+        let due_endpoints: BTreeSet<_> = due_instances
             .iter()
             .filter_map(|id| self.endpoint_on(id))
             .collect();
-        self.mark_endpoints(&reserved, &due);
+        self.mark_endpoints(&reserved, &due_endpoints);
     }
 
     /// Sets which endpoints are reserved, and which are due for maintenance.
-    fn mark_endpoints(&mut self, reserved: &BTreeSet<EndpointId>, due: &BTreeSet<EndpointId>) {
+    fn mark_endpoints(
+        &mut self,
+        reserved: &BTreeSet<EndpointId>,
+        due_endpoints: &BTreeSet<EndpointId>,
+    ) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.is_reserved = false;
             endpoint.is_maintenance_due = false;
@@ -167,7 +171,7 @@
                 endpoint.is_reserved = true;
             }
         }
-        for id in due {
+        for id in due_endpoints {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
                 endpoint.is_maintenance_due = true;
             }
--- a/crates/pomelohitch-sched/src/cell/polls.rs
+++ b/crates/pomelohitch-sched/src/cell/polls.rs
@@ -94,12 +94,16 @@
     /// Minimum time from an answer to the next poll of the same endpoint. It grows while answers
     /// wait to be processed or arrive late, since more polls would add to the wait.
     pub(super) fn poll_interval(&self) -> Duration {
-        let late = self
+        let excess_response = self
             .flow
             .delay(self.now.steady)
             .saturating_sub(NORMAL_RESPONSE_TIME);
-        let behind = self.answer_lag.saturating_sub(NORMAL_LAG).max(late) * POLL_DELAY_FACTOR;
-        self.settings.min_poll_interval + behind.min(MAX_POLL_DELAY)
+        let excess = self
+            .answer_lag
+            .saturating_sub(NORMAL_LAG)
+            .max(excess_response)
+            * POLL_DELAY_FACTOR;
+        self.settings.min_poll_interval + excess.min(MAX_POLL_DELAY)
     }
 
     fn record_lag(&mut self, lag: Duration) {
@@ -118,7 +122,11 @@
         });
         if endpoint.polled_at.is_none() || !endpoint.lease_confirmed || is_unsettled {
             Duration::ZERO
-        } else if endpoint.runs.values().any(|booked| !booked.is_lasting) {
+        } else if endpoint
+            .runs
+            .values()
+            .any(|allocation| !allocation.is_lasting)
+        {
             self.settings.poll_wait_for_ends
         } else if self.has_latency_target(endpoint) || self.affects_evictions(endpoint) {
             self.settings.poll_wait_for_latency
@@ -134,8 +142,8 @@
             return false;
         }
         self.is_evicting
-            || endpoint.runs.iter().any(|(&(task, run), booked)| {
-                booked.is_lasting && self.run(task, run).is_some_and(|r| r.view.percent < 100)
+            || endpoint.runs.iter().any(|(&(task, run), allocation)| {
+                allocation.is_lasting && self.run(task, run).is_some_and(|r| r.view.percent < 100)
             })
     }
 
@@ -159,21 +167,21 @@
         let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
             return;
         };
-        let plan = &mut endpoint.poll;
-        plan.is_in_flight = false;
+        let schedule = &mut endpoint.poll;
+        schedule.is_in_flight = false;
         match result {
             Ok(answer) => {
-                plan.failures = 0;
-                plan.due = now + gap;
+                schedule.failures = 0;
+                schedule.due = now + gap;
                 self.apply_poll(&target.id, &answer);
             }
             Err(failure) => {
-                plan.failures = (plan.failures + 1).min(MAX_RETRY_STEPS);
+                schedule.failures = (schedule.failures + 1).min(MAX_RETRY_STEPS);
                 // The first failure may be a lost packet, so the poll is repeated at once. On a
                 // congested link all polls are late, and immediate retries would add to the load.
-                let steps = plan.failures - u32::from(!is_congested);
-                plan.due = now + self.settings.poll_retry_delay * steps;
-                if plan.failures == 1 {
+                let steps = schedule.failures - u32::from(!is_congested);
+                schedule.due = now + self.settings.poll_retry_delay * steps;
+                if schedule.failures == 1 {
                     warn!(endpoint = %target.id, addr = %target.addr, ?failure, "poll failed");
                 }
             }
@@ -218,8 +226,8 @@
     fn apply_ends(&mut self, id: &EndpointId, answer: &PollReply) {
         let mut ends: Vec<_> = answer.ended.iter().collect();
         ends.sort_by_key(|e| e.number);
-        let noted = self.endpoints.get(id).map_or(0, |e| e.last_processed);
-        for end in ends.iter().filter(|e| e.number > noted) {
+        let last_processed = self.endpoints.get(id).map_or(0, |e| e.last_processed);
+        for end in ends.iter().filter(|e| e.number > last_processed) {
             if self.run(end.task, end.run).is_some() {
                 self.run_ended(end.task, end.run, end.how, &end.checkpoint, id);
             } else if end.how == EndReason::Done {
@@ -305,7 +313,7 @@
         });
         warn!(%task, run = number, endpoint = %id, "run given up earlier is still running");
         self.dirty.insert(task.job);
-        self.occupy(task, id, born, number);
+        self.allocate(task, id, born, number);
         self.index(task.job);
         true
     }
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -42,9 +42,9 @@
 }
 
 impl Misfits {
-    /// Whether a task with at most these needs has found no place in this pass.
-    fn covers(&self, room: &Resources) -> bool {
-        self.needs.iter().any(|m| room.holds(m))
+    /// Whether a task that needs no more than this has found no place in this pass.
+    fn covers(&self, need: &Resources) -> bool {
+        self.needs.iter().any(|m| need.holds(m))
     }
 
     /// Records that a task of `step` found no place. It counts as a shortage if it would fit on
@@ -176,8 +176,13 @@
             .iter()
             .filter_map(|id| self.jobs.get(id)?.candidate)
             .collect();
-        let room = self.capacity_of(service, slots, &candidates);
-        urgency::order(&candidates, &room, self.fleet_ms(), &self.settings.policy)
+        let capacity = self.capacity_of(service, slots, &candidates);
+        urgency::order(
+            &candidates,
+            &capacity,
+            self.fleet_ms(),
+            &self.settings.policy,
+        )
     }
 
     /// Capacity of a service's endpoints for tasks that end by themselves, the remaining work of
@@ -200,11 +205,11 @@
             used += endpoint.used.cpu.saturating_sub(lasting);
         }
         let steps: u32 = candidates.iter().map(|c| c.steps_left).sum();
-        let chains: Duration = candidates.iter().map(|c| c.remaining_critical_path).sum();
-        let task = chains.checked_div(steps).unwrap_or_default();
+        let critical_paths: Duration = candidates.iter().map(|c| c.remaining_critical_path).sum();
+        let task_time = critical_paths.checked_div(steps).unwrap_or_default();
         Capacity {
             cpu: as_f64(cpu),
-            running_work: as_f64(used) * AVERAGE_LEFT * task.as_secs_f64() * 1000.0,
+            running_work: as_f64(used) * AVERAGE_LEFT * task_time.as_secs_f64() * 1000.0,
             arriving: as_f64(self.instances.arriving_cpu(service, &self.evacuations)),
         }
     }
@@ -246,10 +251,10 @@
     /// A workspace's index in the configuration and its weight. Jobs sent without a key, or by a
     /// workspace that was removed, share one more workspace of weight 1.
     fn owner(&self, workspace: Option<&WorkspaceName>) -> (u32, u64) {
-        let place = workspace.and_then(|name| self.workspaces.get(name));
-        let weight = place.and_then(|&at| Some(self.cfg.as_ref()?.workspaces.get(at)?.weight));
-        let place = place.and_then(|&at| u32::try_from(at).ok());
-        (place.unwrap_or(u32::MAX), weight.unwrap_or(1))
+        let index = workspace.and_then(|name| self.workspaces.get(name));
+        let weight = index.and_then(|&at| Some(self.cfg.as_ref()?.workspaces.get(at)?.weight));
+        let index = index.and_then(|&at| u32::try_from(at).ok());
+        (index.unwrap_or(u32::MAX), weight.unwrap_or(1))
     }
 
     /// Starts the waiting tasks of a step for which there is capacity, within the workspace's limit
@@ -305,14 +310,14 @@
         siblings: &[u32],
     ) -> Option<usize> {
         let t = self.jobs.get(&task.job)?.progress.task(task)?;
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             step,
             allowed,
             siblings,
             failed_at: &t.failed_at,
             packs: self.settings.policy.packs,
         };
-        place::choose(&slots.list, &ask)
+        place::choose(&slots.list, &request)
     }
 
     /// Number of runs of the step on each endpoint.
@@ -347,10 +352,10 @@
 
     /// Whether a task of the step would fit on some endpoint of the fleet if that were empty.
     pub(super) fn fits_somewhere(&self, step: &StepSpec) -> bool {
-        let room = step.task_resources();
+        let need = step.task_resources();
         self.endpoints.values().any(|e| {
             let has_label = step.requires.as_deref().is_none_or(|l| e.has_label(l));
-            has_label && e.report.as_ref().is_some_and(|r| r.capacity.holds(&room))
+            has_label && e.report.as_ref().is_some_and(|r| r.capacity.holds(&need))
         })
     }
 }
--- a/crates/pomelohitch-sched/src/cell/waves.rs
+++ b/crates/pomelohitch-sched/src/cell/waves.rs
@@ -76,10 +76,10 @@
             let endpoint = self.endpoint_on(id);
             endpoint.is_some_and(|e| self.endpoints.get(&e).is_some_and(|e| e.is_reserved))
         };
-        let (begun, fresh): (Vec<_>, Vec<_>) = in_use.iter().partition(is_begun);
+        let (begun, not_begun): (Vec<_>, Vec<_>) = in_use.iter().partition(is_begun);
         let emptying_target = self.emptying_target(wave).saturating_sub(begun.len());
-        let slow = self.slowest(&begun, &fresh, emptying_target.div_ceil(2));
-        let first = fresh
+        let slow = self.slowest(&begun, &not_begun, emptying_target.div_ceil(2));
+        let first = not_begun
             .iter()
             .take(emptying_target.saturating_sub(slow.len()));
         let chosen: BTreeSet<&InstanceId> = begun
@@ -99,21 +99,21 @@
     fn slowest<'a>(
         &self,
         begun: &[&&'a InstanceId],
-        fresh: &[&&'a InstanceId],
+        not_begun: &[&&'a InstanceId],
         count: usize,
     ) -> Vec<&'a InstanceId> {
         let list = self.instances.list();
         let pool = |id: &InstanceId| list.get(id).map(|i| i.pool.clone());
-        let lasting = |id: &InstanceId| self.emptying_effort(id).0 > 0;
+        let has_lasting = |id: &InstanceId| self.emptying_effort(id).0 > 0;
         let mut pools: BTreeMap<_, usize> = BTreeMap::new();
         for pool in begun
             .iter()
-            .filter(|id| lasting(id))
+            .filter(|id| has_lasting(id))
             .filter_map(|id| pool(id))
         {
             *pools.entry(pool).or_default() += 1;
         }
-        let slow_instances = fresh.iter().rev().filter(|id| lasting(id));
+        let slow_instances = not_begun.iter().rev().filter(|id| has_lasting(id));
         let limited = slow_instances.filter(|id| {
             let Some(pool) = pool(id) else {
                 return false;
@@ -134,10 +134,10 @@
             .mul_f64(PLANNED_TIME_SHARE)
             .saturating_sub(passed);
         let work = INSTANCE_TIME * u32::try_from(wave.left.len()).unwrap_or(u32::MAX);
-        let at_once = wave.max_down.max(1);
-        let needed = (1..at_once).find(|&n| left * u32::try_from(n).unwrap_or(1) >= work);
+        let max_down = wave.max_down.max(1);
+        let needed = (1..max_down).find(|&n| left * u32::try_from(n).unwrap_or(1) >= work);
         let under_way = wave.max_down.saturating_sub(wave.may_begin);
-        needed.unwrap_or(at_once).saturating_sub(under_way).max(1)
+        needed.unwrap_or(max_down).saturating_sub(under_way).max(1)
     }
 
     fn is_zone_evacuated(&self, id: &InstanceId) -> bool {
--- a/crates/pomelohitch-sched/src/demand.rs
+++ b/crates/pomelohitch-sched/src/demand.rs
@@ -25,9 +25,9 @@
 const MIN_AUTOCORRELATION: f64 = 0.6;
 /// A longer lag needs an autocorrelation higher by this much, because multiples of the true period
 /// reach the same value.
-const LONGER_BONUS: f64 = 0.05;
-/// A burst of a service is over when the largest arrival rate was this many times the present one,
-/// and above `BURST_PEAK`, thousandths of a core, which a few tasks do not reach.
+const LONGER_LAG_MARGIN: f64 = 0.05;
+/// A burst of a service is over when its largest arrival rate exceeded `BURST_PEAK` and was this
+/// many times the present rate.
 const BURST_END_RATIO: f64 = 4.0;
 /// Smallest arrival rate of a burst, thousandths of a core; a few tasks do not reach it.
 const BURST_PEAK: f64 = 30_000.0;
@@ -72,7 +72,7 @@
     wanted: BTreeMap<ServiceName, BTreeMap<u64, f64>>,
     arrived: BTreeMap<ServiceName, BTreeMap<u64, Arrivals>>,
     first_bucket: Option<u64>,
-    last: u64,
+    last_bucket: u64,
     period: Option<u64>,
     period_checked_at: u64,
     methods: ForecastMethods,
@@ -97,7 +97,7 @@
             self.first_bucket
                 .map_or(bucket, |first_bucket| first_bucket.min(bucket)),
         );
-        self.last = self.last.max(bucket);
+        self.last_bucket = self.last_bucket.max(bucket);
         let wanted = self.wanted.entry(service.clone()).or_default();
         let mut work = 0.0;
         let mut ends: Vec<u64> = Vec::with_capacity(steps.len());
@@ -149,16 +149,16 @@
     /// a burst may come at any time.
     #[must_use]
     pub fn forecast(&self, service: &ServiceName, now_ms: UnixMs, ahead: Duration) -> Option<f64> {
-        let most = self.peak(service, now_ms, ahead);
+        let peak = self.peak(service, now_ms, ahead);
         let is_periodic = self.trusted_period(now_ms / BUCKET_MS).is_some();
         if !self.methods.uses_peak {
-            return is_periodic.then_some(most);
+            return is_periodic.then_some(peak);
         }
         if is_periodic || self.is_burst_over(service, now_ms) {
-            return Some(most);
+            return Some(peak);
         }
         self.is_at_peak(service, now_ms)
-            .then_some(most * self.margins.peak_factor)
+            .then_some(peak * self.margins.peak_factor)
     }
 
     /// Whether a service is in a burst whose arrival rate has stopped rising. The rise has been
@@ -279,7 +279,7 @@
         let mut best: Option<(u64, f64)> = None;
         for lag in PERIODS.take_while(|lag| lag + PERIOD_MARGIN <= seen) {
             let autocorrelation = self.autocorrelation(now, lag);
-            let threshold = best.map_or(MIN_AUTOCORRELATION, |(_, best)| best + LONGER_BONUS);
+            let threshold = best.map_or(MIN_AUTOCORRELATION, |(_, best)| best + LONGER_LAG_MARGIN);
             if autocorrelation > threshold {
                 best = Some((lag, autocorrelation));
             }
--- a/crates/pomelohitch-sched/src/evacuations.rs
+++ b/crates/pomelohitch-sched/src/evacuations.rs
@@ -18,7 +18,7 @@
 impl Evacuations {
     /// Whether `zone` is being evacuated, so that nothing may start there.
     #[must_use]
-    pub fn cover(&self, zone: &str) -> bool {
+    pub fn contains(&self, zone: &str) -> bool {
         self.zones.contains_key(zone)
     }
 
@@ -41,9 +41,9 @@
 
     /// Begins the evacuation of a zone; returns false if it was in force already.
     pub fn begin(&mut self, zone: ZoneName, now: Steady) -> bool {
-        let is_news = !self.cover(&zone);
+        let is_new = !self.contains(&zone);
         self.zones.entry(zone).or_insert(now);
-        is_news
+        is_new
     }
 
     /// Ends the evacuation of a zone; returns when it was first seen, if it was in force.
--- a/crates/pomelohitch-sched/src/instances.rs
+++ b/crates/pomelohitch-sched/src/instances.rs
@@ -188,8 +188,8 @@
         self.leaving.extend(leaving);
         let mut records = Vec::new();
         for (&number, state) in &self.waves {
-            let asked = state.wave.instances.iter();
-            let leaving: BTreeSet<_> = asked.filter(|id| self.leaving.contains(*id)).collect();
+            let in_wave = state.wave.instances.iter();
+            let leaving: BTreeSet<_> = in_wave.filter(|id| self.leaving.contains(*id)).collect();
             let confirmed = self.confirmed.entry(number).or_default();
             if confirmed.is_completed || leaving.iter().all(|id| confirmed.leaving.contains(*id)) {
                 continue;
@@ -218,9 +218,9 @@
         self.asked_at = None;
     }
 
-    /// Whether to request the list now, at most once every `every`; records the request if so.
-    pub fn wants_list(&mut self, now: Steady, every: Duration) -> bool {
-        let is_due = self.listed_at.is_none_or(|at| now >= at + every);
+    /// Whether to request the list now, at most once per `interval`; records the request if so.
+    pub fn wants_list(&mut self, now: Steady, interval: Duration) -> bool {
+        let is_due = self.listed_at.is_none_or(|at| now >= at + interval);
         let is_asked = self.asked_at.is_some();
         if is_due && !is_asked {
             self.asked_at = Some(now);
@@ -305,13 +305,16 @@
     /// not being evacuated.
     #[must_use]
     pub fn arriving_cpu(&self, pool: &ServiceName, evacuations: &Evacuations) -> u64 {
-        let is_coming = |i: &&Instance| match self.under_way.get(&i.id) {
+        let is_arriving = |i: &&Instance| match self.under_way.get(&i.id) {
             Some(under_way) => under_way.to.as_ref() == Some(pool),
             None => i.state == InstanceState::Moving && i.pool == *pool,
         };
-        let usable = self.list.values().filter(|i| !evacuations.cover(&i.zone));
-        let coming = usable.filter(is_coming);
-        coming.map(|i| i.capacity.cpu).sum()
+        let usable = self
+            .list
+            .values()
+            .filter(|i| !evacuations.contains(&i.zone));
+        let arriving = usable.filter(is_arriving);
+        arriving.map(|i| i.capacity.cpu).sum()
     }
 
     /// Whether any instance is being moved to the pool.
--- a/crates/pomelohitch-sched/src/job.rs
+++ b/crates/pomelohitch-sched/src/job.rs
@@ -144,10 +144,10 @@
                 return AfterSnafu { step, after }.fail();
             }
         }
-        let is_repeat_sound = self
+        let is_repeat_valid = self
             .repeat
             .is_none_or(|r| r.count <= MAX_REPEATS && (r.count == 1 || !r.interval.is_zero()));
-        ensure!(is_repeat_sound, RepeatSnafu);
+        ensure!(is_repeat_valid, RepeatSnafu);
         Ok(())
     }
 
--- a/crates/pomelohitch-sched/src/place.rs
+++ b/crates/pomelohitch-sched/src/place.rs
@@ -96,8 +96,8 @@
     pub fn remove(&mut self, id: &EndpointId) {
         if let Some(at) = self.index.remove(id) {
             self.list.remove(at);
-            for place in self.index.values_mut().filter(|place| **place > at) {
-                *place -= 1;
+            for index in self.index.values_mut().filter(|index| **index > at) {
+                *index -= 1;
             }
         }
     }
--- a/crates/pomelohitch-sched/src/suspicion.rs
+++ b/crates/pomelohitch-sched/src/suspicion.rs
@@ -109,12 +109,12 @@
 
     /// Whether a run of the task that has been running for `ran_for` is not blamed for a crash.
     #[must_use]
-    pub fn is_proven(&self, worked: Duration, limits: &CrashLimits) -> bool {
+    pub fn is_proven(&self, ran_for: Duration, limits: &CrashLimits) -> bool {
         let needed = if self.lost == 0 {
             limits.proven_after
         } else {
             limits.proven_again_after
         };
-        worked >= needed
+        ran_for >= needed
     }
 }
