--- a/crates/pomelohitch-sched/tests/cell/evacuation.rs
+++ b/crates/pomelohitch-sched/tests/cell/evacuation.rs
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn evacuations_beside_faults_break_no_promise() {
+fn evacuations_during_faults_violate_no_invariant() {
     pomelohitch_property::check(|faults: &Vec<(u8, u8)>| {
         let mut fleet = fleet(6);
         let second = StepSpec {
--- a/crates/pomelohitch-sched/tests/cell/links.rs
+++ b/crates/pomelohitch-sched/tests/cell/links.rs
@@ -179,8 +179,8 @@
 fn an_initial_burst_of_starts_fits_the_link() {
     let mut fleet = fleet(RATE);
     fleet.starts.clear();
-    let drafts = (0..40).map(|n| format!("{:016x}", 0x3000 + n));
-    for id in drafts {
+    let ids = (0..40).map(|n| format!("{:016x}", 0x3000 + n));
+    for id in ids {
         fleet.submit(&id, wide_job());
     }
     let before = fleet.starts_lost;
--- a/crates/pomelohitch-sched/tests/cell/random.rs
+++ b/crates/pomelohitch-sched/tests/cell/random.rs
@@ -146,18 +146,24 @@
 }
 
 #[test]
-fn crashes_and_capacity_changes_in_any_order_break_no_promise() {
+fn crashes_and_capacity_changes_in_any_order_violate_no_invariant() {
     pomelohitch_property::check(|faults: &Vec<(u8, u8)>| check_crashes(faults));
 }
 
 /// Regression test: sequences of faults that have violated an invariant.
 #[test]
-fn recorded_fault_sequences_break_no_promise() {
+fn recorded_fault_sequences_violate_no_invariant() {
     // An endpoint restarts under its id between the poll that lists completions and the one that
     // acknowledges them. Completion numbers begin anew, so the acknowledgement may drop the
     // completion of a start that was in flight.
-    let quiet = |count| vec![(0_u8, 0_u8); count];
-    check_faults(&[&[(103, 62), (15, 70), (7, 200), (43, 40)][..], &quiet(15)].concat());
+    let silence_e0 = |count| vec![(0_u8, 0_u8); count];
+    check_faults(
+        &[
+            &[(103, 62), (15, 70), (7, 200), (43, 40)][..],
+            &silence_e0(15),
+        ]
+        .concat(),
+    );
     check_faults(
         &[
             &[
@@ -168,7 +174,7 @@
                 (15, 50),
                 (123, 95),
             ][..],
-            &quiet(8),
+            &silence_e0(8),
         ]
         .concat(),
     );
--- a/crates/pomelohitch-sched/tests/cell/runs.rs
+++ b/crates/pomelohitch-sched/tests/cell/runs.rs
@@ -117,7 +117,7 @@
 /// The poll that requests an endpoint's first lease is lost. Tasks have to wait until a lease is
 /// confirmed; with only the short lease of a start, their runs would lapse.
 #[test]
-fn work_waits_for_a_lease_that_holds() {
+fn starts_wait_for_a_confirmed_lease() {
     let mut fleet = Fleet::new(1);
     fleet.advance(2);
     fleet.endpoint("e0").is_silent = true;
