--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -241,12 +241,12 @@
     operations_allowed_from: Steady,
     demand: Demand,
     /// Window on starts in flight.
-    flow: StartWindow,
+    start_window: StartWindow,
     /// Moving average of the time from the arrival of an endpoint's answer to its processing.
     answer_lag: Duration,
     /// Endpoints to be emptied so that their instances can move to another pool.
     emptying: BTreeSet<EndpointId>,
-    unplaced: BTreeMap<ServiceName, schedule::Unplaced>,
+    shortages: BTreeMap<ServiceName, schedule::Shortage>,
     /// Services with lasting tasks that have to move but fit on no other endpoint, and since when.
     blocked_services: BTreeMap<ServiceName, Steady>,
     autoscaled_at: Steady,
@@ -366,13 +366,13 @@
             ended_jobs: BTreeSet::new(),
             instances: Instances::default(),
             evacuations: Evacuations::default(),
-            flow: settings
+            start_window: settings
                 .link_bytes_per_s
                 .map_or_else(StartWindow::default, StartWindow::for_link),
             answer_lag: Duration::ZERO,
             settings,
             emptying: BTreeSet::new(),
-            unplaced: BTreeMap::new(),
+            shortages: BTreeMap::new(),
             blocked_services: BTreeMap::new(),
             autoscaled_at: Steady::ZERO,
             surplus_since: None,
@@ -445,8 +445,8 @@
     pub fn tick(&mut self, now: Now) -> Vec<Action> {
         self.now = now;
         self.begin_due_occurrences();
-        let gap = self.pass_interval();
-        if now.steady >= self.housekeeping_at + self.housekeeping_interval().max(gap) {
+        let interval = self.pass_interval();
+        if now.steady >= self.housekeeping_at + self.housekeeping_interval().max(interval) {
             self.housekeeping_at = now.steady;
             self.drop_expired_jobs();
             self.release_expired_leases();
@@ -454,13 +454,13 @@
             self.manage_instances();
             self.evict_lasting();
         }
-        if now.steady >= self.scheduled_at + SCHEDULE_INTERVAL.max(gap) {
+        if now.steady >= self.scheduled_at + SCHEDULE_INTERVAL.max(interval) {
             self.scheduled_at = now.steady;
             self.update_held_back();
-            if self.flow.has_capacity() && self.held_back_since.is_none() {
+            if self.start_window.has_capacity() && self.held_back_since.is_none() {
                 self.schedule();
             }
-            self.flow.pass_ended(now.steady);
+            self.start_window.pass_ended(now.steady);
         }
         self.send_due_polls();
         std::mem::take(&mut self.outbox)
--- a/crates/pomelohitch-sched/src/cell/accounting.rs
+++ b/crates/pomelohitch-sched/src/cell/accounting.rs
@@ -131,9 +131,9 @@
         };
         let candidate = self.candidate_of(job);
         let service = self.service_of(&job.spec);
-        let is_unbegun = job.progress.state == JobState::Queued && job.spec.repeat.is_none();
+        let is_queued = job.progress.state == JobState::Queued && job.spec.repeat.is_none();
         let waiting = self.queued_jobs.entry(job.spec.queue.clone()).or_default();
-        if is_unbegun {
+        if is_queued {
             waiting.insert(id);
         } else {
             waiting.remove(&id);
@@ -230,7 +230,7 @@
             waited_ms = fleet_ms.saturating_sub(spec.accepted_ms),
             resumed = !checkpoint.is_empty(), "start decided");
         self.dirty.insert(task.job);
-        self.flow.start_decided();
+        self.start_window.start_decided();
         self.allocate(task, endpoint, target.born, run);
         self.after_commit.push(Action::Order {
             target,
--- a/crates/pomelohitch-sched/src/cell/autoscaling.rs
+++ b/crates/pomelohitch-sched/src/cell/autoscaling.rs
@@ -81,9 +81,9 @@
             is_spare: service.is_spare,
             is_short: self.is_short(name),
             label: self
-                .unplaced
+                .shortages
                 .get(name)
-                .and_then(|u| u.requirements.label.clone()),
+                .and_then(|s| s.requirements.label.clone()),
             backlog: if self.settings.policy.provisions_backlog {
                 self.backlog(name)
             } else {
@@ -118,7 +118,7 @@
     /// Whether tasks of the service have fit on no endpoint for `SHORTAGE_DELAY`, including lasting
     /// ones that have to move, and no instance is on its way to the pool.
     fn is_short(&self, service: &ServiceName) -> bool {
-        let unplaced = self.unplaced.get(service).map(|u| u.since);
+        let unplaced = self.shortages.get(service).map(|s| s.since);
         let blocked = self.blocked_services.get(service).copied();
         let since = unplaced.into_iter().chain(blocked).min();
         let is_old = since.is_some_and(|s| self.now.steady.saturating_sub(s) > SHORTAGE_DELAY);
--- a/crates/pomelohitch-sched/src/cell/calls.rs
+++ b/crates/pomelohitch-sched/src/cell/calls.rs
@@ -183,7 +183,7 @@
             return None;
         }
         let wait = self
-            .flow
+            .start_window
             .wait_time(self.now.steady, self.waiting_task_count())
             .filter(|wait| *wait > MAX_START_WAIT)?;
         Some(Answer::Refused {
--- a/crates/pomelohitch-sched/src/cell/commits.rs
+++ b/crates/pomelohitch-sched/src/cell/commits.rs
@@ -15,14 +15,14 @@
                 job.durable_state = job.durable_state.max(state);
             }
         }
-        let gap = self.poll_interval();
+        let interval = self.poll_interval();
         for (id, born, last_end) in batch.last_ends {
             if let Some(endpoint) = self.endpoints.get_mut(&id)
                 && endpoint.born == born
             {
                 endpoint.last_durable = endpoint.last_durable.max(last_end);
                 let answered_at = endpoint.answered_at.unwrap_or_default();
-                let due = answered_at + gap;
+                let due = answered_at + interval;
                 endpoint.poll.expedite(due.max(self.now.steady));
             }
         }
--- a/crates/pomelohitch-sched/src/cell/isolation.rs
+++ b/crates/pomelohitch-sched/src/cell/isolation.rs
@@ -13,7 +13,7 @@
 
 use tracing::info;
 
-use super::schedule::{Misfits, ready_steps};
+use super::schedule::{Unplaced, ready_steps};
 use super::{Cell, Job};
 use crate::endpoint::Endpoint;
 use crate::id::{EndpointId, JobId, ServiceName, TaskId, job_text};
@@ -76,7 +76,7 @@
         ids: &[JobId],
         load: &ServiceLoad<'_>,
         slots: &mut Slots,
-        misfits: &mut Misfits,
+        unplaced: &mut Unplaced,
     ) {
         if ids.is_empty() {
             return;
@@ -102,7 +102,7 @@
             if may_wait && (jobs_at_risk.contains(id) || isolated_count >= max_isolated) {
                 continue;
             }
-            isolated_count += usize::from(self.start_isolated(*id, may_wait, slots, misfits));
+            isolated_count += usize::from(self.start_isolated(*id, may_wait, slots, unplaced));
         }
     }
 
@@ -130,7 +130,7 @@
         id: JobId,
         may_wait: bool,
         slots: &mut Slots,
-        misfits: &mut Misfits,
+        unplaced: &mut Unplaced,
     ) -> bool {
         let Some(job) = self.jobs.get(&id) else {
             return false;
@@ -141,7 +141,7 @@
         };
         let step = &spec.steps[usize::from(first.step)];
         let Some(at) = self.choose_isolated(step, first, &allowed, slots) else {
-            misfits.note_unplaced(step, self.fits_somewhere(step));
+            unplaced.note_unplaced(step, self.fits_somewhere(step));
             return false;
         };
         let chosen = slots.list[at].clone();
@@ -156,7 +156,7 @@
             Slots::new(vec![chosen.clone()])
         };
         slots.remove(&chosen.id);
-        let starts = self.start_ready(id, &mut own, &mut Misfits::default());
+        let starts = self.start_ready(id, &mut own, &mut Unplaced::default());
         if starts > 0 {
             info!(job = %job_text(id), endpoint = %chosen.id, starts, is_clean,
                 "suspected job isolated");
--- a/crates/pomelohitch-sched/src/cell/operations.rs
+++ b/crates/pomelohitch-sched/src/cell/operations.rs
@@ -264,14 +264,15 @@
         let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
         let age = endpoint.and_then(|e| e.clock_at_least(now));
         let is_old = age.is_some_and(|age| age > self.settings.operation_gap);
-        let quiet = self.settings.operation_gap + MAX_FLEET_TIME_DIFFERENCE;
-        let quiet_ms = u64::try_from(quiet.as_millis()).unwrap_or(u64::MAX);
+        let required_gap = self.settings.operation_gap + MAX_FLEET_TIME_DIFFERENCE;
+        let required_gap_ms = u64::try_from(required_gap.as_millis()).unwrap_or(u64::MAX);
         let ordered_ms = self.instances.former_order_ms(&instance.id);
         let known_ms = self.settings.fleet_ms.or(self.settings.fleet_ms_at_least);
-        let since = u64::try_from(now.saturating_sub(self.leader_since).as_millis()).unwrap_or(0);
-        let now_ms = known_ms.map(|known| known + since);
-        let is_over = |at: u64| now_ms.is_some_and(|now| now >= at.saturating_add(quiet_ms));
-        let is_quiet = ordered_ms.is_none_or(is_over);
-        is_listed_since && (is_old || is_quiet)
+        let elapsed_ms =
+            u64::try_from(now.saturating_sub(self.leader_since).as_millis()).unwrap_or(0);
+        let now_ms = known_ms.map(|known| known + elapsed_ms);
+        let is_over = |at: u64| now_ms.is_some_and(|now| now >= at.saturating_add(required_gap_ms));
+        let is_record_old = ordered_ms.is_none_or(is_over);
+        is_listed_since && (is_old || is_record_old)
     }
 }
--- a/crates/pomelohitch-sched/src/cell/orders.rs
+++ b/crates/pomelohitch-sched/src/cell/orders.rs
@@ -40,8 +40,10 @@
         let now = self.now.steady;
         let sent_at = self.run(task, run).and_then(|r| r.view.sent_at);
         match sent_at {
-            Some(at) => self.flow.start_answered(now, now.saturating_sub(at)),
-            None => self.flow.start_dropped(),
+            Some(at) => self
+                .start_window
+                .start_answered(now, now.saturating_sub(at)),
+            None => self.start_window.start_dropped(),
         }
         let Some(r) = self.run_mut(task, run) else {
             return;
--- a/crates/pomelohitch-sched/src/cell/polls.rs
+++ b/crates/pomelohitch-sched/src/cell/polls.rs
@@ -95,7 +95,7 @@
     /// wait to be processed or arrive late, since more polls would add to the wait.
     pub(super) fn poll_interval(&self) -> Duration {
         let excess_response = self
-            .flow
+            .start_window
             .delay(self.now.steady)
             .saturating_sub(NORMAL_RESPONSE_TIME);
         let excess = self
@@ -162,8 +162,8 @@
             Ok(answer) => self.record_lag(now.saturating_sub(answer.answered_at)),
             Err(failure) => self.is_fenced |= *failure == PollFailure::Fenced,
         }
-        let gap = self.poll_interval();
-        let is_congested = self.flow.delay(now) > NORMAL_RESPONSE_TIME;
+        let interval = self.poll_interval();
+        let is_congested = self.start_window.delay(now) > NORMAL_RESPONSE_TIME;
         let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
             return;
         };
@@ -172,7 +172,7 @@
         match result {
             Ok(answer) => {
                 schedule.failures = 0;
-                schedule.due = now + gap;
+                schedule.due = now + interval;
                 self.apply_poll(&target.id, &answer);
             }
             Err(failure) => {
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -18,7 +18,7 @@
 
 /// Tasks that fit on no endpoint in this pass of a service.
 #[derive(Debug, Default)]
-pub(super) struct Misfits {
+pub(super) struct Unplaced {
     /// Resources that no endpoint has free. Tasks that need as much or more are skipped.
     needs: Vec<Resources>,
     /// Requirements of the first task that found no place but would fit on an empty endpoint.
@@ -34,16 +34,16 @@
 
 /// A shortage of a service: some of its tasks fit on none of its endpoints.
 #[derive(Debug, Clone)]
-pub(super) struct Unplaced {
+pub(super) struct Shortage {
     /// Time since which every pass has left such a task.
     pub(super) since: Steady,
     /// Requirements of the first of these tasks in the last pass.
     pub(super) requirements: Requirements,
 }
 
-impl Misfits {
+impl Unplaced {
     /// Whether a task that needs no more than this has found no place in this pass.
-    fn covers(&self, need: &Resources) -> bool {
+    fn rules_out(&self, need: &Resources) -> bool {
         self.needs.iter().any(|m| need.holds(m))
     }
 
@@ -78,7 +78,7 @@
             .filter(|(_, jobs)| !jobs.is_empty())
             .map(|(service, _)| service.clone())
             .collect();
-        self.unplaced
+        self.shortages
             .retain(|service, _| services.contains(service));
         if !services.is_empty() {
             self.passes = self.passes.wrapping_add(1);
@@ -92,7 +92,7 @@
 
     fn schedule_service(&mut self, service: &ServiceName) {
         let mut slots = self.slots(service);
-        let mut misfits = Misfits::default();
+        let mut unplaced = Unplaced::default();
         let ids = self.by_urgency(service, &slots).into_iter();
         let (suspected, others): (Vec<JobId>, Vec<JobId>) =
             ids.partition(|id| self.suspected.contains_key(id));
@@ -100,22 +100,22 @@
             service,
             others_wait: !others.is_empty(),
         };
-        self.start_suspected(&suspected, &load, &mut slots, &mut misfits);
+        self.start_suspected(&suspected, &load, &mut slots, &mut unplaced);
         for id in others {
-            if self.start_ready(id, &mut slots, &mut misfits) > 0 {
+            if self.start_ready(id, &mut slots, &mut unplaced) > 0 {
                 self.index(id);
             }
         }
-        if let Some(requirements) = misfits.first_unplaced {
-            let since = self.unplaced.get(service).map(|u| u.since);
+        if let Some(requirements) = unplaced.first_unplaced {
+            let since = self.shortages.get(service).map(|s| s.since);
             let since = since.unwrap_or(self.now.steady);
-            let unplaced = Unplaced {
+            let shortage = Shortage {
                 since,
                 requirements,
             };
-            self.unplaced.insert(service.clone(), unplaced);
+            self.shortages.insert(service.clone(), shortage);
         } else {
-            self.unplaced.remove(service);
+            self.shortages.remove(service);
         }
     }
 
@@ -124,7 +124,7 @@
         &mut self,
         id: JobId,
         slots: &mut Slots,
-        misfits: &mut Misfits,
+        unplaced: &mut Unplaced,
     ) -> usize {
         let Some(job) = self.jobs.get(&id) else {
             return 0;
@@ -138,7 +138,7 @@
                 step,
                 index: 0,
             };
-            self.start_step(&spec, first, slots, misfits);
+            self.start_step(&spec, first, slots, unplaced);
         }
         self.after_commit.len() - decided
     }
@@ -264,10 +264,10 @@
         spec: &Arc<JobSpec>,
         first: TaskId,
         slots: &mut Slots,
-        misfits: &mut Misfits,
+        unplaced: &mut Unplaced,
     ) {
         let step = &spec.steps[usize::from(first.step)];
-        if misfits.covers(&step.task_resources()) {
+        if unplaced.rules_out(&step.task_resources()) {
             return;
         }
         let Some(allowed) = self.allowed_endpoints(spec, first, &slots.list) else {
@@ -276,19 +276,19 @@
         if step.is_gang || step.is_rack_local {
             let may_run: Vec<_> = slots.list.iter().filter(|s| allowed.has(&s.id)).collect();
             let is_placed = self.start_group(spec, first, &may_run);
-            misfits.note_unplaced(step, !is_placed && self.fits_somewhere(step));
+            unplaced.note_unplaced(step, !is_placed && self.fits_somewhere(step));
             slots.refresh(&self.endpoints);
             return;
         }
         let mut siblings = slots.siblings(&self.siblings(first));
         for task in self.waiting_tasks(first) {
-            if !self.is_within_limit(spec, &step.need) || !self.flow.has_capacity() {
+            if !self.is_within_limit(spec, &step.need) || !self.start_window.has_capacity() {
                 return;
             }
             let place = self.place(step, task, &allowed, slots, &siblings);
             let Some(place) = place else {
-                misfits.add(step);
-                misfits.note_unplaced(step, self.fits_somewhere(step));
+                unplaced.add(step);
+                unplaced.note_unplaced(step, self.fits_somewhere(step));
                 return;
             };
             siblings[place] += 1;
