--- a/crates/pomelohitch-sched/src/suspicion.rs
+++ b/crates/pomelohitch-sched/src/suspicion.rs
@@ -26,7 +26,7 @@
     pub min_certain: u32,
     /// Number of endpoints lost under a task at which it is given up in any case; the platform
     /// allows no more.
-    pub lost: u32,
+    pub max_lost: u32,
     /// A run that has been running for this long is not blamed for a crash.
     pub proven_after: Duration,
     /// The same for a task under which an endpoint was lost before.
@@ -51,7 +51,7 @@
             min_sole_cause: 2,
             max_lost_certain: 4,
             min_certain: 2,
-            lost: 5,
+            max_lost: 5,
             proven_after: Duration::from_millis(150),
             proven_again_after: Duration::from_secs(2),
             cleared_after: Duration::from_secs(10),
@@ -104,7 +104,7 @@
         let is_only_cause =
             self.alone >= limits.min_sole_cause && self.lost >= limits.max_lost_sole_cause;
         let is_certain = self.certain >= limits.min_certain && self.lost >= limits.max_lost_certain;
-        is_only_cause || is_certain || self.lost >= limits.lost
+        is_only_cause || is_certain || self.lost >= limits.max_lost
     }
 
     /// Whether a run of the task that has been running for `ran_for` is not blamed for a crash.
