--- a/crates/pomelohitch-core/examples/jobs_cost.rs
+++ b/crates/pomelohitch-core/examples/jobs_cost.rs
@@ -28,9 +28,9 @@
         let single_map = time_single_map(count);
         println!(
             "{count}, {:.1}, {:.1}, {:.1}, {resident}",
-            micros(chunked),
-            micros(changed),
-            micros(single_map)
+            micros_per_record(chunked),
+            micros_per_record(changed),
+            micros_per_record(single_map)
         );
     }
 }
@@ -46,7 +46,7 @@
     pages.unwrap_or(0) * PAGE_KIB
 }
 
-fn micros(time: Duration) -> f64 {
+fn micros_per_record(time: Duration) -> f64 {
     time.as_secs_f64() * 1e6 / f64::from(RECORDS)
 }
 
--- a/crates/pomelohitch-place/examples/measure/baseline.rs
+++ b/crates/pomelohitch-place/examples/measure/baseline.rs
@@ -23,7 +23,7 @@
     pub waiting: BTreeSet<(Urgency, u64, JobId)>,
     pub jobs: BTreeMap<JobId, Entry>,
     pub tasks_on: BTreeMap<InstanceId, BTreeSet<JobId>>,
-    pub reserved_on: BTreeMap<JobId, InstanceId>,
+    pub preempted_on: BTreeMap<JobId, InstanceId>,
 }
 
 impl Baseline {
@@ -48,7 +48,7 @@
             _ => {}
         }
         if let Some(attempt) = entry.attempt() {
-            self.reserved_on.remove(id);
+            self.preempted_on.remove(id);
             let allocated = self.allocated.entry(attempt.worker.clone()).or_default();
             *allocated = allocated.plus(&attempt.reserve);
             self.tasks_on
@@ -82,7 +82,8 @@
             let entry = &self.jobs[&id];
             let mut need = entry.job.need;
             need.memory_mib = need.memory_mib.max(entry.memory_floor_mib);
-            if unmet.iter().any(|unmet| need.covers(unmet)) && !self.reserved_on.contains_key(&id) {
+            if unmet.iter().any(|unmet| need.covers(unmet)) && !self.preempted_on.contains_key(&id)
+            {
                 continue;
             }
             let found = self.workers.values().find(|worker| {
@@ -98,10 +99,10 @@
                     worker: worker.id.clone(),
                     reserve: need,
                 });
-                self.reserved_on.remove(&id);
+                self.preempted_on.remove(&id);
             } else if self.has_priority
                 && entry.job.urgency == Urgency::Urgent
-                && !self.reserved_on.contains_key(&id)
+                && !self.preempted_on.contains_key(&id)
             {
                 self.preempt(&id, &need, &mut decision);
             } else {
@@ -134,7 +135,7 @@
                 });
                 if known.capacity.covers(&allocated.plus(need)) {
                     decision.preempt.extend(victims);
-                    self.reserved_on.insert(id.clone(), worker.clone());
+                    self.preempted_on.insert(id.clone(), worker.clone());
                     return;
                 }
             }
--- a/crates/pomelohitch-place/src/planner/reservations.rs
+++ b/crates/pomelohitch-place/src/planner/reservations.rs
@@ -34,7 +34,7 @@
         now: Duration,
         decision: &mut Decision,
     ) -> bool {
-        let found = self.preemption_candidates(
+        let candidates = self.preemption_candidates(
             id,
             need,
             self.layout.workers.len(),
@@ -43,15 +43,15 @@
         let team = self.jobs[id].entry.job.team.clone();
         let may_take_all = self.may_preempt_others(&team, need);
         let own_share = self.weighted_share_after(&self.teams[&team], need);
-        let no_more = Resources::default();
-        let has_more =
-            |owner: &TeamId| self.weighted_share_after(&self.teams[owner], &no_more) > own_share;
+        let nothing = Resources::default();
+        let has_higher_share =
+            |owner: &TeamId| self.weighted_share_after(&self.teams[owner], &nothing) > own_share;
         let mut best: Option<Victims> = None;
-        for slot in found {
+        for slot in candidates {
             let worker = self.layout.workers[slot].clone();
             let machine = &self.machines[&worker];
             let victims = self.victims(machine, need, now, |owner| {
-                may_take_all || *owner == team || has_more(owner)
+                may_take_all || *owner == team || has_higher_share(owner)
             });
             if let Some(victims) = victims
                 && best.as_ref().is_none_or(|best| victims.cost < best.cost)
@@ -203,10 +203,10 @@
             return None;
         }
         let [(_, headroom_start), (headroom_end, _)] = self.patient_ranges(now);
-        let found = self
+        let candidates = self
             .preemption_candidates(id, need, headroom_start, headroom_end)
             .into_iter();
-        let earliest = found.min_by_key(|&slot| {
+        let earliest = candidates.min_by_key(|&slot| {
             let machine = &self.machines[&self.layout.workers[slot]];
             (self.expected_free_at(machine, need, now), slot)
         });
