--- a/crates/pomelohitch-core/examples/jobs_cost.rs
+++ b/crates/pomelohitch-core/examples/jobs_cost.rs
@@ -46,6 +46,7 @@
     pages.unwrap_or(0) * PAGE_KIB
 }
 
+/// Microseconds per record, from the time for [`RECORDS`] records.
 fn micros_per_record(time: Duration) -> f64 {
     time.as_secs_f64() * 1e6 / f64::from(RECORDS)
 }
@@ -66,6 +67,7 @@
     (applying, finding)
 }
 
+/// Time to apply all records to a single map, extrapolated from a tenth of them.
 fn time_single_map(count: u32) -> Duration {
     let state = state_with_jobs(count);
     let entries = state.jobs.table.iter();
@@ -77,7 +79,7 @@
         .clone();
     let mut all = Arc::new(entries);
     let began = Instant::now();
-    // A tenth of the records, because each one copies the whole map.
+    // Only a tenth of the records, because each one copies the whole map.
     for number in 0..RECORDS / 10 {
         let reader = all.clone();
         let id = format!("new-{number}").into();
--- a/crates/pomelohitch-core/src/record.rs
+++ b/crates/pomelohitch-core/src/record.rs
@@ -266,12 +266,12 @@
         /// Limits on the failure domains affected at once.
         limits: WaveLimits,
     },
-    /// Pauses drains for maintenance and moves out of the pool.
+    /// Forbids drains that are for maintenance or for a move out of the pool, until resumed.
     Pause {
         /// Pool to pause; `None` for all pools.
         pool: Option<PoolId>,
     },
-    /// Ends a pause.
+    /// Ends a pause. Resuming a single pool also resets the count of instances that its wave lost.
     Resume {
         /// Pool to resume; `None` ends the pause of all pools, but not pauses of single pools.
         pool: Option<PoolId>,
--- a/crates/pomelohitch-core/src/record/job.rs
+++ b/crates/pomelohitch-core/src/record/job.rs
@@ -53,7 +53,7 @@
     /// Jobs to place on workers, at most [`MAX_PLACEMENTS`]; any beyond that are ignored.
     #[serde(default)]
     pub place: Vec<Placement>,
-    /// Waiting jobs that fit no worker.
+    /// Waiting jobs to end as refused, because they fit no worker.
     #[serde(default)]
     pub refuse: Vec<JobId>,
     /// Workers to quarantine, because jobs fail there that succeed elsewhere. They get only probe
--- a/crates/pomelohitch-core/src/state.rs
+++ b/crates/pomelohitch-core/src/state.rs
@@ -1,8 +1,8 @@
 //! The fold over the records of the log, and the [`State`] that it produces.
 //!
 //! The state changes only in [`State::apply`] and [`State::skip`]. The rules for each part of the
-//! state are in a module of their own: [`config`](crate::config) for publishes, [`members`],
-//! [`fleet`], [`waves`], [`jobs`] and [`limits`].
+//! state are in a module of their own: `publish` with [`config`](crate::config) for publishes,
+//! [`members`], [`fleet`], [`waves`], [`jobs`] and [`limits`].
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Skips the record at `offset`, which this version can't decode.
+    /// Advances past the record at `offset`, which this version can't decode; nothing else changes.
     pub fn skip(&mut self, offset: Offset) {
         self.next = self.next.max(offset + 1);
     }
--- a/crates/pomelohitch-core/src/state/jobs.rs
+++ b/crates/pomelohitch-core/src/state/jobs.rs
@@ -8,7 +8,8 @@
 //!      └────────────────────────────┴───────────────────────┘
 //! ```
 //!
-//! A report on the attempt ends the job or sends it back to `Waiting`.
+//! A report on the attempt, which may also arrive in `Placed`, ends the job or sends it back to
+//! `Waiting`. A waiting job ends directly if it is cancelled or refused.
 //!
 //! * [`outcome`]: state transitions and final outcomes.
 //! * [`table`]: the job table, in chunks shared between copies of the state.
@@ -253,6 +254,7 @@
             let killed_at = self.killed_at.entry(class).or_default();
             *killed_at = memory_mib.max(*killed_at);
         }
+        // Taken out during the transition, which borrows `self` mutably.
         let quarantined = std::mem::take(&mut self.quarantined);
         let is_quarantined = |worker: &InstanceId| quarantined.contains_key(worker);
         self.transition(&report.job, |entry| {
--- a/crates/pomelohitch-core/src/state/jobs/table.rs
+++ b/crates/pomelohitch-core/src/state/jobs/table.rs
@@ -99,7 +99,7 @@
         changed
     }
 
-    /// Adds a job, unless it has an entry or its id is kept from an earlier run.
+    /// Adds a job, unless one with the same id has an entry, or ended and its id is still kept.
     pub(super) fn submit(&mut self, offset: Offset, job: &Job) {
         let hash = hash(&job.id);
         let chunk = &self.chunks[chunk_of(hash)];
--- a/crates/pomelohitch-core/src/state/limits.rs
+++ b/crates/pomelohitch-core/src/state/limits.rs
@@ -26,8 +26,8 @@
     pub version: Offset,
 }
 
-/// Splits that were set by a record. Any other team's limit is split in half, the odd one for
-/// requests.
+/// Splits that were set by a record. Any other team's limit is split in half; if it is odd, the
+/// larger part is for requests.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
     /// Splits by team.
--- a/crates/pomelohitch-core/src/status.rs
+++ b/crates/pomelohitch-core/src/status.rs
@@ -251,8 +251,8 @@
     }
 }
 
-/// Reason for which the wave can't drain another instance now; `None` if it can. `left` are the
-/// active instances that the wave still covers.
+/// Reason for which the wave can't drain another instance now; `None` if it can, or if `left`, the
+/// active instances that the wave still covers, is empty and no other reason applies.
 fn wave_wait_reason<'a>(
     state: &State,
     pool: &PoolId,
--- a/crates/pomelohitch-core/tests/fold/fleet.rs
+++ b/crates/pomelohitch-core/tests/fold/fleet.rs
@@ -118,6 +118,7 @@
     log.accept_step(log.fail("i0"));
     log.accept_step(log.forget("i0"));
     let forgotten = log.state.next - 1;
+    // The adoption: `with_planner` appended records 0 to 3.
     let mut late = log.records[4].clone();
     late.id = pomelohitch_core::id::RecordId::from_u128(99);
     late.after = after;
--- a/crates/pomelohitch-place/examples/measure/baseline.rs
+++ b/crates/pomelohitch-place/examples/measure/baseline.rs
@@ -23,6 +23,8 @@
     pub waiting: BTreeSet<(Urgency, u64, JobId)>,
     pub jobs: BTreeMap<JobId, Entry>,
     pub tasks_on: BTreeMap<InstanceId, BTreeSet<JobId>>,
+    /// Worker on which tasks were preempted for a waiting urgent job. Nothing is reserved there;
+    /// the entry keeps the job from preempting again, and from being skipped for an unmet need.
     pub preempted_on: BTreeMap<JobId, InstanceId>,
 }
 
--- a/crates/pomelohitch-place/examples/measure/load.rs
+++ b/crates/pomelohitch-place/examples/measure/load.rs
@@ -11,6 +11,7 @@
 /// Size of a fleet, and duration, tick and seed of its simulation.
 #[derive(Debug, Clone)]
 pub struct Fleet {
+    /// Name for the output and the `FLEET` argument.
     pub name: &'static str,
     pub workers: usize,
     pub cores: u64,
--- a/crates/pomelohitch-place/examples/measure/simulation.rs
+++ b/crates/pomelohitch-place/examples/measure/simulation.rs
@@ -67,9 +67,11 @@
 /// Progress of a job, in addition to the fold's entry.
 #[derive(Debug, Clone, Default)]
 struct Progress {
+    /// Run time completed by earlier attempts and kept by checkpoints.
     done: Duration,
     running_since: Option<(AttemptId, Duration)>,
     first_start: Option<Duration>,
+    /// Upper bound of the wait; see [`Simulation::bound`].
     bound: Duration,
 }
 
@@ -79,7 +81,9 @@
     pub urgent_waits: Vec<Duration>,
     pub urgent_unstarted: usize,
     pub patient_waits: Vec<Duration>,
+    /// Number of patient jobs that waited longer than their bound.
     pub beyond_bound: usize,
+    /// Number of patient jobs with a wait that is compared with the bound.
     pub patient_counted: usize,
     /// Maximum ratio of a wait to its bound.
     pub max_wait_to_bound: f64,
@@ -90,9 +94,13 @@
     /// Maximum deviation of a team's usage from its share, as a fraction of the share.
     pub max_share_deviation: f64,
     pub checkpoints: usize,
+    /// Work lost to checkpoints: processor seconds during the run, at the end divided by the work
+    /// done after the warm-up.
     pub lost_to_checkpoints: f64,
+    /// Work lost to memory kills, likewise.
     pub lost_to_kills: f64,
     pub kills: usize,
+    /// Time from each worker's fault to its quarantine.
     pub quarantined_after: Vec<Duration>,
     pub wrongly_quarantined: usize,
     pub refused: usize,
@@ -100,6 +108,7 @@
     pub decide_times: Vec<Duration>,
     /// Number of job changes passed to the policy.
     pub changes: u32,
+    /// Number of times that the allocations on a worker exceeded its capacity.
     pub oversubscribed: usize,
     pub ended: usize,
 }
--- a/crates/pomelohitch-place/src/health.rs
+++ b/crates/pomelohitch-place/src/health.rs
@@ -66,6 +66,8 @@
     suspects: BTreeSet<InstanceId>,
     /// Where the next pass continues if the last one reached `MAX_EVALUATED_AT_ONCE`.
     evaluated_up_to: Option<InstanceId>,
+    /// Whether the next pass has suspects to evaluate again: an attempt ended, or the last pass
+    /// didn't reach all suspects.
     has_changed: bool,
 }
 
@@ -97,8 +99,9 @@
         }
     }
 
-    /// Returns suspects to quarantine and removes them from the suspects. Respects
-    /// `MAX_QUARANTINED_PERCENT` of a fleet of `workers`.
+    /// Returns suspects to quarantine and removes them from the suspects; only as many that at
+    /// most `MAX_QUARANTINED_PERCENT` of a fleet of `workers`, or one if that is less, are in
+    /// quarantine.
     pub fn take_suspects(&mut self, workers: usize) -> Vec<InstanceId> {
         if !std::mem::take(&mut self.has_changed) {
             return Vec::new();
@@ -186,7 +189,7 @@
         }
     }
 
-    /// Removes the failures of a worker that left. A quarantine stays in force.
+    /// Discards the recorded failures of a worker that left. A quarantine stays in force.
     pub fn remove_worker(&mut self, worker: &InstanceId) {
         self.streaks.remove(worker);
         self.suspects.remove(worker);
--- a/crates/pomelohitch-place/src/lib.rs
+++ b/crates/pomelohitch-place/src/lib.rs
@@ -2,8 +2,9 @@
 //!
 //! [`Planner`] does no I/O and reads no clock: it takes changes of workers, teams and jobs and the
 //! current time, and returns a [`Decision`]. The same inputs in the same order give the same
-//! decisions. The cost of a decision grows with the changes since the previous one, not with the
-//! number of workers or jobs.
+//! decisions. A decision doesn't scan all workers or jobs: its cost depends mainly on the changes
+//! since the previous one and on the number of teams. All indices are rebuilt when workers are
+//! added, removed, or changed in capacity or rack.
 //!
 //! * [`worker`]: the planner's input for a worker.
 //! * [`index`]: finds workers with enough free capacity without a scan of all workers.
--- a/crates/pomelohitch-place/src/planner.rs
+++ b/crates/pomelohitch-place/src/planner.rs
@@ -120,9 +120,9 @@
 /// Share and limit of a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TeamQuota {
-    /// Weight of the team when the fleet is fully allocated.
+    /// Weight relative to other teams.
     pub share: u32,
-    /// Maximum number of attempts at a time.
+    /// Maximum number of concurrent attempts, including those being stopped.
     pub limit: u32,
 }
 
@@ -135,7 +135,7 @@
 struct Team {
     share: u32,
     limit: u32,
-    /// Number of attempts.
+    /// Number of attempts that are placed, running or being stopped.
     active: u32,
     /// Number of jobs with a reservation.
     reservation_count: u32,
@@ -211,7 +211,8 @@
     workers: Vec<InstanceId>,
     /// For each slot, the end (exclusive) of its rack.
     rack_end: Vec<Slot>,
-    /// Start and end (exclusive) of each zone, for workers without and with accelerators.
+    /// Start and end (exclusive) of each zone. A zone has one entry for its workers without
+    /// accelerators and one for those with.
     zones: Vec<(Slot, Slot)>,
     /// End (exclusive) of the workers without accelerators.
     cpu_only_end: Slot,
@@ -246,7 +247,7 @@
     /// When each reservation reaches `reservation_timeout`.
     reservation_deadlines: BTreeSet<(Duration, JobId)>,
     unschedulable: BTreeSet<JobId>,
-    /// Workers that take no new jobs, with the time since when.
+    /// Workers that take no new jobs, each with the time at which that began.
     leaving: BTreeMap<InstanceId, Duration>,
     /// Jobs that probe a quarantined worker.
     probes: BTreeMap<JobId, InstanceId>,
@@ -281,7 +282,7 @@
     Place(JobId, InstanceId, Resources),
     /// Reserve these resources for the job on the worker.
     Reserve(JobId, InstanceId, Resources),
-    /// Set the job aside, as it fits no worker.
+    /// Take the job out of its queue, as it fits no worker.
     MarkUnschedulable(JobId, Resources),
     /// No job of the team can be placed in this pass.
     Done,
@@ -352,14 +353,14 @@
             .map_or_else(Resources::default, |t| t.used)
     }
 
-    /// Allocated resources and capacity of `worker`.
+    /// Allocated resources and capacity of `worker`; `None` if the planner doesn't know it.
     #[must_use]
     pub fn load_of(&self, worker: &str) -> Option<(Resources, Resources)> {
         let machine = self.machines.get(worker)?;
         Some((machine.allocated, machine.worker.capacity))
     }
 
-    /// Expected run time of `job`.
+    /// Expected run time of `job`; `None` if the planner doesn't know it.
     #[must_use]
     pub fn run_time(&self, job: &str) -> Option<Duration> {
         Some(self.sizes.run_time(&self.jobs.get(job)?.entry))
--- a/crates/pomelohitch-place/src/planner/accounting.rs
+++ b/crates/pomelohitch-place/src/planner/accounting.rs
@@ -426,7 +426,8 @@
         }
     }
 
-    /// The team's dominant share divided by its weight; the team with the lowest is next.
+    /// The team's dominant share, in billionths, divided by its weight; the team with the lowest is
+    /// next.
     pub(super) fn weighted_share(&self, team: &Team) -> u64 {
         dominant_share(&team.used, &self.total) / u64::from(team.share.max(1))
     }
--- a/crates/pomelohitch-place/src/planner/reservations.rs
+++ b/crates/pomelohitch-place/src/planner/reservations.rs
@@ -34,6 +34,7 @@
         now: Duration,
         decision: &mut Decision,
     ) -> bool {
+        // An empty range to leave out: urgent jobs may use the headroom.
         let candidates = self.preemption_candidates(
             id,
             need,
@@ -68,8 +69,8 @@
         true
     }
 
-    /// Workers on which preemption could free enough capacity, beginning at `search_start` and
-    /// wrapping around, without those in `headroom_start..headroom_end`.
+    /// Slots of up to `MAX_CANDIDATES` workers on which preemption could free enough capacity,
+    /// beginning at `search_start` and wrapping around, without `headroom_start..headroom_end`.
     fn preemption_candidates(
         &self,
         id: &JobId,
@@ -234,7 +235,7 @@
     }
 
     /// When `machine` is expected to have enough free capacity for `need`, by the expected ends of
-    /// its tasks.
+    /// its tasks; `Duration::MAX` if it won't have enough even after all of them.
     fn expected_free_at(&self, machine: &Machine, need: &Resources, now: Duration) -> Duration {
         let mut ends: Vec<_> = machine
             .tasks
--- a/crates/pomelohitch-place/src/planner/search.rs
+++ b/crates/pomelohitch-place/src/planner/search.rs
@@ -15,9 +15,10 @@
 const MAX_RACKS_TRIED: usize = 16;
 
 impl Planner {
-    /// Finds a worker with enough free capacity for a patient job: the first one in index order,
-    /// which keeps free capacity contiguous at the end, or for a job of a group the one that
-    /// spreads the group.
+    /// Finds a worker with enough free capacity for a patient job: the first one in
+    /// [`patient_ranges`](Planner::patient_ranges), which keeps free capacity contiguous at the
+    /// end. For a job of a group, patient or urgent, it is the one that spreads the group best,
+    /// which may be in the headroom.
     pub(super) fn find_worker(
         &self,
         entry: &Entry,
@@ -33,10 +34,11 @@
         Some(self.layout.workers[slot?].clone())
     }
 
-    /// Slot ranges open to patient jobs. If urgent jobs were waiting within `headroom_period`, the
-    /// last workers without accelerators are kept free for them: an urgent job starts within
-    /// milliseconds on free capacity, whereas a preemption loses work of the preempted task. The
-    /// headroom consists of whole workers because a small part of every worker would fit no job.
+    /// Slot ranges open to patient jobs without a group. If urgent jobs were waiting within
+    /// `headroom_period`, the last workers without accelerators are kept free for them: an urgent
+    /// job starts within milliseconds on free capacity, whereas a preemption loses work of the
+    /// preempted task. The headroom consists of whole workers because a small part of every worker
+    /// would fit no job.
     pub(super) fn patient_ranges(&self, now: Duration) -> [(Slot, Slot); 2] {
         let (cpu_only, all) = (self.layout.cpu_only_end, self.layout.workers.len());
         let is_recent = |at: Duration| now.saturating_sub(at) <= self.options.headroom_period;
--- a/crates/pomelohitch-place/src/sizes.rs
+++ b/crates/pomelohitch-place/src/sizes.rs
@@ -11,7 +11,7 @@
 use pomelohitch_core::record::job::Resources;
 use pomelohitch_core::state::jobs::Entry;
 
-/// Number of ended jobs of a class after which observed values replace the declared ones.
+/// Number of observed run times of a class after which observed values replace the declared ones.
 const MIN_ENDED: u32 = 5;
 /// Memory reserved above the observed peak, in percent, since a job that exceeds it is killed.
 const MEMORY_MARGIN_PERCENT: u64 = 8;
@@ -22,8 +22,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Observed {
     peak: Resources,
+    /// Number of run times in the average.
     ended: u32,
+    /// Moving average.
     run_time: Duration,
+    /// Highest memory use at which a job was killed; 0 if none was.
     killed_at_mib: u64,
 }
 
@@ -40,7 +43,7 @@
         observed.peak = observed.peak.larger(used);
     }
 
-    /// Adds the run time of a job of `class` that ended.
+    /// Adds the run time of a job of `class` that succeeded without resuming from a checkpoint.
     pub fn observe_run_time(&mut self, class: &JobClass, run_time: Duration) {
         let observed = self.classes.entry(class.clone()).or_default();
         observed.run_time = if observed.ended == 0 {
