--- a/crates/pomelohitch-core/tests/fold/properties.rs
+++ b/crates/pomelohitch-core/tests/fold/properties.rs
@@ -107,6 +107,7 @@
     }
 }
 
+/// Asserts that an accepted drain respects pauses, floors, wave limits and availability budgets.
 fn assert_budgets_kept(before: &State, after: &State, body: &Body) {
     let Body::Fleet(FleetDecision {
         step: FleetStep::Drain {
--- a/crates/pomelohitch-place/examples/measure/simulation.rs
+++ b/crates/pomelohitch-place/examples/measure/simulation.rs
@@ -121,20 +121,28 @@
     job_numbers: BTreeMap<JobId, usize>,
     progress: BTreeMap<JobId, Progress>,
     queue: BinaryHeap<Reverse<(Duration, u64, SimulationEvent)>>,
+    /// Number of events scheduled; orders events that are due at the same time.
     next_number: u64,
+    /// Faulty workers, with the time since which they fail all jobs.
     faulty: BTreeMap<InstanceId, Duration>,
     /// Allocated resources of each worker.
     allocated: BTreeMap<InstanceId, Resources>,
     capacity: BTreeMap<InstanceId, Resources>,
     /// Work of waiting and running patient jobs by team, in processor seconds.
     backlog: BTreeMap<Box<str>, f64>,
+    /// Allocated resources of each team.
     team_used: BTreeMap<Box<str>, Resources>,
+    /// Dominant share of each team, integrated over time in seconds.
     team_sum: BTreeMap<Box<str>, f64>,
+    /// Capacity of the fleet.
     total: Resources,
+    /// Allocated resources of the fleet.
     total_used: Resources,
+    /// Allocated fraction of the fleet, integrated over time in seconds.
     allocated_sum: f64,
     /// Resources that running tasks actually use.
     actual_usage: Resources,
+    /// Actually used fraction of the fleet, integrated over time in seconds.
     actual_usage_sum: f64,
     sampled_at: Duration,
     results: Results,
@@ -302,6 +310,7 @@
 
     fn handle(&mut self, event: SimulationEvent, now: Duration) {
         match event {
+            // `run` submits all jobs of a tick in one record.
             SimulationEvent::Submit(_) => {}
             SimulationEvent::Start(id, attempt) => self.start(&id, attempt, now),
             SimulationEvent::Usage(id, attempt) => {
