--- a/crates/pomelohitch-config/src/tree.rs
+++ b/crates/pomelohitch-config/src/tree.rs
@@ -1,4 +1,4 @@
-//! All fleet files below a directory, and the rules that hold across them.
+//! Loads all fleet files below a directory and checks the rules that span files.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -9,58 +9,58 @@
 
 use crate::FILE_NAME;
 use crate::fault::Fault;
-use crate::parse::{Declared, Parsed, parse};
+use crate::parse::{Declaration, Parsed, parse};
 
-/// Largest fleet file, in bytes: all of a publish's files travel in one record of the log.
-const FILE_BYTES: u64 = 256 * 1024;
+/// Maximum size of a fleet file, in bytes. All files of a publish share one log record.
+const MAX_FILE_BYTES: u64 = 256 * 1024;
 
-/// The tree couldn't be read.
+/// Loading a tree failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
     /// A file or directory can't be read.
     #[snafu(display("read {}: {source}; check the path and its permissions", path.display()))]
     Io {
-        /// Which.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// Why not.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// No fleet file is below the directory.
+    /// The directory contains no fleet file.
     #[snafu(display("no {FILE_NAME} below {}; check the path", root.display()))]
     Empty {
-        /// The directory.
+        /// Root of the tree.
         root: PathBuf,
     },
     /// The files have faults.
     #[snafu(display("{} fault(s) in the fleet files", faults.len()))]
     Faults {
-        /// All of them, sorted.
+        /// All faults of all files, sorted by file and line.
         faults: Vec<Fault>,
     },
 }
 
-/// The result of this module.
+/// Result of loading a tree.
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
-/// The files of a tree, each right by itself.
+/// The files of a tree, each without faults of its own.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Tree {
-    /// Files by their path in the tree, with `/` between its parts.
+    /// Files by path relative to the root, with `/` as the separator.
     pub files: BTreeMap<FilePath, Parsed>,
 }
 
 impl Tree {
     /// Reads every fleet file below `root`.
     ///
-    /// Hidden directories and symbolic links are passed over: a link could lead out of the tree
-    /// or back into it.
+    /// Hidden directories and symbolic links are skipped: a link could lead out of the tree or form
+    /// a cycle.
     ///
     /// # Errors
-    /// If a file can't be read, none is there, or files have faults: then every fault of every
-    /// file at once.
+    /// If a file or directory can't be read, the directory contains no fleet file, or files have
+    /// faults. [`Error::Faults`] lists the faults of all files.
     pub fn load(root: &Path) -> Result<Tree> {
         let mut paths = Vec::new();
-        find(root, &mut paths)?;
+        find_files(root, &mut paths)?;
         paths.sort();
         if paths.is_empty() {
             return EmptySnafu { root }.fail();
@@ -68,8 +68,8 @@
         let mut tree = Tree::default();
         let mut faults = Vec::new();
         for path in paths {
-            let name = name_in(root, &path);
-            match read(&name, &path)? {
+            let name = relative_path(root, &path);
+            match read_file(&name, &path)? {
                 Ok(parsed) => {
                     tree.files.insert(name, parsed);
                 }
@@ -83,10 +83,11 @@
         }
     }
 
-    /// Checks the rules across files, over these and the `others` that stay in force beside them.
+    /// Checks the rules that span files, over the files of this tree and `others`, the files in
+    /// force that belong to other trees.
     ///
     /// # Errors
-    /// Every fault, sorted, at a line of this tree.
+    /// All faults, sorted, each located at a line of this tree where one exists.
     pub fn check(&self, others: &BTreeMap<FilePath, VersionedFile>) -> Result<(), Vec<Fault>> {
         let mut files = others.clone();
         for (path, parsed) in &self.files {
@@ -102,7 +103,7 @@
         Err(faults)
     }
 
-    /// Puts a rule across files that is broken to the line where it can be mended.
+    /// Converts a violated rule that spans files to a fault at the line where it can be fixed.
     #[must_use]
     pub fn locate(
         &self,
@@ -110,9 +111,9 @@
         others: &BTreeMap<FilePath, VersionedFile>,
     ) -> Fault {
         match fault {
-            config::Fault::Duplicate { kind, id } => self.duplicate(kind, id, others),
+            config::Fault::Duplicate { kind, id } => self.locate_duplicate(kind, id, others),
             config::Fault::UnknownPool { service, pool } => {
-                let (path, line) = self.last_of("pool of service", service);
+                let (path, line) = self.last_declaration("pool of service", service);
                 Fault {
                     path,
                     line,
@@ -126,9 +127,14 @@
         }
     }
 
-    fn duplicate(&self, kind: &str, id: &str, others: &BTreeMap<FilePath, VersionedFile>) -> Fault {
-        let (path, line) = self.last_of(kind, id);
-        let elsewhere = self.places(kind, id).find(|place| place.0 != path);
+    fn locate_duplicate(
+        &self,
+        kind: &str,
+        id: &str,
+        others: &BTreeMap<FilePath, VersionedFile>,
+    ) -> Fault {
+        let (path, line) = self.last_declaration(kind, id);
+        let elsewhere = self.declarations(kind, id).find(|other| other.0 != path);
         let first = match elsewhere {
             Some((path, line)) => format!("{path}:{line}"),
             None => others
@@ -142,26 +148,30 @@
         Fault {
             path,
             line,
-            what: format!("{kind} '{}' is also declared in {first}", short(kind, id)).into(),
+            what: format!(
+                "{kind} '{}' is also declared in {first}",
+                abbreviated(kind, id)
+            )
+            .into(),
             fix: "remove or rename one of the two".into(),
         }
     }
 
-    fn places<'a>(
+    fn declarations<'a>(
         &'a self,
         kind: &str,
         id: &str,
     ) -> impl Iterator<Item = (FilePath, usize)> + use<'a> {
-        let declared = Declared::new(kind, id);
+        let declared = Declaration::new(kind, id);
         self.files.iter().filter_map(move |(path, parsed)| {
             let line = parsed.lines.get(&declared)?;
             Some((path.clone(), *line))
         })
     }
 
-    fn last_of(&self, kind: &str, id: &str) -> (FilePath, usize) {
-        // A rule broken only by files outside the tree has no line in it.
-        self.places(kind, id)
+    fn last_declaration(&self, kind: &str, id: &str) -> (FilePath, usize) {
+        // A rule that only files outside the tree violate has no line in the tree.
+        self.declarations(kind, id)
             .last()
             .unwrap_or_else(|| ("(in force)".into(), 0))
     }
@@ -179,23 +189,23 @@
     }
 }
 
-/// How many digits of a key's hash are shown.
-const SHOWN_DIGITS: usize = 12;
+/// Number of leading digits of a key hash in messages.
+const SHOWN_HASH_DIGITS: usize = 12;
 
-fn short<'a>(kind: &str, id: &'a str) -> &'a str {
+fn abbreviated<'a>(kind: &str, id: &'a str) -> &'a str {
     match kind {
-        "key" => id.get(..SHOWN_DIGITS).unwrap_or(id),
+        "key" => id.get(..SHOWN_HASH_DIGITS).unwrap_or(id),
         _ => id,
     }
 }
 
-fn find(dir: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
+fn find_files(dir: &Path, found: &mut Vec<PathBuf>) -> Result<()> {
     for entry in std::fs::read_dir(dir).context(IoSnafu { path: dir })? {
         let entry = entry.context(IoSnafu { path: dir })?;
         let kind = entry.file_type().context(IoSnafu { path: entry.path() })?;
         let name = entry.file_name();
         if kind.is_dir() && !name.as_encoded_bytes().starts_with(b".") {
-            find(&entry.path(), found)?;
+            find_files(&entry.path(), found)?;
         } else if kind.is_file() && name == FILE_NAME {
             found.push(entry.path());
         }
@@ -203,7 +213,7 @@
     Ok(())
 }
 
-fn name_in(root: &Path, path: &Path) -> FilePath {
+fn relative_path(root: &Path, path: &Path) -> FilePath {
     let relative = path.strip_prefix(root).unwrap_or(path);
     let parts: Vec<_> = relative
         .components()
@@ -212,14 +222,14 @@
     parts.join("/").into()
 }
 
-fn read(name: &str, path: &Path) -> Result<Result<Parsed, Vec<Fault>>> {
+fn read_file(name: &str, path: &Path) -> Result<Result<Parsed, Vec<Fault>>> {
     let size = std::fs::metadata(path).context(IoSnafu { path })?.len();
-    if size > FILE_BYTES {
+    if size > MAX_FILE_BYTES {
         return Ok(Err(vec![Fault {
             path: name.into(),
             line: 1,
             what: format!("the file has {size} bytes").into(),
-            fix: format!("split it into files of at most {FILE_BYTES} bytes").into(),
+            fix: format!("split it into files of at most {MAX_FILE_BYTES} bytes").into(),
         }]));
     }
     let text = std::fs::read_to_string(path).context(IoSnafu { path })?;
--- a/crates/pomelohitch-standin/examples/local_fleet/fleet.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/fleet.rs
@@ -1,4 +1,4 @@
-//! The processes. Dropping them ends them, in whichever way the program ends.
+//! The processes of the fleet. Dropping the handles kills them, also when the program panics.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -14,41 +14,41 @@
 use pomelohitch_standin::runner::{Faults, Ledger};
 use serde::de::DeserializeOwned;
 
-/// Entry instances.
-const ENTRIES: usize = 3;
-/// Runners of the service.
-const RUNNERS: usize = 6;
-/// How long the start may take.
-const START_LIMIT: Duration = Duration::from_secs(30);
-/// How long a call to the stand-ins may take.
+/// Number of entry instances.
+const ENTRY_COUNT: usize = 3;
+/// Number of runners of the service.
+const RUNNER_COUNT: usize = 6;
+/// Time limit for the fleet to become ready.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout of a call to the stand-ins.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often waiting loops look.
-const TICK: Duration = Duration::from_millis(50);
+/// Polling interval of waiting loops.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where a stand-in listens.
+/// URLs of a stand-in.
 #[derive(Debug, Clone)]
 pub struct Address {
-    /// For the system.
+    /// URL of the service that it stands in for.
     pub url: Box<str>,
-    /// For its faults and its ledger.
+    /// URL of its control address, for faults and ledger.
     pub control: Box<str>,
 }
 
-/// A process of stand-ins.
+/// A process with one or more stand-ins.
 #[derive(Debug)]
 struct Standins {
     child: Child,
     addresses: Vec<Address>,
 }
 
-/// All processes.
+/// All processes of the fleet.
 #[derive(Debug)]
 pub struct Fleet {
     /// The entry instances.
     pub entries: Vec<Daemon>,
-    /// Where the built binaries are.
+    /// Directory of the built binaries.
     pub bin_dir: PathBuf,
-    /// Where the processes' logs go.
+    /// Directory of the entry instances' logs.
     pub log_dir: PathBuf,
     log: Standins,
     runners: Standins,
@@ -58,15 +58,15 @@
 }
 
 impl Fleet {
-    /// Starts everything.
+    /// Starts all processes and publishes the fleet files.
     #[must_use]
     pub fn start(bin_dir: &Path) -> Fleet {
         let log_dir = bin_dir.join("local-fleet");
         std::fs::create_dir_all(&log_dir).expect("the build directory can be written");
         let log = Standins::start(bin_dir, &["log".into()], 1);
-        let count = RUNNERS.to_string();
+        let count = RUNNER_COUNT.to_string();
         let runners = ["runners".into(), "--count".into(), count];
-        let runners = Standins::start(bin_dir, &runners, RUNNERS);
+        let runners = Standins::start(bin_dir, &runners, RUNNER_COUNT);
         let mut args = vec!["instances".to_owned()];
         for (index, runner) in runners.addresses.iter().enumerate() {
             let (addr, control) = (host(&runner.url), host(&runner.control));
@@ -86,7 +86,7 @@
             runners,
             started: 0,
         };
-        for _ in 0..ENTRIES {
+        for _ in 0..ENTRY_COUNT {
             fleet.start_entry();
         }
         fleet.publish();
@@ -110,8 +110,8 @@
         self.entries.push(Daemon::start(&program, &options, log));
     }
 
-    /// Checks and publishes the fleet files as operators do. The files started from nothing, so
-    /// an earlier run's lock would be wrong.
+    /// Checks and publishes the fleet files as operators do. The log is new and empty, so the lock file
+    /// of an earlier run is removed.
     fn publish(&self) {
         let tree = self.log_dir.join("tree");
         if let Err(error) = std::fs::remove_dir_all(&tree) {
@@ -120,27 +120,27 @@
         for (dir, text) in files() {
             let dir = tree.join(dir);
             std::fs::create_dir_all(&dir).expect("the build directory can be written");
-            std::fs::write(dir.join("pomelohitch.toml"), text).expect("it can be written");
+            std::fs::write(dir.join("pomelohitch.toml"), text).expect("the directory was created");
         }
-        let tree = tree.to_str().expect("the build directory's path is text");
+        let tree = tree.to_str().expect("the build directory's path is UTF-8");
         for command in ["check", "publish"] {
-            let code = self.operate(&[command, tree]);
+            let code = self.run_command(&[command, tree]);
             assert!(code == Some(0), "pomelohitch {command} exits with {code:?}");
         }
     }
 
     /// Runs `pomelohitch` as an operator would, and returns its exit code.
-    fn operate(&self, args: &[&str]) -> Option<i32> {
+    fn run_command(&self, args: &[&str]) -> Option<i32> {
         let mut command = Command::new(self.bin_dir.join("pomelohitch"));
         command.args(["--log-url", &self.log.addresses[0].url]);
-        // Whoever reads the addresses from our output isn't to meet the command's own.
+        // Scripts read the addresses from our stdout, so the command's output goes to stderr.
         let status = command.args(args).stdout(std::io::stderr()).status();
         status.expect("the command line was built").code()
     }
 
-    /// What `pomelohitch` shows an operator who asks the entry instances.
+    /// Output of `pomelohitch` with `args`, which queries the entry instances.
     #[must_use]
-    pub fn show(&self, args: &[&str]) -> String {
+    pub fn query(&self, args: &[&str]) -> String {
         let admins = self.entries.iter().map(|e| format!("http://{}", e.admin));
         let admins: Vec<String> = admins.collect();
         let output = Command::new(self.bin_dir.join("pomelohitch"))
@@ -154,33 +154,35 @@
         String::from_utf8_lossy(&output.stdout).into_owned()
     }
 
-    /// Waits until every entry instance serves callers and knows every runner.
+    /// Waits until every entry instance is ready and knows every runner; false after a time-out or
+    /// once `stop` is set.
     #[must_use]
     pub fn wait_ready(&self, stop: &AtomicBool) -> bool {
         let start = Instant::now();
         let is_ready = |entry: &Daemon| {
             let state = entry.state();
-            let knows = state.is_some_and(|state| state.fleet.instances.len() == RUNNERS);
-            knows && entry.is_ready()
+            let knows_runners =
+                state.is_some_and(|state| state.fleet.instances.len() == RUNNER_COUNT);
+            knows_runners && entry.is_ready()
         };
-        while !stop.load(Ordering::Acquire) && start.elapsed() < START_LIMIT {
+        while !stop.load(Ordering::Acquire) && start.elapsed() < START_TIMEOUT {
             if self.entries.iter().all(is_ready) {
                 return true;
             }
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
         false
     }
 
-    /// The entry instances that say that they serve callers, as a balancer would ask them.
+    /// Addresses of the ready entry instances, by the same check that a load balancer makes.
     #[must_use]
     pub fn ready_entries(&self) -> Vec<SocketAddr> {
         let ready = self.entries.iter().filter(|entry| entry.is_ready());
         ready.map(|entry| entry.callers).collect()
     }
 
-    /// Prints what somebody needs to send requests and drive the fleet.
-    pub fn announce(&self) {
+    /// Prints the addresses, keys and service needed to send requests and to operate the fleet.
+    pub fn print_addresses(&self) {
         for entry in &self.entries {
             println!("entry http://{}", entry.callers);
         }
@@ -197,20 +199,20 @@
     /// Replaces the faults of one runner.
     pub fn set_runner_faults(&self, index: usize, faults: &Faults) {
         let url = format!("{}/faults", self.runners.addresses[index].control);
-        let body = serde_json::to_vec(faults).expect("faults have a JSON form");
+        let body = serde_json::to_vec(faults).expect("faults serialize as JSON");
         agent()
             .post(url)
             .send(&body)
             .expect("the runner's control address answers");
     }
 
-    /// What every runner counted.
+    /// The ledger of every runner.
     #[must_use]
     pub fn runner_ledgers(&self) -> Vec<Ledger> {
         self.runners.addresses.iter().map(ledger).collect()
     }
 
-    /// What the workers counted.
+    /// The ledger of the workers.
     #[must_use]
     pub fn worker_ledger(&self) -> pomelohitch_standin::workers::Ledger {
         ledger(&self.workers.addresses[0])
@@ -240,7 +242,7 @@
     }
 }
 
-/// The fleet files by directory: one beside the service's code, one for teams and pools.
+/// The fleet files by directory: one for teams and shared pools, one for the service and its pool.
 fn files() -> [(&'static str, String); 2] {
     let teams = TEAMS.map(|(team, shown)| {
         let hash = key::hash(shown);
@@ -264,7 +266,7 @@
             url: url.into(),
             control: control.into(),
         },
-        _ => panic!("a stand-in told no address: {line:?}"),
+        _ => panic!("a stand-in printed no address: {line:?}"),
     }
 }
 
--- a/crates/pomelohitch-standin/src/load.rs
+++ b/crates/pomelohitch-standin/src/load.rs
@@ -1,4 +1,4 @@
-//! Open-loop load: requests leave on a schedule, whether or not earlier ones were answered.
+//! Open-loop load: requests are sent on a schedule, whether or not earlier ones were answered.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -8,28 +8,27 @@
 use rand::rngs::StdRng;
 use rand::{Rng, RngExt, SeedableRng};
 
-use crate::caller::{self, Call, Done, Outcome};
+use crate::caller::{self, Call, FinishedCall, Outcome};
 
-/// The load.
+/// Settings of a load.
 #[derive(Debug, Clone)]
 pub struct Load {
-    /// Requests a second on average.
+    /// Average number of requests per second; intervals are exponentially distributed.
     pub rate: f64,
-    /// How long requests leave.
+    /// Duration of the schedule.
     pub time: Duration,
-    /// Decides when each leaves, and what it is.
+    /// Seed of the times and the properties of the requests.
     pub seed: u64,
-    /// How many requests wait for their answers at once at the most; further ones leave late,
-    /// which their latencies show.
+    /// Maximum number of requests in flight; further ones are sent late, which counts as latency.
     pub callers: usize,
-    /// The keys to show, one after the other.
+    /// API keys, used in turn.
     pub keys: Vec<Box<str>>,
-    /// What the ids start with.
+    /// Prefix of the request ids.
     pub prefix: Box<str>,
-    /// How long a request runs at the most, whole milliseconds.
-    pub longest_run: Duration,
-    /// How many bytes an answer is padded to at the most.
-    pub longest_answer: usize,
+    /// Maximum run time of a request; fractions of a millisecond are ignored.
+    pub max_run: Duration,
+    /// Maximum length to which an answer is padded, bytes.
+    pub max_answer_len: usize,
 }
 
 impl Default for Load {
@@ -41,16 +40,16 @@
             callers: 128,
             keys: Vec::new(),
             prefix: "r".into(),
-            longest_run: Duration::from_millis(40),
-            longest_answer: 20_000,
+            max_run: Duration::from_millis(40),
+            max_answer_len: 20_000,
         }
     }
 }
 
-/// Time limits of quick and of patient requests.
+/// Timeouts of quick and of patient requests.
 const TIMEOUTS: [Duration; 2] = [Duration::from_secs(2), Duration::from_secs(5)];
 
-/// When each request leaves, counted from the start, and what it is.
+/// The requests of a load, each with its time from the start.
 #[must_use]
 pub fn schedule(load: &Load) -> Vec<(Duration, Call)> {
     let mut rng = StdRng::seed_from_u64(load.seed);
@@ -68,25 +67,25 @@
 
 fn call(load: &Load, index: usize, rng: &mut impl Rng) -> Call {
     let patient = rng.random_bool(0.3);
-    let longest_run = u64::try_from(load.longest_run.as_millis()).unwrap_or(u64::MAX);
+    let max_run = u64::try_from(load.max_run.as_millis()).unwrap_or(u64::MAX);
     Call {
         id: format!("{}-{index}", load.prefix).into(),
         key: load.keys[index % load.keys.len()].clone(),
         idempotent: rng.random_bool(0.5),
         patient,
-        run: Duration::from_millis(rng.random_range(0..=longest_run)),
+        run: Duration::from_millis(rng.random_range(0..=max_run)),
         timeout: TIMEOUTS[usize::from(patient)],
-        answer_len: rng.random_range(0..=load.longest_answer),
+        min_answer_len: rng.random_range(0..=load.max_answer_len),
         ..Call::default()
     }
 }
 
-/// Sends the load to `entries`, each time to the next one, until it is over or `stop` is set.
+/// Sends the load to `entries` in turn, until the schedule ends or `stop` is set.
 ///
-/// Latencies count from when a request should have left, so that a stall isn't hidden by the
-/// requests that it kept from leaving.
+/// Latencies count from the scheduled time of a request, so that a stall also shows in the requests
+/// that it delays (no coordinated omission).
 #[must_use]
-pub fn run(load: &Load, entries: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool) -> Vec<Done> {
+pub fn run(load: &Load, entries: &Mutex<Vec<SocketAddr>>, stop: &AtomicBool) -> Vec<FinishedCall> {
     let schedule = schedule(load);
     let next = AtomicUsize::new(0);
     let done = Mutex::new(Vec::with_capacity(schedule.len()));
@@ -95,10 +94,12 @@
     std::thread::scope(|scope| {
         for _ in 0..load.callers {
             scope.spawn(|| {
-                while let Some(one) = send_next(&schedule, &next, entries, &agent, start, stop) {
+                while let Some(done_call) =
+                    send_next(&schedule, &next, entries, &agent, start, stop)
+                {
                     done.lock()
                         .unwrap_or_else(PoisonError::into_inner)
-                        .push(one);
+                        .push(done_call);
                 }
             });
         }
@@ -113,7 +114,7 @@
     agent: &ureq::Agent,
     start: Instant,
     stop: &AtomicBool,
-) -> Option<Done> {
+) -> Option<FinishedCall> {
     let index = next.fetch_add(1, Ordering::Relaxed);
     let (at, call) = schedule.get(index)?;
     let due = start + *at;
@@ -129,7 +130,7 @@
         || Outcome::NotRun("no entry instance is ready".into()),
         |entry| caller::send(agent, entry, call),
     );
-    Some(Done {
+    Some(FinishedCall {
         call: call.clone(),
         outcome,
         latency: due.elapsed(),
