--- a/crates/pomelohitch-config/src/parse.rs
+++ b/crates/pomelohitch-config/src/parse.rs
@@ -1,4 +1,4 @@
-//! One fleet file's text to checked values, or every fault at once.
+//! Parses one fleet file into checked values, or reports all of its faults.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,49 +16,48 @@
 
 use values::Values;
 
-/// The result of this module: a value, or every fault at once.
+/// Result of parsing a file: a value, or all faults of the file.
 pub type Result<T, E = Vec<Fault>> = std::result::Result<T, E>;
 
-/// Longest id, in bytes.
-const ID_BYTES: usize = 63;
-/// The table inside a service that holds its objective.
+/// Maximum length of an id, in bytes.
+const MAX_ID_BYTES: usize = 63;
+/// Name of the subtable of a service that holds its objective.
 const OBJECTIVE_TABLE: &str = "objective";
-/// Seconds of a day.
-const DAY_SECONDS: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 
-/// What a line of a file declares.
+/// A declaration or a reference to a pool, by which the line that holds it is looked up.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Declared {
+pub struct Declaration {
     /// `team`, `pool`, `service`, `key`, or `pool of service` for a reference to a pool.
     pub kind: Box<str>,
-    /// The id; for a reference, that of the service that refers.
+    /// The declared id; for a reference to a pool, the id of the service that holds it.
     pub id: Box<str>,
 }
 
-impl Declared {
-    /// The thing of `kind` called `id`.
+impl Declaration {
+    /// Creates the declaration of the given `kind` and `id`.
     #[must_use]
-    pub fn new(kind: &str, id: &str) -> Declared {
-        Declared {
+    pub fn new(kind: &str, id: &str) -> Declaration {
+        Declaration {
             kind: kind.into(),
             id: id.into(),
         }
     }
 }
 
-/// A file whose own fields are right.
+/// A parsed file that has no faults of its own. Rules that span files are not checked yet.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Parsed {
-    /// The values.
+    /// The parsed values.
     pub file: FleetFile,
-    /// On which line each thing is declared.
-    pub lines: BTreeMap<Declared, usize>,
+    /// Line number of each declaration and each reference to a pool, counted from 1.
+    pub lines: BTreeMap<Declaration, usize>,
 }
 
-/// Parses the text of the file at `path`.
+/// Parses `text`, the content of the file at `path`.
 ///
 /// # Errors
-/// Every fault of the file, sorted by line.
+/// All faults of the file, sorted by line.
 pub fn parse(path: &str, text: &str) -> Result<Parsed> {
     let (document, errors) = DeTable::parse_recoverable(text);
     let mut parser = Parser {
@@ -69,9 +68,9 @@
     };
     for error in &errors {
         let at = error.span().map_or(0, |span| span.start);
-        parser.fault(at, error.message(), syntax_fix(error.message()));
+        parser.add_fault(at, error.message(), syntax_fix(error.message()));
     }
-    parser.document(document.get_ref());
+    parser.parse_document(document.get_ref());
     parser.faults.sort();
     if parser.faults.is_empty() {
         Ok(parser.parsed)
@@ -90,7 +89,7 @@
 }
 
 impl Parser<'_> {
-    fn fault(&mut self, at: usize, what: impl Into<Box<str>>, fix: impl Into<Box<str>>) {
+    fn add_fault(&mut self, at: usize, what: impl Into<Box<str>>, fix: impl Into<Box<str>>) {
         self.faults.push(Fault {
             path: self.path.clone(),
             line: line_at(self.text, at),
@@ -101,25 +100,25 @@
 
     fn declare(&mut self, kind: &str, id: &str, at: usize) {
         let line = line_at(self.text, at);
-        self.parsed.lines.insert(Declared::new(kind, id), line);
+        self.parsed.lines.insert(Declaration::new(kind, id), line);
     }
 
-    fn document(&mut self, document: &Table<'_>) {
+    fn parse_document(&mut self, document: &Table<'_>) {
         for (name, value) in document {
             let section = SECTIONS.iter().find(|s| s.name == name.get_ref().as_ref());
             match (section, value.get_ref().as_table()) {
-                (Some(section), Some(items)) => self.items(section, items),
+                (Some(section), Some(items)) => self.parse_section(section, items),
                 (Some(section), None) => {
                     let name = section.name;
-                    self.fault(
-                        name_at(value),
+                    self.add_fault(
+                        value_start(value),
                         format!("'{name}' holds no tables"),
                         format!("write [{name}.ID]"),
                     );
                 }
                 (None, _) => {
                     let known: Vec<_> = SECTIONS.iter().map(|s| s.name).collect();
-                    self.fault(
+                    self.add_fault(
                         name.span().start,
                         format!("unknown section '{}'", name.get_ref()),
                         format!("sections are {}", known.join(", ")),
@@ -129,20 +128,20 @@
         }
     }
 
-    fn items(&mut self, section: &Section, items: &Table<'_>) {
+    fn parse_section(&mut self, section: &Section, items: &Table<'_>) {
         for (id, value) in items {
             let at = id.span().start;
             let name = section.name;
             let id: &str = id.get_ref();
             if !is_id(id) {
-                self.fault(
+                self.add_fault(
                     at,
                     format!("'{id}' can't be the id of a {name}"),
-                    format!("use 1 to {ID_BYTES} letters, digits, '-' or '_'"),
+                    format!("use 1 to {MAX_ID_BYTES} letters, digits, '-' or '_'"),
                 );
             }
             let Some(fields) = value.get_ref().as_table() else {
-                self.fault(
+                self.add_fault(
                     at,
                     format!("'{name}.{id}' isn't a table"),
                     format!("write [{name}.{id}] and its fields below"),
@@ -151,18 +150,22 @@
             };
             self.declare(name, id, at);
             match name {
-                "team" => self.team(id, at, fields),
-                "pool" => self.pool(id, at, fields),
-                _ => self.service(id, at, fields),
+                "team" => self.parse_team(id, at, fields),
+                "pool" => self.parse_pool(id, at, fields),
+                _ => self.parse_service(id, at, fields),
             }
         }
     }
 
-    fn team(&mut self, id: &str, at: usize, fields: &Table<'_>) {
-        let values = self.values(&TEAM, id, at, fields, &[]);
+    fn parse_team(&mut self, id: &str, at: usize, fields: &Table<'_>) {
+        let values = self.parse_fields(&TEAM, id, at, fields, &[]);
         for (key, at) in values.keys("keys") {
-            if self.parsed.lines.contains_key(&Declared::new("key", &key)) {
-                self.fault(
+            if self
+                .parsed
+                .lines
+                .contains_key(&Declaration::new("key", &key))
+            {
+                self.add_fault(
                     at,
                     "the same key hash stands twice",
                     "remove one of the two",
@@ -178,8 +181,8 @@
         });
     }
 
-    fn pool(&mut self, id: &str, at: usize, fields: &Table<'_>) {
-        let values = self.values(&POOL, id, at, fields, &[]);
+    fn parse_pool(&mut self, id: &str, at: usize, fields: &Table<'_>) {
+        let values = self.parse_fields(&POOL, id, at, fields, &[]);
         self.parsed.file.pools.push(Pool {
             id: id.into(),
             spare: values.boolean("spare"),
@@ -187,14 +190,14 @@
         });
     }
 
-    fn service(&mut self, id: &str, at: usize, fields: &Table<'_>) {
-        let values = self.values(&SERVICE, id, at, fields, &[OBJECTIVE_TABLE]);
+    fn parse_service(&mut self, id: &str, at: usize, fields: &Table<'_>) {
+        let values = self.parse_fields(&SERVICE, id, at, fields, &[OBJECTIVE_TABLE]);
         if let Some(pool_at) = values.at("pool") {
             self.declare("pool of service", id, pool_at);
         }
         let objective = fields
             .get(OBJECTIVE_TABLE)
-            .and_then(|value| self.objective(id, value));
+            .and_then(|value| self.parse_objective(id, value));
         self.parsed.file.services.push(Service {
             id: id.into(),
             pool: values.text("pool"),
@@ -208,27 +211,32 @@
         });
     }
 
-    fn objective(&mut self, service: &str, value: &Spanned<DeValue<'_>>) -> Option<Objective> {
-        let at = name_at(value);
+    fn parse_objective(
+        &mut self,
+        service: &str,
+        value: &Spanned<DeValue<'_>>,
+    ) -> Option<Objective> {
+        let at = value_start(value);
         let Some(fields) = value.get_ref().as_table() else {
-            self.fault(
+            self.add_fault(
                 at,
                 format!("the objective of '{service}' isn't a table"),
                 format!("write [service.{service}.objective]"),
             );
             return None;
         };
-        let values = self.values(&OBJECTIVE, service, at, fields, &[]);
+        let values = self.parse_fields(&OBJECTIVE, service, at, fields, &[]);
         let days = u64::from(values.integer("window_days"));
         Some(Objective {
             within: values.millis("within_ms"),
             good_ppm: values.ppm("good_percent"),
-            window: Duration::from_secs(days * DAY_SECONDS),
+            window: Duration::from_secs(days * SECONDS_PER_DAY),
         })
     }
 
-    /// Checks the fields of one table against `section`; `tables` are read by the caller.
-    fn values(
+    /// Checks the fields of one table against `section` and fills in defaults. Subtables named in
+    /// `tables` are skipped: the caller parses them.
+    fn parse_fields(
         &mut self,
         section: &Section,
         id: &str,
@@ -243,17 +251,17 @@
                 continue;
             }
             let Some(field) = section.field(name) else {
-                self.fault(
+                self.add_fault(
                     name_at,
                     format!("unknown field '{name}' of {} '{id}'", section.name),
                     format!("fields are {}", section.field_names()),
                 );
                 continue;
             };
-            if let Err(wrong) = values.read(field, value) {
-                self.fault(
-                    wrong.at.unwrap_or(name_at),
-                    format!("{name} = {} of {} '{id}'", wrong.shown, section.name),
+            if let Err(invalid) = values.read(field, value) {
+                self.add_fault(
+                    invalid.at.unwrap_or(name_at),
+                    format!("{name} = {} of {} '{id}'", invalid.display, section.name),
                     format!("give {}", field.kind),
                 );
             }
@@ -263,7 +271,7 @@
             match field.default {
                 _ if is_given => {}
                 Some(default) => values.set_default(field, default),
-                None => self.fault(
+                None => self.add_fault(
                     at,
                     format!("{} '{id}' has no {}", section.name, field.name),
                     format!("add {} = ... ({})", field.name, field.kind),
@@ -282,11 +290,11 @@
     }
 }
 
-fn name_at(value: &Spanned<DeValue<'_>>) -> usize {
+fn value_start(value: &Spanned<DeValue<'_>>) -> usize {
     value.span().start
 }
 
 fn is_id(id: &str) -> bool {
-    let is_letter = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-    !id.is_empty() && id.len() <= ID_BYTES && id.bytes().all(is_letter)
+    let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+    !id.is_empty() && id.len() <= MAX_ID_BYTES && id.bytes().all(is_allowed)
 }
--- a/pomelohitch/tests/cli.rs
+++ b/pomelohitch/tests/cli.rs
@@ -1,8 +1,8 @@
-//! Tests of the command line: against a log in memory, and of the binary itself.
+//! Tests of the commands against a log in memory, and of the binary.
 
 mod cli {
     mod binary;
-    mod log;
+    mod memory_log;
     mod propose;
     mod publish;
     mod views;
--- a/pomelohitchd/src/lifecycle.rs
+++ b/pomelohitchd/src/lifecycle.rs
@@ -21,19 +21,19 @@
     withdraw,
 };
 
-/// The start failed.
+/// Exit code of a failed start.
 const EXIT_START: u8 = 1;
-/// The settings are wrong; `clap` uses the same code.
+/// Exit code for invalid settings; the same as that of `clap`.
 const EXIT_SETTINGS: u8 = 2;
-/// A second signal cut the graceful shutdown short.
-const EXIT_CUT_SHORT: i32 = 3;
-/// How often waiting loops look.
-const TICK: Duration = Duration::from_millis(20);
-/// How long one proposal of the own join or leave may take.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
+/// Exit code after a second signal, which aborts the graceful shutdown.
+const EXIT_ABORTED: i32 = 3;
+/// Polling interval of the loops here.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout of one proposal of this member's join or leave.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a shutdown waits for the log to take bad news that it doesn't have yet.
-const FLUSH_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout during shutdown for appending withdrawals that aren't in the log yet.
+const FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The daemon couldn't start.
 #[derive(Debug, Snafu)]
@@ -51,9 +51,9 @@
     Peers {
         source: pomelohitch_peer::links::Error,
     },
-    #[snafu(display("install the handlers of signals: {source}"))]
+    #[snafu(display("install signal handlers: {source}"))]
     Signals { source: std::io::Error },
-    #[snafu(display("start counting: {source}"))]
+    #[snafu(display("install the metrics recorder: {source}"))]
     Metrics {
         source: metrics_exporter_prometheus::BuildError,
     },
@@ -110,7 +110,7 @@
     let admin = admin::bind(&node, metrics).context(AdminSnafu)?;
     announce(&callers, admin.server_addr(), peer_addr);
     let links = peers::start(&node, peer_listener).context(PeersSnafu)?;
-    node.permits.use_links(links.commands.clone());
+    node.permits.set_links(links.commands.clone());
     spawn("admin", move || admin.run())?;
     spawn_with("reader", &node, reader::run)?;
     spawn_with("leaving", &node, leaving::run)?;
@@ -118,7 +118,7 @@
     spawn_with("planner", &node, planner::run)?;
     spawn_with("withdraw", &node, withdraw::run)?;
     spawn_with("permits", &node, permits::run)?;
-    spawn_with("borders", &node, permits::borders::run)?;
+    spawn_with("borders", &node, permits::limit_split::run)?;
     spawn_with("batch", &node, batch::run)?;
     spawn_with("burn", &node, burn::run)?;
     let serving = spawn_with("front", &node, move |node| front::run(node, &callers))?;
@@ -129,7 +129,7 @@
     while !stop.load(Ordering::Acquire) {
         epoch = peers::follow_members(&node, &links, epoch);
         keep_joined(&node, &mut joined, advertised);
-        std::thread::sleep(TICK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     shut_down(&node, &serving);
     node.permits.drop_links();
@@ -137,7 +137,7 @@
     Ok(())
 }
 
-/// Other programs read the addresses from these lines when ports were left to the system.
+/// Prints the addresses. Other programs read them from these lines if the system chose the ports.
 fn announce(callers: &TcpListener, admin: SocketAddr, peers: SocketAddr) {
     if let Ok(addr) = callers.local_addr() {
         println!("listening callers {addr}");
@@ -149,9 +149,9 @@
 fn install_signals() -> Result<Arc<AtomicBool>> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
-        // Registered first, so that it acts on the second signal: the flag is still unset when
-        // the first one arrives.
-        signal_hook::flag::register_conditional_shutdown(signal, EXIT_CUT_SHORT, stop.clone())
+        // Registered before the handler that sets the flag. At the first signal the flag is still
+        // unset, so only a second signal exits the process.
+        signal_hook::flag::register_conditional_shutdown(signal, EXIT_ABORTED, stop.clone())
             .context(SignalsSnafu)?;
         signal_hook::flag::register(signal, stop.clone()).context(SignalsSnafu)?;
     }
@@ -178,15 +178,15 @@
     spawn(name, move || run(&node))
 }
 
-/// The own join, once it is in force.
+/// This member's join, once it has taken effect.
 #[derive(Debug, Clone, Copy)]
 struct Joined {
     incarnation: Incarnation,
     at: Instant,
 }
 
-/// Joins at the start, and again as a new incarnation when the peers held this one for dead.
-/// Serves only once it has caught up.
+/// Joins at the start, and again as a new incarnation if the peers removed this one as dead.
+/// Serves only after it has caught up.
 fn keep_joined(node: &Node, joined: &mut Option<Joined>, peer_addr: SocketAddr) {
     let state = node.state.load_full();
     let member = state.members.by_id.get(&node.settings.member);
@@ -198,27 +198,27 @@
 }
 
 fn serve_when_caught_up(node: &Node, joined: Joined) {
-    if node.life.ready.load(Ordering::Acquire) {
+    if node.lifecycle.ready.load(Ordering::Acquire) {
         return;
     }
     if readiness::evidence(node, joined.at.elapsed()).may_serve() {
-        node.life.ready.store(true, Ordering::Release);
+        node.lifecycle.ready.store(true, Ordering::Release);
         info!(incarnation = joined.incarnation, "ready to serve");
     }
 }
 
 fn join(node: &Node, peer_addr: SocketAddr) -> Option<Joined> {
-    if node.life.ready.swap(false, Ordering::AcqRel) {
+    if node.lifecycle.ready.swap(false, Ordering::AcqRel) {
         warn!("this incarnation was ended by a record in the log; joining again");
     }
-    // Before anything was read, the reader couldn't show the verdict either.
+    // Until the reader has read the log, no verdict can arrive.
     node.last_log_read()?;
     let join = Join {
         member: node.settings.member.clone(),
         zone: node.settings.zone.clone(),
         peer_addr,
     };
-    match node.propose(Body::Join(join), PROPOSE_LIMIT) {
+    match node.propose(Body::Join(join), PROPOSE_TIMEOUT) {
         Ok(decided) if matches!(decided.verdict, Verdict::Accepted | Verdict::Repeat(_)) => {
             let incarnation = decided.offset;
             node.incarnation.store(incarnation, Ordering::Release);
@@ -237,27 +237,28 @@
     }
 }
 
-/// Not ready first, so that the balancer and the peers send nothing new; then the answers that
-/// are still owed; then the leave, so that the peers need not wait for a lease to run out.
+/// Shuts down gracefully: becomes not ready, so that the balancer and the peers send nothing new;
+/// finishes requests in flight; then leaves, so that the peers needn't wait for the lease to
+/// expire.
 fn shut_down(node: &Node, serving: &std::thread::JoinHandle<()>) {
     info!("shutting down");
-    node.life.leaving.store(true, Ordering::Release);
+    node.lifecycle.leaving.store(true, Ordering::Release);
     let deadline = Instant::now() + Duration::from_millis(node.settings.shutdown_ms);
     while !serving.is_finished() && Instant::now() < deadline {
-        std::thread::sleep(TICK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     if !serving.is_finished() {
-        warn!("the longest shutdown has passed; requests in flight are cut");
+        warn!("shutdown timed out; aborting requests in flight");
     }
-    withdraw::flush(node, FLUSH_LIMIT);
+    withdraw::flush(node, FLUSH_TIMEOUT);
     burn::finish(node);
     let incarnation = node.incarnation.load(Ordering::Acquire);
     let leave = Leave {
         member: node.settings.member.clone(),
         incarnation,
     };
-    if let Err(error) = node.propose(Body::Leave(leave), PROPOSE_LIMIT) {
-        warn!(%error, "could not tell the log; the peers will notice");
+    if let Err(error) = node.propose(Body::Leave(leave), PROPOSE_TIMEOUT) {
+        warn!(%error, "could not append the leave; peers remove this member after its lease");
     }
     info!("stopped");
 }
--- a/pomelohitchd/src/planner.rs
+++ b/pomelohitchd/src/planner.rs
@@ -1,13 +1,14 @@
 //! Decides about instances while this member holds the term, and carries the decisions out.
 //!
-//! The decisions are those of `pomelohitch-maintain`; here are the platform's list, the proposals
-//! and the effects. An effect is asked for only because of an accepted record, with the record's
-//! offset as its key, and again at every look until the platform says that it is complete.
+//! `pomelohitch-maintain` makes the decisions; this module reads the platform's list, proposes the
+//! decisions and applies the effects. An effect is requested only because of an accepted record,
+//! with the record's offset as its key, and is requested again in every planning pass until the
+//! platform reports it as complete.
 //!
-//! Right before each call the log is read to its head, and the call is left out if the instance is
-//! no longer in the phase that asks for it. The window that remains is the time from that read to
-//! the platform's receipt of the call: one round trip, or as long as this process is paused in
-//! between. `docs/PROTOCOL.md` says what can happen in it.
+//! Right before each call the log is read to its head, and the call is skipped if the instance has
+//! left the phase that requires it. A race remains between that read and the platform's receipt of
+//! the call: one round trip, or as long as this process is paused in between. `docs/PROTOCOL.md`
+//! describes its consequences.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -27,30 +28,30 @@
 use crate::node::{Node, wall_clock};
 use crate::snapshots::Writer;
 
-/// How often the planner looks, while a look is short.
-const TICK: Duration = Duration::from_millis(500);
-/// How often it looks at least.
-const LONGEST_TICK: Duration = Duration::from_secs(5);
-/// It decides for at most one part in so many of the time. In a large fleet it would otherwise take
-/// the processor time that requests need.
-const SHARE_OF_TIME: u32 = 200;
-/// How long one proposal may take.
-const PROPOSE_LIMIT: Duration = Duration::from_secs(5);
-/// How long the own reader may take to reach the head before an effect.
-const HEAD_LIMIT: Duration = Duration::from_secs(2);
-/// A list that is older starts nothing new.
-const LIST_LIMIT: Duration = Duration::from_secs(10);
-/// How many proposals and how many effects one look carries out at the most, so that a look stays
-/// short; the rest comes at the next one.
-const PER_LOOK: usize = 200;
-
-/// Plans for ever, while this member holds the term.
+/// Interval between planning passes while they are short.
+const MIN_INTERVAL: Duration = Duration::from_millis(500);
+/// Longest interval between planning passes.
+const MAX_INTERVAL: Duration = Duration::from_secs(5);
+/// The interval is at least this many times the duration of the last pass. In a large fleet,
+/// planning would otherwise take the processor time that requests need.
+const INTERVAL_PER_PASS: u32 = 200;
+/// Timeout of one proposal.
+const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Timeout for this member's reader to reach the head of the log before an effect.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// An older list of instances isn't used, so that it starts no new drains or moves.
+const MAX_LIST_AGE: Duration = Duration::from_secs(10);
+/// Maximum number of proposals and of effects in one planning pass, so that a pass stays short.
+/// The rest follows in the next pass.
+const MAX_PER_PASS: usize = 200;
+
+/// Plans forever; does nothing while another member holds the term.
 pub fn run(node: &Arc<Node>) {
     let started = Instant::now();
     let mut planning: Option<Planning> = None;
-    let mut tick = TICK;
+    let mut interval = MIN_INTERVAL;
     loop {
-        std::thread::sleep(tick);
+        std::thread::sleep(interval);
         let state = node.state.load_full();
         if !is_planner(node, &state) {
             planning = None;
@@ -58,8 +59,8 @@
         }
         let weighting = node.settings.weighting.into();
         let planning = planning.get_or_insert_with(|| Planning::new(weighting));
-        let took = planning.look(node, &state, started.elapsed());
-        tick = (took * SHARE_OF_TIME).clamp(TICK, LONGEST_TICK);
+        let took = planning.pass(node, &state, started.elapsed());
+        interval = (took * INTERVAL_PER_PASS).clamp(MIN_INTERVAL, MAX_INTERVAL);
     }
 }
 
@@ -67,14 +68,14 @@
     node.is_ready() && state.members.planner.as_ref() == Some(&node.settings.member)
 }
 
-/// What a planner keeps from look to look.
+/// State kept between planning passes of one term.
 #[derive(Debug)]
 struct Planning {
     planner: Planner,
     demand: demand::Options,
     loads: BTreeMap<ServiceId, Load>,
     snapshots: Writer,
-    /// Where the effects of the last look ended.
+    /// Index of the effect with which the next pass starts, modulo their number.
     next_effect: usize,
 }
 
@@ -93,30 +94,31 @@
         }
     }
 
-    /// Looks once; returns how long deciding took.
-    fn look(&mut self, node: &Node, state: &State, now: Duration) -> Duration {
-        let mut seen = observe(node, state, now);
-        seen.needs = self.needs(state, &node.permits.demand(), now);
-        let begun = Instant::now();
-        let plan = self.planner.plan(state, &seen);
-        let took = begun.elapsed();
+    /// Runs one planning pass; returns how long deciding took.
+    fn pass(&mut self, node: &Node, state: &State, now: Duration) -> Duration {
+        let mut observation = observe(node, state, now);
+        observation.needs = self.needs(state, &node.permits.demand(), now);
+        let started = Instant::now();
+        let plan = self.planner.plan(state, &observation);
+        let took = started.elapsed();
         metrics::histogram!("planner_look_seconds").record(took.as_secs_f64());
-        self.carry_out_plan(node, state, plan);
+        self.execute(node, state, plan);
         took
     }
 
-    fn carry_out_plan(&mut self, node: &Node, state: &State, plan: Plan) {
-        for decision in plan.decisions.into_iter().take(PER_LOOK) {
+    fn execute(&mut self, node: &Node, state: &State, plan: Plan) {
+        for decision in plan.decisions.into_iter().take(MAX_PER_PASS) {
             if !propose(node, state, decision) {
-                // The log is down or this is no longer the planner; look anew.
+                // The log is down or this member is no longer the planner: start over.
                 return;
             }
         }
-        self.carry_out(node, &plan.effects);
-        self.snapshots.tick(node, &node.state.load_full());
+        self.apply_effects(node, &plan.effects);
+        self.snapshots
+            .try_write_if_due(node, &node.state.load_full());
     }
 
-    /// How many instances each pool needs for the services that are measured.
+    /// Number of instances that each pool needs, for pools whose services have measured demand.
     fn needs(
         &mut self,
         state: &State,
@@ -137,16 +139,16 @@
         needs
     }
 
-    /// Asks for effects in turn, so that those which never complete hold up no others.
-    fn carry_out(&mut self, node: &Node, effects: &[PendingEffect]) {
+    /// Requests effects round-robin, so that effects that never complete don't block others.
+    fn apply_effects(&mut self, node: &Node, effects: &[PendingEffect]) {
         if effects.is_empty() {
             return;
         }
-        let begin = self.next_effect % effects.len();
-        let in_turn = effects.iter().cycle().skip(begin);
-        for wanted in in_turn.take(effects.len().min(PER_LOOK)) {
+        let first = self.next_effect % effects.len();
+        let rotated = effects.iter().cycle().skip(first);
+        for pending in rotated.take(effects.len().min(MAX_PER_PASS)) {
             self.next_effect = self.next_effect.wrapping_add(1);
-            if !ask_for(node, wanted) {
+            if !apply_effect(node, pending) {
                 return;
             }
         }
@@ -161,34 +163,35 @@
     }
     let listed = listed
         .ok()
-        .and_then(|list| observe::recent(list, wall, LIST_LIMIT));
+        .and_then(|list| observe::recent(list, wall, MAX_LIST_AGE));
     Observation {
         now,
         wall,
         listed,
-        applied_by_all: known_by_all(node, state),
+        applied_by_all: applied_by_all(node, state),
         ..Observation::default()
     }
 }
 
-/// Every entry instance has applied the records below this offset. One that wasn't heard lately
-/// may know nothing; it stops sending by itself within the bound.
-fn known_by_all(node: &Node, state: &State) -> Offset {
+/// Every entry instance has applied the records below this offset. 0 if a member wasn't heard
+/// within [`BOUND`]: it may have applied nothing, but it stops sending work by itself within
+/// [`BOUND`].
+fn applied_by_all(node: &Node, state: &State) -> Offset {
     let peers = node.peers();
     let others = state.members.by_id.iter();
     let others = others.filter(|(id, _)| **id != node.settings.member);
     let offsets = others.map(|(id, member)| {
-        let seen = peers.get(id)?;
-        let is_current = seen.incarnation == member.incarnation && seen.at.elapsed() <= BOUND;
-        is_current.then_some(seen.next)
+        let peer = peers.get(id)?;
+        let is_current = peer.incarnation == member.incarnation && peer.at.elapsed() <= BOUND;
+        is_current.then_some(peer.next)
     });
     let lowest = offsets.map(|next| next.unwrap_or(0)).min();
     lowest.unwrap_or(state.next).min(state.next)
 }
 
-/// Proposes, and returns whether to go on.
+/// Proposes a decision; returns whether the pass should continue.
 fn propose(node: &Node, state: &State, decision: Decision) -> bool {
-    let Ok(decided) = node.propose(decision.body(state), PROPOSE_LIMIT) else {
+    let Ok(decided) = node.propose(decision.body(state), PROPOSE_TIMEOUT) else {
         metrics::counter!("planner_proposal_errors").increment(1);
         return false;
     };
@@ -201,32 +204,32 @@
     is_planner(node, &node.state.load())
 }
 
-/// Asks for an effect, records its completion, and returns whether to go on.
-fn ask_for(node: &Node, wanted: &PendingEffect) -> bool {
+/// Requests an effect and records its completion; returns whether the pass should continue.
+fn apply_effect(node: &Node, pending: &PendingEffect) -> bool {
     let Some(state) = state_at_head(node) else {
         return false;
     };
     if !is_planner(node, &state) {
         return false;
     }
-    if !wanted.is_current(&state) {
+    if !pending.is_current(&state) {
         return true;
     }
-    match (node.instances.apply)(&wanted.effect) {
-        Ok(Progress::Done) => match wanted.on_complete.clone() {
+    match (node.instances.apply)(&pending.effect) {
+        Ok(Progress::Done) => match pending.on_complete.clone() {
             Some(step) => propose(node, &state, Decision::Fleet(step)),
             None => true,
         },
         Ok(Progress::Pending) => true,
         Err(_) => {
-            // Whether it took effect or not, the same call is repeated at the next look.
+            // Whether or not it took effect, the same call is repeated in the next pass.
             metrics::counter!("instance_effect_errors").increment(1);
             true
         }
     }
 }
 
-/// The state in force here once it has reached the log's head of now.
+/// The state, once it includes all records up to the current head of the log.
 fn state_at_head(node: &Node) -> Option<Arc<State>> {
     let probe = Read {
         stream: FLEET_STREAM,
@@ -235,7 +238,7 @@
         wait: Duration::ZERO,
     };
     let head = (node.log.read)(&probe).ok()?.next;
-    let deadline = Instant::now() + HEAD_LIMIT;
+    let deadline = Instant::now() + HEAD_TIMEOUT;
     loop {
         let state = node.state.load_full();
         if state.next >= head {
