--- a/crates/pomelohitch-sched/src/config.rs
+++ b/crates/pomelohitch-sched/src/config.rs
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AdviceSettings {
     /// Time that every answer takes, whatever the number of endpoints.
-    pub decide: Duration,
+    pub base_latency: Duration,
     /// Additional time for each endpoint in the question.
     pub per_endpoint: Duration,
     /// How long a ticket is valid.
