--- a/crates/pomelohitch-sched/src/cell.rs
+++ b/crates/pomelohitch-sched/src/cell.rs
@@ -94,15 +94,18 @@
     pub start_send_timeout: Duration,
     /// Maximum time for which an endpoint holds a poll until a run ends.
     pub poll_wait: Duration,
-    /// The same where tasks run that end by themselves. A lost poll hides their ends until it
-    /// expires, and the next steps of their jobs wait.
+    /// The limit instead of `poll_wait` where tasks run that end by themselves. A lost poll hides
+    /// their ends until it expires, and the next steps of their jobs wait.
     pub poll_wait_for_ends: Duration,
-    /// The same where tasks have a latency target. Their latency is known only from polls.
+    /// The limit instead of `poll_wait` where tasks have a latency target, since their latency is
+    /// known only from polls, and where lasting tasks run while some of them start or have to move.
     pub poll_wait_for_latency: Duration,
     /// Minimum time between two polls of an endpoint, so that runs that end close together are
     /// reported by one poll.
     pub min_poll_interval: Duration,
-    /// The same after a failed poll, or while ends can't be acknowledged.
+    /// Delay of the next poll while ends can't be acknowledged, and unit of the delay after failed
+    /// polls, which grows with their number. The first failed poll is repeated at once unless the
+    /// link is congested.
     pub poll_retry_delay: Duration,
     /// Maximum age of the endpoint entries and operator requests read from the store. With older
     /// ones nothing is started: capacity may have shrunk, endpoints may be draining, zones may be
@@ -190,7 +193,7 @@
     pub records: Vec<Record>,
     /// Actions to carry out once the records are durable.
     pub actions: Vec<Action>,
-    /// Job states that the records hold.
+    /// Job states in the records, shown to callers once these are durable.
     job_states: Vec<(JobId, JobState)>,
     /// Endpoint, its incarnation, and the number of the last end that the records cover.
     last_ends: Vec<(EndpointId, u64, u64)>,
@@ -226,7 +229,7 @@
     ready_jobs: BTreeMap<ServiceName, BTreeSet<JobId>>,
     /// Jobs of which no task has started, by queue. Repeating jobs aren't counted.
     queued_jobs: BTreeMap<QueueName, BTreeSet<JobId>>,
-    /// Next occurrences by due time.
+    /// The next occurrence of each job, by due time.
     due_occurrences: BTreeSet<Due>,
     /// Ended jobs by end, to be dropped after the retention.
     ended_jobs: BTreeSet<Due>,
@@ -238,12 +241,12 @@
     operations_allowed_from: Steady,
     demand: Demand,
     /// Window on starts in flight.
-    flow: StartWindow,
+    start_window: StartWindow,
     /// Moving average of the time from the arrival of an endpoint's answer to its processing.
     answer_lag: Duration,
     /// Endpoints to be emptied so that their instances can move to another pool.
     emptying: BTreeSet<EndpointId>,
-    unplaced: BTreeMap<ServiceName, schedule::Unplaced>,
+    shortages: BTreeMap<ServiceName, schedule::Shortage>,
     /// Services with lasting tasks that have to move but fit on no other endpoint, and since when.
     blocked_services: BTreeMap<ServiceName, Steady>,
     autoscaled_at: Steady,
@@ -255,6 +258,7 @@
     unsaved_specs: BTreeSet<JobId>,
     /// Jobs whose records are to be deleted, and whether they are archived.
     dropped_jobs: BTreeMap<JobId, bool>,
+    /// Records of waves and operations for the next batch.
     extra_records: Vec<Record>,
     /// Endpoints that have reported ends since the last batch.
     new_ends: BTreeSet<EndpointId>,
@@ -262,7 +266,7 @@
     endpoints_as_of: Steady,
     /// Time as of which the requests of operators are known.
     operators_as_of: Steady,
-    /// Time since which nothing starts because one of these two is too old.
+    /// Time since which nothing starts because `endpoints_as_of` or `operators_as_of` is too old.
     held_back_since: Option<Steady>,
     loss_counts: LossCounts,
     /// Number of jobs given up since the last call of [`Cell::take_given_up`].
@@ -293,7 +297,7 @@
         records: &[(Box<str>, Box<[u8]>)],
     ) -> (Cell, Vec<progress::Error>) {
         let mut cell = Cell::new(settings, epoch, now);
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         let mut specs = BTreeMap::new();
         let mut progresses = BTreeMap::new();
         let mut ended = Vec::new();
@@ -313,7 +317,7 @@
                     progresses.insert(id, progress);
                 }
                 Ok(Entry::Ended(job)) => ended.push(job),
-                Err(error) => faults.push(error),
+                Err(error) => errors.push(error),
             }
         }
         for job in ended {
@@ -334,7 +338,7 @@
         let recorded = cell.jobs.values();
         let newest = recorded.map(|j| j.spec.accepted_ms.max(j.progress.ended_ms));
         cell.leader_since_ms = cell.leader_since_ms.max(newest.max().unwrap_or(0));
-        (cell, faults)
+        (cell, errors)
     }
 
     fn new(settings: Settings, epoch: Epoch, now: Now) -> Cell {
@@ -362,13 +366,13 @@
             ended_jobs: BTreeSet::new(),
             instances: Instances::default(),
             evacuations: Evacuations::default(),
-            flow: settings
+            start_window: settings
                 .link_bytes_per_s
                 .map_or_else(StartWindow::default, StartWindow::for_link),
             answer_lag: Duration::ZERO,
             settings,
             emptying: BTreeSet::new(),
-            unplaced: BTreeMap::new(),
+            shortages: BTreeMap::new(),
             blocked_services: BTreeMap::new(),
             autoscaled_at: Steady::ZERO,
             surplus_since: None,
@@ -441,8 +445,8 @@
     pub fn tick(&mut self, now: Now) -> Vec<Action> {
         self.now = now;
         self.begin_due_occurrences();
-        let gap = self.pass_interval();
-        if now.steady >= self.housekeeping_at + self.housekeeping_interval().max(gap) {
+        let interval = self.pass_interval();
+        if now.steady >= self.housekeeping_at + self.housekeeping_interval().max(interval) {
             self.housekeeping_at = now.steady;
             self.drop_expired_jobs();
             self.release_expired_leases();
@@ -450,13 +454,13 @@
             self.manage_instances();
             self.evict_lasting();
         }
-        if now.steady >= self.scheduled_at + SCHEDULE_INTERVAL.max(gap) {
+        if now.steady >= self.scheduled_at + SCHEDULE_INTERVAL.max(interval) {
             self.scheduled_at = now.steady;
             self.update_held_back();
-            if self.flow.has_capacity() && self.held_back_since.is_none() {
+            if self.start_window.has_capacity() && self.held_back_since.is_none() {
                 self.schedule();
             }
-            self.flow.pass_ended(now.steady);
+            self.start_window.pass_ended(now.steady);
         }
         self.send_due_polls();
         std::mem::take(&mut self.outbox)
@@ -510,13 +514,13 @@
             let Some(job) = self.jobs.get_mut(&id) else {
                 continue;
             };
-            let is_fresh = self.unsaved_specs.remove(&id);
+            let is_unsaved = self.unsaved_specs.remove(&id);
             batch.job_states.push((id, job.progress.state));
             if job.progress.state.is_final() && job.progress.runs(id).next().is_none() {
-                batch.records.extend(archive::archive(job, is_fresh)?);
+                batch.records.extend(archive::archive(job, is_unsaved)?);
                 continue;
             }
-            if is_fresh {
+            if is_unsaved {
                 let spec = progress::encode(progress::spec_key(id), &*job.spec)?;
                 batch.records.push(spec);
             }
--- a/crates/pomelohitch-sched/src/cell/orders.rs
+++ b/crates/pomelohitch-sched/src/cell/orders.rs
@@ -40,8 +40,10 @@
         let now = self.now.steady;
         let sent_at = self.run(task, run).and_then(|r| r.view.sent_at);
         match sent_at {
-            Some(at) => self.flow.start_answered(now, now.saturating_sub(at)),
-            None => self.flow.start_dropped(),
+            Some(at) => self
+                .start_window
+                .start_answered(now, now.saturating_sub(at)),
+            None => self.start_window.start_dropped(),
         }
         let Some(r) = self.run_mut(task, run) else {
             return;
@@ -112,8 +114,8 @@
     }
 }
 
-/// Whether a start was refused for a lasting reason that is specific to its task. A start that came
-/// too late wasn't: then the leader or its link is slow, which concerns all tasks.
+/// Whether a start was refused for a lasting reason that is specific to its task. A start that
+/// arrived after its deadline isn't: the leader or its link is slow, which delays all tasks.
 fn is_task_specific(refusal: Refusal) -> bool {
     matches!(refusal, Refusal::Malformed | Refusal::OldRun)
 }
--- a/crates/pomelohitch-sched/src/config.rs
+++ b/crates/pomelohitch-sched/src/config.rs
@@ -47,8 +47,8 @@
 /// Latency of the placement policy's answers, and validity of its tickets.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AdviceSettings {
-    /// Time for each answer.
-    pub decide: Duration,
+    /// Time that every answer takes, whatever the number of endpoints.
+    pub base_latency: Duration,
     /// Additional time for each endpoint in the question.
     pub per_endpoint: Duration,
     /// How long a ticket is valid.
