--- a/crates/pomelohitch-burn/src/ledger.rs
+++ b/crates/pomelohitch-burn/src/ledger.rs
@@ -47,6 +47,7 @@
     pub team: TeamId,
 }
 
+/// The records of one run of an entry instance.
 #[derive(Debug, Clone, Default)]
 struct Run {
     minute_by_seq: BTreeMap<u64, Minute>,
@@ -106,8 +107,8 @@
         sum
     }
 
-    /// Returns the gaps that end between the minutes `from` and `now`, sorted. The time before the
-    /// first record is not a gap: nothing was counted yet, or its records were trimmed.
+    /// Returns the gaps up to `now` that end in the minute `from` or later, sorted. The time before
+    /// the first record is not a gap: nothing was counted yet, or its records were trimmed.
     #[must_use]
     pub fn gaps(&self, from: Minute, now: Minute) -> Vec<Gap> {
         let mut gaps = self.silent_gaps(now);
--- a/crates/pomelohitch-burn/src/report.rs
+++ b/crates/pomelohitch-burn/src/report.rs
@@ -143,6 +143,7 @@
     service: &'a ServiceId,
     team: Option<&'a str>,
     now: Minute,
+    /// Share of bad answers that the objective allows.
     allowed: f64,
 }
 
--- a/crates/pomelohitch-burn/src/span.rs
+++ b/crates/pomelohitch-burn/src/span.rs
@@ -59,6 +59,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Collector {
     activity: FleetActivity,
+    /// Latest time of a record so far.
     last: Option<Timestamp>,
 }
 
--- a/crates/pomelohitch-emulator/examples/emulate.rs
+++ b/crates/pomelohitch-emulator/examples/emulate.rs
@@ -93,6 +93,7 @@
 #[derive(Debug, Serialize)]
 struct Row<'a> {
     load: &'a str,
+    /// The policy or policies, or the mechanism that is switched off in the first one.
     what: &'a str,
     #[serde(flatten)]
     difference: Difference,
--- a/crates/pomelohitch-emulator/src/fleet.rs
+++ b/crates/pomelohitch-emulator/src/fleet.rs
@@ -283,12 +283,13 @@
         fleet
     }
 
-    /// Adds an endpoint of `pricing` on a new instance.
+    /// Adds an endpoint of `pricing` on a new instance. `index` determines the id of the instance,
+    /// and the port and the labels of the endpoint.
     pub fn add(&mut self, id: &str, index: u16) {
         self.add_to("pricing", id, index);
     }
 
-    /// Adds an endpoint of a service on a new instance.
+    /// Like [`Fleet::add`], for any service.
     pub fn add_to(&mut self, service: &str, id: &str, index: u16) {
         let report = Report {
             service: service.into(),
@@ -363,8 +364,9 @@
         self.read_entries();
     }
 
-    /// Lets the leader read the endpoints' entries and the operators' records, if the log is
-    /// available.
+    /// Lets the leader read the endpoints' entries, of which only those of resized endpoints can
+    /// change, and the operators' records. Does nothing without `reads_entries` or while the log is
+    /// unavailable.
     fn read_entries(&mut self) {
         if !self.reads_entries || !self.is_log_up {
             return;
--- a/crates/pomelohitch-emulator/src/fleet/crashes.rs
+++ b/crates/pomelohitch-emulator/src/fleet/crashes.rs
@@ -8,9 +8,9 @@
 
 use super::Fleet;
 
-/// Crashes of endpoints running a task after which its further starts are counted.
+/// Once this many endpoints have crashed while running a task, its further starts are counted.
 const UNCOUNTED_CRASHES: u32 = 3;
-/// Number of counted starts that violates the invariant.
+/// A task violates the invariant when it has this many counted starts.
 const START_LIMIT: u32 = 3;
 
 /// Tasks that crash their endpoints, and counts of the crashes.
@@ -130,6 +130,7 @@
         own.map(|(_, &count)| count).max().unwrap_or(0)
     }
 
+    /// Counts a crash of the endpoint for each task that runs there.
     pub(super) fn record_crash(&mut self, id: &str) {
         let endpoint = self.endpoints.get(id);
         for task in endpoint.map(super::Endpoint::running).unwrap_or_default() {
--- a/crates/pomelohitch-emulator/src/fleet/link.rs
+++ b/crates/pomelohitch-emulator/src/fleet/link.rs
@@ -63,10 +63,12 @@
     order: Order,
     epoch: u64,
     sent_at: Steady,
+    /// Position of the last byte of the order.
     end: Position,
     times_out_at: Steady,
     is_executed: bool,
     is_reported: bool,
+    /// The position of the answer's last byte, and the outcome.
     answer: Option<(Position, Outcome)>,
 }
 
--- a/crates/pomelohitch-emulator/src/lib.rs
+++ b/crates/pomelohitch-emulator/src/lib.rs
@@ -3,7 +3,7 @@
 //! * [`fleet`]: endpoints, instances, a log and callers around one scheduler.
 //! * [`load`]: load files with arrivals and faults.
 //! * [`arrivals`]: random generation of a load's jobs from a seed.
-//! * [`play`]: plays a load and determines the results for its callers.
+//! * [`play`]: plays a load and computes how its jobs were served.
 //! * [`compare`]: comparison of two policies on the same seeds, with confidence intervals.
 //! * [`policies`]: policies by the names of their mechanisms and parameters.
 
--- a/crates/pomelohitch-emulator/src/load.rs
+++ b/crates/pomelohitch-emulator/src/load.rs
@@ -52,7 +52,7 @@
     /// Idle time of the fleet before the first arrivals, in seconds.
     #[serde(default = "lead")]
     pub lead_s: f64,
-    /// Largest number of appends to the log in flight.
+    /// Largest number of appends to the log in flight at a time.
     #[serde(default = "appends_at_once")]
     pub appends_at_once: usize,
     /// Capacity of each instance.
@@ -184,7 +184,8 @@
     /// Deviation of actual durations from the estimates: the standard deviation of the logarithm.
     #[serde(default)]
     pub unevenness: f64,
-    /// A fraction `strength` of all orders gets no answer and is executed late.
+    /// A fraction `strength` of all orders and polls gets no answer; the orders are executed
+    /// seconds later.
     #[serde(default)]
     pub orders_lost: Vec<Span>,
     /// The log is unavailable.
--- a/crates/pomelohitch-emulator/src/play.rs
+++ b/crates/pomelohitch-emulator/src/play.rs
@@ -1,4 +1,4 @@
-//! Plays a load and determines the results for its callers.
+//! Plays a load and computes how its jobs were served.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -72,7 +72,8 @@
     /// Number of polls of endpoints.
     #[serde(rename = "looks")]
     pub polls: usize,
-    /// Number of endpoints that crashed while running a task that crashes endpoints.
+    /// Number of crashes of endpoints that ran a task that crashes endpoints, counted for each such
+    /// task.
     pub crashes: u32,
     /// Number of jobs that were given up although their tasks don't crash endpoints.
     pub given_up: usize,
--- a/pomelohitch/src/job.rs
+++ b/pomelohitch/src/job.rs
@@ -12,7 +12,7 @@
 use crate::exit::Exit;
 use crate::output::Format;
 
-/// Maximum number of attempts of a submit or cancel whose outcome is unknown.
+/// Maximum number of attempts of a submit or cancel that fails with a retryable error.
 const MAX_ATTEMPTS: u32 = 3;
 /// Timeout of one call.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
@@ -304,8 +304,8 @@
         self.call_with_retries(step, "POST", "/v1/jobs", Some(key), &body)
     }
 
-    /// Calls, and retries if the outcome is unknown. Retries are safe: a submit keeps its
-    /// idempotency key, and cancelling a cancelled job has no effect.
+    /// Calls, and retries after transport errors and the statuses 502 to 504. Retries are safe: a
+    /// submit keeps its idempotency key, and cancelling a cancelled job has no effect.
     fn call_with_retries(
         &self,
         step: &'static str,
--- a/pomelohitch/src/propose.rs
+++ b/pomelohitch/src/propose.rs
@@ -75,10 +75,11 @@
     Follower::new(log.clone(), State::default())
 }
 
-/// Reads to the head of the log, and retries errors until the limit.
+/// Reads to the head of the log, from a snapshot if nothing was read before, and retries errors
+/// until the limit.
 ///
 /// # Errors
-/// The last error of the log.
+/// The last error of the log. An [`Error::Trimmed`] is not retried.
 pub fn catch_up(follower: &mut Follower, options: &Options) -> Result<(), Error> {
     let deadline = deadline(options);
     if follower.state().next == 0 {
@@ -99,7 +100,7 @@
 /// the limit.
 ///
 /// # Errors
-/// The last error of the log.
+/// The last error of the log. An [`Error::Trimmed`] is not retried.
 pub fn catch_up_to(follower: &mut Follower, end: Offset, options: &Options) -> Result<(), Error> {
     let deadline = deadline(options);
     loop {
--- a/pomelohitch/src/publish.rs
+++ b/pomelohitch/src/publish.rs
@@ -18,7 +18,7 @@
 /// Options of a publish.
 #[derive(Debug, Default)]
 pub struct Options {
-    /// Offset whose versions in force replace those in the lock as the base of the changes.
+    /// Bases the changes on the versions in force at this offset instead of those in the lock.
     pub base: Option<Offset>,
     /// Options of the proposal.
     pub propose: propose::Options,
@@ -121,6 +121,7 @@
     Ok(outcome(proposed, plan.changes, log))
 }
 
+/// A tree and its lock, or the faults of the tree.
 type Loaded = std::result::Result<(Tree, Lock), Vec<Fault>>;
 
 fn load(root: &Path) -> Result<Loaded> {
--- a/pomelohitch/src/report.rs
+++ b/pomelohitch/src/report.rs
@@ -139,7 +139,8 @@
     }
 }
 
-/// Calls `each` with every record of `stream`, from the oldest that the log still keeps.
+/// Calls `on_record` with the data of each record of `stream`, from the oldest that the log still
+/// keeps.
 fn read_all(log: &Log, stream: &str, mut on_record: impl FnMut(&str)) -> Result<()> {
     let mut from = 0;
     loop {
--- a/pomelohitch/src/status.rs
+++ b/pomelohitch/src/status.rs
@@ -8,7 +8,7 @@
 use crate::exit::Exit;
 use crate::output::{Output, table};
 
-/// The data of a status.
+/// The status of the fleet, and of the entry instance that was asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct StatusView {
     /// Status of the entry instance that was asked; `None` if the log was read instead.
