--- a/crates/pomelohitch-burn/tests/burn/ledger.rs
+++ b/crates/pomelohitch-burn/tests/burn/ledger.rs
@@ -81,5 +81,8 @@
     insta::assert_snapshot!(text, @r##"
     {"member":"a","incarnation":1,"seq":3,"minute":5,"rows":[{"service":"passes","team":"kiosks","good":9,"bad":1}]}
     "##);
-    assert_eq!(Record::decode(&text).expect("it was just written"), record);
+    assert_eq!(
+        Record::decode(&text).expect("an encoded record decodes"),
+        record
+    );
 }
--- a/crates/pomelohitch-emulator/src/fleet/orders.rs
+++ b/crates/pomelohitch-emulator/src/fleet/orders.rs
@@ -96,10 +96,13 @@
     pub(super) fn execute_order(&mut self, target: &Target, order: &Order, epoch: u64) -> Outcome {
         let Some(endpoint) = self.endpoints.get_mut(&target.id) else {
             let is_start = matches!(order, Order::Start { .. });
-            let has_moved = !self.crashes.crashed.contains(&target.id);
+            let was_taken_down = !self.crashes.crashed.contains(&target.id);
             self.violations
-                .extend((is_start && has_moved).then(|| {
-                    format!("start sent to {}, whose instance has been moved", target.id)
+                .extend((is_start && was_taken_down).then(|| {
+                    format!(
+                        "start sent to {}, whose instance was moved or maintained",
+                        target.id
+                    )
                 }));
             return Outcome::Refused(Refusal::Elsewhere);
         };
@@ -140,7 +143,8 @@
             .filter(|(t, _)| *t == task)
             .count();
         if runs > 1 {
-            self.violations.push(format!("{task} runs {runs} times"));
+            self.violations
+                .push(format!("{task} has {runs} runs at a time"));
         }
         if self.acknowledged.contains(&task) {
             self.violations
@@ -169,7 +173,7 @@
             });
             if !is_done {
                 self.violations
-                    .push(format!("{task} starts before step {after}"));
+                    .push(format!("{task} starts before step {after} is done"));
             }
         }
     }
--- a/pomelohitch/tests/cli/binary.rs
+++ b/pomelohitch/tests/cli/binary.rs
@@ -7,22 +7,27 @@
 }
 
 fn stdout(command: &mut Command) -> String {
-    let output = command.output().expect("it can be run");
-    String::from_utf8(output.stdout).expect("it writes text")
+    let output = command.output().expect("the binary can be run");
+    String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
 
 #[test]
 fn a_new_key_is_shown_with_the_hash_that_the_daemon_compares() {
     let text = stdout(&mut pomelohitch(&["keys", "new", "--format", "json"]));
-    let new: serde_json::Value = serde_json::from_str(&text).expect("it is JSON");
+    let new: serde_json::Value = serde_json::from_str(&text).expect("the output is JSON");
     let (key, hash) = (new["key"].as_str(), new["hash"].as_str());
-    let (key, hash) = (key.expect("a key"), hash.expect("a hash"));
+    let (key, hash) = (
+        key.expect("the key is a string"),
+        hash.expect("the hash is a string"),
+    );
     assert!(pomelohitch_core::key::matches(key, hash));
 }
 
 #[test]
 fn a_missing_flag_is_named_and_exits_with_2() {
-    let output = pomelohitch(&["publish", "."]).output().expect("it runs");
+    let output = pomelohitch(&["publish", "."])
+        .output()
+        .expect("the binary can be run");
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(message.contains("--log-url"), "{message}");
@@ -33,8 +38,9 @@
 #[test]
 fn an_unreachable_log_exits_with_4() {
     let root = tempfile::tempdir().expect("a temporary directory");
-    std::fs::write(root.path().join("pomelohitch.toml"), "[pool.a]\n").expect("written");
-    let tree = root.path().to_str().expect("a path of text");
+    std::fs::write(root.path().join("pomelohitch.toml"), "[pool.a]\n")
+        .expect("the file can be written");
+    let tree = root.path().to_str().expect("the path is UTF-8");
     // Nothing listens on the discard port of the loopback address.
     let args = [
         "--limit-s",
@@ -44,7 +50,7 @@
         "publish",
         tree,
     ];
-    let output = pomelohitch(&args).output().expect("it runs");
+    let output = pomelohitch(&args).output().expect("the binary can be run");
     assert_eq!(output.status.code(), Some(4));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(message.contains("nothing was published"), "{message}");
@@ -55,7 +61,7 @@
     let bash = stdout(&mut pomelohitch(&["completions", "bash"]));
     assert!(bash.contains("publish"));
     let dir = tempfile::tempdir().expect("a temporary directory");
-    let path = dir.path().to_str().expect("a path of text");
+    let path = dir.path().to_str().expect("the path is UTF-8");
     stdout(&mut pomelohitch(&["man", path]));
     assert!(dir.path().join("pomelohitch-publish.1").exists());
 }
@@ -72,7 +78,7 @@
         "--hash",
         "pmh_secret",
     ];
-    let output = pomelohitch(&args).output().expect("it runs");
+    let output = pomelohitch(&args).output().expect("the binary can be run");
     assert_eq!(output.status.code(), Some(2));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
--- a/pomelohitch/tests/cli/memory_log.rs
+++ b/pomelohitch/tests/cli/memory_log.rs
@@ -53,7 +53,8 @@
             let offsets = (read.from..next).take(read.max);
             let records = offsets.map(|offset| Stored {
                 offset,
-                data: store.records[usize::try_from(offset).expect("tests are small")].clone(),
+                data: store.records[usize::try_from(offset).expect("offsets in tests fit usize")]
+                    .clone(),
             });
             Ok(Batch {
                 first: 0,
--- a/pomelohitch/tests/cli/publish.rs
+++ b/pomelohitch/tests/cli/publish.rs
@@ -83,8 +83,8 @@
     let (store, log) = memory_log();
     write(ann.path(), "a", SALES);
     publish_now(ann.path(), &log);
-    let lock = Lock::load(ann.path()).expect("it was written");
-    lock.store(ben.path()).expect("it can be written");
+    let lock = Lock::load(ann.path()).expect("the publish stored the lock");
+    lock.store(ben.path()).expect("the lock can be written");
 
     write(ann.path(), "a", &SALES.replace('2', "3"));
     write(ben.path(), "a", &SALES.replace('2', "4"));
@@ -104,7 +104,7 @@
     let root = tempfile::tempdir().expect("a temporary directory");
     let (store, log) = memory_log();
     write(root.path(), "a", SALES);
-    let tree = Tree::load(root.path()).expect("the tree is right");
+    let tree = Tree::load(root.path()).expect("the tree is valid");
     let nothing = pomelohitch_core::Config::default();
     let theirs = Plan::new(&tree, &Lock::default(), &nothing).publish();
     store.lock().expect(NOT_POISONED).concurrent_records = vec![encode(Body::Publish(theirs))];
@@ -137,7 +137,7 @@
     store.lock().expect(NOT_POISONED).append_faults = [Fault::ResponseLost].into();
     write(root.path(), "a", SALES);
     assert_eq!(offset(&publish_now(root.path(), &log)), 0);
-    let lock = Lock::load(root.path()).expect("it was written");
+    let lock = Lock::load(root.path()).expect("the publish stored the lock");
     assert_eq!(lock.files.values().copied().collect::<Vec<_>>(), [0]);
 }
 
@@ -222,13 +222,13 @@
     let (_, log) = memory_log();
     write(root.path(), "a", SALES);
     publish_now(root.path(), &log);
-    fs::remove_file(root.path().join("pomelohitch.lock")).expect("it exists");
+    fs::remove_file(root.path().join("pomelohitch.lock")).expect("the lock exists");
     write(root.path(), "a", &SALES.replace('2', "4"));
 
     let mut follower = propose::fleet_follower(&log);
     propose::catch_up(&mut follower, &virtual_time()).expect("the log works");
     let config = follower.state().config.clone();
-    let shown = diff::diff(root.path(), &config, true).expect("the tree is right");
+    let shown = diff::diff(root.path(), &config, true).expect("the tree is valid");
     insta::assert_snapshot!(diff::show(&shown).text, @r##"
     change a/pomelohitch.toml (you started from no version, in force is 0)
       - service.passes.min_available = 2
@@ -252,7 +252,7 @@
         "[service.seats]\npool = \"sales\"\nmin_available = 1\n",
     );
     publish_now(ben.path(), &log);
-    fs::remove_dir_all(ann.path().join("old")).expect("it exists");
+    fs::remove_dir_all(ann.path().join("old")).expect("the directory exists");
     publish_now(ann.path(), &log);
 
     let mut follower = propose::fleet_follower(&log);
@@ -283,8 +283,8 @@
     let mut follower = propose::fleet_follower(&log);
     propose::catch_up(&mut follower, &virtual_time()).expect("the log works");
     let config = follower.state().config.clone();
-    let beside = check::check(root.path(), Some(&config)).expect("the tree can be read");
-    assert_eq!(beside.faults, []);
+    let with_others = check::check(root.path(), Some(&config)).expect("the tree can be read");
+    assert_eq!(with_others.faults, []);
 }
 
 /// Ann removes a file while Ben edits it. Ben's publish is refused, with the offset of the removal.
@@ -296,9 +296,9 @@
     write(ann.path(), "a", SALES);
     write(ann.path(), "b", "[pool.other]\n");
     publish_now(ann.path(), &log);
-    let lock = Lock::load(ann.path()).expect("it was written");
-    lock.store(ben.path()).expect("it can be written");
-    fs::remove_dir_all(ann.path().join("b")).expect("it exists");
+    let lock = Lock::load(ann.path()).expect("the publish stored the lock");
+    lock.store(ben.path()).expect("the lock can be written");
+    fs::remove_dir_all(ann.path().join("b")).expect("the directory exists");
     let removed = offset(&publish_now(ann.path(), &log));
 
     write(ben.path(), "a", SALES);
--- a/pomelohitch/tests/cli/views.rs
+++ b/pomelohitch/tests/cli/views.rs
@@ -34,7 +34,7 @@
     let record = Record {
         id: uuid::Uuid::from_u128(n),
         after: 0,
-        at: Duration::from_secs(60 * u64::try_from(n).expect("few records")),
+        at: Duration::from_secs(60 * u64::try_from(n).expect("record numbers in tests fit u64")),
         by: "test".into(),
         body,
     };
@@ -44,7 +44,7 @@
 /// A fleet with the file above, one entry instance, which is the planner, and two runners.
 fn fleet() -> Arc<Log> {
     let (_, log) = memory_log();
-    let file = parse("f", FILE).expect("the file is right").file;
+    let file = parse("f", FILE).expect("the file is valid").file;
     let change = FileChange {
         base: None,
         file: Some(file),
--- a/pomelohitch/tests/job.rs
+++ b/pomelohitch/tests/job.rs
@@ -79,7 +79,7 @@
         }
     });
     let (result, out) = run(&server, &SUBMIT);
-    result.expect("the second try is answered");
+    result.expect("the second attempt is answered");
     assert!(out.contains("0123456789abcdef"));
     let keys = keys
         .lock()
@@ -112,6 +112,6 @@
         )
     });
     let (result, out) = run(&server, &["list"]);
-    result.expect("listed");
+    result.expect("the entry instance answers with status 200");
     insta::assert_snapshot!(out);
 }
