--- a/crates/pomelohitch-emulator/examples/emulate.rs
+++ b/crates/pomelohitch-emulator/examples/emulate.rs
@@ -81,8 +81,8 @@
 enum Error {
     #[snafu(display("{source}"))]
     Load { source: load::Error },
-    #[snafu(display("unknown mechanism in {names:?}; known mechanisms: {known}"))]
-    Policy { names: String, known: String },
+    #[snafu(display("unknown name or malformed number in {changes:?}; known mechanisms: {known}"))]
+    Policy { changes: String, known: String },
     #[snafu(display("draw {}: {reason}", path.display()))]
     Draw { path: PathBuf, reason: String },
 }
@@ -117,12 +117,12 @@
 fn run(args: &Args) -> Result<usize> {
     let seeds: Vec<u64> = (args.from..args.from + args.seeds).collect();
     let mut violating_plays = 0;
-    let mut play = |load: &Load, names: &str| -> Result<Vec<Outcome>> {
-        let outcomes = compare::play_all(load, &settings(names)?, &seeds);
+    let mut play = |load: &Load, changes: &str| -> Result<Vec<Outcome>> {
+        let outcomes = compare::play_all(load, &settings(changes)?, &seeds);
         for outcome in outcomes.iter().filter(|o| !o.violations.is_empty()) {
             violating_plays += 1;
             eprintln!(
-                "{:?}",
+                "violated invariants: {:?}",
                 outcome.violations.iter().take(3).collect::<Vec<_>>()
             );
         }
@@ -133,7 +133,7 @@
             for path in loads {
                 let outcomes = play(&read(path)?, without)?;
                 let differences = compare::differences(&outcomes, &outcomes);
-                write(args.format, &name(path), without, &differences);
+                print_rows(args.format, &name(path), without, &differences);
             }
         }
         Command::Compare {
@@ -145,7 +145,7 @@
                 let load = read(path)?;
                 let (first, second) = (play(&load, before)?, play(&load, after)?);
                 let differences = compare::differences(&first, &second);
-                write(
+                print_rows(
                     args.format,
                     &name(path),
                     &format!("{before} to {after}"),
@@ -155,7 +155,7 @@
         }
         Command::Ablate { loads, svg } => {
             let mut entries = Vec::new();
-            let bar = progress(loads.len() * (policies::SWITCHES.len() + 1));
+            let bar = progress_bar(loads.len() * (policies::SWITCHES.len() + 1));
             for path in loads {
                 let load = read(path)?;
                 let shipped = play(&load, "shipped")?;
@@ -164,7 +164,7 @@
                     let without = play(&load, switch)?;
                     bar.inc(1);
                     let differences = compare::differences(&without, &shipped);
-                    write(args.format, &name(path), switch, &differences);
+                    print_rows(args.format, &name(path), switch, &differences);
                     entries.push((format!("{} {switch}", name(path)), differences[0]));
                 }
             }
@@ -177,9 +177,9 @@
     Ok(violating_plays)
 }
 
-fn settings(names: &str) -> Result<Settings> {
-    let policy = policies::without(names).with_context(|| PolicySnafu {
-        names,
+fn settings(changes: &str) -> Result<Settings> {
+    let policy = policies::parse(changes).with_context(|| PolicySnafu {
+        changes,
         known: policies::SWITCHES.map(|(name, _)| name).join(", "),
     })?;
     Ok(Settings {
@@ -199,13 +199,13 @@
         .into_owned()
 }
 
-fn progress(steps: usize) -> ProgressBar {
+fn progress_bar(steps: usize) -> ProgressBar {
     let bar = ProgressBar::new(u64::try_from(steps).unwrap_or(u64::MAX));
     let style = ProgressStyle::with_template("{bar:40} {pos}/{len} {eta}");
     style.map_or_else(|_| bar.clone(), |style| bar.clone().with_style(style))
 }
 
-fn write(format: Format, load: &str, what: &str, differences: &[Difference]) {
+fn print_rows(format: Format, load: &str, what: &str, differences: &[Difference]) {
     for difference in differences {
         let row = Row {
             load,
@@ -241,9 +241,9 @@
 
 /// Writes an SVG chart of differences with their confidence intervals, one per row.
 fn draw(path: &Path, entries: &[(String, Difference)]) -> Result<()> {
-    const WIDTH: u32 = 900;
-    const ROW: u32 = 18;
-    const MARGIN: u32 = 60;
+    const WIDTH_PX: u32 = 900;
+    const ROW_HEIGHT_PX: u32 = 18;
+    const MARGIN_PX: u32 = 60;
     let rows = u32::try_from(entries.len()).unwrap_or(u32::MAX);
     let failed = |reason: String| Error::Draw {
         path: path.to_path_buf(),
@@ -255,15 +255,16 @@
         .map(extent)
         .filter(|r| r.is_finite())
         .fold(0.01, f64::max);
-    let area = SVGBackend::new(path, (WIDTH, rows * ROW + 2 * MARGIN)).into_drawing_area();
+    let area =
+        SVGBackend::new(path, (WIDTH_PX, rows * ROW_HEIGHT_PX + 2 * MARGIN_PX)).into_drawing_area();
     area.fill(&WHITE).map_err(|e| failed(e.to_string()))?;
-    let lines = (0.0..f64::from(rows)).step(1.0);
+    let row_range = (0.0..f64::from(rows)).step(1.0);
     let mut chart = ChartBuilder::on(&area)
         .caption("worth of each mechanism", ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(220)
-        .build_cartesian_2d(-widest..widest, lines)
+        .build_cartesian_2d(-widest..widest, row_range)
         .map_err(|e| failed(e.to_string()))?;
     let label = |row: &f64| {
         let at = entries
--- a/crates/pomelohitch-emulator/src/arrivals.rs
+++ b/crates/pomelohitch-emulator/src/arrivals.rs
@@ -59,20 +59,20 @@
 
 /// Arrival rate of a queue at a time, as a multiple of its mean.
 fn rate_factor(load: &Load, queue: usize, at: Duration) -> f64 {
-    let Some(turns) = load.turns else {
+    let Some(bursts) = load.bursts else {
         return 1.0;
     };
-    let passed = at.as_secs_f64() / turns.each_s;
+    let elapsed_bursts = at.as_secs_f64() / bursts.each_s;
     #[expect(
         clippy::cast_possible_truncation,
         clippy::cast_sign_loss,
         reason = "a small number of bursts"
     )]
-    let bursting_queue = passed as usize % load.queues.len();
+    let bursting_queue = elapsed_bursts as usize % load.queues.len();
     if bursting_queue == queue {
-        turns.height
+        bursts.height
     } else {
-        turns.rest
+        bursts.rest
     }
 }
 
@@ -85,7 +85,7 @@
     let parts: f64 = load.workspaces.iter().map(|w| w.part).sum();
     let mut senders = Vec::new();
     for (index, workspace) in load.workspaces.iter().enumerate() {
-        let overload = workspace.presses.filter(|span| span.contains(at));
+        let overload = workspace.overload.filter(|span| span.contains(at));
         let factor = overload.map_or(1.0, |span| span.strength);
         let count = poisson(expected * workspace.part / parts * factor, rng);
         senders.extend(std::iter::repeat_n(index, count));
@@ -108,7 +108,7 @@
 fn job(queue: &Queue, rng: &mut ChaCha8Rng) -> Draft {
     let steps = round_to_u64(draw_around_mean(queue.steps, queue.spread, rng)).max(1);
     let steps = (0..steps).map(|index| {
-        let before = index.checked_sub(1);
+        let previous = index.checked_sub(1);
         StepSpec {
             count: u32::try_from(
                 round_to_u64(draw_around_mean(queue.tasks, queue.spread, rng)).max(1),
@@ -122,8 +122,8 @@
             estimate: Duration::from_secs_f64(
                 draw_around_mean(queue.work_ms, queue.spread, rng) / 1000.0,
             ),
-            after: before
-                .map(|b| u16::try_from(b).unwrap_or(u16::MAX))
+            after: previous
+                .map(|p| u16::try_from(p).unwrap_or(u16::MAX))
                 .into_iter()
                 .collect(),
             ..StepSpec::default()
--- a/crates/pomelohitch-emulator/src/compare.rs
+++ b/crates/pomelohitch-emulator/src/compare.rs
@@ -58,21 +58,22 @@
 #[must_use]
 pub fn play_all(load: &Load, settings: &Settings, seeds: &[u64]) -> Vec<Outcome> {
     let threads = std::thread::available_parallelism().map_or(1, std::num::NonZero::get) / 2;
-    let share = seeds.len().div_ceil(threads.max(1)).max(1);
+    let seeds_per_thread = seeds.len().div_ceil(threads.max(1)).max(1);
     std::thread::scope(|scope| {
-        let parts: Vec<_> = seeds
-            .chunks(share)
-            .map(|part| {
+        let handles: Vec<_> = seeds
+            .chunks(seeds_per_thread)
+            .map(|chunk| {
                 scope.spawn(move || -> Vec<Outcome> {
-                    part.iter()
+                    chunk
+                        .iter()
                         .map(|&seed| play::play(load, settings, seed))
                         .collect()
                 })
             })
             .collect();
-        let outcomes = parts
+        let outcomes = handles
             .into_iter()
-            .flat_map(|p| p.join().expect("play panicked"));
+            .flat_map(|h| h.join().expect("play panicked"));
         outcomes.collect()
     })
 }
--- a/crates/pomelohitch-emulator/src/fleet/endpoint.rs
+++ b/crates/pomelohitch-emulator/src/fleet/endpoint.rs
@@ -156,15 +156,16 @@
         }
     }
 
-    /// Drops completions up to number `noted`; returns the tasks that count as done.
-    pub(super) fn acknowledge(&mut self, noted: u64) -> Vec<TaskId> {
-        let (old, listed) = std::mem::take(&mut self.ended)
+    /// Drops completions up to number `up_to`; returns the tasks that count as done: those that
+    /// completed successfully and whose completion was not listed when a lease expired.
+    pub(super) fn acknowledge(&mut self, up_to: u64) -> Vec<TaskId> {
+        let (acknowledged, listed) = std::mem::take(&mut self.ended)
             .into_iter()
-            .partition(|e| e.number <= noted);
+            .partition(|e| e.number <= up_to);
         self.ended = listed;
-        let old: Vec<Ended> = old;
+        let acknowledged: Vec<Ended> = acknowledged;
         let counts = |e: &Ended| e.how == EndReason::Done && e.number > self.last_lapsed;
-        let done = old.into_iter().filter(counts);
+        let done = acknowledged.into_iter().filter(counts);
         done.map(|e| e.task).collect()
     }
 
--- a/crates/pomelohitch-emulator/src/fleet/log.rs
+++ b/crates/pomelohitch-emulator/src/fleet/log.rs
@@ -18,9 +18,9 @@
             let actions = self.decide(|cell, _| cell.committed(batch));
             self.execute_actions(actions);
         }
-        let is_behind = !self.pending.is_empty();
-        let is_early = is_behind && now < self.last_append_at + APPEND_GAP;
-        if is_early || self.pending.len() >= self.appends_at_once {
+        let has_append_in_flight = !self.pending.is_empty();
+        let is_within_gap = has_append_in_flight && now < self.last_append_at + APPEND_GAP;
+        if is_within_gap || self.pending.len() >= self.appends_at_once {
             return;
         }
         let batch = self.decide(|cell, _| cell.take_batch());
--- a/crates/pomelohitch-emulator/src/fleet/polls.rs
+++ b/crates/pomelohitch-emulator/src/fleet/polls.rs
@@ -79,7 +79,7 @@
             let answer = endpoint.poll(order);
             let listed = answer
                 .as_ref()
-                .map_or(0, |l| l.running.len() + l.ended.len());
+                .map_or(0, |reply| reply.running.len() + reply.ended.len());
             let end = self
                 .link
                 .as_mut()
--- a/crates/pomelohitch-emulator/src/load.rs
+++ b/crates/pomelohitch-emulator/src/load.rs
@@ -29,14 +29,14 @@
         source: toml::de::Error,
     },
     /// A number is out of range, or a name is undefined.
-    #[snafu(display("{path}: {field}: {fix}"))]
+    #[snafu(display("{path}: {field}: expected {allowed}"))]
     Check {
         /// Path of the file.
         path: Box<str>,
         /// Name of the field.
         field: &'static str,
         /// Allowed values.
-        fix: &'static str,
+        allowed: &'static str,
     },
 }
 
@@ -65,7 +65,8 @@
     #[serde(default)]
     pub workspaces: Vec<Workspace>,
     /// Bursts of the queues, one queue after another; without them each queue has a constant rate.
-    pub turns: Option<Turns>,
+    #[serde(rename = "turns")]
+    pub bursts: Option<Bursts>,
     /// Faults during the play.
     #[serde(default)]
     pub faults: Faults,
@@ -141,13 +142,14 @@
     #[serde(default = "weight")]
     pub weight: u64,
     /// Period in which its arrival rate is multiplied by `strength`.
-    pub presses: Option<Span>,
+    #[serde(rename = "presses")]
+    pub overload: Option<Span>,
 }
 
 /// Bursts of the queues, one queue after another in the order of the file.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Turns {
+pub struct Bursts {
     /// Length of a burst in seconds.
     pub each_s: f64,
     /// Arrival rate of the queue during its burst, as a multiple of its mean.
@@ -256,8 +258,15 @@
 }
 
 fn check(load: &Load, path: &str) -> Result<()> {
-    let require = |is_valid: bool, field: &'static str, fix: &'static str| {
-        ensure!(is_valid, CheckSnafu { path, field, fix });
+    let require = |is_valid: bool, field: &'static str, allowed: &'static str| {
+        ensure!(
+            is_valid,
+            CheckSnafu {
+                path,
+                field,
+                allowed
+            }
+        );
         Ok(())
     };
     require((1.0..=600.0).contains(&load.seconds), "seconds", "1 to 600")?;
--- a/crates/pomelohitch-emulator/src/play.rs
+++ b/crates/pomelohitch-emulator/src/play.rs
@@ -352,7 +352,7 @@
         let crashes = &self.fleet.crashes;
         let is_healthy = |sent: &&SentJob| !crashes.has_task_of(sent.arrival.id);
         let all: Vec<&SentJob> = self.finished.iter().filter(is_healthy).collect();
-        let count = |predicate: fn(&SentJob) -> bool| {
+        let fraction = |predicate: fn(&SentJob) -> bool| {
             let matching = all.iter().filter(|sent| predicate(sent)).count();
             ratio(as_f64(matching), as_f64(all.len()))
         };
@@ -365,13 +365,13 @@
         }
         let is_overloading = |sent: &SentJob| {
             let workspace = self.load.workspaces.get(sent.arrival.workspace);
-            workspace.is_some_and(|w| w.presses.is_some())
+            workspace.is_some_and(|w| w.overload.is_some())
         };
         let others = all.iter().copied().filter(|sent| !is_overloading(sent));
         let windows = worth_by_group(&all, |sent| {
             sent.arrival.at.as_millis() / WINDOW.as_millis()
         });
-        let moves = self.fleet.operations.iter();
+        let operations = self.fleet.operations.iter();
         Outcome {
             jobs: all.len(),
             worth: worth(all.iter().copied()),
@@ -381,12 +381,12 @@
                 worth_by_group(&others.collect::<Vec<_>>(), |sent| sent.arrival.workspace),
                 1,
             ),
-            in_time: count(SentJob::is_in_time),
-            late: count(SentJob::is_late),
+            in_time: fraction(SentJob::is_in_time),
+            late: fraction(SentJob::is_late),
             p50_ms: durations.value_at_quantile(0.5),
             p99_ms: durations.value_at_quantile(0.99),
             pool_s: self.pool_time.as_secs_f64(),
-            moves: moves
+            moves: operations
                 .filter(|(_, o)| matches!(o, Operation::Move { .. }))
                 .count(),
             starts_lost: self.fleet.starts_lost,
@@ -443,8 +443,9 @@
     ratio(values.iter().sum(), as_f64(values.len()))
 }
 
-fn ratio(some: f64, all: f64) -> f64 {
-    if all > 0.0 { some / all } else { 1.0 }
+/// Returns `part / all`, or 1 if `all` is 0.
+fn ratio(part: f64, all: f64) -> f64 {
+    if all > 0.0 { part / all } else { 1.0 }
 }
 
 #[expect(clippy::cast_precision_loss, reason = "counts are far below 2^52")]
--- a/crates/pomelohitch-emulator/src/policies.rs
+++ b/crates/pomelohitch-emulator/src/policies.rs
@@ -72,17 +72,17 @@
 /// that mechanism off, and `NAME=NUMBER` sets a parameter of [`PARAMETERS`]. The name `shipped` and
 /// empty entries change nothing. Returns `None` if a name is unknown or a number is malformed.
 #[must_use]
-pub fn without(names: &str) -> Option<Policy> {
+pub fn parse(changes: &str) -> Option<Policy> {
     let mut policy = Policy::default();
-    for name in names
+    for change in changes
         .split(',')
-        .filter(|n| !n.is_empty() && *n != "shipped")
+        .filter(|c| !c.is_empty() && *c != "shipped")
     {
-        if let Some((name, number)) = name.split_once('=') {
+        if let Some((name, number)) = change.split_once('=') {
             let (_, set) = PARAMETERS.iter().find(|(known, _)| *known == name)?;
             set(&mut policy, number.parse().ok()?);
         } else {
-            let (_, switch) = SWITCHES.iter().find(|(known, _)| *known == name)?;
+            let (_, switch) = SWITCHES.iter().find(|(known, _)| *known == change)?;
             switch(&mut policy);
         }
     }
--- a/crates/pomelohitch-emulator/tests/loads.rs
+++ b/crates/pomelohitch-emulator/tests/loads.rs
@@ -22,7 +22,7 @@
 
 fn without(names: &str) -> Settings {
     Settings {
-        policy: policies::without(names).expect("names are known mechanisms"),
+        policy: policies::parse(names).expect("mechanisms are known by these names"),
         ..Settings::default()
     }
 }
@@ -123,19 +123,19 @@
     };
     insta::assert_snapshot!(
         error_text(text.replace("seconds = 24.0", "seconds = 0.0")),
-        @"a.toml: seconds: 1 to 600"
+        @"a.toml: seconds: expected 1 to 600"
     );
     insta::assert_snapshot!(
         error_text(text.replace("service = \"only\"", "service = \"other\"")),
-        @"a.toml: queues.service: the name of a service"
+        @"a.toml: queues.service: expected the name of a service"
     );
     assert!(error_text(text.replace("seconds =", "secs =")).contains("unknown field `secs`"));
 }
 
 #[test]
 fn mechanisms_and_parameters_are_found_by_name() {
-    assert!(policies::without("nothing-like-it").is_none());
-    let policy = policies::without("promotion,late-after=2").expect("both names are known");
+    assert!(policies::parse("nothing-like-it").is_none());
+    let policy = policies::parse("promotion,late-after=2").expect("both names are known");
     assert!(!policy.promotes_expiring);
     assert!((policy.late_factor - 2.0).abs() < f64::EPSILON);
 }
