--- a/crates/pomelohitch-config/src/parse/values.rs
+++ b/crates/pomelohitch-config/src/parse/values.rs
@@ -13,7 +13,7 @@
 const KEY_HASH_DIGITS: usize = 64;
 /// Parts per million in one percent.
 const PPM_PER_PERCENT: u32 = 10_000;
-/// Most decimals of a percentage that is a whole number of parts per million.
+/// Maximum number of decimals of a percentage; the fourth one counts parts per million.
 const PERCENT_DECIMALS: usize = 4;
 
 /// A value that the field doesn't allow.
@@ -21,7 +21,7 @@
 pub(super) struct InvalidValue {
     /// The value as shown in the fault.
     pub(super) display: Box<str>,
-    /// Byte offset of the value; `None` if only the field's own offset is known.
+    /// Byte offset of the invalid part; `None` if that is the whole value.
     pub(super) at: Option<usize>,
 }
 
@@ -164,7 +164,8 @@
     Ok(Value::Keys(keys))
 }
 
-/// Parses the decimal digits directly: as a float, 99.9 would be slightly too small.
+/// Converts a percentage to parts per million; `None` if it has too many decimals or is out of
+/// range. Parses the decimal digits directly: as a float, 99.9 would be slightly too small.
 fn percent(text: &str) -> Option<Value> {
     let (whole, decimals) = text.split_once('.').unwrap_or((text, ""));
     if decimals.len() > PERCENT_DECIMALS {
--- a/crates/pomelohitch-config/src/tree.rs
+++ b/crates/pomelohitch-config/src/tree.rs
@@ -11,7 +11,8 @@
 use crate::fault::Fault;
 use crate::parse::{Declaration, Parsed, parse};
 
-/// Maximum size of a fleet file, in bytes. All files of a publish share one log record.
+/// Maximum size of a fleet file, in bytes. Limits the size of a log record, which holds all files
+/// that a publish changes.
 const MAX_FILE_BYTES: u64 = 256 * 1024;
 
 /// Loading a tree failed.
--- a/crates/pomelohitch-peer/src/links.rs
+++ b/crates/pomelohitch-peer/src/links.rs
@@ -107,7 +107,8 @@
 pub enum Command {
     /// Maintain links to exactly these peers; links to all others are closed.
     Peers(Vec<Peer>),
-    /// Send a call to a peer. It fails if there is no link to the peer.
+    /// Send a call to a peer. It waits while the link connects, and fails if that attempt fails or
+    /// no link to the peer is maintained.
     Call(MemberId, Call),
 }
 
@@ -124,7 +125,8 @@
 }
 
 impl Links {
-    /// Starts the links' thread, which accepts connections of peers on `listener`.
+    /// Starts the links' thread, which accepts connections of peers on `listener`. `handlers` is
+    /// called on that thread, because the handlers can't be sent to another one.
     ///
     /// # Errors
     /// If the listener can't be used or the thread can't be started.
--- a/crates/pomelohitch-peer/src/links/outgoing.rs
+++ b/crates/pomelohitch-peer/src/links/outgoing.rs
@@ -34,7 +34,7 @@
             Err(error) => error,
         };
         (cx.handlers.on_error)(&peer.member, &error);
-        // Fails queued calls at once, so that they don't wait for the reconnection.
+        // Fails the calls queued so far, so that they don't wait for the reconnection.
         while let Ok(call) = calls.try_recv() {
             call.fail();
         }
--- a/crates/pomelohitch-peer/src/message.rs
+++ b/crates/pomelohitch-peer/src/message.rs
@@ -7,7 +7,7 @@
 /// Result of decoding a message.
 pub type Result<T, E = capnp::Error> = std::result::Result<T, E>;
 
-/// A heartbeat: the sender's state, sent at a fixed interval and returned as the answer to one.
+/// A heartbeat: the sender's state, sent to a peer as a request and returned to one as the answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Heartbeat {
     /// Id of the sender.
--- a/crates/pomelohitch-peer/src/permits.rs
+++ b/crates/pomelohitch-peer/src/permits.rs
@@ -44,6 +44,8 @@
 }
 
 /// A claim on an idempotency key, sent to the home of the key.
+///
+/// The window below is the time for which a granted key excludes other requests with it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Claim {
     /// Id of the sender.
@@ -62,7 +64,7 @@
     pub asks_all: bool,
 }
 
-/// Answer of the home of a key to a claim.
+/// Answer of the home of a key to a claim; see [`Claim`] for the window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// No request with this key was granted within the window.
--- a/crates/pomelohitch-peer/tests/links.rs
+++ b/crates/pomelohitch-peer/tests/links.rs
@@ -106,8 +106,8 @@
 }
 
 /// A connection between two entry instances stays open but stops delivering data, while a new
-/// connection works. Without detection the member would get no permits, and the limits of teams
-/// would stay fixed on it.
+/// connection works. Without detection the member would get no permits, and its shares of the
+/// limits of teams would no longer change.
 #[test]
 fn an_unresponsive_connection_is_detected_and_replaced() {
     let one = start("one");
@@ -164,6 +164,7 @@
     const ROUNDS: u32 = 800;
     let (mut skipped, mut exchanges) = ([0; 2], 0);
     let mut last_exchange = Duration::ZERO;
+    // The two members decide in turn, half an interval apart.
     for half in 0..2 * ROUNDS {
         let now = INTERVAL * half / 2;
         let end = &mut skipped[half as usize % 2];
--- a/crates/pomelohitch-platform/src/error.rs
+++ b/crates/pomelohitch-platform/src/error.rs
@@ -5,9 +5,9 @@
 /// Whether a failed call had an effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// It had none: nothing was sent, or the platform said so.
+    /// It had none: it only reads, nothing was sent, or the platform refused it.
     None,
-    /// It may have had one: the answer was lost, late or unreadable.
+    /// It may have had one: the answer was lost, late or unreadable, or reports a server error.
     Unknown,
 }
 
--- a/crates/pomelohitch-platform/src/follower.rs
+++ b/crates/pomelohitch-platform/src/follower.rs
@@ -27,7 +27,8 @@
 pub struct Progress {
     /// The records that were read, in order.
     pub applied: Vec<Applied>,
-    /// The log's head at the time of the read.
+    /// The log's head at the time of the read. If a snapshot was loaded instead, an offset above
+    /// the state's next one.
     pub head: Offset,
     /// The oldest offset that the log keeps.
     pub first: Offset,
--- a/crates/pomelohitch-platform/src/http.rs
+++ b/crates/pomelohitch-platform/src/http.rs
@@ -127,8 +127,8 @@
     }
 }
 
-/// The effect of a call that failed with this status: with 4xx and 503 the platform did nothing,
-/// with any other status it may have acted.
+/// The effect of a call that failed with this status. With 4xx and 503 the platform did nothing;
+/// any other status says no more than a lost answer.
 fn effect_of(status: u16, effect_if_lost: Effect) -> Effect {
     match status {
         400..=499 | 503 => Effect::None,
--- a/crates/pomelohitch-platform/src/log.rs
+++ b/crates/pomelohitch-platform/src/log.rs
@@ -87,9 +87,10 @@
 }
 
 impl Log {
-    /// A client of the log at `base`; `timeout` applies to each call, including reads that wait.
-    /// These wait for at most half of it: if the log answered after the timeout, every read would
-    /// count as an outage while no record is appended.
+    /// A client of the log at `base`; `timeout` applies to each call.
+    ///
+    /// A read waits for a record for at most half of it. If the log answered only after the
+    /// timeout, reads would fail and count as an outage whenever no record is appended for a while.
     #[must_use]
     pub fn http(base: &str, timeout: Duration) -> Log {
         let append_client = Client::new(base, timeout);
--- a/crates/pomelohitch-platform/src/workers.rs
+++ b/crates/pomelohitch-platform/src/workers.rs
@@ -149,7 +149,8 @@
 pub type ApplyFn = Box<dyn Fn(&Effect) -> Result<()> + Send + Sync>;
 /// Reads workers' reports from a position on.
 pub type ReportsFn = Box<dyn Fn(u64) -> Result<Reports> + Send + Sync>;
-/// Asks what became of a start, and rules out a later one if the task never ran.
+/// Asks what became of a start. If the task never ran, the platform refuses that start from then
+/// on.
 pub type TaskFn = Box<dyn Fn(Offset) -> Result<TaskState> + Send + Sync>;
 
 /// A client of the platform's workers.
@@ -162,7 +163,8 @@
     pub apply: ApplyFn,
     /// Reads workers' reports from a position on.
     pub reports: ReportsFn,
-    /// Asks what became of a start, and rules out a later one if the task never ran.
+    /// Asks what became of a start. If the task never ran, the platform refuses that start from
+    /// then on.
     pub task: TaskFn,
 }
 
