--- a/crates/pomelohitch-peer/src/permits.rs
+++ b/crates/pomelohitch-peer/src/permits.rs
@@ -235,5 +235,6 @@
 }
 
 fn len<T>(list: &[T]) -> u32 {
-    u32::try_from(list.len()).expect("a batch has one entry for each resource or load")
+    u32::try_from(list.len())
+        .expect("a list has at most one entry per resource or load, far below 2^32")
 }
