--- a/crates/pomelohitch-config/src/parse.rs
+++ b/crates/pomelohitch-config/src/parse.rs
@@ -258,7 +258,7 @@
                 );
                 continue;
             };
-            if let Err(invalid) = values.read(field, value) {
+            if let Err(invalid) = values.set(field, value) {
                 self.add_fault(
                     invalid.at.unwrap_or(name_at),
                     format!("{name} = {} of {} '{id}'", invalid.display, section.name),
--- a/crates/pomelohitch-config/src/parse/values.rs
+++ b/crates/pomelohitch-config/src/parse/values.rs
@@ -49,7 +49,7 @@
 
 impl Values {
     /// Checks a value of the file and stores it.
-    pub(super) fn read(
+    pub(super) fn set(
         &mut self,
         field: &'static Field,
         value: &Spanned<DeValue<'_>>,
--- a/crates/pomelohitch-peer/tests/links.rs
+++ b/crates/pomelohitch-peer/tests/links.rs
@@ -167,12 +167,16 @@
     // The two members decide in turn, half an interval apart.
     for half in 0..2 * ROUNDS {
         let now = INTERVAL * half / 2;
-        let end = &mut skipped[half as usize % 2];
-        if is_heartbeat_due(*end, Some(now.saturating_sub(last_exchange)), INTERVAL) {
-            (*end, last_exchange) = (0, now);
+        let own_skipped = &mut skipped[half as usize % 2];
+        if is_heartbeat_due(
+            *own_skipped,
+            Some(now.saturating_sub(last_exchange)),
+            INTERVAL,
+        ) {
+            (*own_skipped, last_exchange) = (0, now);
             exchanges += 1;
         } else {
-            *end += 1;
+            *own_skipped += 1;
         }
     }
     assert!(
