--- a/crates/pomelohitch-maintain/examples/measure/simulation.rs
+++ b/crates/pomelohitch-maintain/examples/measure/simulation.rs
@@ -126,6 +126,7 @@
         }
     }
 
+    /// Appends a record by the entry instance and returns the fold's verdict.
     pub fn append(&mut self, body: Body) -> Verdict {
         let offset = self.state.next;
         let record = Record {
@@ -138,6 +139,7 @@
         self.state.apply(offset, &record)
     }
 
+    /// Appends a record that the fold must accept.
     pub fn accept(&mut self, body: Body) {
         let text = format!("{body:?}");
         assert_eq!(self.append(body), Verdict::Accepted, "{text}");
--- a/crates/pomelohitch-maintain/src/pools.rs
+++ b/crates/pomelohitch-maintain/src/pools.rs
@@ -33,7 +33,8 @@
 /// A pool and its instances, with the decisions of this pass taken into account.
 #[derive(Debug, Clone, Default)]
 pub struct PoolView<'a> {
-    /// Instances of the pool according to the log, except those already decided about.
+    /// Instances of the pool according to the log, except those that reconciliation has decided
+    /// about in this pass.
     pub members: Vec<Member<'a>>,
     /// Number of active instances.
     pub active: u32,
@@ -51,9 +52,10 @@
     pub spread: Spread,
     /// Number of instances draining or drained for maintenance.
     pub in_maintenance: u32,
-    /// Whether reconciliation has failed an instance in this pass, or drained one that is leaving.
+    /// Whether reconciliation has marked an instance as failed in this pass, or drained one that is
+    /// leaving.
     pub lost_instance: bool,
-    /// Whether this pass has already decided about one of its instances.
+    /// Whether reconciliation has decided about one of its instances in this pass.
     pub has_decision: bool,
 }
 
--- a/crates/pomelohitch-model/src/reading.rs
+++ b/crates/pomelohitch-model/src/reading.rs
@@ -52,8 +52,8 @@
     exchange_heartbeats(world, next);
     write_chunk(scenario, world, next);
     trim(scenario, world, next);
-    // Otherwise no node can start to accept requests with an outdated state, so the bound is
-    // irrelevant.
+    // Without withdrawals, restarts and pauses, no node can start to accept requests with an
+    // outdated state, so the bound is irrelevant.
     if scenario.withdraws || scenario.restarts + scenario.pauses > 0 {
         bound_passes(world, next);
     }
--- a/crates/pomelohitch-model/src/scenario.rs
+++ b/crates/pomelohitch-model/src/scenario.rs
@@ -63,7 +63,7 @@
     ServesAfterPause,
     /// An entry instance serves requests before it has exchanged heartbeats with a peer.
     ServesBeforeHeartbeat,
-    /// An operator is told that a publish is not in force before its outcome is known.
+    /// An operator gets the answer that a publish is not in force before its outcome is known.
     AnswersBeforeOutcome,
     /// A reader whose next record was trimmed continues with the oldest record that is kept.
     SkipsTrimmed,
--- a/crates/pomelohitch-model/tests/check.rs
+++ b/crates/pomelohitch-model/tests/check.rs
@@ -63,8 +63,8 @@
 #[test]
 fn a_fold_that_applies_repeats_makes_an_answer_false() {
     // The acknowledgement of an append is lost, so the proposal is sent again. Evaluated as a new
-    // record, the second copy conflicts with the first, and the operator is told that the publish
-    // is not in force.
+    // record, the second copy conflicts with the first, and the operator gets the answer that the
+    // publish is not in force.
     let (promise, path) = counterexample_of(Mutant::FoldAppliesRepeats, &scenario::publishing());
     assert_eq!(promise, Promise::TrueAnswer);
     insta::assert_snapshot!(path);
@@ -72,7 +72,7 @@
 
 #[test]
 fn an_answer_given_before_the_outcome_is_known_is_false() {
-    // The operator is told that the publish is not in force, but its append may already have
+    // The operator gets the answer that the publish is not in force, but its append may already have
     // succeeded or may still succeed.
     let (promise, path) = counterexample_of(Mutant::AnswersBeforeOutcome, &scenario::publishing());
     assert_eq!(promise, Promise::TrueAnswer);
--- a/crates/pomelohitch-permits/src/holder.rs
+++ b/crates/pomelohitch-permits/src/holder.rs
@@ -27,7 +27,9 @@
     /// Times at which permits of runs with an unknown end become free; they count in `used` until
     /// then.
     release_times: Vec<Monotonic>,
+    /// This member's part according to the last reply.
     keep: u32,
+    /// Number of permits that the last ask stated as wanted.
     want: u32,
     sequence: Sequence,
     awaited_reply: Option<(Offset, Sequence)>,
@@ -74,8 +76,8 @@
 
     /// Whether this member holds less than the part that its home assigned in its last reply.
     ///
-    /// The other permits were held by other members then. Asking only when they are needed would be
-    /// too late: if the member that holds them dies, they stay unusable until its requests have
+    /// The missing permits were held by other members then. Asking only when they are needed would
+    /// be too late: if the member that holds them dies, they stay unusable until its requests have
     /// certainly ended.
     #[must_use]
     pub fn is_below_part(&self) -> bool {
--- a/crates/pomelohitch-permits/src/message.rs
+++ b/crates/pomelohitch-permits/src/message.rs
@@ -56,7 +56,7 @@
     pub running: u32,
     /// Number of queued requests.
     pub waiting: u32,
-    /// Capacity needed to serve the requests at the rate at which they arrive, in thousandths of a
-    /// slot.
+    /// Capacity needed to serve the requests at the rate at which they arrive, and the queued ones
+    /// within a second, in thousandths of a slot.
     pub need: u32,
 }
--- a/crates/pomelohitch-route/examples/overload/fleet.rs
+++ b/crates/pomelohitch-route/examples/overload/fleet.rs
@@ -68,12 +68,13 @@
 const SERVICE: &str = "passes";
 const TEAM_LIMIT: u32 = 400;
 
+/// Index of a request in [`Fleet::requests`].
 type Id = usize;
 
 #[derive(Debug)]
 enum Event {
     Arrive(Id),
-    /// A request of a blind policy is sent again.
+    /// A refused request is sent to another random runner.
     Retry(Id),
     Tick(u64),
     /// A request reaches a runner.
@@ -82,7 +83,9 @@
     Finish(Id, Option<Sent>, usize),
     /// The entry instance learns how a request ended.
     Ended(Id, Option<Sent>, usize, Completion),
+    /// Asks, recalls and loads from one entry instance arrive at another.
     Batch(usize, usize, Vec<Ask>, Vec<Resource>, Vec<Load>),
+    /// Replies of a home arrive at the entry instance that asked.
     Replies(usize, usize, Vec<Reply>),
 }
 
--- a/crates/pomelohitch-route/src/dispatch.rs
+++ b/crates/pomelohitch-route/src/dispatch.rs
@@ -43,7 +43,7 @@
     pub pool: PoolId,
     /// Maximum number of requests that one runner executes concurrently.
     pub slots: u32,
-    /// Maximum number of requests queued at this entry instance.
+    /// Bound of the queue at this entry instance, see [`queue::Options::bound`].
     pub queue: usize,
     /// Upper bound on the run time of a request: once it has passed since sending, the request has
     /// certainly stopped.
@@ -95,14 +95,14 @@
     Unknown,
 }
 
-/// Which homes to send an ask to, in addition to those that need one because something changed.
+/// Resources to ask for in addition to those with a change to report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AskScope {
-    /// No others.
+    /// No further resources.
     Changed,
-    /// Homes of resources of which this member holds less than its assigned part.
+    /// Resources of which this member holds less than its assigned part.
     BelowPart,
-    /// All homes.
+    /// All resources.
     All,
 }
 
@@ -248,7 +248,8 @@
     /// Queues a request, or refuses it immediately.
     ///
     /// # Errors
-    /// If the request would not be served before its deadline; the refusal says when to retry.
+    /// If the request would not be served before its deadline, or its team's part of the queue is
+    /// full; the refusal says when to retry.
     ///
     /// # Panics
     /// If `service` isn't in the view.
--- a/crates/pomelohitch-route/src/headers.rs
+++ b/crates/pomelohitch-route/src/headers.rs
@@ -19,9 +19,9 @@
     "Upgrade",
 ];
 
-/// Headers that the entry interprets or sets itself.
+/// Headers that end at the entry, which consumes them or sets them anew.
 ///
-/// Authorization is among them because a runner that received the key could act as the team.
+/// `Authorization` is among them because a runner that received the key could act as the team.
 const OWN: [&str; 9] = [
     "Authorization",
     "Content-Length",
@@ -35,7 +35,7 @@
 ];
 
 impl Headers {
-    /// Appends a header.
+    /// Appends a header, without whitespace around its value.
     pub fn add(&mut self, name: &str, value: &str) {
         self.fields.push((name.into(), value.trim().into()));
     }
--- a/crates/pomelohitch-route/src/once.rs
+++ b/crates/pomelohitch-route/src/once.rs
@@ -36,8 +36,8 @@
 }
 
 impl Keys {
-    /// Decides whether `request` may run under `key`. Repeating the call for the same request gives
-    /// the same answer.
+    /// Decides whether `request` may run under `key`. Within the window, the request that was
+    /// granted is granted again when the call is repeated.
     pub fn grant(&mut self, key: &str, request: &str, now: Monotonic) -> Answer {
         self.expire(now);
         if let Some(granted) = self.by_key.get(key) {
--- a/crates/pomelohitch-route/src/problem.rs
+++ b/crates/pomelohitch-route/src/problem.rs
@@ -9,7 +9,7 @@
 #[serde(rename_all = "lowercase")]
 pub enum Ran {
     /// It certainly did not and will not run: no byte of it was handed to a connection, or the
-    /// endpoint reported that it did not start it.
+    /// runner reported that it did not start it.
     No,
     /// It may have run, may be running, or may still run.
     Unknown,
--- a/crates/pomelohitch-route/src/queue.rs
+++ b/crates/pomelohitch-route/src/queue.rs
@@ -69,9 +69,10 @@
 /// Settings of a queue.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// Maximum number of queued requests.
+    /// Number of queued requests, divided between teams by weight. The total may reach twice this
+    /// number while the parts change.
     pub bound: usize,
-    /// Assumed run time until the first request has ended.
+    /// Initial mean run time; weighs as much as one recorded run.
     pub initial_mean_run: Duration,
     /// Upper limit of the time after which a refused request may retry.
     pub max_retry_after: Duration,
@@ -177,7 +178,7 @@
         self.slots = f64::from(slots);
     }
 
-    /// Sets the maximum number of queued requests.
+    /// Sets [`Options::bound`].
     pub fn set_bound(&mut self, bound: usize) {
         self.options.bound = bound;
     }
@@ -187,10 +188,11 @@
         self.team_queue(team).weight = weight.max(0.01);
     }
 
-    /// Queues a request, or refuses it immediately if it would not be served before its deadline.
+    /// Queues a request, or refuses it immediately.
     ///
     /// # Errors
-    /// With the time after which to retry, which differs for each refused request.
+    /// If it would not be served before its deadline, or its team's part of the queue is full. The
+    /// retry times of a team's refused requests differ, up to [`Options::max_retry_after`].
     pub fn offer(&mut self, req: Waiting<T>, now: Monotonic) -> Result<(), Refusal> {
         self.team_queue(&req.team).recent_arrivals += 1.0;
         let wait = self.expected_wait(&req.team, req.priority);
@@ -246,8 +248,8 @@
         )
     }
 
-    /// Assigns the next retry time. Callers refused together are told to retry one after another,
-    /// and no faster than capacity becomes available for them.
+    /// Assigns the team's next retry time. Callers refused together retry one after another, and no
+    /// faster than capacity becomes available for them.
     fn refuse(&mut self, team: &TeamId, now: Monotonic, wait: Duration) -> Refusal {
         let longest = self.options.max_retry_after;
         let interval =
@@ -346,8 +348,8 @@
             .min()
     }
 
-    /// Records how long a request occupied its slot, and corrects the charge of its team
-    /// accordingly.
+    /// Records how long a request occupied its slot, and charges its team the difference from the
+    /// mean run time. A change of the mean since [`next`](Queue::next) charged it is not corrected.
     pub fn record_run(&mut self, team: &TeamId, run: Duration) {
         let charged = self.mean_run;
         let run = run.as_secs_f64();
--- a/crates/pomelohitch-route/tests/route/head.rs
+++ b/crates/pomelohitch-route/tests/route/head.rs
@@ -28,7 +28,8 @@
     });
 }
 
-/// The same with input that resembles a request, so that the later checks are reached.
+/// Input that resembles a request reaches the checks after parsing: an accepted head has no
+/// `Transfer-Encoding` and at most one `Content-Length`, equal to its body length.
 #[test]
 fn requests_with_any_headers_are_read_or_refused() {
     pomelohitch_property::check(|(picks, ends): &(Vec<(u8, u8, u8)>, bool)| {
--- a/crates/pomelohitch-route/tests/route/queue.rs
+++ b/crates/pomelohitch-route/tests/route/queue.rs
@@ -117,7 +117,7 @@
 }
 
 /// For any sequence of arrivals, completions and expiries: no accepted request is lost or returned
-/// twice, the bound holds, and every refusal has a retry time in the future.
+/// twice, at most twice the bound is queued, and every refusal has a retry time in the future.
 #[test]
 fn no_request_is_lost_or_returned_twice() {
     pomelohitch_property::check(|steps: &Vec<(u8, u8)>| {
