--- a/crates/pomelohitch-maintain/examples/measure/load.rs
+++ b/crates/pomelohitch-maintain/examples/measure/load.rs
@@ -133,8 +133,8 @@
 /// The pools burst in turn; the factors average to 1 over a round.
 fn offered_load(n: usize, step: usize, now: Duration, rng: &mut StdRng) -> f64 {
     let is_burst = step % ROUND_STEPS / BURST_STEPS == n;
-    let share = 1.0 / (BURST_FACTOR + IDLE_FACTOR * 4.0) * 5.0;
-    let factor = if is_burst { BURST_FACTOR } else { IDLE_FACTOR } * share;
+    let scale = 1.0 / (BURST_FACTOR + IDLE_FACTOR * 4.0) * 5.0;
+    let factor = if is_burst { BURST_FACTOR } else { IDLE_FACTOR } * scale;
     mean(n, now) * factor * rng.random_range(0.8..1.2)
 }
 
--- a/crates/pomelohitch-maintain/examples/measure/rollout.rs
+++ b/crates/pomelohitch-maintain/examples/measure/rollout.rs
@@ -12,7 +12,7 @@
 
 const SEED: u64 = 1;
 const TICK: Duration = Duration::from_secs(1);
-const LIMIT: Duration = Duration::from_hours(24 * 5);
+const MAX_WAVE_TIME: Duration = Duration::from_hours(24 * 5);
 
 /// A fleet in which all pools are maintained at the same time.
 struct Fleet {
@@ -139,7 +139,7 @@
     let failures_per_tick = fleet.failures * TICK.as_secs_f64() / 86_400.0;
     let mut failed = 0;
     while !sim.state.waves.by_pool.is_empty() {
-        assert!(sim.now < LIMIT, "a wave did not end in time");
+        assert!(sim.now < MAX_WAVE_TIME, "a wave did not end in time");
         if rng.random::<f64>() < failures_per_tick {
             fail_one(&mut sim, &mut rng);
             failed += 1;
@@ -175,12 +175,12 @@
     (0..fleet.pools).map(of_pool).max().unwrap_or_default()
 }
 
-/// Lower bound of a wave's duration with at most `at_once` instances in maintenance at a time: the
-/// sum of all times divided by `at_once`, but at least the time of the slowest instance.
-fn lower_bound(times: &[Duration], at_once: u32) -> Duration {
+/// Lower bound of a wave's duration with at most `max_down` instances in maintenance at a time: the
+/// sum of all times divided by `max_down`, but at least the time of the slowest instance.
+fn lower_bound(times: &[Duration], max_down: u32) -> Duration {
     let work: Duration = times.iter().sum();
     let slowest = times.iter().copied().max().unwrap_or_default();
-    (work / at_once).max(slowest)
+    (work / max_down).max(slowest)
 }
 
 /// Duration with fixed batches of a tenth of the pool, at least one instance, where each batch
--- a/crates/pomelohitch-maintain/examples/measure/simulation.rs
+++ b/crates/pomelohitch-maintain/examples/measure/simulation.rs
@@ -147,7 +147,7 @@
 
     /// Returns the input of the next planning pass.
     pub fn observe(&self) -> Observation {
-        let shown = if self.list_lags {
+        let list = if self.list_lags {
             &self.previous
         } else {
             &self.platform
@@ -155,7 +155,7 @@
         Observation {
             now: self.now,
             wall: EPOCH + self.now,
-            listed: (!self.list_is_stale).then(|| shown.clone()),
+            listed: (!self.list_is_stale).then(|| list.clone()),
             applied_by_all: self.applied_by_all.unwrap_or(self.state.next),
             needs: self.needs.clone(),
         }
@@ -208,14 +208,14 @@
     fn call_platform(&mut self, pending: &PendingEffect) -> bool {
         let effect = &pending.effect;
         let begun = *self.started.entry(effect.op).or_insert(self.now);
-        let took = self.now.saturating_sub(begun);
+        let elapsed = self.now.saturating_sub(begun);
         let Some(listed) = self.platform.get_mut(&effect.instance) else {
             return false;
         };
         if listed.state == ListedState::Down {
             return false;
         }
-        let (takes, then) = match effect.action {
+        let (duration, final_state) = match effect.action {
             Action::Drain => {
                 let own = self.drain_times.get(&effect.instance).copied();
                 (own.unwrap_or(self.times.drain), ListedState::Drained)
@@ -226,7 +226,7 @@
         };
         let never_completes =
             effect.action == Action::Reboot && self.never_return.contains(&*effect.instance);
-        if took < takes || never_completes {
+        if elapsed < duration || never_completes {
             listed.state = match effect.action {
                 Action::Drain => ListedState::Draining,
                 Action::Reboot => ListedState::Rebooting,
@@ -234,7 +234,7 @@
             };
             return false;
         }
-        listed.state = then;
+        listed.state = final_state;
         if let Action::Move(pool) = &effect.action {
             listed.pool = pool.clone();
         }
--- a/crates/pomelohitch-maintain/src/waves.rs
+++ b/crates/pomelohitch-maintain/src/waves.rs
@@ -26,7 +26,11 @@
         if deficit == 0 {
             continue;
         }
-        let mut draining: Vec<_> = view.members.iter().filter(|m| can_return(m)).collect();
+        let mut draining: Vec<_> = view
+            .members
+            .iter()
+            .filter(|m| is_drain_cancellable(m))
+            .collect();
         // Latest drain first: earlier ones are closer to completion.
         draining.sort_by_key(|member| Reverse(member.instance.since));
         for member in draining {
@@ -42,7 +46,7 @@
     }
 }
 
-fn can_return(member: &Member<'_>) -> bool {
+fn is_drain_cancellable(member: &Member<'_>) -> bool {
     matches!(
         member.instance.phase,
         Phase::Draining(DrainPurpose::Maintain | DrainPurpose::MoveTo(_))
--- a/crates/pomelohitch-model/src/planning.rs
+++ b/crates/pomelohitch-model/src/planning.rs
@@ -181,12 +181,12 @@
     let entry = index.and_then(|index| world.log.get(index));
     entry.is_some_and(|entry| {
         let logged = &entry.state.fleet.instances[&instance(intent.instance)];
-        let asks = match intent.action {
+        let requires_effect = match intent.action {
             Action::Drain => matches!(logged.phase, Phase::Draining(_)),
             Action::Undrain => logged.phase == Phase::Active,
             Action::Move => logged.phase.moving_to().is_some(),
         };
-        logged.since == intent.op && asks
+        logged.since == intent.op && requires_effect
     })
 }
 
--- a/crates/pomelohitch-model/src/scenario.rs
+++ b/crates/pomelohitch-model/src/scenario.rs
@@ -76,7 +76,7 @@
 pub fn all() -> Vec<Scenario> {
     vec![
         planning(),
-        taking_back(),
+        cancelling_drains(),
         publishing(),
         joining(),
         outage(),
@@ -102,7 +102,7 @@
 
 /// Two planners move instances out of a pool with an availability budget and cancel drains.
 #[must_use]
-pub fn taking_back() -> Scenario {
+pub fn cancelling_drains() -> Scenario {
     Scenario {
         name: "taking back",
         records: 4,
--- a/crates/pomelohitch-model/tests/check.rs
+++ b/crates/pomelohitch-model/tests/check.rs
@@ -38,7 +38,7 @@
 fn a_fold_that_ignores_the_expected_phase_puts_an_instance_in_two_pools() {
     // A cancellation is appended after the instance was drained. The log then has the instance
     // active in the pool that it was to move to, while the platform has it in its old pool.
-    let (promise, path) = counterexample_of(Mutant::FoldSkipsSince, &scenario::taking_back());
+    let (promise, path) = counterexample_of(Mutant::FoldSkipsSince, &scenario::cancelling_drains());
     assert_eq!(promise, Promise::OnePool);
     insta::assert_snapshot!(path);
 }
@@ -142,7 +142,7 @@
         checks_call_window: true,
         records: 5,
         lost_answers: 0,
-        ..scenario::taking_back()
+        ..scenario::cancelling_drains()
     };
     let found = check(&scenario).counterexample;
     let found = found.expect("the late call breaks the budget");
--- a/crates/pomelohitch-permits/src/home.rs
+++ b/crates/pomelohitch-permits/src/home.rs
@@ -274,8 +274,8 @@
 
     fn members_where(&self, total: u32, is_selected: impl Fn(u32, u32) -> bool) -> Vec<MemberId> {
         let by_member = self.by_member.iter().zip(self.parts(total));
-        let wanted = by_member.filter(|((_, record), part)| is_selected(record.held, *part));
-        wanted.map(|((member, _), _)| member.clone()).collect()
+        let selected = by_member.filter(|((_, record), part)| is_selected(record.held, *part));
+        selected.map(|((member, _), _)| member.clone()).collect()
     }
 
     fn part_of(&self, member: &MemberId, total: u32) -> u32 {
--- a/crates/pomelohitch-permits/tests/permits/model.rs
+++ b/crates/pomelohitch-permits/tests/permits/model.rs
@@ -149,18 +149,20 @@
 
     /// Every member asks once and gets its reply; the first asks again for the unclaimed rest.
     fn distribute_permits(&mut self, scope: &Scope) {
-        let honest = Scope {
+        let without_fault = Scope {
             fault: Fault::None,
             last_sequence: u64::MAX,
             ..*scope
         };
         for index in (0..scope.members).chain([0]) {
             let process = self.processes[index].clone().unwrap();
-            *self = self.ask(&honest, index, &process, 0).unwrap();
+            *self = self.ask(&without_fault, index, &process, 0).unwrap();
             // Delivers the ask, then its reply; both stay in the network and may arrive again.
             for _ in 0..2 {
                 for packet in self.packets.clone() {
-                    *self = self.deliver(&honest, &packet).unwrap_or(self.clone());
+                    *self = self
+                        .deliver(&without_fault, &packet)
+                        .unwrap_or(self.clone());
                 }
             }
         }
@@ -227,12 +229,12 @@
         let is_member = epoch_of(&self.log).members.contains_key(&member(index));
         let mut ended = self.clone();
         ended.log.push(Record::End(index));
-        if is_member && ended_are_minority(scope, &ended.log) {
+        if is_member && at_most_half_ended(scope, &ended.log) {
             worlds.push(ended);
         }
         let mut joined = self.clone();
         joined.log.push(Record::Join(index));
-        if ended_are_minority(scope, &joined.log) {
+        if at_most_half_ended(scope, &joined.log) {
             let mut process = Process {
                 incarnation: self.log.len() as Offset,
                 read: joined.log.len(),
@@ -352,14 +354,14 @@
             wait: time(wait),
         };
         if scope.fault == Fault::GrantsBeforeAllReported {
-            let mut alone = homes.epoch().clone();
-            alone.members = BTreeMap::from([(ask.member.clone(), ask.incarnation)]);
-            alone.has_ended = false;
-            if alone.offset == ask.epoch {
+            let mut only_sender = homes.epoch().clone();
+            only_sender.members = BTreeMap::from([(ask.member.clone(), ask.incarnation)]);
+            only_sender.has_ended = false;
+            if only_sender.offset == ask.epoch {
                 *homes = Homes::default();
                 homes.enter(Epoch {
-                    offset: alone.offset,
-                    ..alone
+                    offset: only_sender.offset,
+                    ..only_sender
                 });
             }
         }
@@ -398,7 +400,7 @@
 
 /// Assumption of the check: of any set of members at most half have ended, unless one of them had
 /// read a later set. `docs/design/permits.md`, "not proved".
-fn ended_are_minority(scope: &Scope, log: &[Record]) -> bool {
+fn at_most_half_ended(scope: &Scope, log: &[Record]) -> bool {
     let now = epoch_of(log);
     (scope.members..log.len()).all(|end| {
         let then = epoch_of(&log[..end]);
--- a/crates/pomelohitch-route/examples/overload/fleet.rs
+++ b/crates/pomelohitch-route/examples/overload/fleet.rs
@@ -59,8 +59,8 @@
 }
 
 const TICK: Duration = Duration::from_millis(25);
-const TICKS_PER_SHARE_OUT: u64 = 10;
-const TICKS_PER_REFRESH: u64 = 40;
+const TICKS_PER_SHARE_REFRESH: u64 = 10;
+const TICKS_PER_FULL_ASK: u64 = 40;
 /// Interval between unlimited retries.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Maximum number of requests queued at one entry instance.
@@ -170,7 +170,7 @@
         } else {
             (0..ENTRIES).collect()
         };
-        let members = all.iter().map(|&place| (member(place), place as u64));
+        let members = all.iter().map(|&index| (member(index), index as u64));
         let mut homes = Homes::default();
         homes.enter(Epoch {
             offset: 100,
@@ -178,10 +178,10 @@
             has_ended: false,
         });
         let mut dispatcher = Dispatcher::new(entry as u64);
-        let runners = (0..RUNNERS).map(|place| Runner {
-            id: runner(place),
+        let runners = (0..RUNNERS).map(|index| Runner {
+            id: runner(index),
             addr: SocketAddr::from(([127, 0, 0, 1], 1)),
-            is_same_zone: place % 4 == entry % 4,
+            is_same_zone: index % 4 == entry % 4,
         });
         let terms = ServiceTerms {
             pool: "pool".into(),
@@ -257,15 +257,15 @@
             Event::Arrive(id) => self.arrive(id),
             Event::Retry(id) => self.send_to_random_runner(id),
             Event::Tick(tick) => self.tick(tick),
-            Event::Start(id, sent, place) => self.start(id, sent, place),
-            Event::Finish(id, sent, place) => {
-                self.running_at[place] -= 1;
+            Event::Start(id, sent, runner) => self.start(id, sent, runner),
+            Event::Finish(id, sent, runner) => {
+                self.running_at[runner] -= 1;
                 self.schedule_after(
                     self.zone_delay,
-                    Event::Ended(id, sent, place, Completion::Answered),
+                    Event::Ended(id, sent, runner, Completion::Answered),
                 );
             }
-            Event::Ended(id, sent, place, end) => self.on_end(id, sent.as_ref(), place, end),
+            Event::Ended(id, sent, runner, end) => self.on_end(id, sent.as_ref(), runner, end),
             Event::Batch(from, to, asks, recalls, loads) => {
                 self.on_batch(from, to, &asks, &recalls, loads);
             }
@@ -335,38 +335,41 @@
     }
 
     fn send_to_random_runner(&mut self, id: Id) {
-        let place = self.random.random_range(0..RUNNERS);
+        let runner = self.random.random_range(0..RUNNERS);
         self.report.attempts += 1;
-        self.schedule_after(self.zone_delay, Event::Start(id, None, place));
+        self.schedule_after(self.zone_delay, Event::Start(id, None, runner));
     }
 
-    fn start(&mut self, id: Id, sent: Option<Sent>, place: usize) {
-        if self.running_at[place] >= SLOTS {
+    fn start(&mut self, id: Id, sent: Option<Sent>, runner: usize) {
+        if self.running_at[runner] >= SLOTS {
             self.schedule_after(
                 self.zone_delay,
-                Event::Ended(id, sent, place, Completion::Refused),
+                Event::Ended(id, sent, runner, Completion::Refused),
             );
             return;
         }
-        if place < self.scenario.broken {
+        if runner < self.scenario.broken {
             self.schedule_after(
                 self.zone_delay,
-                Event::Ended(id, sent, place, Completion::Unknown),
+                Event::Ended(id, sent, runner, Completion::Unknown),
             );
             return;
         }
-        self.running_at[place] += 1;
-        self.report.most_at_runner = self.report.most_at_runner.max(self.running_at[place]);
+        self.running_at[runner] += 1;
+        self.report.max_running_at_runner = self
+            .report
+            .max_running_at_runner
+            .max(self.running_at[runner]);
         let run = self.requests[id].run;
-        self.schedule_after(run, Event::Finish(id, sent, place));
+        self.schedule_after(run, Event::Finish(id, sent, runner));
     }
 
-    fn on_end(&mut self, id: Id, sent: Option<&Sent>, place: usize, end: Completion) {
+    fn on_end(&mut self, id: Id, sent: Option<&Sent>, runner: usize, end: Completion) {
         let entry = self.requests[id].entry;
         let deadline = self.sent_at(id) + TIMEOUT;
         let is_in_time = self.now + self.client_delay <= deadline;
         if self.policy == Policy::Fifo {
-            self.entries[entry].fifo_running[place] -= 1;
+            self.entries[entry].fifo_running[runner] -= 1;
         }
         let mut next = None;
         if let Some(sent) = sent {
@@ -401,8 +404,8 @@
 
     fn send(&mut self, id: Id, sent: Sent) {
         self.report.attempts += 1;
-        let place = number_of(&sent.runner);
-        self.schedule_after(self.zone_delay, Event::Start(id, Some(sent), place));
+        let runner = number_of(&sent.runner);
+        self.schedule_after(self.zone_delay, Event::Start(id, Some(sent), runner));
     }
 
     fn dispatch(&mut self, entry: usize) {
@@ -423,16 +426,16 @@
         let slots = self.slots();
         loop {
             let running = &mut self.entries[entry].fifo_running;
-            let Some(place) = (0..RUNNERS).find(|&place| running[place] < slots) else {
+            let Some(runner) = (0..RUNNERS).find(|&runner| running[runner] < slots) else {
                 return;
             };
             let Some(id) = self.entries[entry].fifo.pop_front() else {
                 return;
             };
-            self.entries[entry].fifo_running[place] += 1;
+            self.entries[entry].fifo_running[runner] += 1;
             self.report.first_attempts += 1;
             self.report.attempts += 1;
-            self.schedule_after(self.zone_delay, Event::Start(id, None, place));
+            self.schedule_after(self.zone_delay, Event::Start(id, None, runner));
         }
     }
 
@@ -449,23 +452,23 @@
         }
     }
 
-    /// Does what the daemon does at each of its ticks.
-    fn exchange_permits(&mut self, place: usize, tick: u64) {
-        let is_share_tick = tick.is_multiple_of(TICKS_PER_SHARE_OUT);
-        let entry = &mut self.entries[place];
+    /// Exchanges permits with the homes as the daemon does at each of its ticks.
+    fn exchange_permits(&mut self, own: usize, tick: u64) {
+        let is_share_tick = tick.is_multiple_of(TICKS_PER_SHARE_REFRESH);
+        let entry = &mut self.entries[own];
         let expired = entry.dispatcher.expire(self.now);
         if is_share_tick {
             entry.dispatcher.refresh_shares();
         }
         let asker = Asker {
-            member: member(place),
-            incarnation: place as u64,
+            member: member(own),
+            incarnation: own as u64,
             epoch: 100,
             leaving: false,
         };
         let loads = entry.dispatcher.loads();
         let awaiting_reply = std::mem::take(&mut entry.awaiting_reply);
-        let scope = if tick.is_multiple_of(TICKS_PER_REFRESH) && !loads.is_empty() {
+        let scope = if tick.is_multiple_of(TICKS_PER_FULL_ASK) && !loads.is_empty() {
             AskScope::All
         } else if is_share_tick {
             AskScope::BelowPart
@@ -479,7 +482,7 @@
         let mut batches: BTreeMap<usize, (Vec<Ask>, Vec<Resource>)> = BTreeMap::new();
         for (home, ask) in asks {
             let home = number_of(&home);
-            if home == place {
+            if home == own {
                 let bounds = bounds(self.policy, &ask);
                 if let Some(reply) = entry.homes.on_ask(&ask, &bounds, self.now) {
                     entry.dispatcher.on_reply(&reply);
@@ -490,14 +493,14 @@
         }
         for (member, resource) in entry.homes.take_recalls() {
             let member = number_of(&member);
-            if member == place {
+            if member == own {
                 entry.dispatcher.recall(&resource);
             } else if !entry.awaiting_reply.contains(&member) {
                 batches.entry(member).or_default().1.push(resource);
             }
         }
         if is_share_tick && self.policy == Policy::Pomelohitch && !loads.is_empty() {
-            for other in (0..ENTRIES).filter(|other| *other != place) {
+            for other in (0..ENTRIES).filter(|other| *other != own) {
                 if !entry.awaiting_reply.contains(&other) {
                     batches.entry(other).or_default();
                 }
@@ -506,7 +509,7 @@
         entry.awaiting_reply.extend(batches.keys());
         for (to, (asks, recalls)) in batches {
             self.report.messages += 2;
-            let event = Event::Batch(place, to, asks, recalls, loads.clone());
+            let event = Event::Batch(own, to, asks, recalls, loads.clone());
             self.schedule_after(self.zone_delay, event);
         }
         for waiting in expired {
--- a/crates/pomelohitch-route/examples/overload/load.rs
+++ b/crates/pomelohitch-route/examples/overload/load.rs
@@ -141,8 +141,8 @@
             if self.now >= self.scenario.length {
                 return None;
             }
-            let kept: f64 = self.random.random();
-            if kept < (self.scenario.load)(self.now) / highest {
+            let draw: f64 = self.random.random();
+            if draw < (self.scenario.load)(self.now) / highest {
                 break;
             }
         }
--- a/crates/pomelohitch-route/examples/overload/report.rs
+++ b/crates/pomelohitch-route/examples/overload/report.rs
@@ -19,7 +19,7 @@
     pub attempts: u64,
     pub first_attempts: u64,
     pub messages: u64,
-    pub most_at_runner: u32,
+    pub max_running_at_runner: u32,
     pub measured: Duration,
     pub latency: Histogram<u64>,
 }
@@ -37,7 +37,7 @@
             attempts: 0,
             first_attempts: 0,
             messages: 0,
-            most_at_runner: 0,
+            max_running_at_runner: 0,
             measured: Duration::ZERO,
             latency: Histogram::new(3).expect("three digits are supported"),
         }
@@ -64,8 +64,8 @@
         let teams = self.by_team.iter().zip(SHARES);
         teams
             .map(|(served, share)| {
-                let owed = f64::from(share) / f64::from(shares);
-                (*served as f64 / all as f64 - owed).abs() / owed
+                let entitled = f64::from(share) / f64::from(shares);
+                (*served as f64 / all as f64 - entitled).abs() / entitled
             })
             .fold(0.0, f64::max)
     }
@@ -96,7 +96,7 @@
             self.latency.value_at_quantile(0.99) as f64 / 1000.0,
             self.refused,
             self.late,
-            self.most_at_runner,
+            self.max_running_at_runner,
             self.messages as f64 / self.arrived as f64,
         )
     }
--- a/crates/pomelohitch-route/src/budget.rs
+++ b/crates/pomelohitch-route/src/budget.rs
@@ -33,10 +33,10 @@
     /// Takes one retry out of the budget; `false` if none is left.
     #[must_use]
     pub fn try_take(&mut self) -> bool {
-        let may = self.allows_retry();
-        if may {
+        let is_allowed = self.allows_retry();
+        if is_allowed {
             self.tokens -= 1.0;
         }
-        may
+        is_allowed
     }
 }
--- a/crates/pomelohitch-route/src/dispatch/parts.rs
+++ b/crates/pomelohitch-route/src/dispatch/parts.rs
@@ -130,8 +130,9 @@
         let members: Vec<_> = self.view.members.iter().collect();
         let unused = (capacity - entitled.iter().sum::<f64>()).max(0.0);
         // Unclaimed capacity is spread evenly, since the next burst may arrive at any member.
-        let each = unused / f64::from(u32::try_from(members.len().max(1)).unwrap_or(1));
-        let mut parts = vec![each; members.len()];
+        let unused_per_member =
+            unused / f64::from(u32::try_from(members.len().max(1)).unwrap_or(1));
+        let mut parts = vec![unused_per_member; members.len()];
         if let Some(own) = members.iter().position(|member| **member == self.view.own)
             && self.is_leaving
         {
@@ -143,11 +144,11 @@
                 if claimant.demand <= 0.0 || demand <= 0.0 {
                     continue;
                 }
-                let here = entitled * demand / claimant.demand;
-                *part += here;
+                let member_part = entitled * demand / claimant.demand;
+                *part += member_part;
                 if **member == self.view.own {
                     let of_team = services.iter().map(|(id, _)| (*id).clone());
-                    weights.extend(of_team.map(|id| (id, (*team).clone(), here)));
+                    weights.extend(of_team.map(|id| (id, (*team).clone(), member_part)));
                 }
             }
         }
--- a/crates/pomelohitch-route/src/pick.rs
+++ b/crates/pomelohitch-route/src/pick.rs
@@ -155,8 +155,8 @@
     /// requests themselves. Ejecting all runners would turn a partial outage into a complete one.
     fn has_common_cause(&self, candidates: &[Candidate<'_>], now: Monotonic) -> bool {
         let ejected = candidates.iter().filter(|c| !self.is_available(c.id, now));
-        let most = self.options.max_ejected_fraction * to_f64(candidates.len());
-        to_f64(ejected.count()) > most
+        let max_ejected = self.options.max_ejected_fraction * to_f64(candidates.len());
+        to_f64(ejected.count()) > max_ejected
     }
 
     /// The latency above which a runner counts as slow.
--- a/crates/pomelohitch-route/src/problem.rs
+++ b/crates/pomelohitch-route/src/problem.rs
@@ -67,7 +67,8 @@
 const TYPE_PREFIX: &str = "urn:pomelohitch:problem:";
 
 impl Kind {
-    fn facts(self) -> (u16, &'static str, &'static str, &'static str) {
+    /// The HTTP status, the last part of the `type`, the title and the step.
+    fn properties(self) -> (u16, &'static str, &'static str, &'static str) {
         match self {
             Kind::BadRequest(status) => (status, "bad-request", "Bad request", "read request"),
             Kind::UnknownKey => (
@@ -114,13 +115,13 @@
     /// The HTTP status.
     #[must_use]
     pub fn status(self) -> u16 {
-        self.facts().0
+        self.properties().0
     }
 
     /// The step at which it occurs.
     #[must_use]
     pub fn step(self) -> &'static str {
-        self.facts().3
+        self.properties().3
     }
 }
 
@@ -182,7 +183,7 @@
     /// Never: strings and integers always serialise.
     #[must_use]
     pub fn document(&self) -> Vec<u8> {
-        let (status, name, title, step) = self.kind.facts();
+        let (status, name, title, step) = self.kind.properties();
         let document = Document {
             r#type: format!("{TYPE_PREFIX}{name}").into(),
             title,
