--- a/crates/pomelohitch-model/tests/check.rs
+++ b/crates/pomelohitch-model/tests/check.rs
@@ -72,8 +72,8 @@
 
 #[test]
 fn an_answer_given_before_the_outcome_is_known_is_false() {
-    // The operator gets the answer that the publish is not in force, but its append may already have
-    // succeeded or may still succeed.
+    // The operator gets the answer that the publish is not in force, but its append may already
+    // have succeeded or may still succeed.
     let (promise, path) = counterexample_of(Mutant::AnswersBeforeOutcome, &scenario::publishing());
     assert_eq!(promise, Promise::TrueAnswer);
     insta::assert_snapshot!(path);
