--- a/crates/pomelohitch-standin/examples/local_fleet/main.rs
+++ b/crates/pomelohitch-standin/examples/local_fleet/main.rs
@@ -1,8 +1,8 @@
-//! A small fleet on this machine: stand-ins and three entry instances as separate processes,
-//! mixed load, one entry instance replaced and one runner frozen on the way.
+//! A small fleet on this machine: stand-ins and three entry instances as separate processes under
+//! mixed load, while one entry instance is replaced and one runner is frozen for a while.
 //!
-//! Started by `scripts/local-fleet`. Ends by itself with a table, with code 0 only if nothing was
-//! lost or doubled, no refusal was false, and every planned stop was graceful.
+//! Started by `scripts/local-fleet`. Prints a table at the end, and exits with 0 only if nothing was
+//! lost or doubled, no refusal was false, and the shutdown of the replaced instance was graceful.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -18,8 +18,8 @@
 mod report;
 mod run;
 
-/// Code after a signal.
-const EXIT_INTERRUPTED: u8 = 130;
+/// Exit code after a signal.
+const EXIT_CODE_INTERRUPTED: u8 = 130;
 
 /// Runs a small fleet on this machine under load.
 #[derive(Debug, Parser)]
@@ -48,7 +48,7 @@
     if !fleet.wait_ready(&stop) {
         return end(&stop, "the fleet never became ready; see its logs");
     }
-    fleet.announce();
+    fleet.print_addresses();
     let time = Duration::from_secs(args.seconds);
     let outcome = run::run(&mut fleet, args.rate, time, args.seed, &stop);
     if stop.load(Ordering::Acquire) {
@@ -60,7 +60,7 @@
 fn end(stop: &AtomicBool, why: &str) -> ExitCode {
     eprintln!("local-fleet: {why}");
     if stop.load(Ordering::Acquire) {
-        ExitCode::from(EXIT_INTERRUPTED)
+        ExitCode::from(EXIT_CODE_INTERRUPTED)
     } else {
         ExitCode::FAILURE
     }
--- a/crates/pomelohitch-standin/src/caller.rs
+++ b/crates/pomelohitch-standin/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of the entry instances, who notes what became of each request.
+//! A caller of the entry instances, which classifies the outcome of each request.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -7,30 +7,30 @@
 
 use crate::runner;
 
-/// An answer that comes so long after the request's own time limit counts as none.
+/// Time after a request's own timeout after which the caller stops waiting for an answer.
 const GRACE: Duration = Duration::from_secs(30);
 
 /// A request.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// The caller's own id of it, told to the runner.
+    /// The caller's own id of the request, sent to the runner.
     pub id: Box<str>,
-    /// The service.
+    /// Service that is called.
     pub service: Box<str>,
-    /// The key that is shown.
+    /// API key.
     pub key: Box<str>,
     /// Whether it is sent as idempotent.
     pub idempotent: bool,
-    /// Its idempotency key, if it has one.
+    /// Idempotency key, if any.
     pub idempotency_key: Option<Box<str>>,
-    /// Whether it is sent as patient.
+    /// Whether it has the priority `patient` rather than `quick`.
     pub patient: bool,
-    /// How long it runs at the runner.
+    /// Run time at the runner.
     pub run: Duration,
-    /// Its time limit.
+    /// Timeout that is sent with the request.
     pub timeout: Duration,
-    /// The length of the answer at least.
-    pub answer_len: usize,
+    /// Minimum length of the answer, bytes.
+    pub min_answer_len: usize,
 }
 
 impl Default for Call {
@@ -44,34 +44,34 @@
             patient: false,
             run: Duration::ZERO,
             timeout: Duration::from_secs(5),
-            answer_len: 0,
+            min_answer_len: 0,
         }
     }
 }
 
-/// What became of a request, as its caller saw it.
+/// Outcome of a request, as its caller sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer of the runner to this very request.
-    Whole,
-    /// It was told that the request didn't run, or no entry instance took the connection.
+    /// The complete answer of the runner to this request.
+    Complete,
+    /// The answer says that the request didn't run, or the connection was refused.
     NotRun(Box<str>),
-    /// It was told that the request may have run, or the connection broke.
+    /// The answer says that the request may have run, or the connection broke.
     Unknown(Box<str>),
-    /// Nothing at all, long after the time limit.
+    /// No answer within the timeout and the grace period.
     Hung,
-    /// An answer that isn't the runner's to this request, nor a problem document.
+    /// An answer that is neither the runner's to this request nor a problem document.
     Wrong(Box<str>),
 }
 
-/// A request that is over.
+/// A request with its outcome.
 #[derive(Debug, Clone)]
-pub struct Done {
-    /// What was asked.
+pub struct FinishedCall {
+    /// The request.
     pub call: Call,
-    /// What became of it.
+    /// Its outcome.
     pub outcome: Outcome,
-    /// From when it should have been sent until it was over.
+    /// Time from its scheduled start to its outcome.
     pub latency: Duration,
 }
 
@@ -93,7 +93,7 @@
         "Request-Priority" => (if call.patient { "patient" } else { "quick" }).to_owned(),
         "Test-Request" => call.id.to_string(),
         "Test-Run-Ms" => call.run.as_millis().to_string(),
-        _ => call.answer_len.to_string(),
+        _ => call.min_answer_len.to_string(),
     };
     let mut req = agent.post(url);
     for name in [
@@ -113,21 +113,21 @@
     let req = req.config().timeout_global(Some(limit)).build();
     let body = format!("body of {}", call.id);
     match req.send(&body) {
-        Ok(answer) => judge(call, body.as_bytes(), answer),
+        Ok(answer) => classify(call, body.as_bytes(), answer),
         Err(error) if is_refused(&error) => Outcome::NotRun("connection refused".into()),
         Err(_) if start.elapsed() >= limit => Outcome::Hung,
         Err(error) => Outcome::Unknown(format!("no answer: {error}").into()),
     }
 }
 
-/// An agent that hands every status to its caller.
+/// An HTTP agent that returns error statuses as answers.
 #[must_use]
 pub fn agent() -> ureq::Agent {
     let config = ureq::Agent::config_builder().http_status_as_error(false);
     config.build().new_agent()
 }
 
-fn judge(call: &Call, sent: &[u8], mut answer: ureq::http::Response<ureq::Body>) -> Outcome {
+fn classify(call: &Call, sent: &[u8], mut answer: ureq::http::Response<ureq::Body>) -> Outcome {
     let status = answer.status();
     let body = match answer.body_mut().read_to_vec() {
         Ok(body) => body,
@@ -142,9 +142,9 @@
             _ => Outcome::Wrong(text()),
         };
     }
-    let expected = runner::answer_body(&call.id, sent, call.answer_len);
+    let expected = runner::answer_body(&call.id, sent, call.min_answer_len);
     if status == 200 && body == expected {
-        Outcome::Whole
+        Outcome::Complete
     } else {
         Outcome::Wrong(text())
     }
--- a/crates/pomelohitch-standin/src/instances.rs
+++ b/crates/pomelohitch-standin/src/instances.rs
@@ -1,7 +1,7 @@
-//! Pools of instances, and their lagging list.
+//! Pools of instances, listed with a delay.
 //!
-//! An instance drains once the runner behind it is idle: its control address is asked for that.
-//! A reboot starts from a drained instance and ends live; so does a move, in the other pool.
+//! A drain completes when the instance's runner is idle, which its control address tells. A reboot
+//! or a move needs a drained instance and leaves it live, a move in the other pool.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 use crate::runner;
 use crate::server::{self, Answer, Request, Server};
 
-/// How long the runner's control address may take.
+/// Timeout of a call to a runner's control address.
 const CONTROL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many states of the list are remembered to show the one that the lag asks for.
-const HISTORY: usize = 10_000;
+/// Number of past states of the list that are kept; the list is served from them with the lag.
+const MAX_SNAPSHOTS: usize = 10_000;
 
 /// Faults of the pools.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -26,13 +26,13 @@
 pub struct Faults {
     /// Faults of calls.
     pub calls: CallFaults,
-    /// These reboot and never come back.
+    /// Instances that never return from a reboot.
     pub never_return: BTreeSet<InstanceId>,
-    /// These are down.
+    /// Instances that are down.
     pub down: BTreeSet<InstanceId>,
-    /// The platform takes these away.
+    /// Instances that the platform withdraws.
     pub leaving: BTreeSet<InstanceId>,
-    /// The list stays as it is.
+    /// Whether the list is frozen.
     pub stale_list: bool,
 }
 
@@ -41,11 +41,11 @@
 pub struct Options {
     /// The instances at the start.
     pub instances: Vec<Instance>,
-    /// How far behind the list is.
+    /// Delay of the list.
     pub lag: Duration,
-    /// How long a reboot takes.
+    /// Duration of a reboot.
     pub reboot: Duration,
-    /// How long a move takes.
+    /// Duration of a move.
     pub move_time: Duration,
 }
 
@@ -60,34 +60,34 @@
     }
 }
 
-/// An instance at the start.
+/// Initial state of an instance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Instance {
-    /// As it is listed.
+    /// Its entry in the list.
     pub listed: Listed,
-    /// The control address of its runner, if it has one; without one it is always idle.
+    /// Control address of its runner; without one it is always idle.
     pub control: Option<SocketAddr>,
 }
 
-/// An effect that took place.
+/// An operation on an instance that took effect.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Effect {
-    /// The decision that asked for it.
+    /// Offset of the decision that requested it.
     pub op: Offset,
-    /// The instance.
+    /// Instance that it applies to.
     pub instance: InstanceId,
     /// `drain`, `undrain`, `reboot` or `move`.
     pub action: Box<str>,
-    /// Whether it is complete.
+    /// Whether it has completed.
     pub done: bool,
 }
 
-/// What the pools counted.
+/// Effects and counts of the pools.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// Every effect once, in the order in which they began.
+    /// Every effect once, in the order of their starts.
     pub effects: Vec<Effect>,
-    /// Reboots and moves that began while requests ran on the instance, which cut them.
+    /// Reboots and moves that began while requests ran on the instance and so interrupted them.
     pub cut: u64,
 }
 
@@ -95,8 +95,8 @@
 struct Entry {
     listed: Listed,
     control: Option<SocketAddr>,
-    /// When a reboot or move ends, and where the instance then is.
-    until: Option<(Instant, PoolId)>,
+    /// When the reboot or move ends, and the pool of the instance after that.
+    busy_until: Option<(Instant, PoolId)>,
 }
 
 #[derive(Debug)]
@@ -114,7 +114,7 @@
 }
 
 #[derive(Deserialize)]
-struct Ask {
+struct OperationRequest {
     op: Offset,
     pool: Option<PoolId>,
 }
@@ -134,16 +134,16 @@
     pub fn start(options: &Options) -> Instances {
         let pools = Shared::new(Pools::new(options));
         let faults = Shared::<Faults>::default();
-        let (played, serving) = (faults.clone(), pools.clone());
+        let (call_faults, call_pools) = (faults.clone(), pools.clone());
         let handler = move |req: &Request| {
-            let act = || answer(&serving, &played.lock().clone(), req);
-            faults::play(&played, |f| &mut f.calls, req, act)
+            let act = || answer(&call_pools, &call_faults.lock().clone(), req);
+            faults::with_call_faults(&call_faults, |f| &mut f.calls, req, act)
         };
         let server = Server::start(&server::Options::default(), Box::new(handler));
-        let (set, counted) = (faults.clone(), pools.clone());
-        let control = faults::control(
-            move |faults| *set.lock() = faults,
-            move || counted.lock().ledger.clone(),
+        let (control_faults, control_pools) = (faults.clone(), pools.clone());
+        let control = faults::start_control(
+            move |faults| *control_faults.lock() = faults,
+            move || control_pools.lock().ledger.clone(),
         );
         Instances {
             server,
@@ -153,30 +153,30 @@
         }
     }
 
-    /// Where they are reached.
+    /// URL of the service of instances.
     #[must_use]
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Their control address.
+    /// URL of the control address.
     #[must_use]
     pub fn control_url(&self) -> String {
         self.control.url()
     }
 
-    /// Replaces their faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock() = faults;
     }
 
-    /// What they counted.
+    /// The effects and counts up to now.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.pools.lock().ledger.clone()
     }
 
-    /// What an instance truly does now, without lag.
+    /// The current entry of an instance, without the lag of the list.
     #[must_use]
     pub fn now(&self, id: &str) -> Option<Listed> {
         let faults = self.faults.lock().clone();
@@ -192,7 +192,7 @@
             let entry = Entry {
                 listed: instance.listed.clone(),
                 control: instance.control,
-                until: None,
+                busy_until: None,
             };
             (instance.listed.id.clone(), entry)
         });
@@ -202,21 +202,21 @@
             ledger: Ledger::default(),
             options: options.clone(),
         };
-        pools.remember();
+        pools.push_snapshot();
         pools
     }
 
-    /// Brings everything to the present: ended reboots and moves, and what the faults say.
+    /// Advances to the present: completes reboots and moves that are due, and applies the faults.
     fn advance(&mut self, faults: &Faults) {
         let now = Instant::now();
         let mut changed = false;
         for (id, entry) in &mut self.entries {
             let before = entry.listed.state;
-            if let Some((end, pool)) = entry.until.clone()
+            if let Some((end, pool)) = entry.busy_until.clone()
                 && end <= now
                 && !faults.never_return.contains(id)
             {
-                entry.until = None;
+                entry.busy_until = None;
                 entry.listed.pool = pool;
                 entry.listed.state = ListedState::Live;
             }
@@ -228,24 +228,24 @@
             changed |= entry.listed.state != before;
         }
         if changed {
-            self.remember();
+            self.push_snapshot();
         }
     }
 
-    fn remember(&mut self) {
+    fn push_snapshot(&mut self) {
         let instances = self.entries.values().map(|entry| entry.listed.clone());
         let list = List {
             as_of: Duration::from_millis(runner::epoch_ms()),
             instances: instances.collect(),
         };
-        if self.history.len() == HISTORY {
+        if self.history.len() == MAX_SNAPSHOTS {
             self.history.remove(0);
         }
         let at = Instant::now();
         self.history.push(Snapshot { at, list });
     }
 
-    /// The list as it was a lag ago; the first one if nothing is that old.
+    /// The list as of one lag ago; the first list if none is that old.
     fn list(&self, is_stale: bool) -> List {
         let lag = self.options.lag;
         let is_old = |snapshot: &&Snapshot| snapshot.at.elapsed() >= lag;
@@ -257,15 +257,21 @@
         list
     }
 
-    /// Begins an effect, or says why the instance's state doesn't allow it.
-    fn begin(&mut self, id: &str, action: &str, ask: &Ask, is_idle: bool) -> Result<(), Answer> {
+    /// Starts an operation, or returns the answer that refuses it.
+    fn begin(
+        &mut self,
+        id: &str,
+        action: &str,
+        request: &OperationRequest,
+        is_idle: bool,
+    ) -> Result<(), Answer> {
         let Some(entry) = self.entries.get_mut(id) else {
             return Err(Answer::text(404, "no such instance"));
         };
         let state = entry.listed.state;
-        let takes_away = matches!(action, "reboot" | "move");
+        let interrupts = matches!(action, "reboot" | "move");
         let end = |after: Duration| Instant::now() + after;
-        match (action, state, &ask.pool) {
+        match (action, state, &request.pool) {
             ("drain", ListedState::Live | ListedState::Leaving, _) => {
                 entry.listed.state = ListedState::Draining;
             }
@@ -276,17 +282,17 @@
             }
             ("reboot", ListedState::Drained, _) => {
                 entry.listed.state = ListedState::Rebooting;
-                entry.until = Some((end(self.options.reboot), entry.listed.pool.clone()));
+                entry.busy_until = Some((end(self.options.reboot), entry.listed.pool.clone()));
             }
             ("move", ListedState::Drained, Some(pool)) => {
-                entry.until = Some((end(self.options.move_time), pool.clone()));
+                entry.busy_until = Some((end(self.options.move_time), pool.clone()));
             }
             _ => return Err(Answer::text(409, &format!("the instance is {state:?}"))),
         }
-        self.remember();
-        self.ledger.cut += u64::from(takes_away && !is_idle);
+        self.push_snapshot();
+        self.ledger.cut += u64::from(interrupts && !is_idle);
         self.ledger.effects.push(Effect {
-            op: ask.op,
+            op: request.op,
             instance: id.into(),
             action: action.into(),
             done: false,
@@ -294,14 +300,15 @@
         Ok(())
     }
 
-    /// Whether the effect `op` is complete; once it was, it stays so.
+    /// Whether the effect `op` is complete; a complete effect stays complete.
     fn is_done(&mut self, op: Offset, is_idle: bool) -> bool {
         let found = self
             .ledger
             .effects
             .iter_mut()
             .find(|effect| effect.op == op);
-        let effect = found.expect("the effect was begun before it is asked for");
+        let effect =
+            found.expect("`apply_operation` begins an unknown effect before it calls this");
         let Some(entry) = self.entries.get_mut(&effect.instance) else {
             return false;
         };
@@ -309,14 +316,14 @@
             effect.done = match &*effect.action {
                 "drain" => is_idle || entry.listed.state == ListedState::Drained,
                 "undrain" => true,
-                _ => entry.until.is_none() && entry.listed.state == ListedState::Live,
+                _ => entry.busy_until.is_none() && entry.listed.state == ListedState::Live,
             };
             if effect.done
                 && &*effect.action == "drain"
                 && entry.listed.state == ListedState::Draining
             {
                 entry.listed.state = ListedState::Drained;
-                self.remember();
+                self.push_snapshot();
                 return true;
             }
         }
@@ -330,15 +337,20 @@
     }
     match (&*req.method, &req.segments()[..]) {
         ("GET", ["instances"]) => Answer::json(200, &pools.lock().list(faults.stale_list)),
-        ("POST", ["instances", id, action]) => match req.json::<Ask>() {
-            Ok(ask) => change(pools, id, action, &ask),
+        ("POST", ["instances", id, action]) => match req.json::<OperationRequest>() {
+            Ok(request) => apply_operation(pools, id, action, &request),
             Err(answer) => answer,
         },
         _ => Answer::text(404, "not found"),
     }
 }
 
-fn change(pools: &Shared<Pools>, id: &str, action: &str, ask: &Ask) -> Answer {
+fn apply_operation(
+    pools: &Shared<Pools>,
+    id: &str,
+    action: &str,
+    request: &OperationRequest,
+) -> Answer {
     let control = pools.lock().entries.get(id).and_then(|entry| entry.control);
     let is_idle = control.is_none_or(is_idle);
     let mut pools = pools.lock();
@@ -346,15 +358,15 @@
         .ledger
         .effects
         .iter()
-        .any(|effect| effect.op == ask.op);
-    if !is_known && let Err(answer) = pools.begin(id, action, ask, is_idle) {
+        .any(|effect| effect.op == request.op);
+    if !is_known && let Err(answer) = pools.begin(id, action, request, is_idle) {
         return answer;
     }
-    let done = pools.is_done(ask.op, is_idle);
+    let done = pools.is_done(request.op, is_idle);
     Answer::json(200, &serde_json::json!({ "done": done }))
 }
 
-/// Asks a runner whether nothing runs on it; one that doesn't answer may still run something.
+/// Whether the runner with this control address runs no request; false if it doesn't answer.
 fn is_idle(control: SocketAddr) -> bool {
     let agent = ureq::Agent::config_builder()
         .timeout_global(Some(CONTROL_TIMEOUT))
--- a/crates/pomelohitch-standin/src/workers.rs
+++ b/crates/pomelohitch-standin/src/workers.rs
@@ -1,7 +1,7 @@
-//! Workers that run tasks under leases and report with a lag.
+//! Workers that run tasks under leases and report with a delay.
 //!
-//! What a task truly does stands in its command, so that declared sizes can be wrong: words
-//! `run=MS`, `cpu=MILLI`, `memory=MIB` and `fail`, each in place of what was declared.
+//! The command of a task overrides its declared sizes, so that these can be wrong: the words
+//! `run=MS`, `cpu=MILLI` and `memory=MIB` set what it really takes, and `fail` makes it fail.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 use crate::runner;
 use crate::server::{self, Answer, Request, Server};
 
-/// A throttled task takes so many times as long for what is left of it.
+/// Factor by which throttling extends the remaining run time of a task.
 const THROTTLE_FACTOR: u32 = 2;
 
 /// Faults of the workers.
@@ -24,21 +24,21 @@
 pub struct Faults {
     /// Faults of calls.
     pub calls: CallFaults,
-    /// So many starts from now on take effect, and the connection ends without an answer.
+    /// This many of the next starts take effect, and their connections are closed without an answer.
     pub lose_starts: u32,
-    /// These fail everything that they start.
+    /// Workers whose tasks all fail.
     pub failing: BTreeSet<InstanceId>,
 }
 
 /// Settings of the workers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// The workers.
+    /// The workers, as listed.
     pub workers: Vec<Listed>,
-    /// How far behind the reports are.
+    /// Delay of the reports.
     pub lag: Duration,
-    /// How often a running task reports what it uses.
-    pub usage_every: Duration,
+    /// Interval at which a running task reports its usage.
+    pub usage_interval: Duration,
 }
 
 impl Default for Options {
@@ -46,28 +46,28 @@
         Options {
             workers: Vec::new(),
             lag: Duration::from_millis(200),
-            usage_every: Duration::from_millis(200),
+            usage_interval: Duration::from_millis(200),
         }
     }
 }
 
-/// What the workers did with a job.
+/// Runs of a job, as the workers counted them.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Runs {
-    /// How often it was started.
+    /// Number of starts.
     pub started: u64,
-    /// How often it succeeded.
+    /// Number of successful runs.
     pub succeeded: u64,
-    /// The most of it that ran at once.
+    /// Maximum number of its tasks that ran at the same time.
     pub most_at_once: usize,
-    /// When it first started, milliseconds since the Unix epoch.
+    /// Time of the first start, milliseconds since the Unix epoch.
     pub first_start_ms: u64,
 }
 
-/// What the workers counted.
+/// Counts of the workers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
-    /// What became of each job.
+    /// Runs of each job that was started.
     pub jobs: BTreeMap<JobId, Runs>,
 }
 
@@ -77,7 +77,7 @@
     start: Start,
     used: Resources,
     fails: bool,
-    /// When it is through, as things are.
+    /// When it completes, unless it is throttled or ends early.
     end: Instant,
     lease_until: Instant,
     next_usage: Instant,
@@ -88,16 +88,16 @@
 struct Fleet {
     options: Options,
     tasks: BTreeMap<Offset, Task>,
-    /// Starts that must not happen any more, because somebody was told that they never did.
+    /// Starts that are refused, because a lookup has answered that they never happened.
     fenced: BTreeSet<Offset>,
-    /// How much of a job is left after its checkpoint.
-    left: BTreeMap<JobId, Duration>,
+    /// Remaining run time of each job at its checkpoint.
+    remaining: BTreeMap<JobId, Duration>,
     reports: Vec<(Instant, Report)>,
     ledger: Ledger,
 }
 
 #[derive(Deserialize)]
-struct Ask {
+struct TaskCall {
     op: Offset,
     #[serde(default, rename = "lease_ms", with = "pomelohitch_core::millis")]
     lease: Duration,
@@ -120,21 +120,21 @@
             options: options.clone(),
             tasks: BTreeMap::new(),
             fenced: BTreeSet::new(),
-            left: BTreeMap::new(),
+            remaining: BTreeMap::new(),
             reports: Vec::new(),
             ledger: Ledger::default(),
         });
         let faults = Shared::<Faults>::default();
-        let (played, serving) = (faults.clone(), fleet.clone());
+        let (call_faults, call_fleet) = (faults.clone(), fleet.clone());
         let handler = move |req: &Request| {
-            let act = || answer(&serving, &played, req);
-            faults::play(&played, |f| &mut f.calls, req, act)
+            let act = || answer(&call_fleet, &call_faults, req);
+            faults::with_call_faults(&call_faults, |f| &mut f.calls, req, act)
         };
         let server = Server::start(&server::Options::default(), Box::new(handler));
-        let (set, counted) = (faults.clone(), fleet.clone());
-        let control = faults::control(
-            move |faults| *set.lock() = faults,
-            move || counted.lock().ledger_now(),
+        let (control_faults, control_fleet) = (faults.clone(), fleet.clone());
+        let control = faults::start_control(
+            move |faults| *control_faults.lock() = faults,
+            move || control_fleet.lock().ledger_now(),
         );
         Workers {
             server,
@@ -144,30 +144,30 @@
         }
     }
 
-    /// Where they are reached.
+    /// URL of the workers' service.
     #[must_use]
     pub fn url(&self) -> String {
         self.server.url()
     }
 
-    /// Their control address.
+    /// URL of the control address.
     #[must_use]
     pub fn control_url(&self) -> String {
         self.control.url()
     }
 
-    /// Replaces their faults.
+    /// Replaces all faults.
     pub fn set_faults(&self, faults: Faults) {
         *self.faults.lock() = faults;
     }
 
-    /// The faults that are left.
+    /// The current faults; the numbers in them are what remains.
     #[must_use]
     pub fn faults(&self) -> Faults {
         self.faults.lock().clone()
     }
 
-    /// What they counted.
+    /// The counts up to now.
     #[must_use]
     pub fn ledger(&self) -> Ledger {
         self.fleet.lock().ledger_now()
@@ -180,15 +180,15 @@
         self.ledger.clone()
     }
 
-    /// Brings every task to the present.
+    /// Advances every task to the present.
     fn advance(&mut self) {
         let now = Instant::now();
-        let mut happened = Vec::new();
+        let mut events = Vec::new();
         for task in self.tasks.values_mut().filter(|task| task.is_running) {
-            task.advance(now, self.options.usage_every, &mut happened);
+            task.advance(now, self.options.usage_interval, &mut events);
         }
-        happened.sort_by_key(|(at, _)| *at);
-        for (_, report) in &happened {
+        events.sort_by_key(|(at, _)| *at);
+        for (_, report) in &events {
             if report.event == Event::Succeeded {
                 self.ledger
                     .jobs
@@ -197,7 +197,7 @@
                     .succeeded += 1;
             }
         }
-        self.reports.extend(happened);
+        self.reports.extend(events);
     }
 
     fn start(&mut self, worker: &str, start: Start, is_failing: bool) -> Answer {
@@ -213,8 +213,8 @@
             return Answer::text(409, "not started");
         }
         let mut task = Task::new(worker, start, is_failing);
-        if let Some(left) = self.left.remove(&task.start.job) {
-            task.end = Instant::now() + left;
+        if let Some(remaining) = self.remaining.remove(&task.start.job) {
+            task.end = Instant::now() + remaining;
         }
         let running = self.tasks.values().filter(|known| known.is_running);
         let at_once = 1 + running
@@ -238,16 +238,16 @@
             .workers
             .iter()
             .find(|known| *known.id == *worker);
-        let on_it = |task: &&Task| task.is_running && *task.worker == *worker;
-        let taken = self
+        let on_worker = |task: &&Task| task.is_running && *task.worker == *worker;
+        let reserved = self
             .tasks
             .values()
-            .filter(on_it)
+            .filter(on_worker)
             .map(|task| task.start.reserve);
-        let total = taken.fold(*reserve, |sum, one| Resources {
-            cpu_milli: sum.cpu_milli + one.cpu_milli,
-            memory_mib: sum.memory_mib + one.memory_mib,
-            accelerators: sum.accelerators + one.accelerators,
+        let total = reserved.fold(*reserve, |sum, task_reserve| Resources {
+            cpu_milli: sum.cpu_milli + task_reserve.cpu_milli,
+            memory_mib: sum.memory_mib + task_reserve.memory_mib,
+            accelerators: sum.accelerators + task_reserve.accelerators,
         });
         listed.is_some_and(|Listed { capacity, .. }| {
             total.cpu_milli <= capacity.cpu_milli
@@ -256,24 +256,24 @@
         })
     }
 
-    fn change(&mut self, action: &str, ask: &Ask) -> Answer {
+    fn change(&mut self, action: &str, call: &TaskCall) -> Answer {
         let now = Instant::now();
-        let Some(task) = self.tasks.get_mut(&ask.op).filter(|task| task.is_running) else {
+        let Some(task) = self.tasks.get_mut(&call.op).filter(|task| task.is_running) else {
             return Answer::text(404, "no such task");
         };
-        let left = task.end.saturating_duration_since(now);
+        let remaining = task.end.saturating_duration_since(now);
         let ended = match action {
             "renew" => {
-                task.lease_until = now + ask.lease;
+                task.lease_until = now + call.lease;
                 None
             }
             "throttle" => {
-                task.end = now + left * THROTTLE_FACTOR;
+                task.end = now + remaining * THROTTLE_FACTOR;
                 None
             }
             "stop" => Some(Event::Stopped),
             "checkpoint" => {
-                self.left.insert(task.start.job.clone(), left);
+                self.remaining.insert(task.start.job.clone(), remaining);
                 Some(Event::Checkpointed)
             }
             _ => return Answer::text(404, "not found"),
@@ -344,20 +344,25 @@
         }
     }
 
-    /// What happened up to `now`, in order.
-    fn advance(&mut self, now: Instant, every: Duration, happened: &mut Vec<(Instant, Report)>) {
+    /// Adds the task's events up to `now` to `events`, in order.
+    fn advance(
+        &mut self,
+        now: Instant,
+        usage_interval: Duration,
+        events: &mut Vec<(Instant, Report)>,
+    ) {
         let (last, event) = self.ending();
         while self.next_usage <= now.min(last) {
-            happened.push((self.next_usage, self.report(Event::Usage)));
-            self.next_usage += every;
+            events.push((self.next_usage, self.report(Event::Usage)));
+            self.next_usage += usage_interval;
         }
         if last <= now {
             self.is_running = false;
-            happened.push((last, self.report(event)));
+            events.push((last, self.report(event)));
         }
     }
 
-    /// How the task ends if nobody does anything.
+    /// When and how the task ends without further calls.
     fn ending(&self) -> (Instant, Event) {
         let begin = self.next_usage;
         if self.used.memory_mib > self.start.reserve.memory_mib {
@@ -392,8 +397,8 @@
             Ok(start) => start_task(fleet, faults, worker, start),
             Err(answer) => answer,
         },
-        ("POST", ["workers", _, action]) => match req.json::<Ask>() {
-            Ok(ask) => fleet.lock().change(action, &ask),
+        ("POST", ["workers", _, action]) => match req.json::<TaskCall>() {
+            Ok(call) => fleet.lock().change(action, &call),
             Err(answer) => answer,
         },
         _ => Answer::text(404, "not found"),
