--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -266,8 +266,9 @@
         }
     }
 
-    /// Reports ended attempts as `Unknown` if no report about them arrived in time. Time during
-    /// which reports can't be read doesn't count, because the report may still arrive.
+    /// Reports ended attempts as `Unknown` if no report about them arrived in time. While reports
+    /// can't be read, one may still arrive, so the timeout counts as passed only once reports were
+    /// read after it.
     fn report_unexplained(&mut self) {
         let mut lost = Vec::new();
         let known = self.known.clone();
--- a/pomelohitchd/src/batch/effects.rs
+++ b/pomelohitchd/src/batch/effects.rs
@@ -39,7 +39,7 @@
 /// The result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallResult {
-    /// This happened to the attempt.
+    /// The event that the call caused or found out, to be reported to the log.
     Event(Event),
     /// It has ended; how is only known from its reports.
     Ended,
@@ -58,7 +58,8 @@
     pub result: CallResult,
 }
 
-/// A pool of threads that make calls. After a drop, each thread ends with its current call.
+/// A pool of threads that make calls. After a drop, each thread ends once its current call is
+/// finished.
 #[derive(Debug)]
 pub struct Effects {
     requests: mpsc::Sender<CallRequest>,
--- a/pomelohitchd/src/burn.rs
+++ b/pomelohitchd/src/burn.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// The records of this process.
+/// Numbers this process's records and queues those that aren't appended yet.
 #[derive(Debug, Default)]
 struct Run {
     minutes: Minutes,
--- a/pomelohitchd/src/front.rs
+++ b/pomelohitchd/src/front.rs
@@ -49,7 +49,7 @@
     pub arrived: Instant,
 }
 
-/// The service behind the port.
+/// The callbacks with which the port serves requests.
 pub struct Service {
     /// Whether the process shuts down.
     pub is_leaving: Box<dyn Fn() -> bool + Send + Sync>,
--- a/pomelohitchd/src/front/exchange.rs
+++ b/pomelohitchd/src/front/exchange.rs
@@ -53,7 +53,7 @@
 }
 
 impl Exchange {
-    /// An exchange that answers by the state of `node`.
+    /// Creates an exchange that serves requests by the current state of `node`.
     #[must_use]
     pub fn new(node: Arc<Node>) -> Exchange {
         Exchange {
@@ -108,7 +108,7 @@
         answered.map(endpoint_response)
     }
 
-    /// The state, and the team whose key it is.
+    /// Returns the current state and the team that `key` belongs to.
     ///
     /// The state is loaded after the freshness check, not before. Otherwise a process that resumes
     /// after a pause could pass the check while it holds the state from before the pause, and
--- a/pomelohitchd/src/group_commit.rs
+++ b/pomelohitchd/src/group_commit.rs
@@ -1,4 +1,5 @@
-//! Group commit: combines changes of jobs by many callers in one append.
+//! Group commit: combines changes of jobs by many callers in batches. A batch is appended as at
+//! most two records, one of submits and one of cancels.
 //!
 //! The log takes only several hundred appends per second for the whole region. While an append is
 //! in flight, further changes collect in the next batch, which one of the waiting threads then
@@ -13,9 +14,9 @@
 
 use crate::node::{Decided, ProposeError};
 
-/// Maximum number of jobs in one record.
+/// A batch that has this many submits and cancels takes no further changes.
 const MAX_JOBS: usize = 512;
-/// Timeout of one append with its verdict.
+/// Timeout of one proposal.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Number of recent batches whose outcomes are kept for the threads that wait for them.
 const MAX_OUTCOMES: usize = 64;
@@ -43,7 +44,7 @@
 /// Appends a proposal and waits for its verdict.
 pub type ProposeFn<'a> = &'a dyn Fn(Body, Duration) -> Result<Decided, ProposeError>;
 
-/// Changes that wait for an append.
+/// Batches changes of jobs; see the module documentation.
 #[derive(Debug, Default)]
 pub struct GroupCommit {
     inner: Mutex<Inner>,
--- a/pomelohitchd/src/lib.rs
+++ b/pomelohitchd/src/lib.rs
@@ -16,7 +16,7 @@
 //! * [`liveness`]: removes dead members, and takes the term when no member plans.
 //! * [`planner`]: decides about instances while this member holds the term.
 //! * [`jobs_api`]: serves `/v1/jobs`.
-//! * [`group_commit`]: combines the proposals of many callers in one append.
+//! * [`group_commit`]: combines changes of jobs by many callers in shared appends.
 //! * [`batch`]: places and starts batch jobs while this member plans.
 //! * [`readiness`]: whether a member that joined has caught up far enough to serve.
 //! * [`withdraw`]: withdraws a key at once, even while the log is unavailable.
--- a/pomelohitchd/src/liveness.rs
+++ b/pomelohitchd/src/liveness.rs
@@ -26,12 +26,13 @@
 /// this many leases before it treats them as dead.
 const ISOLATED_LEASES: u32 = 5;
 
-/// Tracks since when each member could have been heard.
+/// Tracks for how long each member has been silent.
 #[derive(Debug, Default)]
 pub struct Tracker {
+    /// Each member's incarnation, and when it was first seen in the state.
     known: BTreeMap<MemberId, (Incarnation, Instant)>,
     last_call: Option<Instant>,
-    /// Silence is counted from this time at the earliest.
+    /// End of the last pause of this process; silence is counted from here at the earliest.
     silent_from: Option<Instant>,
 }
 
--- a/pomelohitchd/src/metrics_list.rs
+++ b/pomelohitchd/src/metrics_list.rs
@@ -8,14 +8,14 @@
 
 use crate::node::Node;
 
-/// What a metric does.
+/// Type of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// It only grows, from 0 at the start of the process.
+    /// A count that only grows, from 0 at the start of the process.
     Counter,
-    /// It goes up and down.
+    /// A current value, which may rise and fall.
     Gauge,
-    /// How values spread: quantiles, their sum and count.
+    /// A distribution: quantiles, sum and count of the values.
     Histogram,
 }
 
@@ -24,11 +24,11 @@
 pub struct Metric {
     /// Its name.
     pub name: &'static str,
-    /// What it does.
+    /// Its type.
     pub kind: Kind,
     /// What is counted.
     pub unit: &'static str,
-    /// The names of its labels, with commas between them.
+    /// Names of its labels, separated by commas; empty if it has none.
     pub labels: &'static str,
     /// One sentence for operators.
     pub about: &'static str,
@@ -59,7 +59,7 @@
     }
 }
 
-/// All of them, by name.
+/// All metrics of the daemon.
 pub const METRICS: &[Metric] = &[
     counter(
         "admin_refused",
@@ -308,7 +308,7 @@
     ),
 ];
 
-/// Brings the gauges up to date; called when metrics are asked for.
+/// Updates the gauges; called whenever the metrics are read.
 pub fn observe(node: &Node) {
     let state = node.state.load_full();
     let status = Status::of(&state);
--- a/pomelohitchd/src/node.rs
+++ b/pomelohitchd/src/node.rs
@@ -52,10 +52,10 @@
     pub verdict: Verdict,
 }
 
-/// Lifecycle of the process.
+/// Whether the process is ready to serve, and whether it is shutting down.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
-    /// This member's join has taken effect, and the log's head was reached since.
+    /// This member's join has taken effect, and it has caught up as [`crate::readiness`] requires.
     pub ready: AtomicBool,
     /// A graceful shutdown is in progress.
     pub leaving: AtomicBool,
@@ -169,7 +169,7 @@
         decided
     }
 
-    /// Appends a caller's change of jobs, in one record with those of other callers.
+    /// Appends a caller's change of jobs, combined with those of other callers.
     pub fn commit_jobs(&self, change: JobChange) -> Outcome {
         self.jobs
             .commit(change, &|body, limit| self.propose(body, limit))
--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -34,7 +34,7 @@
 use keys::KeyHome;
 use limit_split::LimitSplits;
 
-/// Permits are exchanged at every tick for this long after the last request, ask or change.
+/// Permits are exchanged at every tick for this long after the last request, batch or change.
 const ACTIVE_FOR: Duration = Duration::from_secs(2);
 /// Margin after a request's deadline, so that the queue has time to expire it.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
@@ -193,7 +193,8 @@
     })
 }
 
-/// Whether this incarnation's permits may be used now.
+/// Whether this process may use its permits now: the state is fresh and shows this incarnation as a
+/// member.
 ///
 /// If the state is stale, or it records that this incarnation has ended, its permits may have been
 /// granted to other members. They may be used again once the process has rejoined.
--- a/pomelohitchd/src/permits/exchange.rs
+++ b/pomelohitchd/src/permits/exchange.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// One exchange step: expires requests, then asks and answers the homes as far as `tick` demands.
+/// Runs one exchange step: expires waiting requests, sends asks, recalls and loads to the peers,
+/// and dispatches waiting requests. `tick` selects which of the periodic parts run.
 pub fn step(node: &Arc<Node>, tick: u32) {
     let permits = &node.permits;
     let mut inner = permits.lock();
--- a/pomelohitchd/src/permits/keys.rs
+++ b/pomelohitchd/src/permits/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys. Each key has one home, which remembers it for a window.
+//! Idempotency keys. Each key has one home, a member that remembers it for [`WINDOW`].
 //!
 //! A caller that got no answer sends the same request with the same key again, perhaps to
 //! another entry instance. If both ran, the customer would pay twice. So before a request with a
--- a/pomelohitchd/src/permits/limit_split.rs
+++ b/pomelohitchd/src/permits/limit_split.rs
@@ -49,8 +49,8 @@
 }
 
 impl LimitSplits {
-    /// Number of requests of the team that may run: its part of the limit in the log, less what is
-    /// reserved for jobs.
+    /// Number of requests of the team that may run: its part of the limit in the log, or what a
+    /// reservation for jobs leaves of the limit if that is less.
     #[must_use]
     pub fn requests_of(&self, state: &State, team: &TeamId) -> u32 {
         let Some(team) = state.config.teams.get(team) else {
--- a/pomelohitchd/src/permits/view.rs
+++ b/pomelohitchd/src/permits/view.rs
@@ -15,7 +15,7 @@
 use crate::node::KnownWithdrawals;
 use crate::settings::Settings;
 
-/// Allowance for the drift between the clocks of two machines during the waits.
+/// Allowance in [`Bounds::wait`] for the drift between the clocks of two machines.
 const CLOCK_MARGIN: Duration = Duration::from_secs(1);
 
 /// The teams' limits in the last state that was processed.
--- a/pomelohitchd/src/planner.rs
+++ b/pomelohitchd/src/planner.rs
@@ -32,8 +32,9 @@
 const MIN_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest interval between planning passes.
 const MAX_INTERVAL: Duration = Duration::from_secs(5);
-/// The interval is at least this many times the duration of the last pass. In a large fleet,
-/// planning would otherwise take the processor time that requests need.
+/// The interval is this many times the time that deciding took in the last pass, between
+/// [`MIN_INTERVAL`] and [`MAX_INTERVAL`]. In a large fleet, planning would otherwise take the
+/// processor time that requests need.
 const INTERVAL_PER_PASS: u32 = 200;
 /// Timeout of one proposal.
 const PROPOSE_TIMEOUT: Duration = Duration::from_secs(5);
@@ -109,7 +110,8 @@
     fn execute(&mut self, node: &Node, state: &State, plan: Plan) {
         for decision in plan.decisions.into_iter().take(MAX_PER_PASS) {
             if !propose(node, state, decision) {
-                // The log is down or this member is no longer the planner: start over.
+                // The log is down or this member is no longer the planner. The next pass decides
+                // anew.
                 return;
             }
         }
--- a/pomelohitchd/src/settings.rs
+++ b/pomelohitchd/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the process is told by flags and environment variables.
+//! Settings of the process, from flags and environment variables.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -104,26 +104,26 @@
     pub log_level: Box<str>,
 }
 
-/// All faults of the settings at once, so that they are mended in one go.
+/// All faults of the settings, so that they can be fixed together.
 #[derive(Debug, Snafu)]
 #[snafu(display("wrong settings:\n{}", faults.join("\n")))]
 pub struct Error {
     faults: Vec<String>,
 }
 
-/// The result of this module.
+/// The result of [`Settings::check`].
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 /// Length of a key hash in hexadecimal digits.
 const KEY_HASH_DIGITS: usize = 64;
-/// A peer is held for dead after no fewer missing heartbeats than this.
+/// Shortest allowed member lease, in heartbeat intervals.
 const LEASE_HEARTBEATS: u64 = 4;
 
 impl Settings {
     /// Checks what `clap` can't: ranges, addresses and settings that depend on one another.
     ///
     /// # Errors
-    /// Every fault, each with the flag to mend.
+    /// If any setting is invalid; lists every fault with its flag.
     pub fn check(&self) -> Result<()> {
         let mut faults = Vec::new();
         let mut require = |ok: bool, fault: String| {
@@ -144,7 +144,7 @@
                 format!("{flag}: '{url}' isn't http://IP:PORT"),
             );
         }
-        // What is wrong may be a key given in place of its hash, so that it isn't shown.
+        // The value isn't printed, because it may be a key given in place of its hash.
         require(
             self.admin_key_hash.iter().all(|hash| is_hash(hash)),
             "--admin-key-hash: isn't 64 hexadecimal digits".to_owned(),
@@ -184,7 +184,7 @@
         Duration::from_millis(self.platform_timeout_ms)
     }
 
-    /// A peer not heard of for so long is held for dead.
+    /// A peer from which no heartbeat arrives for this long is treated as dead.
     #[must_use]
     pub fn member_lease(&self) -> Duration {
         Duration::from_millis(self.member_lease_ms)
@@ -195,7 +195,8 @@
     hash.len() == KEY_HASH_DIGITS && hash.bytes().all(|b| b.is_ascii_hexdigit())
 }
 
-/// Peers and the platform are met by IP number: a name would need a resolver that can fail.
+/// The platform, like the peers, is addressed by IP: a host name would need a resolver, which can
+/// fail.
 fn is_ip_url(url: &str) -> bool {
     url.strip_prefix("http://")
         .is_some_and(|addr| addr.parse::<SocketAddr>().is_ok())
--- a/pomelohitchd/src/snapshots.rs
+++ b/pomelohitchd/src/snapshots.rs
@@ -52,7 +52,9 @@
 #[derive(Debug, Default)]
 pub struct Writer {
     term: Term,
+    /// Offset of the newest complete snapshot, and when it was written or first seen here.
     newest: Option<(Offset, Instant)>,
+    /// When the last attempt failed, if any did.
     failed: Option<Instant>,
 }
 
