--- a/pomelohitchd/src/admin/operator.rs
+++ b/pomelohitchd/src/admin/operator.rs
@@ -15,10 +15,12 @@
 /// hashes.
 #[must_use]
 pub fn is_known(settings: &Settings, req: &Request) -> bool {
-    let shown = req
+    let presented = req
         .header("Authorization")
         .and_then(|value| value.strip_prefix("Bearer "));
-    let Some(shown) = shown else { return false };
+    let Some(presented) = presented else {
+        return false;
+    };
     let hashes = settings.admin_key_hash.iter();
-    hashes.fold(false, |known, hash| key::matches(shown, hash) | known)
+    hashes.fold(false, |known, hash| key::matches(presented, hash) | known)
 }
--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -374,7 +374,7 @@
         if decision.is_empty() {
             return;
         }
-        count(&decision);
+        log_and_count(&decision);
         let record = JobDecision {
             term: self.known.members.term,
             after: self.known.jobs.decided,
@@ -411,8 +411,8 @@
     }
 
     fn throttle(&self, throttle: &pomelohitch_place::planner::Throttle) {
-        let jobs = self.known.jobs.get(&throttle.job);
-        if let Some(attempt) = jobs.and_then(Entry::attempt) {
+        let entry = self.known.jobs.get(&throttle.job);
+        if let Some(attempt) = entry.and_then(Entry::attempt) {
             self.submit_call(&throttle.job, attempt, Call::Throttle);
         }
     }
@@ -472,7 +472,7 @@
     }
 }
 
-fn count(decision: &Decision) {
+fn log_and_count(decision: &Decision) {
     metrics::counter!("jobs_placed").increment(decision.place.len() as u64);
     metrics::counter!("jobs_preempted").increment(decision.preempt.len() as u64);
     metrics::counter!("jobs_refused").increment(decision.refuse.len() as u64);
--- a/pomelohitchd/src/burn.rs
+++ b/pomelohitchd/src/burn.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub struct Burn {
     counts: Mutex<Counts>,
-    run: Mutex<Run>,
+    queue: Mutex<RecordQueue>,
 }
 
 /// Tracks which minutes still have to be closed.
@@ -51,7 +51,7 @@
 
 /// Numbers this process's records and queues those that aren't appended yet.
 #[derive(Debug, Default)]
-struct Run {
+struct RecordQueue {
     minutes: Minutes,
     incarnation: Option<Incarnation>,
     seq: u64,
@@ -76,7 +76,7 @@
 
 impl Burn {
     /// Counts the answer to a request of `team` that arrived at `arrived`.
-    pub fn answered(
+    pub fn record_answer(
         &self,
         service: &Service,
         team: &str,
@@ -92,36 +92,36 @@
     /// Queues the record of `minute`, which is over.
     fn close(&self, node: &Node, minute: Minute, last: bool) {
         let rows = lock(&self.counts).take(minute);
-        let mut run = lock(&self.run);
+        let mut queue = lock(&self.queue);
         let joined = node.incarnation.load(Ordering::Acquire);
         // A process that joins again keeps its first incarnation, because its sequence numbers
         // continue.
-        let incarnation = *run.incarnation.get_or_insert(joined);
+        let incarnation = *queue.incarnation.get_or_insert(joined);
         let record = Record {
             member: node.settings.member.clone(),
             incarnation,
-            seq: run.seq,
+            seq: queue.seq,
             minute,
             last,
             rows,
         };
-        run.seq += 1;
-        run.pending.push_back(record.encode());
+        queue.seq += 1;
+        queue.pending.push_back(record.encode());
         // The dropped record shows as a gap in the sequence numbers.
-        if run.pending.len() > MINUTES_KEPT {
-            run.pending.pop_front();
+        if queue.pending.len() > MINUTES_KEPT {
+            queue.pending.pop_front();
         }
     }
 
     /// Appends the queued records. A record whose append may have taken effect is appended again;
     /// its sequence number makes it count once.
     fn append(&self, node: &Node) {
-        let mut run = lock(&self.run);
-        if run.pending.is_empty() {
+        let mut queue = lock(&self.queue);
+        if queue.pending.is_empty() {
             return;
         }
-        match (node.log.append)(BURN_STREAM, run.pending.make_contiguous()) {
-            Ok(_) => run.pending.clear(),
+        match (node.log.append)(BURN_STREAM, queue.pending.make_contiguous()) {
+            Ok(_) => queue.pending.clear(),
             Err(_) => metrics::counter!("burn_append_errors").increment(1),
         }
     }
@@ -139,7 +139,7 @@
 }
 
 fn close_past(node: &Node, now: Minute) {
-    let past = lock(&node.burn.run).minutes.past(now);
+    let past = lock(&node.burn.queue).minutes.past(now);
     let has_closed = !past.is_empty();
     for minute in past {
         node.burn.close(node, minute, false);
--- a/pomelohitchd/src/front/exchange.rs
+++ b/pomelohitchd/src/front/exchange.rs
@@ -104,7 +104,7 @@
         let answered = runners.and_then(|()| self.call(&call));
         self.node
             .burn
-            .answered(&call.service, &call.team.id, &answered, arrived);
+            .record_answer(&call.service, &call.team.id, &answered, arrived);
         answered.map(endpoint_response)
     }
 
--- a/pomelohitchd/src/peers.rs
+++ b/pomelohitchd/src/peers.rs
@@ -62,13 +62,13 @@
 }
 
 fn handlers(node: &Arc<Node>) -> Handlers {
-    let (own, seen) = (node.clone(), node.clone());
-    let (asked, claimed) = (node.clone(), node.clone());
+    let (sender_node, receiver_node) = (node.clone(), node.clone());
+    let (batch_node, claim_node) = (node.clone(), node.clone());
     Handlers {
-        own_heartbeat: Box::new(move || own_heartbeat(&own)),
-        on_heartbeat: Box::new(move |received| on_heartbeat(&seen, received)),
-        on_batch: Box::new(move |batch| permits::on_batch(&asked, batch)),
-        on_claim: Box::new(move |claim| permits::keys::on_claim(&claimed, &claim)),
+        own_heartbeat: Box::new(move || own_heartbeat(&sender_node)),
+        on_heartbeat: Box::new(move |received| on_heartbeat(&receiver_node, received)),
+        on_batch: Box::new(move |batch| permits::on_batch(&batch_node, batch)),
+        on_claim: Box::new(move |claim| permits::keys::on_claim(&claim_node, &claim)),
         on_error: Box::new(|_, _| metrics::counter!("peer_link_errors").increment(1)),
     }
 }
--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -196,9 +196,9 @@
 /// Whether this process may use its permits now: the state is fresh and shows this incarnation as a
 /// member.
 ///
-/// If the state is stale, or it records that this incarnation has ended, its permits may have been
-/// granted to other members. They may be used again once the process has rejoined.
-fn is_covered(node: &Node) -> bool {
+/// Otherwise the incarnation may have been ended by a record in the log, and its permits granted to
+/// other members.
+fn may_use_permits(node: &Node) -> bool {
     if !freshness::is_fresh(node) {
         return false;
     }
@@ -214,7 +214,7 @@
     let permits = &node.permits;
     let mut inner = permits.lock();
     inner.refresh(node, permits.now());
-    is_covered(node) && inner.dispatcher.is_current(sent)
+    may_use_permits(node) && inner.dispatcher.is_current(sent)
 }
 
 /// Picks another runner for a request whose `last` attempt failed, if another attempt is allowed
@@ -224,11 +224,11 @@
     let permits = &node.permits;
     let mut inner = permits.lock();
     let now = permits.now();
-    let is_covered = is_covered(node);
+    let may_use_permits = may_use_permits(node);
     let (service, team) = (&last.service, &last.team);
     inner
         .dispatcher
-        .retry(service, team, &last.runner, now, is_covered)
+        .retry(service, team, &last.runner, now, may_use_permits)
 }
 
 /// Timeout of an attempt on a reused connection, after which another attempt is made; `None` if
@@ -316,8 +316,8 @@
 
     /// Hands runners and permits to all waiting requests that can be dispatched now.
     fn dispatch_ready(&mut self, node: &Node, now: Monotonic) {
-        let is_covered = is_covered(node);
-        for (grant, sent) in self.dispatcher.dispatch(now, is_covered) {
+        let may_use_permits = may_use_permits(node);
+        for (grant, sent) in self.dispatcher.dispatch(now, may_use_permits) {
             if let Err(mpsc::SendError(Some(sent))) = grant.send(Some(sent)) {
                 // The waiting thread has given up at the deadline; nothing was sent.
                 self.dispatcher.complete(&sent, Completion::Refused, now);
--- a/pomelohitchd/src/permits/exchange.rs
+++ b/pomelohitchd/src/permits/exchange.rs
@@ -63,15 +63,15 @@
 }
 
 fn send(node: &Arc<Node>, member: MemberId, batch: Batch) {
-    let (answered, peer) = (node.clone(), member.clone());
+    let (answer_node, peer) = (node.clone(), member.clone());
     let on_answer = move |replies: Option<Replies>| {
-        let permits = &answered.permits;
+        let permits = &answer_node.permits;
         let mut inner = permits.lock();
         inner.in_flight.remove(&peer);
         for reply in replies.iter().flat_map(|replies| &replies.replies) {
             inner.dispatcher.on_reply(reply);
         }
-        inner.dispatch_ready(&answered, permits.now());
+        inner.dispatch_ready(&answer_node, permits.now());
     };
     metrics::counter!("permit_messages").increment(1);
     node.permits
--- a/pomelohitchd/src/permits/keys.rs
+++ b/pomelohitchd/src/permits/keys.rs
@@ -80,8 +80,8 @@
     /// Drops sets of members that no member can have used within the window.
     fn evict_old_epochs(&mut self, now: Monotonic) {
         let window = WINDOW + freshness::BOUND;
-        while let Some((left, _)) = self.epochs.get(1) {
-            if *left + window > now {
+        while let Some((replaced_at, _)) = self.epochs.get(1) {
+            if *replaced_at + window > now {
                 break;
             }
             self.epochs.pop_front();
