--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -113,7 +113,8 @@
         *self.lock_links() = Some(links);
     }
 
-    /// Requests of each service that run or wait in the whole fleet, from the loads received so far.
+    /// Number of requests of each service that run or wait in the whole fleet, from the loads
+    /// received so far.
     #[must_use]
     pub fn demand(&self) -> BTreeMap<ServiceId, u32> {
         self.lock().dispatcher.demand()
