--- a/crates/pomelohitch-sched/src/cell/operations.rs
+++ b/crates/pomelohitch-sched/src/cell/operations.rs
@@ -126,15 +126,15 @@
     pub(super) fn manage_instances(&mut self) {
         let now = self.now.steady;
         let is_busy = self.instances.has_open_wave() || self.instances.has_under_way();
-        let every = if self.has_silent() {
+        let interval = if self.has_silent() {
             LIST_INTERVAL_SILENT
         } else if is_busy {
             LIST_INTERVAL_BUSY
         } else {
             LIST_INTERVAL_IDLE
         };
-        let every = every.max(self.min_list_interval());
-        if self.instances.wants_list(now, every) {
+        let interval = interval.max(self.min_list_interval());
+        if self.instances.wants_list(now, interval) {
             self.outbox.push(Action::ListInstances);
         }
         self.instances.forget_unanswered(now);
@@ -144,20 +144,24 @@
         for wave in remaining {
             self.advance_wave(&wave, &mut reserved);
         }
-        let is_due = self.instances.due_for_maintenance();
-        reserved.extend(self.autoscale(&is_due));
+        let due_instances = self.instances.due_for_maintenance();
+        reserved.extend(self.autoscale(&due_instances));
         // An endpoint whose instance is being operated on may still appear free in the lists; a
         // start on it would be lost.
         reserved.extend(self.instances.endpoints_under_way());
-        let due: BTreeSet<_> = is_due
+        let due_endpoints: BTreeSet<_> = due_instances
             .iter()
             .filter_map(|id| self.endpoint_on(id))
             .collect();
-        self.mark_endpoints(&reserved, &due);
+        self.mark_endpoints(&reserved, &due_endpoints);
     }
 
     /// Sets which endpoints are reserved, and which are due for maintenance.
-    fn mark_endpoints(&mut self, reserved: &BTreeSet<EndpointId>, due: &BTreeSet<EndpointId>) {
+    fn mark_endpoints(
+        &mut self,
+        reserved: &BTreeSet<EndpointId>,
+        due_endpoints: &BTreeSet<EndpointId>,
+    ) {
         for endpoint in self.endpoints.values_mut() {
             endpoint.is_reserved = false;
             endpoint.is_maintenance_due = false;
@@ -167,7 +171,7 @@
                 endpoint.is_reserved = true;
             }
         }
-        for id in due {
+        for id in due_endpoints {
             if let Some(endpoint) = self.endpoints.get_mut(id) {
                 endpoint.is_maintenance_due = true;
             }
@@ -260,14 +264,15 @@
         let endpoint = endpoint.and_then(|e| self.endpoints.get(e));
         let age = endpoint.and_then(|e| e.clock_at_least(now));
         let is_old = age.is_some_and(|age| age > self.settings.operation_gap);
-        let quiet = self.settings.operation_gap + MAX_FLEET_TIME_DIFFERENCE;
-        let quiet_ms = u64::try_from(quiet.as_millis()).unwrap_or(u64::MAX);
+        let required_gap = self.settings.operation_gap + MAX_FLEET_TIME_DIFFERENCE;
+        let required_gap_ms = u64::try_from(required_gap.as_millis()).unwrap_or(u64::MAX);
         let ordered_ms = self.instances.former_order_ms(&instance.id);
         let known_ms = self.settings.fleet_ms.or(self.settings.fleet_ms_at_least);
-        let since = u64::try_from(now.saturating_sub(self.leader_since).as_millis()).unwrap_or(0);
-        let now_ms = known_ms.map(|known| known + since);
-        let is_over = |at: u64| now_ms.is_some_and(|now| now >= at.saturating_add(quiet_ms));
-        let is_quiet = ordered_ms.is_none_or(is_over);
-        is_listed_since && (is_old || is_quiet)
+        let elapsed_ms =
+            u64::try_from(now.saturating_sub(self.leader_since).as_millis()).unwrap_or(0);
+        let now_ms = known_ms.map(|known| known + elapsed_ms);
+        let is_over = |at: u64| now_ms.is_some_and(|now| now >= at.saturating_add(required_gap_ms));
+        let is_record_old = ordered_ms.is_none_or(is_over);
+        is_listed_since && (is_old || is_record_old)
     }
 }
