--- a/pomelohitchd/src/permits/exchange.rs
+++ b/pomelohitchd/src/permits/exchange.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// One exchange step: expires requests, then asks and answers the homes as far as `tick` demands.
+/// Runs one exchange step: expires waiting requests, sends asks, recalls and loads to the peers,
+/// and dispatches waiting requests. `tick` selects which of the periodic parts run.
 pub fn step(node: &Arc<Node>, tick: u32) {
     let permits = &node.permits;
     let mut inner = permits.lock();
@@ -62,15 +63,15 @@
 }
 
 fn send(node: &Arc<Node>, member: MemberId, batch: Batch) {
-    let (answered, peer) = (node.clone(), member.clone());
+    let (answer_node, peer) = (node.clone(), member.clone());
     let on_answer = move |replies: Option<Replies>| {
-        let permits = &answered.permits;
+        let permits = &answer_node.permits;
         let mut inner = permits.lock();
         inner.in_flight.remove(&peer);
         for reply in replies.iter().flat_map(|replies| &replies.replies) {
             inner.dispatcher.on_reply(reply);
         }
-        inner.dispatch_ready(&answered, permits.now());
+        inner.dispatch_ready(&answer_node, permits.now());
     };
     metrics::counter!("permit_messages").increment(1);
     node.permits
--- a/pomelohitchd/src/permits/keys.rs
+++ b/pomelohitchd/src/permits/keys.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys. Each key has one home, which remembers it for a window.
+//! Idempotency keys. Each key has one home, a member that remembers it for [`WINDOW`].
 //!
 //! A caller that got no answer sends the same request with the same key again, perhaps to
 //! another entry instance. If both ran, the customer would pay twice. So before a request with a
@@ -80,8 +80,8 @@
     /// Drops sets of members that no member can have used within the window.
     fn evict_old_epochs(&mut self, now: Monotonic) {
         let window = WINDOW + freshness::BOUND;
-        while let Some((left, _)) = self.epochs.get(1) {
-            if *left + window > now {
+        while let Some((replaced_at, _)) = self.epochs.get(1) {
+            if *replaced_at + window > now {
                 break;
             }
             self.epochs.pop_front();
