--- a/crates/pomelohitch-model/src/scenario.rs
+++ b/crates/pomelohitch-model/src/scenario.rs
@@ -63,7 +63,7 @@
     ServesAfterPause,
     /// An entry instance serves requests before it has exchanged heartbeats with a peer.
     ServesBeforeHeartbeat,
-    /// An operator is told that a publish is not in force before its outcome is known.
+    /// An operator gets the answer that a publish is not in force before its outcome is known.
     AnswersBeforeOutcome,
     /// A reader whose next record was trimmed continues with the oldest record that is kept.
     SkipsTrimmed,
@@ -76,7 +76,7 @@
 pub fn all() -> Vec<Scenario> {
     vec![
         planning(),
-        taking_back(),
+        cancelling_drains(),
         publishing(),
         joining(),
         outage(),
@@ -102,7 +102,7 @@
 
 /// Two planners move instances out of a pool with an availability budget and cancel drains.
 #[must_use]
-pub fn taking_back() -> Scenario {
+pub fn cancelling_drains() -> Scenario {
     Scenario {
         name: "taking back",
         records: 4,
--- a/crates/pomelohitch-sched/src/cell/schedule.rs
+++ b/crates/pomelohitch-sched/src/cell/schedule.rs
@@ -18,7 +18,7 @@
 
 /// Tasks that fit on no endpoint in this pass of a service.
 #[derive(Debug, Default)]
-pub(super) struct Misfits {
+pub(super) struct Unplaced {
     /// Resources that no endpoint has free. Tasks that need as much or more are skipped.
     needs: Vec<Resources>,
     /// Requirements of the first task that found no place but would fit on an empty endpoint.
@@ -34,17 +34,17 @@
 
 /// A shortage of a service: some of its tasks fit on none of its endpoints.
 #[derive(Debug, Clone)]
-pub(super) struct Unplaced {
+pub(super) struct Shortage {
     /// Time since which every pass has left such a task.
     pub(super) since: Steady,
     /// Requirements of the first of these tasks in the last pass.
     pub(super) requirements: Requirements,
 }
 
-impl Misfits {
-    /// Whether a task with at most these needs has found no place in this pass.
-    fn covers(&self, room: &Resources) -> bool {
-        self.needs.iter().any(|m| room.holds(m))
+impl Unplaced {
+    /// Whether a task that needs no more than this has found no place in this pass.
+    fn rules_out(&self, need: &Resources) -> bool {
+        self.needs.iter().any(|m| need.holds(m))
     }
 
     /// Records that a task of `step` found no place. It counts as a shortage if it would fit on
@@ -78,7 +78,7 @@
             .filter(|(_, jobs)| !jobs.is_empty())
             .map(|(service, _)| service.clone())
             .collect();
-        self.unplaced
+        self.shortages
             .retain(|service, _| services.contains(service));
         if !services.is_empty() {
             self.passes = self.passes.wrapping_add(1);
@@ -92,7 +92,7 @@
 
     fn schedule_service(&mut self, service: &ServiceName) {
         let mut slots = self.slots(service);
-        let mut misfits = Misfits::default();
+        let mut unplaced = Unplaced::default();
         let ids = self.by_urgency(service, &slots).into_iter();
         let (suspected, others): (Vec<JobId>, Vec<JobId>) =
             ids.partition(|id| self.suspected.contains_key(id));
@@ -100,22 +100,22 @@
             service,
             others_wait: !others.is_empty(),
         };
-        self.start_suspected(&suspected, &load, &mut slots, &mut misfits);
+        self.start_suspected(&suspected, &load, &mut slots, &mut unplaced);
         for id in others {
-            if self.start_ready(id, &mut slots, &mut misfits) > 0 {
+            if self.start_ready(id, &mut slots, &mut unplaced) > 0 {
                 self.index(id);
             }
         }
-        if let Some(requirements) = misfits.first_unplaced {
-            let since = self.unplaced.get(service).map(|u| u.since);
+        if let Some(requirements) = unplaced.first_unplaced {
+            let since = self.shortages.get(service).map(|s| s.since);
             let since = since.unwrap_or(self.now.steady);
-            let unplaced = Unplaced {
+            let shortage = Shortage {
                 since,
                 requirements,
             };
-            self.unplaced.insert(service.clone(), unplaced);
+            self.shortages.insert(service.clone(), shortage);
         } else {
-            self.unplaced.remove(service);
+            self.shortages.remove(service);
         }
     }
 
@@ -124,7 +124,7 @@
         &mut self,
         id: JobId,
         slots: &mut Slots,
-        misfits: &mut Misfits,
+        unplaced: &mut Unplaced,
     ) -> usize {
         let Some(job) = self.jobs.get(&id) else {
             return 0;
@@ -138,7 +138,7 @@
                 step,
                 index: 0,
             };
-            self.start_step(&spec, first, slots, misfits);
+            self.start_step(&spec, first, slots, unplaced);
         }
         self.after_commit.len() - decided
     }
@@ -176,12 +176,17 @@
             .iter()
             .filter_map(|id| self.jobs.get(id)?.candidate)
             .collect();
-        let room = self.capacity_of(service, slots, &candidates);
-        urgency::order(&candidates, &room, self.fleet_ms(), &self.settings.policy)
+        let capacity = self.capacity_of(service, slots, &candidates);
+        urgency::order(
+            &candidates,
+            &capacity,
+            self.fleet_ms(),
+            &self.settings.policy,
+        )
     }
 
-    /// Capacity of a service's endpoints for tasks that end, the work left of those that run, and
-    /// the capacity that is on its way.
+    /// Capacity of a service's endpoints for tasks that end by themselves, the remaining work of
+    /// those that run, and the capacity of instances being moved to the pool.
     fn capacity_of(
         &self,
         service: &ServiceName,
@@ -200,11 +205,11 @@
             used += endpoint.used.cpu.saturating_sub(lasting);
         }
         let steps: u32 = candidates.iter().map(|c| c.steps_left).sum();
-        let chains: Duration = candidates.iter().map(|c| c.remaining_critical_path).sum();
-        let task = chains.checked_div(steps).unwrap_or_default();
+        let critical_paths: Duration = candidates.iter().map(|c| c.remaining_critical_path).sum();
+        let task_time = critical_paths.checked_div(steps).unwrap_or_default();
         Capacity {
             cpu: as_f64(cpu),
-            running_work: as_f64(used) * AVERAGE_LEFT * task.as_secs_f64() * 1000.0,
+            running_work: as_f64(used) * AVERAGE_LEFT * task_time.as_secs_f64() * 1000.0,
             arriving: as_f64(self.instances.arriving_cpu(service, &self.evacuations)),
         }
     }
@@ -246,10 +251,10 @@
     /// A workspace's index in the configuration and its weight. Jobs sent without a key, or by a
     /// workspace that was removed, share one more workspace of weight 1.
     fn owner(&self, workspace: Option<&WorkspaceName>) -> (u32, u64) {
-        let place = workspace.and_then(|name| self.workspaces.get(name));
-        let weight = place.and_then(|&at| Some(self.cfg.as_ref()?.workspaces.get(at)?.weight));
-        let place = place.and_then(|&at| u32::try_from(at).ok());
-        (place.unwrap_or(u32::MAX), weight.unwrap_or(1))
+        let index = workspace.and_then(|name| self.workspaces.get(name));
+        let weight = index.and_then(|&at| Some(self.cfg.as_ref()?.workspaces.get(at)?.weight));
+        let index = index.and_then(|&at| u32::try_from(at).ok());
+        (index.unwrap_or(u32::MAX), weight.unwrap_or(1))
     }
 
     /// Starts the waiting tasks of a step for which there is capacity, within the workspace's limit
@@ -259,10 +264,10 @@
         spec: &Arc<JobSpec>,
         first: TaskId,
         slots: &mut Slots,
-        misfits: &mut Misfits,
+        unplaced: &mut Unplaced,
     ) {
         let step = &spec.steps[usize::from(first.step)];
-        if misfits.covers(&step.task_resources()) {
+        if unplaced.rules_out(&step.task_resources()) {
             return;
         }
         let Some(allowed) = self.allowed_endpoints(spec, first, &slots.list) else {
@@ -271,19 +276,19 @@
         if step.is_gang || step.is_rack_local {
             let may_run: Vec<_> = slots.list.iter().filter(|s| allowed.has(&s.id)).collect();
             let is_placed = self.start_group(spec, first, &may_run);
-            misfits.note_unplaced(step, !is_placed && self.fits_somewhere(step));
+            unplaced.note_unplaced(step, !is_placed && self.fits_somewhere(step));
             slots.refresh(&self.endpoints);
             return;
         }
         let mut siblings = slots.siblings(&self.siblings(first));
         for task in self.waiting_tasks(first) {
-            if !self.is_within_limit(spec, &step.need) || !self.flow.has_capacity() {
+            if !self.is_within_limit(spec, &step.need) || !self.start_window.has_capacity() {
                 return;
             }
             let place = self.place(step, task, &allowed, slots, &siblings);
             let Some(place) = place else {
-                misfits.add(step);
-                misfits.note_unplaced(step, self.fits_somewhere(step));
+                unplaced.add(step);
+                unplaced.note_unplaced(step, self.fits_somewhere(step));
                 return;
             };
             siblings[place] += 1;
@@ -305,14 +310,14 @@
         siblings: &[u32],
     ) -> Option<usize> {
         let t = self.jobs.get(&task.job)?.progress.task(task)?;
-        let ask = PlacementRequest {
+        let request = PlacementRequest {
             step,
             allowed,
             siblings,
             failed_at: &t.failed_at,
             packs: self.settings.policy.packs,
         };
-        place::choose(&slots.list, &ask)
+        place::choose(&slots.list, &request)
     }
 
     /// Number of runs of the step on each endpoint.
@@ -347,10 +352,10 @@
 
     /// Whether a task of the step would fit on some endpoint of the fleet if that were empty.
     pub(super) fn fits_somewhere(&self, step: &StepSpec) -> bool {
-        let room = step.task_resources();
+        let need = step.task_resources();
         self.endpoints.values().any(|e| {
             let has_label = step.requires.as_deref().is_none_or(|l| e.has_label(l));
-            has_label && e.report.as_ref().is_some_and(|r| r.capacity.holds(&room))
+            has_label && e.report.as_ref().is_some_and(|r| r.capacity.holds(&need))
         })
     }
 }
--- a/pomelohitchd/src/permits.rs
+++ b/pomelohitchd/src/permits.rs
@@ -34,7 +34,7 @@
 use keys::KeyHome;
 use limit_split::LimitSplits;
 
-/// Permits are exchanged at every tick for this long after the last request, ask or change.
+/// Permits are exchanged at every tick for this long after the last request, batch or change.
 const ACTIVE_FOR: Duration = Duration::from_secs(2);
 /// Margin after a request's deadline, so that the queue has time to expire it.
 const EXPIRY_MARGIN: Duration = Duration::from_millis(100);
@@ -113,7 +113,8 @@
         *self.lock_links() = Some(links);
     }
 
-    /// Requests of each service that run or wait in the whole fleet, from the loads received so far.
+    /// Number of requests of each service that run or wait in the whole fleet, from the loads
+    /// received so far.
     #[must_use]
     pub fn demand(&self) -> BTreeMap<ServiceId, u32> {
         self.lock().dispatcher.demand()
@@ -193,11 +194,12 @@
     })
 }
 
-/// Whether this incarnation's permits may be used now.
+/// Whether this process may use its permits now: the state is fresh and shows this incarnation as a
+/// member.
 ///
-/// If the state is stale, or it records that this incarnation has ended, its permits may have been
-/// granted to other members. They may be used again once the process has rejoined.
-fn is_covered(node: &Node) -> bool {
+/// Otherwise the incarnation may have been ended by a record in the log, and its permits granted to
+/// other members.
+fn may_use_permits(node: &Node) -> bool {
     if !freshness::is_fresh(node) {
         return false;
     }
@@ -213,7 +215,7 @@
     let permits = &node.permits;
     let mut inner = permits.lock();
     inner.refresh(node, permits.now());
-    is_covered(node) && inner.dispatcher.is_current(sent)
+    may_use_permits(node) && inner.dispatcher.is_current(sent)
 }
 
 /// Picks another runner for a request whose `last` attempt failed, if another attempt is allowed
@@ -223,11 +225,11 @@
     let permits = &node.permits;
     let mut inner = permits.lock();
     let now = permits.now();
-    let is_covered = is_covered(node);
+    let may_use_permits = may_use_permits(node);
     let (service, team) = (&last.service, &last.team);
     inner
         .dispatcher
-        .retry(service, team, &last.runner, now, is_covered)
+        .retry(service, team, &last.runner, now, may_use_permits)
 }
 
 /// Timeout of an attempt on a reused connection, after which another attempt is made; `None` if
@@ -315,8 +317,8 @@
 
     /// Hands runners and permits to all waiting requests that can be dispatched now.
     fn dispatch_ready(&mut self, node: &Node, now: Monotonic) {
-        let is_covered = is_covered(node);
-        for (grant, sent) in self.dispatcher.dispatch(now, is_covered) {
+        let may_use_permits = may_use_permits(node);
+        for (grant, sent) in self.dispatcher.dispatch(now, may_use_permits) {
             if let Err(mpsc::SendError(Some(sent))) = grant.send(Some(sent)) {
                 // The waiting thread has given up at the deadline; nothing was sent.
                 self.dispatcher.complete(&sent, Completion::Refused, now);
