--- a/pomelohitchd/src/fleet/callers.rs
+++ b/pomelohitchd/src/fleet/callers.rs
@@ -23,9 +23,9 @@
 /// Fraction of the caller's own deadline that a request may wait, so that the answer arrives before
 /// the deadline.
 const DEADLINE_FRACTION: f64 = 0.7;
-/// Timeout of one attempt at the leader.
+/// Timeout of one attempt to have the leader execute a request.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Pause between attempts.
+/// Pause between attempts at a request.
 const RETRY_INTERVAL: Duration = Duration::from_millis(60);
 /// `Retry-After` if no leader has answered.
 const NO_LEADER_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -81,7 +81,7 @@
     !shared.is_leaving() && (shared.leadership().is_some() || knows_leader)
 }
 
-/// Result of one attempt at the leader.
+/// Result of one attempt to have the leader execute a request.
 pub(super) enum Attempt {
     /// The leader answered.
     Answered(Reply),
@@ -146,7 +146,7 @@
 
 /// Status if the leader can't serve the request now; a retry may succeed.
 const UNAVAILABLE: u16 = 503;
-/// Status if the leader doesn't hold the job, also for a repeated cancel.
+/// Status if the leader has no such job; also the answer to a repeated cancel.
 pub(super) const GONE: u16 = 410;
 
 fn has_effect(method: &str) -> bool {
--- a/pomelohitchd/src/fleet/clock.rs
+++ b/pomelohitchd/src/fleet/clock.rs
@@ -26,6 +26,9 @@
 }
 
 /// The fleet's time, as received from a leader, and the local steady clock at that moment.
+///
+/// Each leader continues the fleet's time of the former one by its steady clock, so that changes of
+/// the time of day don't affect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FleetTime {
     /// Epoch of the leader that sent it.
--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -240,9 +240,9 @@
 /// [`Settings::former_leader_timeout`] after a handover: the former leader only finishes the calls
 /// that it was just sending.
 const FORMER_LEADER_TIMEOUT_AFTER_HANDOVER: Duration = Duration::from_millis(300);
-/// Margin by which ended jobs are kept longer than promised.
+/// Margin added to the time for which the platform requires ended jobs to be kept.
 const JOB_RETENTION_MARGIN: Duration = Duration::from_secs(20);
-/// Margin added to the required gap between the operations of two leaders.
+/// Margin added to the gap that the platform requires between the operations of two leaders.
 const OPERATION_GAP_MARGIN: Duration = Duration::from_millis(400);
 
 /// Condition of an append by the leader of `epoch`.
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -35,7 +35,7 @@
 const GATHER_WINDOW: Duration = Duration::from_millis(5);
 /// Minimum interval between the starts of two batches.
 const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(15);
-/// Minimum interval between the starts of two batches while others are in flight.
+/// Minimum interval between the starts of two batches while appends are in flight.
 const MIN_BATCH_INTERVAL_IN_FLIGHT: Duration = Duration::from_millis(120);
 /// Maximum number of queued events handled before the next tick.
 const MAX_EVENTS_PER_TICK: usize = 1_000;
@@ -461,7 +461,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Notes that the store confirmed the leadership just now.
+/// Records that the store has just confirmed the leadership.
 pub fn mark_confirmed(confirmed: &AtomicU64) {
     confirmed.store(millis(clock::steady()), Ordering::Release);
 }
--- a/pomelohitchd/src/fleet/leader/dispatcher.rs
+++ b/pomelohitchd/src/fleet/leader/dispatcher.rs
@@ -22,7 +22,7 @@
 use crate::fleet::relay::client::RelayConnection;
 use crate::fleet::shared::spawn;
 
-/// Delay before a member is tried again that stopped relaying calls.
+/// Delay before a member that stopped relaying calls is used as a relay again.
 const RELAY_RETRY_DELAY: Duration = Duration::from_secs(2);
 /// Interval at which the assignment of endpoints to members is updated.
 const LAYOUT_INTERVAL: Duration = Duration::from_millis(250);
@@ -48,7 +48,7 @@
     Poll(PollOrder),
     /// The endpoint no longer exists.
     Forget(EndpointId),
-    /// The number of endpoints or services has changed.
+    /// New numbers of endpoints and services.
     Targets(CallTargets),
 }
 
@@ -123,7 +123,8 @@
         }
     }
 
-    /// Updates the set of known endpoints, and closes connections to all others.
+    /// Updates the number of `endpoints`, and closes connections to others once more endpoints have
+    /// been called than exist.
     pub fn sync(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
         self.update_targets(known);
         self.forget_removed(known);
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -19,17 +19,18 @@
 /// Time without an answer after which the store counts as lost and the other members are probed.
 /// Their answers decide, so that probing early costs at most one call per member.
 const STORE_LOST_AFTER: Duration = Duration::from_millis(250);
-/// If the store answers a read of this process again, it counts as available for all uses, unless
-/// it was lost for longer than this: then appends may still fail.
+/// Maximum outage after which a store that answers a read of this process counts as recovered. After
+/// a longer one appends may still fail, and the leadership is handed over.
 const MAX_RECOVERED_OUTAGE: Duration = Duration::from_secs(6);
 /// Minimum interval between probes about the store. Answers take long while the store is silent.
 const PROBE_INTERVAL: Duration = Duration::from_millis(900);
 /// Interval at which larger members are asked whether they can lead.
 const LARGER_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Delay of the first such check after a takeover, before the load of the leadership has built up.
+/// Delay after a takeover before larger members are first asked, which is before the load of the
+/// leadership has built up.
 const LARGER_CHECK_DELAY: Duration = Duration::from_millis(300);
-/// Timeout of their answers. Long, since a small leader that is out of processor time has the most
-/// need to hand over and is slow to read the answers.
+/// Timeout of the answers of larger members. Long, since a small leader that is out of processor
+/// time has the most need to hand over and is slow to read the answers.
 const LARGER_CHECK_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time without the store and without an answer of any other member after which this process stops
 /// leading. The other members may have elected another leader, which relies on leases not being
@@ -74,8 +75,8 @@
         }
     }
 
-    /// Checks whether the former leader's process has ended, which shows by another process of the
-    /// same member.
+    /// Checks whether the former leader's process has ended, which is known once its member has
+    /// registered with another start time.
     pub(super) fn check_former_leader(&mut self) {
         let Some(former) = &self.former else {
             return;
--- a/pomelohitchd/src/fleet/leader/heartbeats.rs
+++ b/pomelohitchd/src/fleet/leader/heartbeats.rs
@@ -44,7 +44,7 @@
 }
 
 impl DatagramHeartbeats {
-    /// Creates the socket for the heartbeats of `leader`. Logs an error and returns `None` if that
+    /// Creates the socket for the heartbeats of `leader`. Logs a warning and returns `None` if that
     /// fails.
     #[must_use]
     pub fn new(shared: &Shared, leader: &Leader) -> Option<DatagramHeartbeats> {
--- a/pomelohitchd/src/fleet/leader/in_flight.rs
+++ b/pomelohitchd/src/fleet/leader/in_flight.rs
@@ -51,7 +51,8 @@
         self.batches.is_empty()
     }
 
-    /// Number of batches with records and of confirmations in flight.
+    /// Number of batches with records and of confirmations in flight. A batch whose records are
+    /// split into several appends counts once.
     #[must_use]
     pub fn append_count(&self) -> usize {
         let last_sequences = self.batches.iter().map(|(last, _)| last);
--- a/pomelohitchd/src/fleet/leader/journal.rs
+++ b/pomelohitchd/src/fleet/leader/journal.rs
@@ -55,7 +55,7 @@
 }
 
 impl Journal {
-    /// Starts the threads that append; they end when this is dropped.
+    /// Starts the threads that append; they end when the journal is dropped.
     ///
     /// # Errors
     /// If a thread can't be started.
@@ -101,7 +101,8 @@
         self.last
     }
 
-    /// Writes a record that only confirms the leadership; returns its number.
+    /// Queues a record that only confirms the leadership; returns the sequence number of its
+    /// append.
     pub fn append_confirmation(&mut self, epoch: Epoch) -> Sequence {
         self.commit(vec![Record {
             key: CONFIRM_KEY.into(),
--- a/pomelohitchd/src/fleet/leader/platform_calls.rs
+++ b/pomelohitchd/src/fleet/leader/platform_calls.rs
@@ -70,7 +70,8 @@
         let _ = self.list_requests.send(());
     }
 
-    /// Carries out an operation on an instance that was decided at `at`.
+    /// Requests an operation, decided at `at`, on an instance; its outcome is sent as
+    /// [`Event::Operated`].
     pub fn operate(&self, instance: InstanceId, operation: Operation, at: Steady) {
         let _ = self.operations.send((instance, operation, at));
     }
@@ -150,8 +151,9 @@
             shared: shared.clone(),
             epoch,
             member: site.member.clone(),
-            // Resets the connections of abandoned calls: the instances service doesn't check epochs, so
-            // an operation that arrives late would take effect beside a later leader's.
+            // Resets the connections of abandoned calls: the instances service doesn't check
+            // epochs, so that an operation that arrives late would interleave with those of a
+            // later leader.
             client: site
                 .instances
                 .map(|addr| Client::resetting(addr, CONNECT_TIMEOUT)),
@@ -159,8 +161,8 @@
         }
     }
 
-    /// Returns the outcome of an operation, or `None` if the leadership has ended. Operations that
-    /// still wait then aren't sent, since the next leader has started.
+    /// Carries out an operation and returns its outcome. Returns `None` without sending it if the
+    /// leadership has ended, since the next leader may have started.
     fn operate(
         &mut self,
         id: &InstanceId,
--- a/pomelohitchd/src/fleet/leader/watch.rs
+++ b/pomelohitchd/src/fleet/leader/watch.rs
@@ -19,8 +19,8 @@
 const OPERATORS_WAIT: Duration = Duration::from_millis(500);
 /// Time for which a read of endpoint records waits for new ones.
 const ENDPOINTS_WAIT: Duration = Duration::from_secs(1);
-/// Delay between reads of endpoint records, which gathers them, since the platform charges for each
-/// read.
+/// Delay between reads of endpoint records, so that one read returns several of them: the platform
+/// charges for each read.
 const ENDPOINTS_READ_DELAY: Duration = Duration::from_millis(200);
 /// Delay after a failed read.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
@@ -137,8 +137,8 @@
 
 fn send_removal(key: &str, tx: &Sender<Event>) {
     if let Some(zone) = records::evacuated_zone(key) {
-        // Fails only if the leadership has ended, and then this thread ends too.
         let withdrawn = EvacuationChange::Withdrawn(zone);
+        // Fails only if the leadership has ended, and then this thread ends too.
         let _ = tx.send(Event::Evacuation(withdrawn));
     }
 }
--- a/pomelohitchd/src/fleet/lifecycle.rs
+++ b/pomelohitchd/src/fleet/lifecycle.rs
@@ -178,7 +178,8 @@
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
-/// Applies changed settings. The addresses that are already listened on stay as they are.
+/// Applies changed settings. The addresses for callers, other members and readiness checks stay as
+/// they are, since they are already listened on.
 fn reload(path: &Path, shared: &Shared, is_signalled: bool) {
     match settings::read(path) {
         Ok(site) => {
--- a/pomelohitchd/src/fleet/logs.rs
+++ b/pomelohitchd/src/fleet/logs.rs
@@ -6,7 +6,8 @@
 
 /// Maximum number of lines that wait to be written; further lines are dropped and counted.
 const BUFFERED_LINES: usize = 8_192;
-/// Buffer size in bytes; waiting lines are written together, which saves a system call for each.
+/// Size of the write buffer in bytes. Waiting lines are written together, which saves a system call
+/// for each.
 const WRITTEN_AT_ONCE: usize = 4 * 1024;
 
 /// Handle to the log output; when dropped, it writes the waiting lines and ends the output.
--- a/pomelohitchd/src/fleet/relay/listing.rs
+++ b/pomelohitchd/src/fleet/relay/listing.rs
@@ -27,7 +27,7 @@
     renewed: bool,
     ended: Vec<Ended>,
     gone: Vec<(TaskId, RunNumber)>,
-    /// Runs that are new or have changed in more than the percentage.
+    /// Runs that are new, or whose checkpoint or load has changed.
     changed: Vec<Running>,
     /// New percentages by index, to be applied after the other changes.
     percents: Vec<(Index, u32)>,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Applies a difference and returns the whole answer; `None` if the difference is based on
-    /// another answer than the last one.
+    /// Applies a difference and returns the complete answer; `None` if the difference is based
+    /// on another answer than the last one.
     pub fn decode(&mut self, delta: Delta) -> Option<PollReply> {
         if delta.base == 0 {
             self.runs.clear();
@@ -109,7 +109,8 @@
     }
 }
 
-/// Whether a run has changed in nothing but its percentage, within the tolerance of its load.
+/// Whether a run has the same checkpoint as before and its load has changed by no more than
+/// [`LOAD_TOLERANCE`].
 fn is_similar(previous: &Running, current: &Running) -> bool {
     let difference = f64::from(previous.load.abs_diff(current.load));
     previous.checkpoint == current.checkpoint
--- a/pomelohitchd/src/fleet/relay/spec_cache.rs
+++ b/pomelohitchd/src/fleet/relay/spec_cache.rs
@@ -1,4 +1,5 @@
-//! Cache of job specifications, each of which is sent once over a connection.
+//! Cache of job specifications. Each is sent over a connection once, and again only after its
+//! eviction.
 //!
 //! Both ends keep the same number and evict the oldest first, so that the sender knows which ones
 //! the receiver has.
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -171,7 +171,7 @@
         self.others().into_iter().map(|m| m.addr).collect()
     }
 
-    /// Updates the known leader, unless a later one is known; returns whether none is.
+    /// Updates the known leader. Returns `false` if a later one is known, which then stays.
     ///
     /// `is_announced` says that the leader has just sent a message or begun to lead, which counts
     /// as a heartbeat. A record that is read at start may be that of a leader that ended long ago.
--- a/pomelohitchd/src/fleet/succession.rs
+++ b/pomelohitchd/src/fleet/succession.rs
@@ -10,7 +10,7 @@
 
 use super::wire::{Member, ProbeReply};
 
-/// Ratio of processors from which a member counts as larger. A change of leader delays work by a
+/// Ratio of CPU capacities from which a member counts as larger. A change of leader delays work by a
 /// tenth of a second, which a smaller difference isn't worth.
 const LARGER_RATIO: f64 = 1.5;
 /// Additional delay before a member that knows of a larger one claims the leadership. The larger
--- a/pomelohitchd/src/fleet/wire.rs
+++ b/pomelohitchd/src/fleet/wire.rs
@@ -69,7 +69,8 @@
 
 /// Timeout of a probed member's call to the store; a store that is merely slow answers in time.
 pub const STORE_TRY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Timeout of a probe that includes a call to the store, also if the store doesn't answer.
+/// Timeout of a probe that includes a call to the store. Longer than [`STORE_TRY_TIMEOUT`], so that
+/// the member's reply arrives even if the store doesn't answer it.
 pub const STORE_PROBE_TIMEOUT: Duration = Duration::from_millis(850);
 
 /// Asks a member to take over the leadership.
--- a/pomelohitchd/tests/fleet/callers.rs
+++ b/pomelohitchd/tests/fleet/callers.rs
@@ -106,7 +106,7 @@
     }
 }
 
-/// Makes this leader known to a member.
+/// Makes the leader with `epoch` at `addr` known to a member.
 fn set_leader(shared: &Shared, epoch: u64, addr: SocketAddr) {
     let leader = Leader {
         epoch,
@@ -276,7 +276,7 @@
     assert_eq!(shared.forwarding.in_flight(), 0);
 }
 
-/// Reads have no effect and can always be repeated: the answer says when.
+/// Reads have no effect and can always be repeated: an unanswered one gets a `Retry-After`.
 #[test]
 fn an_unanswered_read_counts_as_not_executed() {
     assert_eq!(
--- a/pomelohitchd/tests/fleet/dispatcher.rs
+++ b/pomelohitchd/tests/fleet/dispatcher.rs
@@ -82,8 +82,9 @@
     outcomes(&rx, count)
 }
 
-/// One order in twenty gets no answer. If the other orders to its endpoint waited for it, most
-/// starts at a busy endpoint would be late, and the oldest would not be sent at all.
+/// Guards against an unanswered order that blocks the other orders to its endpoint. With one
+/// unanswered order in twenty, most starts at a busy endpoint would be late, and the oldest would
+/// not be sent at all.
 #[test]
 fn an_order_without_an_answer_does_not_hold_up_its_endpoint() {
     let ends = send(1..=12, endpoint(&[1]));
--- a/pomelohitchd/tests/fleet/leaders.rs
+++ b/pomelohitchd/tests/fleet/leaders.rs
@@ -1,4 +1,4 @@
-//! The choice of the next leader, and what counts as a sign that the leader is alive.
+//! The choice of the next leader, what counts as a heartbeat of the leader, and the fleet's time.
 
 use std::net::SocketAddr;
 use std::time::Duration;
