--- a/pomelohitchd/src/fleet/forwarding.rs
+++ b/pomelohitchd/src/fleet/forwarding.rs
@@ -79,7 +79,7 @@
     }
 
     /// Records that the leader with `epoch` refuses new jobs of a queue for the given time.
-    fn note_refusal(&self, epoch: Epoch, queue: Box<str>, time: Duration) {
+    fn record_refusal(&self, epoch: Epoch, queue: Box<str>, time: Duration) {
         let now = clock::steady();
         let mut state = self.lock();
         if state.epoch == epoch {
@@ -143,7 +143,7 @@
     match &attempt {
         Attempt::Answered(reply) => {
             if let Some(time) = reply.queue_refused_for {
-                shared.forwarding.note_refusal(reply.epoch, queue, time);
+                shared.forwarding.record_refusal(reply.epoch, queue, time);
             }
             slot.release(Window::answered);
         }
--- a/pomelohitchd/src/fleet/internal.rs
+++ b/pomelohitchd/src/fleet/internal.rs
@@ -48,11 +48,11 @@
 fn answer(shared: &Shared, incoming: &Incoming) -> Response {
     let target = &*incoming.head.target;
     match target {
-        wire::HEARTBEAT_PATH => reply(&incoming.body, |heartbeat: Heartbeat| {
+        wire::HEARTBEAT_PATH => respond(&incoming.body, |heartbeat: Heartbeat| {
             handle_heartbeat(shared, &heartbeat)
         }),
-        wire::PROBE_PATH => reply(&incoming.body, |probe: Probe| handle_probe(shared, &probe)),
-        wire::CLAIM_PATH => reply(&incoming.body, |claim: Claim| shared.request_claim(claim)),
+        wire::PROBE_PATH => respond(&incoming.body, |probe: Probe| handle_probe(shared, &probe)),
+        wire::CLAIM_PATH => respond(&incoming.body, |claim: Claim| shared.request_claim(claim)),
         _ => match target.strip_prefix(wire::FORWARD_PREFIX) {
             Some(path) => callers::answer_forwarded(shared, incoming, path),
             None => Response::empty_404(),
@@ -124,9 +124,12 @@
         .answers(Topic::Members, from, wire::STORE_TRY_TIMEOUT)
 }
 
-fn reply<Q: DeserializeOwned, A: Serialize>(body: &[u8], answer: impl FnOnce(Q) -> A) -> Response {
+fn respond<Q: DeserializeOwned, A: Serialize>(
+    body: &[u8],
+    answer: impl FnOnce(Q) -> A,
+) -> Response {
     match postcard::from_bytes(body) {
-        Ok(request) => message(&answer(request)),
+        Ok(request) => encode_response(&answer(request)),
         Err(error) => {
             warn!(%error, "message from an entry instance can't be decoded");
             Response::text("unreadable").with_status_code(400)
@@ -134,7 +137,7 @@
     }
 }
 
-fn message(message: &impl Serialize) -> Response {
+fn encode_response(message: &impl Serialize) -> Response {
     match postcard::to_allocvec(message) {
         Ok(body) => Response::from_data("application/octet-stream", body),
         Err(error) => {
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -151,7 +151,7 @@
     pending_calls: HashMap<CallId, SyncSender<Answer>>,
     next_call: CallId,
     in_flight: InFlight,
-    committed_at: Steady,
+    last_append_at: Steady,
     pub(super) appends_failing_since: Option<Steady>,
     pub(super) reads_failing_since: Option<Steady>,
     pub(super) members_probed_at: Steady,
@@ -195,7 +195,7 @@
         pending_calls: HashMap::new(),
         next_call: 0,
         in_flight: InFlight::default(),
-        committed_at: Steady::ZERO,
+        last_append_at: Steady::ZERO,
         appends_failing_since: None,
         reads_failing_since: None,
         members_probed_at: Steady::ZERO,
@@ -420,16 +420,16 @@
             MIN_BATCH_INTERVAL
         };
         if self.in_flight.append_count() >= journal::MAX_IN_FLIGHT
-            || now < self.committed_at + interval
+            || now < self.last_append_at + interval
         {
             return;
         }
         match self.cell.take_batch() {
             Ok(None) => {
-                if !has_in_flight && now >= self.committed_at + journal::CONFIRM_INTERVAL {
+                if !has_in_flight && now >= self.last_append_at + journal::CONFIRM_INTERVAL {
                     let sequence = self.journal.append_confirmation(self.epoch);
                     self.in_flight.push(sequence, None);
-                    self.committed_at = now;
+                    self.last_append_at = now;
                 }
             }
             Ok(Some(batch)) if batch.records.is_empty() => {
@@ -438,7 +438,7 @@
                 }
             }
             Ok(Some(mut batch)) => {
-                self.committed_at = now;
+                self.last_append_at = now;
                 let records = std::mem::take(&mut batch.records);
                 let sequence = self.journal.commit(records);
                 self.in_flight.push(sequence, Some(batch));
--- a/pomelohitchd/src/fleet/leader/dispatcher.rs
+++ b/pomelohitchd/src/fleet/leader/dispatcher.rs
@@ -63,7 +63,8 @@
 #[derive(Debug)]
 pub struct Dispatcher {
     commands: UnboundedSender<Command>,
-    known: HashSet<EndpointId>,
+    /// Endpoints that were called and whose connections may still be open.
+    called: HashSet<EndpointId>,
     /// Number of endpoints at the last count.
     counted_endpoints: usize,
     events: Sender<Event>,
@@ -86,7 +87,7 @@
         })?;
         Ok(Dispatcher {
             commands,
-            known: HashSet::new(),
+            called: HashSet::new(),
             counted_endpoints: 0,
             events,
         })
@@ -94,15 +95,15 @@
 
     /// Sends an order that was decided at `at`.
     pub fn order(&mut self, target: Target, order: Order, epoch: Epoch, at: Steady) {
-        self.known.insert(target.id.clone());
-        let sending = OutgoingOrder {
+        self.called.insert(target.id.clone());
+        let outgoing = OutgoingOrder {
             target,
             order,
             epoch,
             decided_at: at,
         };
         if let Err(mpsc::error::SendError(Command::Order(unsent))) =
-            self.commands.send(Command::Order(sending))
+            self.commands.send(Command::Order(outgoing))
         {
             let outcome = Outcome::Refused(Refusal::Unsent);
             // Fails only if the leadership has ended.
@@ -114,7 +115,7 @@
 
     /// Polls an endpoint.
     pub fn poll(&mut self, poll: PollOrder) {
-        self.known.insert(poll.target.id.clone());
+        self.called.insert(poll.target.id.clone());
         if let Err(mpsc::error::SendError(Command::Poll(unsent))) =
             self.commands.send(Command::Poll(poll))
         {
@@ -125,31 +126,31 @@
 
     /// Updates the number of `endpoints`, and closes connections to others once more endpoints have
     /// been called than exist.
-    pub fn sync(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
-        self.update_targets(known);
-        self.forget_removed(known);
+    pub fn sync(&mut self, endpoints: &BTreeMap<EndpointId, Endpoint>) {
+        self.update_targets(endpoints);
+        self.forget_removed(endpoints);
     }
 
-    fn update_targets(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
-        if self.counted_endpoints == known.len() {
+    fn update_targets(&mut self, endpoints: &BTreeMap<EndpointId, Endpoint>) {
+        if self.counted_endpoints == endpoints.len() {
             return;
         }
-        self.counted_endpoints = known.len();
-        let reports = known.values().filter_map(|e| e.report.as_ref());
+        self.counted_endpoints = endpoints.len();
+        let reports = endpoints.values().filter_map(|e| e.report.as_ref());
         let services: BTreeSet<_> = reports.map(|r| &r.service).collect();
         let targets = CallTargets {
-            endpoints: known.len(),
+            endpoints: endpoints.len(),
             services: services.len(),
         };
         // Fails only if the thread has ended, which then makes no calls.
         let _ = self.commands.send(Command::Targets(targets));
     }
 
-    fn forget_removed(&mut self, known: &BTreeMap<EndpointId, Endpoint>) {
-        if self.known.len() <= known.len() {
+    fn forget_removed(&mut self, endpoints: &BTreeMap<EndpointId, Endpoint>) {
+        if self.called.len() <= endpoints.len() {
             return;
         }
-        let gone = self.known.extract_if(|id| !known.contains_key(id));
+        let gone = self.called.extract_if(|id| !endpoints.contains_key(id));
         for id in gone {
             // Fails only if the thread has ended, which then has no connections.
             let _ = self.commands.send(Command::Forget(id));
@@ -163,7 +164,7 @@
     while let Some(command) = commands.recv().await {
         router.update_layout();
         match command {
-            Command::Order(sending) => router.order(sending),
+            Command::Order(outgoing) => router.order(outgoing),
             Command::Poll(poll) => router.poll(poll),
             Command::Forget(id) => router.forget(&id),
             Command::Targets(targets) => router.targets = targets,
@@ -180,7 +181,7 @@
     layout: Layout,
     /// The other members at the last update of the layout.
     members: Vec<SocketAddr>,
-    links: BTreeMap<SocketAddr, RelayConnection>,
+    connections: BTreeMap<SocketAddr, RelayConnection>,
     layout_updated_at: Option<Steady>,
 }
 
@@ -193,7 +194,7 @@
             targets: CallTargets::default(),
             layout: Layout::default(),
             members: Vec::new(),
-            links: BTreeMap::new(),
+            connections: BTreeMap::new(),
             layout_updated_at: None,
         }
     }
@@ -221,51 +222,55 @@
         }
         let members = self.options.members.as_ref().map(|members| members());
         self.members = members.unwrap_or_default();
-        let is_over = |link: &RelayConnection| {
-            link.ended_at()
+        let is_retry_due = |connection: &RelayConnection| {
+            connection
+                .ended_at()
                 .is_some_and(|at| now >= at + RELAY_RETRY_DELAY)
         };
-        self.links
-            .retain(|peer, link| self.members.contains(peer) && !is_over(link));
+        self.connections
+            .retain(|peer, connection| self.members.contains(peer) && !is_retry_due(connection));
     }
 
     /// Returns the open connection to the member that relays the endpoint's calls, if any.
-    fn link(&mut self, target: &Target) -> Option<&RelayConnection> {
+    fn connection(&mut self, target: &Target) -> Option<&RelayConnection> {
         if self.layout == Layout::default() {
             return None;
         }
-        let links = &self.links;
-        let is_usable =
-            |peer: &SocketAddr| links.get(peer).is_none_or(|link| link.ended_at().is_none());
+        let connections = &self.connections;
+        let is_usable = |peer: &SocketAddr| {
+            connections
+                .get(peer)
+                .is_none_or(|connection| connection.ended_at().is_none())
+        };
         let members = self.members.iter().copied().filter(is_usable);
         let peer = self.layout.member(&target.service, &target.id, members)?;
         let (epoch, events) = (self.options.epoch, &self.events);
-        let link = self
-            .links
+        let connection = self
+            .connections
             .entry(peer)
             .or_insert_with(|| RelayConnection::start(peer, epoch, events.clone()));
-        link.is_open().then_some(link)
+        connection.is_open().then_some(connection)
     }
 
-    fn order(&mut self, sending: OutgoingOrder) {
-        let sending = match self.link(&sending.target) {
-            Some(link) => link.order(sending),
-            None => Some(sending),
+    fn order(&mut self, outgoing: OutgoingOrder) {
+        let outgoing = match self.connection(&outgoing.target) {
+            Some(connection) => connection.order(outgoing),
+            None => Some(outgoing),
         };
-        let Some(sending) = sending else {
+        let Some(outgoing) = outgoing else {
             return;
         };
         let (calls, events) = (self.calls.clone(), self.events.clone());
         task::spawn_local(async move {
-            let outcome = calls.order(&sending).await;
+            let outcome = calls.order(&outgoing).await;
             // Fails only if the leadership has ended.
-            let _ = events.send(Event::Ordered(sending.target, sending.order, outcome));
+            let _ = events.send(Event::Ordered(outgoing.target, outgoing.order, outcome));
         });
     }
 
     fn poll(&mut self, poll: PollOrder) {
-        let poll = match self.link(&poll.target) {
-            Some(link) => link.poll(poll),
+        let poll = match self.connection(&poll.target) {
+            Some(connection) => connection.poll(poll),
             None => Some(poll),
         };
         let Some(poll) = poll else {
@@ -281,8 +286,8 @@
 
     fn forget(&mut self, id: &EndpointId) {
         self.calls.forget(id);
-        for link in self.links.values() {
-            link.forget(id);
+        for connection in self.connections.values() {
+            connection.forget(id);
         }
     }
 }
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -64,8 +64,8 @@
             // Concurrently, since a call to a silent store takes its whole timeout.
             let (answers, has_store) = std::thread::scope(|scope| {
                 let own = scope.spawn(|| internal::reaches_store(&shared, end));
-                let within = wire::STORE_PROBE_TIMEOUT;
-                let answers = peers::ask_all_within(&others, wire::PROBE_PATH, &probe, within);
+                let timeout = wire::STORE_PROBE_TIMEOUT;
+                let answers = peers::ask_all_within(&others, wire::PROBE_PATH, &probe, timeout);
                 (answers, own.join().unwrap_or(false))
             });
             let _ = tx.send(Event::StoreProbed(answers, has_store));
--- a/pomelohitchd/src/fleet/leader/journal.rs
+++ b/pomelohitchd/src/fleet/leader/journal.rs
@@ -192,8 +192,8 @@
             }
             let is_predecessor_durable = self.common.is_durable(sequence - 1);
             let started_at = clock::steady();
-            let within = lock(&self.common.timeout).for_attempt(failed_attempts);
-            match self.store.append(Topic::Jobs, records, condition, within) {
+            let timeout = lock(&self.common.timeout).for_attempt(failed_attempts);
+            match self.store.append(Topic::Jobs, records, condition, timeout) {
                 Ok(Appended::Done { .. }) => return self.mark_durable(*sequence, started_at),
                 Ok(Appended::OutOfSequence)
                     if !is_predecessor_durable || self.common.is_durable(*sequence) =>
@@ -214,7 +214,7 @@
                 Err(error) => {
                     let is_timeout = error.status().is_none();
                     if self.common.is_available.load(Ordering::Acquire) {
-                        info!(%error, ?within, sequence, "append failed; retrying");
+                        info!(%error, within = ?timeout, sequence, "append failed; retrying");
                     }
                     self.report_availability(false)?;
                     failed_attempts += 1;
@@ -228,8 +228,8 @@
     }
 
     fn is_leader(&self) -> bool {
-        let leading = self.common.shared.leadership();
-        leading.is_some_and(|l| l.epoch == self.common.epoch)
+        let leadership = self.common.shared.leadership();
+        leadership.is_some_and(|l| l.epoch == self.common.epoch)
     }
 
     fn mark_durable(
--- a/pomelohitchd/src/fleet/leader/watch.rs
+++ b/pomelohitchd/src/fleet/leader/watch.rs
@@ -100,8 +100,8 @@
         }
         let keys = newest.records.iter().map(|(key, _)| key);
         let zones = keys.filter_map(|key| records::evacuated_zone(key));
-        let read = EvacuationChange::Reloaded(zones.collect());
-        let _ = tx.send(Event::Evacuation(read));
+        let change = EvacuationChange::Reloaded(zones.collect());
+        let _ = tx.send(Event::Evacuation(change));
         return Ok(Some(newest.end));
     };
     match store.read(Topic::Operators, from, OPERATORS_WAIT)? {
--- a/pomelohitchd/src/fleet/lifecycle.rs
+++ b/pomelohitchd/src/fleet/lifecycle.rs
@@ -200,8 +200,8 @@
     info!("shutting down");
     let started_at = clock::steady();
     shared.begin_shutdown();
-    if let Some(leading) = shared.leadership() {
-        let _ = leading.events.send(Event::Shutdown);
+    if let Some(leadership) = shared.leadership() {
+        let _ = leadership.events.send(Event::Shutdown);
     }
     let grace = shared.site.load().bounds.grace.saturating_sub(GRACE_MARGIN);
     while !serving.is_finished() && clock::steady().saturating_sub(started_at) < grace {
--- a/pomelohitchd/src/fleet/logs.rs
+++ b/pomelohitchd/src/fleet/logs.rs
@@ -5,10 +5,10 @@
 use tracing_appender::non_blocking::{ErrorCounter, NonBlockingBuilder, WorkerGuard};
 
 /// Maximum number of lines that wait to be written; further lines are dropped and counted.
-const BUFFERED_LINES: usize = 8_192;
+const MAX_BUFFERED_LINES: usize = 8_192;
 /// Size of the write buffer in bytes. Waiting lines are written together, which saves a system call
 /// for each.
-const WRITTEN_AT_ONCE: usize = 4 * 1024;
+const WRITE_BUFFER_BYTES: usize = 4 * 1024;
 
 /// Handle to the log output; when dropped, it writes the waiting lines and ends the output.
 #[derive(Debug)]
@@ -33,8 +33,11 @@
 pub fn start() -> Logs {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(BUFFERED_LINES)
-        .finish(BufWriter::with_capacity(WRITTEN_AT_ONCE, std::io::stdout()));
+        .buffered_lines_limit(MAX_BUFFERED_LINES)
+        .finish(BufWriter::with_capacity(
+            WRITE_BUFFER_BYTES,
+            std::io::stdout(),
+        ));
     let dropped = writer.error_counter();
     let level = std::env::var("POMELOHITCH_LOG_LEVEL").unwrap_or_else(|_| "info".to_owned());
     tracing_subscriber::fmt()
--- a/pomelohitchd/src/fleet/relay/client.rs
+++ b/pomelohitchd/src/fleet/relay/client.rs
@@ -87,12 +87,12 @@
     pub fn start(peer: SocketAddr, epoch: Epoch, events: Sender<Event>) -> RelayConnection {
         let (commands, rx) = mpsc::unbounded_channel();
         let state = Rc::<ConnectionState>::default();
-        let running = state.clone();
+        let task_state = state.clone();
         task::spawn_local(async move {
             let session = Session::new(events);
-            session.run(peer, epoch, rx, &running).await;
-            running.is_open.set(false);
-            running.ended_at.set(Some(clock::steady()));
+            session.run(peer, epoch, rx, &task_state).await;
+            task_state.is_open.set(false);
+            task_state.ended_at.set(Some(clock::steady()));
         });
         RelayConnection {
             peer,
--- a/pomelohitchd/tests/fleet/dispatcher.rs
+++ b/pomelohitchd/tests/fleet/dispatcher.rs
@@ -39,8 +39,8 @@
         if !received.ends_with('}') {
             continue;
         }
-        let is_meant = |run: &RunNumber| received.contains(&format!("\"run\":{run},"));
-        if !unanswered.iter().any(is_meant) && stream.write_all(ACCEPTED).is_err() {
+        let is_order_of = |run: &RunNumber| received.contains(&format!("\"run\":{run},"));
+        if !unanswered.iter().any(is_order_of) && stream.write_all(ACCEPTED).is_err() {
             return;
         }
         received.clear();
--- a/pomelohitchd/tests/fleet/journal.rs
+++ b/pomelohitchd/tests/fleet/journal.rs
@@ -92,14 +92,14 @@
 }
 
 /// The journal of a leader whose store is at `addr`.
-struct Running {
+struct RunningJournal {
     journal: Journal,
     events: mpsc::Receiver<Event>,
     shared: Arc<Shared>,
 }
 
-impl Running {
-    fn start(addr: SocketAddr) -> Running {
+impl RunningJournal {
+    fn start(addr: SocketAddr) -> RunningJournal {
         let mut site = site();
         site.store = addr;
         let shared = Arc::new(Shared::new(site));
@@ -110,7 +110,7 @@
         }));
         let confirmed = Arc::new(AtomicU64::new(0));
         let journal = Journal::start(&shared, EPOCH, &tx, &confirmed);
-        Running {
+        RunningJournal {
             journal: journal.expect("the threads start"),
             events,
             shared,
@@ -134,7 +134,7 @@
 
 /// Commits `count` batches of one record each, and waits until all are durable.
 fn commit_all(addr: SocketAddr, count: Sequence) {
-    let mut running = Running::start(addr);
+    let mut running = RunningJournal::start(addr);
     for number in 1..=count {
         assert_eq!(running.journal.commit(vec![record(number)]), number);
     }
@@ -172,7 +172,7 @@
 #[test]
 fn a_large_batch_is_written_in_parts() {
     let (addr, state) = store(StoreState::default());
-    let mut running = Running::start(addr);
+    let mut running = RunningJournal::start(addr);
     let large = |number: u32| Record {
         key: format!("j{number}").into(),
         value: Some(vec![0; 700_000].into()),
@@ -208,11 +208,11 @@
         lose_answers_to: vec![2],
         ..StoreState::default()
     });
-    let mut running = Running::start(addr);
+    let mut running = RunningJournal::start(addr);
     for number in 1..=3 {
         running.journal.commit(vec![record(number)]);
     }
-    let Running {
+    let RunningJournal {
         journal,
         events,
         shared,
@@ -236,7 +236,7 @@
         sequences: vec![7],
         ..StoreState::default()
     });
-    let mut running = Running::start(addr);
+    let mut running = RunningJournal::start(addr);
     running.journal.commit(vec![record(1)]);
     let is_end = |event: Event| matches!(event, Event::Deposed(_));
     assert!(running.events.into_iter().any(is_end));
--- a/pomelohitchd/tests/fleet/outages.rs
+++ b/pomelohitchd/tests/fleet/outages.rs
@@ -45,8 +45,8 @@
 fn members_answer_while_the_store_is_silent() {
     let members = [member(silent_store()), member(silent_store())];
     let probe = Probe { with_store: true };
-    let within = wire::STORE_PROBE_TIMEOUT;
-    let answers = peers::ask_all_within::<ProbeReply>(&members, wire::PROBE_PATH, &probe, within);
+    let timeout = wire::STORE_PROBE_TIMEOUT;
+    let answers = peers::ask_all_within::<ProbeReply>(&members, wire::PROBE_PATH, &probe, timeout);
     assert_eq!(answers.len(), 2);
     assert!(answers.iter().all(|(_, answer)| !answer.has_store));
 }
--- a/pomelohitchd/tests/fleet/relays.rs
+++ b/pomelohitchd/tests/fleet/relays.rs
@@ -115,7 +115,7 @@
         wait: Duration::ZERO,
     });
     match rx.recv_timeout(Duration::from_secs(5)) {
-        Ok(Event::Polled(_, look)) => look,
+        Ok(Event::Polled(_, reply)) => reply,
         other => panic!("{other:?}"),
     }
 }
@@ -161,9 +161,9 @@
     let (mut dispatcher, rx) = dispatcher(vec![start_relay()]);
     poll_until_relayed(&mut dispatcher, &rx, &endpoint);
     for _ in 0..3 {
-        let look = poll(&mut dispatcher, &rx, endpoint.addr).expect("the endpoint answers");
-        assert_eq!(look.running.len(), 1);
-        assert!(look.sent_at <= look.answered_at);
+        let reply = poll(&mut dispatcher, &rx, endpoint.addr).expect("the endpoint answers");
+        assert_eq!(reply.running.len(), 1);
+        assert!(reply.sent_at <= reply.answered_at);
     }
 }
 
@@ -350,7 +350,7 @@
                 how: EndReason::Done,
                 checkpoint: "".into(),
             };
-            let look = PollReply {
+            let reply = PollReply {
                 born: 7,
                 clock: Duration::from_millis(5),
                 running: running.clone(),
@@ -359,7 +359,7 @@
                 ..PollReply::default()
             };
             let mut read = receiver
-                .decode(sender.encode(look.clone()))
+                .decode(sender.encode(reply.clone()))
                 .expect("the delta is based on the previous answer");
             for (read, written) in read.running.iter_mut().zip(&running) {
                 assert!(
@@ -368,7 +368,7 @@
                 );
                 read.load = written.load;
             }
-            assert_eq!(read, look);
+            assert_eq!(read, reply);
         }
     });
 }
