--- a/pomelohitchd/src/fleet/election.rs
+++ b/pomelohitchd/src/fleet/election.rs
@@ -29,8 +29,8 @@
 /// If two checks are further apart than this, this process itself was suspended, and can't tell for
 /// how long the leader was silent.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(600);
-/// Upper limit of the delay of a claim. The delay is derived from the member's name, so that members
-/// rarely claim at the same time.
+/// Upper limit of the delay of a claim. The delay is derived from the member's name, so that
+/// members rarely claim at the same time.
 const MAX_STAGGER: Duration = Duration::from_millis(150);
 
 /// Watches the leader until the process shuts down.
--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -57,7 +57,8 @@
         /// Error of the store's client.
         source: pomelohitch_adapter::Error,
     },
-    /// Another member was first.
+    /// Another member was first, or other records moved the topic's end at each of
+    /// [`CLAIM_ATTEMPTS`] attempts.
     #[snafu(display("another member claimed the leadership first"))]
     Raced,
     /// A larger member can lead, and was asked to claim the leadership.
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -98,7 +98,8 @@
     StoreProbed(Vec<(SocketAddr, ProbeReply)>, bool),
     /// The answers of larger members on whether they can lead.
     LargerMembersProbed(Vec<(SocketAddr, ProbeReply)>),
-    /// A later leader is known; with the reason that is logged.
+    /// A later leader is known, or the store permanently refuses appends; with the reason that is
+    /// logged.
     Deposed(&'static str),
     /// The process is shutting down.
     Shutdown,
@@ -160,8 +161,8 @@
     end: Option<End>,
 }
 
-/// Leads until a later leader is known, only this process has lost the store, a larger member can
-/// lead, or the process shuts down.
+/// Leads until a later leader is known, this process has lost the store while other members have it
+/// or don't answer, a larger member can lead, or the process shuts down.
 pub fn run(shared: &Arc<Shared>, initial: InitialState) {
     let epoch = initial.leader.epoch;
     let confirmed = Arc::new(AtomicU64::new(millis(clock::steady())));
@@ -411,6 +412,9 @@
         }
     }
 
+    /// Takes the next batch and queues its records for appending, or a confirmation of the
+    /// leadership if there were no records for [`journal::CONFIRM_INTERVAL`]. Does nothing while
+    /// too many appends are in flight or the last one is too recent.
     fn commit(&mut self) {
         let now = clock::steady();
         let has_in_flight = !self.in_flight.is_empty();
--- a/pomelohitchd/src/fleet/leader/handover.rs
+++ b/pomelohitchd/src/fleet/leader/handover.rs
@@ -19,8 +19,8 @@
 /// Time without an answer after which the store counts as lost and the other members are probed.
 /// Their answers decide, so that probing early costs at most one call per member.
 const STORE_LOST_AFTER: Duration = Duration::from_millis(250);
-/// Maximum outage after which a store that answers a read of this process counts as recovered. After
-/// a longer one appends may still fail, and the leadership is handed over.
+/// Maximum outage after which a store that answers a read of this process counts as recovered.
+/// After a longer one appends may still fail, and the leadership is handed over.
 const MAX_RECOVERED_OUTAGE: Duration = Duration::from_secs(6);
 /// Minimum interval between probes about the store. Answers take long while the store is silent.
 const PROBE_INTERVAL: Duration = Duration::from_millis(900);
--- a/pomelohitchd/src/fleet/shared.rs
+++ b/pomelohitchd/src/fleet/shared.rs
@@ -237,7 +237,8 @@
         received.map(|received| received.at(clock::steady()))
     }
 
-    /// Waits for a change of the view or the leadership, or a shutdown, for at most `time`.
+    /// Waits for at most `time` until the view or the leadership changes, a takeover is requested
+    /// or the shutdown begins.
     pub fn wait(&self, time: Duration) {
         let view = self.lock();
         let waited = self.changed.wait_timeout(view, time);
--- a/pomelohitchd/src/fleet/succession.rs
+++ b/pomelohitchd/src/fleet/succession.rs
@@ -10,8 +10,8 @@
 
 use super::wire::{Member, ProbeReply};
 
-/// Ratio of CPU capacities from which a member counts as larger. A change of leader delays work by a
-/// tenth of a second, which a smaller difference isn't worth.
+/// Ratio of CPU capacities from which a member counts as larger. A change of leader delays work by
+/// a tenth of a second, which a smaller difference isn't worth.
 const LARGER_RATIO: f64 = 1.5;
 /// Additional delay before a member that knows of a larger one claims the leadership. The larger
 /// one notices the same silence and has claimed by then.
