--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -203,8 +203,8 @@
 /// records takes seconds, and members that hear no heartbeat meanwhile would suspect the leader and
 /// claim the leadership in turn.
 ///
-/// Stops when the returned guard is dropped, which is when the leader's own heartbeats have started
-/// or the takeover has failed.
+/// Stops when the returned guard is dropped: after the start of the leader's thread, which begins
+/// to send heartbeats itself, or after a failure of the takeover.
 fn announce(shared: &Arc<Shared>, leader: &Leader) -> Result<mpsc::Sender<()>> {
     let (guard, ended) = mpsc::channel::<()>();
     let peers = shared.peers();
--- a/pomelohitchd/src/fleet/relay/listing.rs
+++ b/pomelohitchd/src/fleet/relay/listing.rs
@@ -24,8 +24,10 @@
     base: Version,
     born: u64,
     clock: Steady,
+    /// [`PollReply::lease_requested`].
     renewed: bool,
     ended: Vec<Ended>,
+    /// Runs of the previous answer that are no longer listed.
     gone: Vec<(TaskId, RunNumber)>,
     /// Runs that are new, or whose checkpoint or load has changed.
     changed: Vec<Running>,
