--- a/pomelohitchd/src/fleet/leader.rs
+++ b/pomelohitchd/src/fleet/leader.rs
@@ -57,7 +57,8 @@
         /// Error of the store's client.
         source: pomelohitch_adapter::Error,
     },
-    /// Another member was first.
+    /// Another member was first, or other records moved the topic's end at each of
+    /// [`CLAIM_ATTEMPTS`] attempts.
     #[snafu(display("another member claimed the leadership first"))]
     Raced,
     /// A larger member can lead, and was asked to claim the leadership.
@@ -202,8 +203,8 @@
 /// records takes seconds, and members that hear no heartbeat meanwhile would suspect the leader and
 /// claim the leadership in turn.
 ///
-/// Stops when the returned guard is dropped, which is when the leader's own heartbeats have started
-/// or the takeover has failed.
+/// Stops when the returned guard is dropped: after the start of the leader's thread, which begins
+/// to send heartbeats itself, or after a failure of the takeover.
 fn announce(shared: &Arc<Shared>, leader: &Leader) -> Result<mpsc::Sender<()>> {
     let (guard, ended) = mpsc::channel::<()>();
     let peers = shared.peers();
@@ -240,9 +241,9 @@
 /// [`Settings::former_leader_timeout`] after a handover: the former leader only finishes the calls
 /// that it was just sending.
 const FORMER_LEADER_TIMEOUT_AFTER_HANDOVER: Duration = Duration::from_millis(300);
-/// Margin by which ended jobs are kept longer than promised.
+/// Margin added to the time for which the platform requires ended jobs to be kept.
 const JOB_RETENTION_MARGIN: Duration = Duration::from_secs(20);
-/// Margin added to the required gap between the operations of two leaders.
+/// Margin added to the gap that the platform requires between the operations of two leaders.
 const OPERATION_GAP_MARGIN: Duration = Duration::from_millis(400);
 
 /// Condition of an append by the leader of `epoch`.
--- a/pomelohitchd/src/fleet/leader/core.rs
+++ b/pomelohitchd/src/fleet/leader/core.rs
@@ -35,7 +35,7 @@
 const GATHER_WINDOW: Duration = Duration::from_millis(5);
 /// Minimum interval between the starts of two batches.
 const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(15);
-/// Minimum interval between the starts of two batches while others are in flight.
+/// Minimum interval between the starts of two batches while appends are in flight.
 const MIN_BATCH_INTERVAL_IN_FLIGHT: Duration = Duration::from_millis(120);
 /// Maximum number of queued events handled before the next tick.
 const MAX_EVENTS_PER_TICK: usize = 1_000;
@@ -98,7 +98,8 @@
     StoreProbed(Vec<(SocketAddr, ProbeReply)>, bool),
     /// The answers of larger members on whether they can lead.
     LargerMembersProbed(Vec<(SocketAddr, ProbeReply)>),
-    /// A later leader is known; with the reason that is logged.
+    /// A later leader is known, or the store permanently refuses appends; with the reason that is
+    /// logged.
     Deposed(&'static str),
     /// The process is shutting down.
     Shutdown,
@@ -151,7 +152,7 @@
     pending_calls: HashMap<CallId, SyncSender<Answer>>,
     next_call: CallId,
     in_flight: InFlight,
-    committed_at: Steady,
+    last_append_at: Steady,
     pub(super) appends_failing_since: Option<Steady>,
     pub(super) reads_failing_since: Option<Steady>,
     pub(super) members_probed_at: Steady,
@@ -160,8 +161,8 @@
     end: Option<End>,
 }
 
-/// Leads until a later leader is known, only this process has lost the store, a larger member can
-/// lead, or the process shuts down.
+/// Leads until a later leader is known, this process has lost the store while other members have it
+/// or don't answer, a larger member can lead, or the process shuts down.
 pub fn run(shared: &Arc<Shared>, initial: InitialState) {
     let epoch = initial.leader.epoch;
     let confirmed = Arc::new(AtomicU64::new(millis(clock::steady())));
@@ -195,7 +196,7 @@
         pending_calls: HashMap::new(),
         next_call: 0,
         in_flight: InFlight::default(),
-        committed_at: Steady::ZERO,
+        last_append_at: Steady::ZERO,
         appends_failing_since: None,
         reads_failing_since: None,
         members_probed_at: Steady::ZERO,
@@ -411,6 +412,9 @@
         }
     }
 
+    /// Takes the next batch and queues its records for appending, or a confirmation of the
+    /// leadership if there were no records for [`journal::CONFIRM_INTERVAL`]. Does nothing while
+    /// too many appends are in flight or the last one is too recent.
     fn commit(&mut self) {
         let now = clock::steady();
         let has_in_flight = !self.in_flight.is_empty();
@@ -420,16 +424,16 @@
             MIN_BATCH_INTERVAL
         };
         if self.in_flight.append_count() >= journal::MAX_IN_FLIGHT
-            || now < self.committed_at + interval
+            || now < self.last_append_at + interval
         {
             return;
         }
         match self.cell.take_batch() {
             Ok(None) => {
-                if !has_in_flight && now >= self.committed_at + journal::CONFIRM_INTERVAL {
+                if !has_in_flight && now >= self.last_append_at + journal::CONFIRM_INTERVAL {
                     let sequence = self.journal.append_confirmation(self.epoch);
                     self.in_flight.push(sequence, None);
-                    self.committed_at = now;
+                    self.last_append_at = now;
                 }
             }
             Ok(Some(batch)) if batch.records.is_empty() => {
@@ -438,7 +442,7 @@
                 }
             }
             Ok(Some(mut batch)) => {
-                self.committed_at = now;
+                self.last_append_at = now;
                 let records = std::mem::take(&mut batch.records);
                 let sequence = self.journal.commit(records);
                 self.in_flight.push(sequence, Some(batch));
@@ -461,7 +465,7 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Notes that the store confirmed the leadership just now.
+/// Records that the store has just confirmed the leadership.
 pub fn mark_confirmed(confirmed: &AtomicU64) {
     confirmed.store(millis(clock::steady()), Ordering::Release);
 }
