--- a/crates/pomelohitch-sched/src/place.rs
+++ b/crates/pomelohitch-sched/src/place.rs
@@ -96,8 +96,8 @@
     pub fn remove(&mut self, id: &EndpointId) {
         if let Some(at) = self.index.remove(id) {
             self.list.remove(at);
-            for place in self.index.values_mut().filter(|place| **place > at) {
-                *place -= 1;
+            for index in self.index.values_mut().filter(|index| **index > at) {
+                *index -= 1;
             }
         }
     }
@@ -202,9 +202,9 @@
         + u8::from(slot.lasting_runs == 0)
 }
 
-/// Lasting tasks of a step per endpoint, for each one that may be out of service. They leave an
-/// endpoint one after another, which takes about two seconds each, before its instance can be
-/// maintained.
+/// Other endpoints are preferred once an endpoint has this many lasting tasks of a step, per task of
+/// the step that may be out of service. Before its instance can be maintained, they leave the
+/// endpoint one after another, about two seconds each.
 const LASTING_PER_ENDPOINT: u32 = 2;
 
 /// Whether an endpoint is probably broken: more than half of several recent runs failed there.
--- a/crates/pomelohitch-sched/src/suspicion.rs
+++ b/crates/pomelohitch-sched/src/suspicion.rs
@@ -1,9 +1,9 @@
 //! Detection of tasks that crash their endpoints.
 //!
 //! A crash ends all runs of an endpoint, and nothing shows which of them caused it. A run that had
-//! been running for a while is not blamed. Jobs of the other runs become suspects: their tasks are
-//! isolated from those of other jobs until they have been running for that while, so that a second
-//! crash shows which job is at fault.
+//! been running for `proven_after` is not blamed. Jobs of the other runs become suspects: their
+//! tasks are isolated from those of other jobs until they have been running for
+//! `proven_again_after`, so that a second crash shows which job is at fault.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     pub min_certain: u32,
     /// Number of endpoints lost under a task at which it is given up in any case; the platform
     /// allows no more.
-    pub lost: u32,
+    pub max_lost: u32,
     /// A run that has been running for this long is not blamed for a crash.
     pub proven_after: Duration,
     /// The same for a task under which an endpoint was lost before.
@@ -51,7 +51,7 @@
             min_sole_cause: 2,
             max_lost_certain: 4,
             min_certain: 2,
-            lost: 5,
+            max_lost: 5,
             proven_after: Duration::from_millis(150),
             proven_again_after: Duration::from_secs(2),
             cleared_after: Duration::from_secs(10),
@@ -104,17 +104,17 @@
         let is_only_cause =
             self.alone >= limits.min_sole_cause && self.lost >= limits.max_lost_sole_cause;
         let is_certain = self.certain >= limits.min_certain && self.lost >= limits.max_lost_certain;
-        is_only_cause || is_certain || self.lost >= limits.lost
+        is_only_cause || is_certain || self.lost >= limits.max_lost
     }
 
-    /// Whether a run of the task that has been running for `worked` is not blamed for a crash.
+    /// Whether a run of the task that has been running for `ran_for` is not blamed for a crash.
     #[must_use]
-    pub fn is_proven(&self, worked: Duration, limits: &CrashLimits) -> bool {
+    pub fn is_proven(&self, ran_for: Duration, limits: &CrashLimits) -> bool {
         let needed = if self.lost == 0 {
             limits.proven_after
         } else {
             limits.proven_again_after
         };
-        worked >= needed
+        ran_for >= needed
     }
 }
--- a/pomelohitchd/src/batch/driver.rs
+++ b/pomelohitchd/src/batch/driver.rs
@@ -266,8 +266,9 @@
         }
     }
 
-    /// Reports ended attempts as `Unknown` if no report about them arrived in time. Time during
-    /// which reports can't be read doesn't count, because the report may still arrive.
+    /// Reports ended attempts as `Unknown` if no report about them arrived in time. While reports
+    /// can't be read, one may still arrive, so the timeout counts as passed only once reports were
+    /// read after it.
     fn report_unexplained(&mut self) {
         let mut lost = Vec::new();
         let known = self.known.clone();
@@ -373,7 +374,7 @@
         if decision.is_empty() {
             return;
         }
-        count(&decision);
+        log_and_count(&decision);
         let record = JobDecision {
             term: self.known.members.term,
             after: self.known.jobs.decided,
@@ -410,8 +411,8 @@
     }
 
     fn throttle(&self, throttle: &pomelohitch_place::planner::Throttle) {
-        let jobs = self.known.jobs.get(&throttle.job);
-        if let Some(attempt) = jobs.and_then(Entry::attempt) {
+        let entry = self.known.jobs.get(&throttle.job);
+        if let Some(attempt) = entry.and_then(Entry::attempt) {
             self.submit_call(&throttle.job, attempt, Call::Throttle);
         }
     }
@@ -471,7 +472,7 @@
     }
 }
 
-fn count(decision: &Decision) {
+fn log_and_count(decision: &Decision) {
     metrics::counter!("jobs_placed").increment(decision.place.len() as u64);
     metrics::counter!("jobs_preempted").increment(decision.preempt.len() as u64);
     metrics::counter!("jobs_refused").increment(decision.refuse.len() as u64);
--- a/pomelohitchd/src/fleet/lifecycle.rs
+++ b/pomelohitchd/src/fleet/lifecycle.rs
@@ -178,7 +178,8 @@
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
-/// Applies changed settings. The addresses that are already listened on stay as they are.
+/// Applies changed settings. The addresses for callers, other members and readiness checks stay as
+/// they are, since they are already listened on.
 fn reload(path: &Path, shared: &Shared, is_signalled: bool) {
     match settings::read(path) {
         Ok(site) => {
@@ -199,8 +200,8 @@
     info!("shutting down");
     let started_at = clock::steady();
     shared.begin_shutdown();
-    if let Some(leading) = shared.leadership() {
-        let _ = leading.events.send(Event::Shutdown);
+    if let Some(leadership) = shared.leadership() {
+        let _ = leadership.events.send(Event::Shutdown);
     }
     let grace = shared.site.load().bounds.grace.saturating_sub(GRACE_MARGIN);
     while !serving.is_finished() && clock::steady().saturating_sub(started_at) < grace {
